--- /dev/null
+++ b/features/recorded_forms.feature
@@ -0,0 +1,86 @@
+Feature: What leaves a node keeps its form
+  Nodes of two releases run side by side during a rolling restart, records of an older release lie in
+  the store, and operators search logs and metrics by name. The recorded forms are not changed to
+  follow the code: a form that differs is a break of compatibility.
+
+  Scenario Outline: A message between nodes has exactly the recorded bytes and is read back
+    Given the recorded forms of "messages"
+    When the message "<message>" is encoded
+    Then its bytes are the recorded ones
+    And a node that gets the recorded bytes reads the same message
+
+    Examples:
+      | message               |
+      | news_empty            |
+      | news_full             |
+      | news_of_group         |
+      | query                 |
+      | reply_empty           |
+      | reply_configuration   |
+      | reply_back_ends       |
+      | reply_other_changes   |
+      | ages_query            |
+      | ages_reply            |
+      | ages_reply_silent     |
+
+  Scenario Outline: A record in the store has exactly the recorded key and value
+    Given the recorded forms of "records"
+    When the gateway writes the record "<record>"
+    Then its key and value are the recorded ones
+
+    Examples:
+      | record             |
+      | registration       |
+      | duty               |
+      | order_turn         |
+      | quarantine         |
+      | weights_age        |
+      | rollout            |
+      | rollout_begun      |
+      | rollout_status     |
+
+  Scenario Outline: A record of an older release is read
+    Given the recorded forms of "records"
+    When the recorded value of "<record>" is read
+    Then it says what the record says
+
+    Examples:
+      | record        |
+      | registration  |
+      | quarantine    |
+      | weights_age   |
+      | rollout       |
+      | rollout_begun |
+
+  Scenario Outline: What is sent to the platform has exactly the recorded form
+    Given the recorded forms of "calls"
+    When the gateway makes the call "<call>"
+    Then method, target, headers and body are the recorded ones
+
+    Examples:
+      | call                |
+      | request_full        |
+      | request_plain       |
+      | order_during_runs   |
+      | order_after_runs    |
+      | report              |
+      | health              |
+      | store_read_all      |
+      | store_follow        |
+      | store_revision      |
+      | store_write         |
+      | store_delete        |
+      | store_lease         |
+      | store_renewal       |
+      | store_lease_end     |
+      | store_status        |
+
+  Scenario: The names of log events and their fields are the recorded ones
+    Given the recorded forms of "log_events"
+    When the events and fields that the gateway logs are listed
+    Then they are the recorded ones
+
+  Scenario: The names of metrics, their labels and buckets are the recorded ones
+    Given the recorded forms of "metrics"
+    When the metrics that a node offers are listed
+    Then they are the recorded ones
--- /dev/null
+++ b/features/steps/recorded_forms_steps.py
@@ -0,0 +1,83 @@
+"""Steps of `recorded_forms.feature`."""
+
+from behave import given, then, when
+
+from features.support import recorded_forms
+from weirscale.gateway.peer_messages import decode_message, encode_message
+
+
+@given('the recorded forms of "{kind}"')
+def step_recorded(context, kind):
+    context.recorded = recorded_forms.recorded(kind)
+    assert context.recorded, kind
+
+
+@when('the message "{name}" is encoded')
+def step_encode(context, name):
+    context.message = recorded_forms.messages()[name]
+    context.bytes = encode_message(context.message)
+    context.recorded_bytes = bytes.fromhex(context.recorded[name])
+
+
+@then("its bytes are the recorded ones")
+def step_bytes(context):
+    assert context.bytes == context.recorded_bytes, context.bytes.hex()
+
+
+@then("a node that gets the recorded bytes reads the same message")
+def step_read_back(context):
+    assert decode_message(context.recorded_bytes) == context.message
+
+
+@when('the gateway writes the record "{name}"')
+def step_write(context, name):
+    context.written = recorded_forms.record(name)
+    context.expected = context.recorded[name]
+
+
+@then("its key and value are the recorded ones")
+def step_written(context):
+    key, value = context.written
+    assert [key, value.hex()] == context.expected, (key, value.hex())
+
+
+@when('the recorded value of "{name}" is read')
+def step_read(context, name):
+    key, value = context.recorded[name]
+    context.read = recorded_forms.read_record(name, key, bytes.fromhex(value))
+
+
+@then("it says what the record says")
+def step_says(context):
+    found, expected = context.read
+    assert found == expected, (found, expected)
+
+
+@when('the gateway makes the call "{name}"')
+def step_call(context, name):
+    context.made = recorded_forms.call(name)
+    context.expected = context.recorded[name]
+
+
+@then("method, target, headers and body are the recorded ones")
+def step_made(context):
+    assert context.made == context.expected, context.made
+
+
+@when("the events and fields that the gateway logs are listed")
+def step_events(context):
+    context.listed = recorded_forms.log_events()
+
+
+@when("the metrics that a node offers are listed")
+def step_metrics(context):
+    context.listed = recorded_forms.metrics()
+
+
+@then("they are the recorded ones")
+def step_listed(context):
+    listed, expected = context.listed, context.recorded
+    different = sorted(
+        name for name in listed.keys() | expected.keys() if listed.get(name) != expected.get(name)
+    )
+    assert not different, {name: (listed.get(name), expected.get(name)) for name in different}
--- /dev/null
+++ b/features/support/recorded_forms.py
@@ -0,0 +1,543 @@
+"""Examples of all that leaves a node: messages, records, calls, log events and metrics.
+
+`features/recorded_forms/` holds what each example looked like when it was recorded. The examples
+follow the names of the code; the recordings do not change.
+"""
+
+import ast
+import json
+from collections import defaultdict
+from pathlib import Path
+from random import Random
+
+import anyio
+import cbor2
+import httpx
+from result import Ok
+
+from features.support.platform_fleet import ADAPTER, EventRecorder
+from features.support.virtual_time import run_in_virtual_time
+from weirscale.domain.duties.assignment import Duty, DutyKind
+from weirscale.domain.duties.lease import LeaseRules
+from weirscale.domain.identifiers import (
+    Incarnation,
+    NodeId,
+    NodeName,
+    ServiceName,
+    SoftwareVersion,
+    TenantName,
+    ZoneName,
+)
+from weirscale.gateway.back_ends import BackEnd, BackEndState, RunId, ServedModel
+from weirscale.gateway.knowledge import Knowledge
+from weirscale.gateway.metrics import GatewayMetrics
+from weirscale.gateway.model import (
+    CallerLimits,
+    EngineProfile,
+    GatewayConfiguration,
+    KeptCacheStore,
+    Quota,
+    QuotaUnit,
+    RequestKind,
+    Route,
+    Service,
+    Tenant,
+    WeightedService,
+)
+from weirscale.gateway.peer_messages import (
+    REST_OF_FLEET,
+    AgesQuery,
+    AgesReply,
+    AnsweredNews,
+    CrashNews,
+    LoadingNews,
+    LoadNews,
+    MovedNews,
+    NamedNews,
+    PeerNews,
+    SendNews,
+    StateQuery,
+    StateReply,
+    SuspectNews,
+    TrialNews,
+    UsageNews,
+)
+from weirscale.gateway.ports import (
+    BackEndGone,
+    BackEndRegistered,
+    CallerRequest,
+    ConfigurationNamed,
+    LoadMode,
+    OutboundRequest,
+    RecordChanged,
+    RolloutOrdered,
+    RolloutStatusSeen,
+    RolloutWithdrawn,
+    Unreadable,
+    VersionedChange,
+    WeightOrder,
+    WeightsNamed,
+)
+from weirscale.gateway.prompt import Prompt, PromptPart
+from weirscale.gateway.quarantine.fingerprint import RequestFingerprint
+from weirscale.gateway.quarantine.keeper import Quarantine
+from weirscale.gateway.quarantine.record import read_quarantine_key
+from weirscale.gateway.registrations import Registration, RegistrationTask
+from weirscale.gateway.rollouts.order import Epoch, RolloutState, RolloutStatus
+from weirscale.gateway.rollouts.record import (
+    RolloutRecord,
+    Stage,
+    decode_record,
+    encode_record,
+    record_key,
+)
+from weirscale.gateway.rollouts.tallies import Counts, Evidence
+from weirscale.gateway.timed_record import OrderTurn
+from weirscale.gateway.young_record import YoungRecord, read_young_record
+from weirscale.leases.lease_task import DutyLeaseTask
+from weirscale.ports.key_value import KeyValue, ReadAnswer, SwapAnswer
+from weirscale_platform.runner import RunnerClient
+from weirscale_platform.store import StoreClient
+
+ROOT = Path(__file__).resolve().parents[2]
+RECORDINGS = ROOT / "features" / "recorded_forms"
+LOGGING_SOURCES = (
+    ROOT / "src" / "weirscale" / "gateway",
+    ROOT / "src" / "weirscale" / "leases",
+    ADAPTER,
+)
+FINGERPRINT = RequestFingerprint("00112233445566778899aabbccddeeff")
+RUNS = ("i-1@0", "i-2@1700000000001", "i-3@0")
+LEASE_ID = 7
+WRITTEN_WITHIN_S = 20.0
+"""Virtual time within which every task of the examples writes its record."""
+
+
+def recorded(kind):
+    """Return the recordings of a kind."""
+    return json.loads((RECORDINGS / f"{kind}.json").read_text())
+
+
+def _routes():
+    return (
+        Route(
+            "a", "h.example", "/a/", RequestKind.STREAMING,
+            (WeightedService(ServiceName("lm"), 0.75), WeightedService(ServiceName("l2"), 0.25)),
+            4.0, 0.6, 2, 3, True, True, 0.5,
+        ),
+        Route(
+            "b", "h.example", "/b/", RequestKind.MUTATING,
+            (WeightedService(ServiceName("app"), 1.0),), 1.0, 0.2,
+        ),
+        Route(
+            "c", "h.example", "/c/", RequestKind.IDEMPOTENT,
+            (WeightedService(ServiceName("app"), 1.0),), 1.0, 0.2, max_attempts=2,
+        ),
+    )  # fmt: skip
+
+
+def _configuration():
+    return GatewayConfiguration(
+        41,
+        _routes(),
+        (
+            Service(ServiceName("lm"), "/up", 300, EngineProfile(48, 107924, ("m", "m2"))),
+            Service(ServiceName("app")),
+            Service(
+                ServiceName("kept"),
+                kept_cache=KeptCacheStore("10.0.0.9:8080", ZoneName("z"), 5_000_000),
+            ),
+        ),
+        CallerLimits(1000, 2000, 1.5, 2.5),
+        (
+            Tenant(TenantName("t"), ("k1", "k2"), 1, True, Quota(5.5, 10.0, QuotaUnit.TOKENS, 12)),
+            Tenant(TenantName("u"), ("k3",), quota=Quota(2.0, 3.0)),
+            Tenant(TenantName("v"), ()),
+        ),
+    )
+
+
+def _back_ends():
+    return (
+        BackEnd(
+            "i-1", ServiceName("lm"), "10.0.0.5:8080", ZoneName("z"), BackEndState.READY, 48,
+            (ServedModel("m", 3), ServedModel("m2", 1)), SoftwareVersion("v7"), 1_700_000_000_001,
+        ),
+        BackEnd(
+            "i-2", ServiceName("app"), "10.0.0.6:8080", ZoneName("y"), BackEndState.LEAVING, 6
+        ),
+        BackEnd(
+            "i-3", ServiceName("app"), "10.0.0.7:8080", ZoneName("y"), BackEndState.LAPSED, 6
+        ),
+    )  # fmt: skip
+
+
+def _other_changes():
+    target = SoftwareVersion("v8")
+    service = ServiceName("lm")
+    return (
+        BackEndGone("i-9"),
+        WeightsNamed("m", 4),
+        RolloutOrdered(service, target, 60.0),
+        RolloutWithdrawn("op/rollout/lm"),
+        *(RolloutStatusSeen(RolloutStatus(service, target, state)) for state in RolloutState),
+        RecordChanged("weirscale/a", b"\x00\xffvalue"),
+        RecordChanged("weirscale/b", None),
+        Unreadable("op/x", "no number"),
+    )
+
+
+def _reply(changes):
+    versioned = tuple(
+        VersionedChange(f"key/{number}", 100 + number, change)
+        for number, change in enumerate(changes)
+    )
+    return StateReply("node-1", 5, 99, 120, 340, False, versioned)
+
+
+def messages():
+    """Return an example of every message between nodes, by name."""
+    parts = (PromptPart("5c1e07a2", 800), PromptPart("91bd3f06", 410))
+    full = PeerNews(
+        sender="node-1",
+        loads=(LoadNews("i-1", 3, 9190, 18000), LoadNews("i-2", 0, 0, 0)),
+        sends=(SendNews("i-1", "m@3/t", False, parts), SendNews("i-1", "m@3", True, parts[:1])),
+        loading=(LoadingNews("i-1", "m", 4, False), LoadingNews("i-2", "m", 4, True)),
+        named=(NamedNews("m", 4, 350),),
+        suspects=(SuspectNews("i-9"),),
+        group="",
+        usage=(UsageNews("t", 1200, (300, 1000, 0)),),
+        num_nodes=1,
+        trials=(TrialNews("lm", 77, "a", "i-1", 20, 2, 1), TrialNews("lm", 77, "a", "", 90, 1, 0)),
+        moved=(MovedNews("lm", 77, 1),),
+        run=3_735_928_559,
+        crashes=(CrashNews(FINGERPRINT, RUNS[0], True), CrashNews(FINGERPRINT, RUNS[1], False)),
+        answered=(AnsweredNews(FINGERPRINT),),
+    )
+    return {
+        "news_empty": PeerNews("node-1"),
+        "news_full": full,
+        "news_of_group": PeerNews(
+            "node-1", (LoadNews("i-1", 3, 9, 18),), group=REST_OF_FLEET, num_nodes=12
+        ),
+        "query": StateQuery("node-2", 5, 99),
+        "reply_empty": StateReply("node-1", 5, 99, 99, 12, True),
+        "reply_configuration": _reply([ConfigurationNamed(_configuration())]),
+        "reply_back_ends": _reply([BackEndRegistered(one) for one in _back_ends()]),
+        "reply_other_changes": _reply(_other_changes()),
+        "ages_query": AgesQuery("node-2", 6),
+        "ages_reply": AgesReply("node-1", 6, 5000, 120),
+        "ages_reply_silent": AgesReply("node-1", 6, 5000, 120, 9000, (NamedNews("m", 4, 350),)),
+    }
+
+
+class RecordingStore:
+    """A key-value service that takes everything and keeps what was written."""
+
+    def __init__(self):
+        self.written = []
+        self.has_written = anyio.Event()
+
+    async def read(self, prefix):
+        """Answer that nothing is there."""
+        return Ok(ReadAnswer(1, ()))
+
+    async def grant_lease(self, time_to_live_s):
+        """Grant the same lease each time."""
+        return Ok(LEASE_ID)
+
+    async def keep_lease_alive(self, lease_id):
+        """Renew any lease."""
+        return Ok(6.0)
+
+    async def revoke_lease(self, lease_id):
+        """End any lease."""
+        return Ok(None)
+
+    async def compare_and_swap(self, key, expected_mod_revision, value, lease_id=0):
+        """Keep the change."""
+        self.written.append((key, value))
+        self.has_written.set()
+        return Ok(SwapAnswer(True, 2, KeyValue(key, value, 2, 2, lease_id)))
+
+
+def _written_by(start):
+    """Return the first key and value that a task writes; `start` gets the store and clock."""
+    stores = []
+
+    async def body():
+        stores.append(store := RecordingStore())
+        async with anyio.create_task_group() as tasks:
+            await start(store, tasks)
+            with anyio.fail_after(WRITTEN_WITHIN_S):
+                await store.has_written.wait()
+            tasks.cancel_scope.cancel()
+
+    run_in_virtual_time(body)
+    return stores[0].written[0]
+
+
+class AlwaysEligible:
+    """Lets a node try for any duty."""
+
+    def is_own(self, duty, count, /):
+        """Whether this node should try."""
+        return True
+
+
+def _registration():
+    async def start(store, tasks):
+        registration = Registration("10.0.0.2", 7340, "z", 85)
+        tasks.start_soon(RegistrationTask("node-1", registration, store, EventRecorder()).run)
+
+    return _written_by(start)
+
+
+def _duty():
+    async def start(store, tasks):
+        node_id = NodeId(NodeName("node-1"), Incarnation(0))
+        task = DutyLeaseTask(
+            Duty(DutyKind.PLACEMENT_PLANNER), node_id, store, AlwaysEligible(), Random(1),
+            LeaseRules(),
+        )  # fmt: skip
+        tasks.start_soon(task.run)
+
+    return _written_by(start)
+
+
+def _order_turn():
+    async def start(store, tasks):
+        clock = anyio.current_time
+        turn = OrderTurn("node-1", store, Knowledge(EventRecorder(), clock), 3.0, clock)
+        assert await turn.take()
+
+    return _written_by(start)
+
+
+def _quarantine():
+    async def start(store, tasks):
+        clock = anyio.current_time
+        knowledge = Knowledge(EventRecorder(), clock)
+        quarantine = Quarantine("node-1", knowledge, store, lambda: 0.0, EventRecorder(), clock)
+        for run in RUNS:
+            quarantine.note_crash(FINGERPRINT, RunId(run), True)
+        tasks.start_soon(quarantine.run)
+
+    return _written_by(start)
+
+
+def _weights_age():
+    return YoungRecord("m", 4, 2.5)
+
+
+def _rollout():
+    return RolloutRecord(
+        ServiceName("lm"), Epoch(77), SoftwareVersion("v8"), Stage.RETURNED, 12.5, 3,
+        (SoftwareVersion("v6"), SoftwareVersion("v8")),
+        Evidence(Counts(20, 2, 1), Counts(90, 1, 0)), "failures", (SoftwareVersion("v7"),),
+    )  # fmt: skip
+
+
+def _rollout_begun():
+    return RolloutRecord(ServiceName("lm"), Epoch(78), SoftwareVersion("v9"), Stage.CANARY, 0.0, 3)
+
+
+def _rollout_status():
+    made = _made_call("store_status")
+    entry = json.loads(made["body"])["put"][0]
+    return entry["private_key"], entry["value"].encode()
+
+
+def record(name):
+    """Return the key and value of an example of a record."""
+    rollouts = {"rollout": _rollout, "rollout_begun": _rollout_begun}
+    if name in rollouts:
+        made = rollouts[name]()
+        return record_key(made.service), encode_record(made)
+    if name == "weights_age":
+        return _weights_age().key(), _weights_age().value()
+    makers = {
+        "registration": _registration,
+        "duty": _duty,
+        "order_turn": _order_turn,
+        "quarantine": _quarantine,
+        "rollout_status": _rollout_status,
+    }
+    return makers[name]()
+
+
+def read_record(name, key, value):
+    """Return what is read of a recorded record, and what it is to say."""
+    if name in ("rollout", "rollout_begun"):
+        return decode_record(value), _rollout() if name == "rollout" else _rollout_begun()
+    if name == "weights_age":
+        return read_young_record(key, value), _weights_age()
+    if name == "quarantine":
+        return read_quarantine_key(key), FINGERPRINT
+    return cbor2.loads(value), ["10.0.0.2", 7340, "z", 85]
+
+
+class RecordingTransport(httpx.AsyncBaseTransport):
+    """Keeps the requests that it is given and answers each with an empty body."""
+
+    def __init__(self, *_):
+        self.requests = []
+
+    async def handle_async_request(self, request):
+        """Keep a request."""
+        self.requests.append((request, await request.aread()))
+        return httpx.Response(500, content=b"")
+
+
+def _request(is_full):
+    prompt = Prompt("m", (PromptPart("5c1e07a2", 800),), 900, 80) if is_full else None
+    return CallerRequest(
+        "9c41d07be2a35f68", "POST", b"/a/2f?x=1", "h.example", "/a/2f", "k1", 5.0, prompt, 980,
+        "12", ((b"host", b"h.example"), (b"x-attempt-id", b"9c41d07be2a35f68")),
+    )  # fmt: skip
+
+
+def _outbound(is_full):
+    if not is_full:
+        return OutboundRequest(_request(False), b"", "i-1", 0.7505)
+    return OutboundRequest(
+        _request(True), b"body", "i-1", 4.25, TenantName("t"), 4, "m@3/t", 3, "10.0.0.9:8080",
+        "10.0.0.8:8080", "12",
+    )  # fmt: skip
+
+
+async def _send(client, outbound):
+    async with client.send(outbound):
+        pass
+
+
+def _order(mode):
+    return WeightOrder("m", 4, "node-1", 3, 2, "i-1", mode)
+
+
+_STATUS = RolloutStatus(ServiceName("lm"), SoftwareVersion("v8"), RolloutState.RETURNED)
+
+_RUNNER_CALLS = {
+    "request_full": lambda runner: _send(runner, _outbound(True)),
+    "request_plain": lambda runner: _send(runner, _outbound(False)),
+    "order_during_runs": lambda runner: runner.order(_order(LoadMode.DURING_RUNS), 0.5),
+    "order_after_runs": lambda runner: runner.order(_order(LoadMode.AFTER_RUNS), 0.5),
+    "report": lambda runner: runner.report(0.5),
+    "health": lambda runner: runner.is_healthy("/up", 0.5),
+}
+_STORE_CALLS = {
+    "store_read_all": lambda store: store.read_all(),
+    "store_follow": lambda store: store.follow(99, 2.5),
+    "store_revision": lambda store: store.current_revision(),
+    "store_write": lambda store: store.compare_and_swap("weirscale/a", 3, b"\x00\xff", 7),
+    "store_delete": lambda store: store.compare_and_swap("weirscale/a", 3, None),
+    "store_lease": lambda store: store.grant_lease(6.25),
+    "store_renewal": lambda store: store.keep_lease_alive(7),
+    "store_lease_end": lambda store: store.revoke_lease(7),
+    "store_status": lambda store: store.write_rollout_status(_STATUS, 3),
+}
+
+
+def _made_call(name):
+    transport = RecordingTransport()
+    if name in _RUNNER_CALLS:
+        made = _RUNNER_CALLS[name]
+        client = RunnerClient(_back_ends()[0], 5, lambda *_: transport)
+    else:
+        made = _STORE_CALLS[name]
+        client = StoreClient("10.0.0.1:7000", lambda *_: transport)
+
+    async def body():
+        await made(client)
+
+    run_in_virtual_time(body)
+    request, content = transport.requests[0]
+    return {
+        "method": request.method,
+        "url": str(request.url),
+        "target": request.extensions.get("target", b"").decode(),
+        "headers": [[name.decode(), value.decode()] for name, value in request.headers.raw],
+        "timeout": request.extensions["timeout"],
+        "body": content.decode(),
+    }
+
+
+def call(name):
+    """Return method, target, headers and body of an example of a call."""
+    return _made_call(name)
+
+
+def log_events():
+    """Return the names of the events that the gateway logs, each with the fields of its line.
+
+    Read off the sources: the keywords of each call of `event`, and every name that a function whose
+    own name ends in `fields` gives to a part of a line.
+    """
+    events = defaultdict(set)
+    for folder in LOGGING_SOURCES:
+        for file in sorted(folder.rglob("*.py")):
+            tree = ast.parse(file.read_text())
+            for function in _functions(tree):
+                for name, fields in _events_of(function):
+                    events[name].update(fields)
+                if function.name.endswith("fields"):
+                    events["(parts of lines)"].update(_keys_of(function))
+    return {name: sorted(fields) for name, fields in sorted(events.items())}
+
+
+def _functions(tree):
+    kinds = (ast.FunctionDef, ast.AsyncFunctionDef)
+    return [node for node in ast.walk(tree) if isinstance(node, kinds)]
+
+
+def _events_of(function):
+    for node in ast.walk(function):
+        is_event = isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute)
+        if is_event and node.func.attr == "event" and node.args:
+            for name in _texts(node.args[0], function):
+                yield name, {one.arg for one in node.keywords if one.arg is not None}
+
+
+def _texts(node, function):
+    """Return the texts that an expression may stand for."""
+    if isinstance(node, ast.Constant):
+        return [node.value]
+    if isinstance(node, ast.IfExp):
+        return [*_texts(node.body, function), *_texts(node.orelse, function)]
+    if isinstance(node, ast.Name):
+        return [
+            text
+            for one in ast.walk(function)
+            if isinstance(one, ast.Assign) and any(_names(one.targets, node.id))
+            for text in _texts(one.value, function)
+        ]
+    return []
+
+
+def _names(targets, name):
+    return (isinstance(one, ast.Name) and one.id == name for one in targets)
+
+
+def _keys_of(function):
+    for node in ast.walk(function):
+        keys = []
+        if isinstance(node, ast.Dict):
+            keys = node.keys
+        elif isinstance(node, ast.Subscript) and isinstance(node.ctx, ast.Store):
+            keys = [node.slice]
+        for key in keys:
+            if isinstance(key, ast.Constant) and isinstance(key.value, str):
+                yield key.value
+
+
+def metrics():
+    """Return the metrics of a node by name, each with its type, labels and buckets."""
+    registry = GatewayMetrics().registry
+    return {
+        one._name: {
+            "type": one._type,
+            "labels": list(one._labelnames),
+            "buckets": [str(bound) for bound in getattr(one, "_upper_bounds", ())],
+        }
+        for one in sorted(set(registry._collector_to_names), key=lambda one: one._name)
+    }
