--- a/bench/gateway_cost.py
+++ b/bench/gateway_cost.py
@@ -10,18 +10,18 @@
 from random import Random
 
 from weirscale.domain.identifiers import ServiceName, ZoneName
-from weirscale.gateway.back_ends import BackEnd, BackEndState
-from weirscale.gateway.cache_belief import CacheBelief
-from weirscale.gateway.choice import Candidate, ChoiceRules, FetchSource, PromptNeed, choose
-from weirscale.gateway.load import Load
-from weirscale.gateway.peer_messages import (
+from weirscale.gateway.model.back_ends import BackEnd, BackEndState
+from weirscale.gateway.model.prompt import CacheScope, Prompt, PromptPart
+from weirscale.gateway.peers.messages import (
     LoadNews,
     PeerNews,
     SendNews,
     decode_message,
     encode_message,
 )
-from weirscale.gateway.prompt import CacheScope, Prompt, PromptPart
+from weirscale.gateway.routing.cache_belief import CacheBelief
+from weirscale.gateway.routing.choice import Candidate, ChoiceRules, FetchSource, PromptNeed, choose
+from weirscale.gateway.routing.load import Load
 
 NUM_RUNNERS = 59
 NUM_PROMPTS = 200
--- a/features/gateway_suspension.feature
+++ b/features/gateway_suspension.feature
@@ -36,6 +36,6 @@
     Then only "<timers>" read the loop's clock
 
     Examples: these set timers; what they read is compared with nothing that was learnt
-      | package | timers          |
-      | gateway | peers ticks     |
-      | leases  |                 |
+      | package | timers            |
+      | gateway | gossip_task ticks |
+      | leases  |                   |
--- a/features/steps/gateway_choice_steps.py
+++ b/features/steps/gateway_choice_steps.py
@@ -18,11 +18,13 @@
 )
 from features.support.platform_runner import RunnerStandIn
 from features.support.virtual_time import run_in_virtual_time
-from weirscale.gateway.back_ends import BackEnd, BackEndState
-from weirscale.gateway.cache_belief import CacheBelief
-from weirscale.gateway.choice import Candidate, ChoiceRules, FetchSource, PromptNeed, choose
-from weirscale.gateway.dispatcher import Dispatcher
-from weirscale.gateway.first_event_model import (
+from weirscale.gateway.limits.retry_budget import RetryBudgetRules, SharedRetryBudget
+from weirscale.gateway.model.back_ends import BackEnd, BackEndState
+from weirscale.gateway.model.prompt import CacheScope, Prompt, PromptPart
+from weirscale.gateway.routing.cache_belief import CacheBelief
+from weirscale.gateway.routing.choice import Candidate, ChoiceRules, FetchSource, PromptNeed, choose
+from weirscale.gateway.routing.dispatcher import Dispatcher
+from weirscale.gateway.routing.first_event_model import (
     LEAST_RATES,
     MOST_RATES,
     START_RATES,
@@ -31,10 +33,8 @@
     ReadingWork,
     first_event_s,
 )
-from weirscale.gateway.health import BackEndHealth
-from weirscale.gateway.load import Load
-from weirscale.gateway.prompt import CacheScope, Prompt, PromptPart
-from weirscale.gateway.retry_budget import RetryBudgetRules, SharedRetryBudget
+from weirscale.gateway.routing.health import BackEndHealth
+from weirscale.gateway.routing.load import Load
 
 CAPACITY = 10_000
 SLOTS = 8
--- a/features/steps/gateway_datagrams_steps.py
+++ b/features/steps/gateway_datagrams_steps.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from features.support.loopback import free_address
-from weirscale.gateway.datagrams import DatagramSocket
+from weirscale.gateway.peers.datagrams import DatagramSocket
 from weirscale.gateway.settings import ListenAddress
 
 FAIL_AFTER_S = 10.0
--- a/features/steps/gateway_group_places_steps.py
+++ b/features/steps/gateway_group_places_steps.py
@@ -5,17 +5,17 @@
 
 from features.steps.gateway_groups_steps import RegisteredNodes, make_members
 from features.support.loopback import free_address
-from weirscale.gateway.back_ends import BackEnd, BackEndState
-from weirscale.gateway.choice import Candidate, Choice
-from weirscale.gateway.exchange_context import ExchangeContext
-from weirscale.gateway.groups import divide
-from weirscale.gateway.load import FleetLoad, Load
-from weirscale.gateway.news_outbox import NewsOutbox
-from weirscale.gateway.peer_messages import LoadNews, decode_message
-from weirscale.gateway.peers import PeerTask
-from weirscale.gateway.registrations import PeerDirectory
+from weirscale.gateway.gossip.gossip_task import PeerTask
+from weirscale.gateway.model.back_ends import BackEnd, BackEndState
+from weirscale.gateway.peers.groups import divide
+from weirscale.gateway.peers.messages import LoadNews, decode_message
+from weirscale.gateway.peers.outbox import NewsOutbox
+from weirscale.gateway.peers.registrations import PeerDirectory
+from weirscale.gateway.replication.subscription import choose_readers
+from weirscale.gateway.requests.exchange_context import ExchangeContext
+from weirscale.gateway.routing.choice import Candidate, Choice
+from weirscale.gateway.routing.load import FleetLoad, Load
 from weirscale.gateway.settings import Bounds, ListenAddress
-from weirscale.gateway.state_relay import choose_readers
 
 
 class Directory(RegisteredNodes):
--- a/features/steps/gateway_groups_steps.py
+++ b/features/steps/gateway_groups_steps.py
@@ -10,22 +10,17 @@
 from features.support.platform_fleet import EventRecorder, Fleet, configuration, with_fleet
 from features.support.platform_runner import RunnerStandIn
 from features.support.virtual_time import run_in_virtual_time
-from weirscale.gateway.group_relay import GroupRelay, news_interval_s
-from weirscale.gateway.groups import Member, divide
-from weirscale.gateway.knowledge import Knowledge
-from weirscale.gateway.load import FleetLoad, Load
-from weirscale.gateway.peer_messages import (
-    LoadingNews,
-    PeerNews,
-    SendNews,
-    SuspectNews,
-)
+from weirscale.gateway.gossip.group_relay import GroupRelay, news_interval_s
+from weirscale.gateway.limits.quota import QuotaLedger
+from weirscale.gateway.model.prompt import CacheScope, PromptPart
+from weirscale.gateway.peers.groups import Member, divide
+from weirscale.gateway.peers.messages import LoadingNews, PeerNews, SendNews, SuspectNews
+from weirscale.gateway.peers.registrations import NODE_PREFIX, PeerDirectory, Registration
 from weirscale.gateway.ports import RecordChanged, StateBatch, VersionedChange
-from weirscale.gateway.prompt import CacheScope, PromptPart
-from weirscale.gateway.quota import QuotaLedger
-from weirscale.gateway.registrations import NODE_PREFIX, PeerDirectory, Registration
+from weirscale.gateway.replication.subscription import choose_readers
+from weirscale.gateway.routing.load import FleetLoad, Load
 from weirscale.gateway.settings import QuotaBounds
-from weirscale.gateway.state_relay import choose_readers
+from weirscale.gateway.state.cluster_state import Knowledge
 
 SETTLE_S = 4.0
 WEAK, STRONG = 30, 100
--- a/features/steps/gateway_instances_steps.py
+++ b/features/steps/gateway_instances_steps.py
@@ -16,9 +16,8 @@
 )
 from features.support.platform_runner import RunnerStandIn
 from features.support.virtual_time import run_in_virtual_time
-from weirscale.gateway.back_ends import BackEnd, BackEndState
-from weirscale.gateway.knowledge import Knowledge
-from weirscale.gateway.model import GatewayConfiguration
+from weirscale.gateway.model.back_ends import BackEnd, BackEndState
+from weirscale.gateway.model.configuration import GatewayConfiguration
 from weirscale.gateway.ports import (
     BackEndGone,
     BackEndRegistered,
@@ -28,6 +27,7 @@
     WeightOrder,
     WeightsNamed,
 )
+from weirscale.gateway.state.cluster_state import Knowledge
 from weirscale_platform.runner import RunnerConnector
 
 KEYS = {"configuration": "c", "weights": "w", "the": "b"}
--- a/features/steps/gateway_log_steps.py
+++ b/features/steps/gateway_log_steps.py
@@ -11,8 +11,8 @@
 
 from features.support.platform_fleet import Fleet, configuration, with_fleet
 from features.support.virtual_time import run_in_virtual_time
-from weirscale.gateway.line_log import MAX_QUEUED_LINES, LineLog
 from weirscale.gateway.quarantine.fingerprint import read_fingerprint
+from weirscale.gateway.telemetry.line_log import MAX_QUEUED_LINES, LineLog
 
 ROOT = Path(__file__).resolve().parents[2]
 GATEWAY = ROOT / "src" / "weirscale" / "gateway"
@@ -177,7 +177,7 @@
 @then("each metric that they define stands in the operators' page")
 def step_metrics_documented(context):
     page = PAGE.read_text()
-    source = (GATEWAY / "metrics.py").read_text()
+    source = (GATEWAY / "telemetry" / "metrics.py").read_text()
     names = METRIC_NAME.findall(source)
     assert len(names) > 5
     assert not [name for name in names if f"`{name}`" not in page]
--- a/features/steps/gateway_old_weights_steps.py
+++ b/features/steps/gateway_old_weights_steps.py
@@ -9,7 +9,7 @@
     restart_all,
 )
 from features.support.platform_fleet import MODEL, STORE_ADDRESS
-from weirscale.gateway.weights import VersionBook
+from weirscale.gateway.state.target_versions import VersionBook
 
 LATE_S = 60.0
 MOST_EARLY_S = 1.3
--- a/features/steps/gateway_overload_steps.py
+++ b/features/steps/gateway_overload_steps.py
@@ -19,12 +19,12 @@
 from features.support.platform_runner import RunnerStandIn
 from features.support.reading_runner import ReadingRunner
 from features.support.virtual_time import run_in_virtual_time
-from weirscale.gateway.back_ends import BackEnd, BackEndState
-from weirscale.gateway.choice import Candidate, Choice
-from weirscale.gateway.load import Load
-from weirscale.gateway.model import RequestKind, Route
-from weirscale.gateway.overdue import OverdueAttempts
-from weirscale.gateway.overload import QueueLimit, should_come_back
+from weirscale.gateway.model.back_ends import BackEnd, BackEndState
+from weirscale.gateway.model.configuration import RequestKind, Route
+from weirscale.gateway.requests.overload import QueueLimit, should_come_back
+from weirscale.gateway.routing.choice import Candidate, Choice
+from weirscale.gateway.routing.load import Load
+from weirscale.gateway.routing.overdue import OverdueAttempts
 
 NUM_RUNNERS = 3
 TOKENS_PER_S = 14_000.0
--- a/features/steps/gateway_places_steps.py
+++ b/features/steps/gateway_places_steps.py
@@ -4,29 +4,29 @@
 from behave import given, then, when
 
 from features.support.platform_fleet import EventRecorder
-from weirscale.gateway.back_ends import BackEnd, BackEndState
-from weirscale.gateway.cache_belief import CacheBelief
-from weirscale.gateway.choice import Candidate, ChoiceRules, FetchSource, PromptNeed, choose
-from weirscale.gateway.dispatcher import Dispatcher
-from weirscale.gateway.groups import Member
-from weirscale.gateway.health import BackEndHealth
-from weirscale.gateway.knowledge import Knowledge
-from weirscale.gateway.load import FleetLoad, Load
-from weirscale.gateway.model import (
+from weirscale.gateway.model.back_ends import BackEnd, BackEndState
+from weirscale.gateway.model.configuration import (
     EngineProfile,
     GatewayConfiguration,
     KeptCacheStore,
     Service,
 )
-from weirscale.gateway.places import ONE_PLACE, Places
+from weirscale.gateway.model.prompt import CacheScope, Prompt, PromptPart
+from weirscale.gateway.model.topology import ONE_PLACE, Places
+from weirscale.gateway.peers.groups import Member
 from weirscale.gateway.ports import (
     BackEndRegistered,
     ConfigurationNamed,
     StateBatch,
     VersionedChange,
 )
-from weirscale.gateway.prompt import CacheScope, Prompt, PromptPart
-from weirscale.gateway.state_relay import StateSubscription, choose_readers
+from weirscale.gateway.replication.subscription import StateSubscription, choose_readers
+from weirscale.gateway.routing.cache_belief import CacheBelief
+from weirscale.gateway.routing.choice import Candidate, ChoiceRules, FetchSource, PromptNeed, choose
+from weirscale.gateway.routing.dispatcher import Dispatcher
+from weirscale.gateway.routing.health import BackEndHealth
+from weirscale.gateway.routing.load import FleetLoad, Load
+from weirscale.gateway.state.cluster_state import Knowledge
 
 PARTS = (PromptPart("a", 4000), PromptPart("b", 2300), PromptPart("own", 2890))
 PROMPT = Prompt("m", PARTS, 9190, 9)
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -18,14 +18,14 @@
 )
 from features.support.relay_history import RelayHistory
 from features.support.virtual_time import run_in_virtual_time
-from weirscale.gateway.change_log import ChangeLog
-from weirscale.gateway.groups import Member
-from weirscale.gateway.knowledge import Knowledge
-from weirscale.gateway.peer_messages import StateReply
+from weirscale.gateway.peers.groups import Member
+from weirscale.gateway.peers.messages import StateReply
+from weirscale.gateway.peers.registrations import PeerDirectory
 from weirscale.gateway.ports import RecordChanged, StateBatch, VersionedChange
-from weirscale.gateway.registrations import PeerDirectory
+from weirscale.gateway.replication.subscription import StateSubscription, choose_readers
 from weirscale.gateway.settings import ListenAddress
-from weirscale.gateway.state_relay import StateSubscription, choose_readers
+from weirscale.gateway.state.change_log import ChangeLog
+from weirscale.gateway.state.cluster_state import Knowledge
 
 SETTLE_S = 4.0
 READER = "reader"
--- a/features/steps/gateway_rollouts_steps.py
+++ b/features/steps/gateway_rollouts_steps.py
@@ -29,10 +29,10 @@
     states,
 )
 from features.support.virtual_time import run_in_virtual_time
-from weirscale.gateway.load import Load
+from weirscale.gateway.model.rollout_order import Epoch
 from weirscale.gateway.rollouts.allowance import ExposureBounds
-from weirscale.gateway.rollouts.order import Epoch
 from weirscale.gateway.rollouts.record import RolloutRecord, Stage, encode_record
+from weirscale.gateway.routing.load import Load
 
 VERSIONS = {
     "sound": None,
--- a/features/steps/gateway_runner_shares_steps.py
+++ b/features/steps/gateway_runner_shares_steps.py
@@ -12,15 +12,15 @@
     RegisteredNodes,
     make_members,
 )
-from weirscale.gateway.back_ends import BackEnd, BackEndDirectory, BackEndState, ServedModel
-from weirscale.gateway.cache_belief import CacheBelief
-from weirscale.gateway.choice import Candidate, ChoiceRules, PromptNeed, choose
-from weirscale.gateway.group_relay import news_interval_s
-from weirscale.gateway.groups import divide
-from weirscale.gateway.load import Load
-from weirscale.gateway.prompt import Prompt
-from weirscale.gateway.registrations import PeerDirectory
-from weirscale.gateway.runner_shares import RunnerShares, share_out
+from weirscale.gateway.gossip.group_relay import news_interval_s
+from weirscale.gateway.model.back_ends import BackEnd, BackEndDirectory, BackEndState, ServedModel
+from weirscale.gateway.model.prompt import Prompt
+from weirscale.gateway.peers.groups import divide
+from weirscale.gateway.peers.registrations import PeerDirectory
+from weirscale.gateway.routing.cache_belief import CacheBelief
+from weirscale.gateway.routing.choice import Candidate, ChoiceRules, PromptNeed, choose
+from weirscale.gateway.routing.engine_shares import RunnerShares, share_out
+from weirscale.gateway.routing.load import Load
 
 
 def make_runners(count, zones):
--- a/features/steps/gateway_store_silence_steps.py
+++ b/features/steps/gateway_store_silence_steps.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from features.support.platform_fleet import STORE_ADDRESS
-from weirscale.gateway.store_continuity import NEVER_S, Span, StoreContinuity
+from weirscale.gateway.state.store_outages import NEVER_S, Span, StoreContinuity
 
 LOOK_INTERVAL_S = 0.4
 
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -11,7 +11,7 @@
 
 from features.support.platform_fleet import ADAPTER
 from features.support.virtual_time import run_in_virtual_time
-from weirscale.gateway.back_ends import BackEnd, BackEndState
+from weirscale.gateway.model.back_ends import BackEnd, BackEndState
 from weirscale.gateway.ports import CallerRequest, OutboundRequest
 from weirscale_platform.callers import Callers
 from weirscale_platform.items import StoreItem, read_item
--- a/features/steps/recorded_forms_steps.py
+++ b/features/steps/recorded_forms_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from features.support import recorded_forms
-from weirscale.gateway.peer_messages import decode_message, encode_message
+from weirscale.gateway.peers.messages import decode_message, encode_message
 
 
 @given('the recorded forms of "{kind}"')
--- a/features/support/quota_fleet.py
+++ b/features/support/quota_fleet.py
@@ -12,16 +12,16 @@
 import msgspec
 
 from features.support.platform_fleet import EventRecorder
-from weirscale.gateway.group_relay import GroupRelay, RefreshTimer
-from weirscale.gateway.knowledge import Knowledge
-from weirscale.gateway.load import FleetLoad
-from weirscale.gateway.news_outbox import NewsOutbox
-from weirscale.gateway.peer_messages import encode_message
+from weirscale.gateway.gossip.group_relay import GroupRelay, RefreshTimer
+from weirscale.gateway.limits.quota import LIFE_INTERVAL_S, QuotaLedger
+from weirscale.gateway.limits.usage_gossip import UsageTelling, read_usage
+from weirscale.gateway.peers.messages import encode_message
+from weirscale.gateway.peers.outbox import NewsOutbox
+from weirscale.gateway.peers.registrations import NODE_PREFIX, PeerDirectory, Registration, cbor2
 from weirscale.gateway.ports import RecordChanged, StateBatch, VersionedChange
-from weirscale.gateway.quota import LIFE_INTERVAL_S, QuotaLedger
-from weirscale.gateway.registrations import NODE_PREFIX, PeerDirectory, Registration, cbor2
+from weirscale.gateway.routing.load import FleetLoad
 from weirscale.gateway.settings import QuotaBounds
-from weirscale.gateway.usage_telling import UsageTelling, read_usage
+from weirscale.gateway.state.cluster_state import Knowledge
 
 STEP_S = 0.01
 LEAST_DELAY_S, MOST_DELAY_S = 0.0005, 0.003
--- a/features/support/quota_ways.py
+++ b/features/support/quota_ways.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from features.support.quota_fleet import BOUNDS, QuotaFleet, allowed, worst_window
-from weirscale.gateway.model import Quota, QuotaUnit, Tenant
-from weirscale.gateway.quota import QuotaDecision, QuotaLedger
+from weirscale.gateway.limits.quota import QuotaDecision, QuotaLedger
+from weirscale.gateway.model.configuration import Quota, QuotaUnit, Tenant
 
 FILLED_S, HOT_AT_S, END_S = 5.0, 12.0, 40.0
 LAST_S = 15.0
--- a/features/support/recorded_forms.py
+++ b/features/support/recorded_forms.py
@@ -28,10 +28,8 @@
     TenantName,
     ZoneName,
 )
-from weirscale.gateway.back_ends import BackEnd, BackEndState, RunId, ServedModel
-from weirscale.gateway.knowledge import Knowledge
-from weirscale.gateway.metrics import GatewayMetrics
-from weirscale.gateway.model import (
+from weirscale.gateway.model.back_ends import BackEnd, BackEndState, RunId, ServedModel
+from weirscale.gateway.model.configuration import (
     CallerLimits,
     EngineProfile,
     GatewayConfiguration,
@@ -44,7 +42,9 @@
     Tenant,
     WeightedService,
 )
-from weirscale.gateway.peer_messages import (
+from weirscale.gateway.model.prompt import Prompt, PromptPart
+from weirscale.gateway.model.rollout_order import Epoch, RolloutState, RolloutStatus
+from weirscale.gateway.peers.messages import (
     REST_OF_FLEET,
     AgesQuery,
     AgesReply,
@@ -62,6 +62,7 @@
     TrialNews,
     UsageNews,
 )
+from weirscale.gateway.peers.registrations import Registration, RegistrationTask
 from weirscale.gateway.ports import (
     BackEndGone,
     BackEndRegistered,
@@ -78,12 +79,9 @@
     WeightOrder,
     WeightsNamed,
 )
-from weirscale.gateway.prompt import Prompt, PromptPart
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint
 from weirscale.gateway.quarantine.keeper import Quarantine
 from weirscale.gateway.quarantine.record import read_quarantine_key
-from weirscale.gateway.registrations import Registration, RegistrationTask
-from weirscale.gateway.rollouts.order import Epoch, RolloutState, RolloutStatus
 from weirscale.gateway.rollouts.record import (
     RolloutRecord,
     Stage,
@@ -92,8 +90,10 @@
     record_key,
 )
 from weirscale.gateway.rollouts.tallies import Counts, Evidence
-from weirscale.gateway.timed_record import OrderTurn
-from weirscale.gateway.young_record import YoungRecord, read_young_record
+from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.expiring_record import OrderTurn
+from weirscale.gateway.state.weights_age_marker import YoungRecord, read_young_record
+from weirscale.gateway.telemetry.metrics import GatewayMetrics
 from weirscale.leases.lease_task import DutyLeaseTask
 from weirscale.ports.key_value import KeyValue, ReadAnswer, SwapAnswer
 from weirscale_platform.runner import RunnerClient
--- a/features/support/relay_history.py
+++ b/features/support/relay_history.py
@@ -7,12 +7,16 @@
 from random import Random
 
 from features.support.platform_fleet import EventRecorder
-from weirscale.gateway.groups import Member
-from weirscale.gateway.knowledge import Knowledge
+from weirscale.gateway.peers.groups import Member
+from weirscale.gateway.peers.registrations import PeerDirectory
 from weirscale.gateway.ports import RecordChanged, StateBatch, VersionedChange
-from weirscale.gateway.registrations import PeerDirectory
+from weirscale.gateway.replication.subscription import (
+    ChangePublisher,
+    StateSubscription,
+    choose_readers,
+)
 from weirscale.gateway.settings import ListenAddress
-from weirscale.gateway.state_relay import ChangePublisher, StateSubscription, choose_readers
+from weirscale.gateway.state.cluster_state import Knowledge
 
 KEYS = ("weirscale/a", "weirscale/b", "weirscale/c")
 NUM_STEPS = 120
--- /dev/null
+++ b/src/weirscale/gateway/gossip/__init__.py
@@ -0,0 +1,1 @@
+"""Periodic exchange of loads, sends and counts between nodes, within groups and between them."""
--- a/src/weirscale/gateway/peers.py
+++ b/src/weirscale/gateway/gossip/gossip_task.py
@@ -4,12 +4,12 @@
 
 import anyio
 
-from weirscale.gateway.datagrams import DatagramSocket
-from weirscale.gateway.group_relay import GroupRelay, RefreshTimer
-from weirscale.gateway.news_outbox import NewsOutbox
-from weirscale.gateway.peer_messages import PeerMessage, decode_message, encode_message
-from weirscale.gateway.quota import LIFE_INTERVAL_S
-from weirscale.gateway.registrations import PeerDirectory
+from weirscale.gateway.gossip.group_relay import GroupRelay, RefreshTimer
+from weirscale.gateway.limits.quota import LIFE_INTERVAL_S
+from weirscale.gateway.peers.datagrams import DatagramSocket
+from weirscale.gateway.peers.messages import PeerMessage, decode_message, encode_message
+from weirscale.gateway.peers.outbox import NewsOutbox
+from weirscale.gateway.peers.registrations import PeerDirectory
 from weirscale.gateway.settings import ListenAddress
 from weirscale.gateway.ticks import nearest_tick_s, next_tick_s
 
--- a/src/weirscale/gateway/group_relay.py
+++ b/src/weirscale/gateway/gossip/group_relay.py
@@ -10,20 +10,15 @@
 
 from collections.abc import Awaitable, Callable, Iterable
 
-from weirscale.gateway.load import HEARD_LIFE_S, NO_LOAD, FleetLoad, Load
-from weirscale.gateway.news_outbox import NewsOutbox
-from weirscale.gateway.peer_messages import (
-    REST_OF_FLEET,
-    LoadNews,
-    PeerNews,
-    SendNews,
-)
-from weirscale.gateway.quota import LIFE_INTERVAL_S, QuotaLedger
-from weirscale.gateway.registrations import PeerDirectory
+from weirscale.gateway.limits.quota import LIFE_INTERVAL_S, QuotaLedger
+from weirscale.gateway.limits.usage import NO_USAGE
+from weirscale.gateway.limits.usage_gossip import UsageTelling
+from weirscale.gateway.peers.messages import REST_OF_FLEET, LoadNews, PeerNews, SendNews
+from weirscale.gateway.peers.outbox import NewsOutbox
+from weirscale.gateway.peers.registrations import PeerDirectory
+from weirscale.gateway.routing.load import HEARD_LIFE_S, NO_LOAD, FleetLoad, Load
 from weirscale.gateway.settings import ListenAddress
 from weirscale.gateway.ticks import sleep_to_tick
-from weirscale.gateway.usage import NO_USAGE
-from weirscale.gateway.usage_telling import UsageTelling
 
 REFRESH_INTERVAL_S = 1.0
 """All loads are told again this often, which mends losses and shows that the node lives."""
--- a/src/weirscale/gateway/contact.py
+++ b/src/weirscale/gateway/limits/isolation.py
@@ -7,9 +7,9 @@
 
 from collections.abc import Callable
 
-from weirscale.gateway.knowledge import Knowledge
-from weirscale.gateway.load import HEARD_LIFE_S
-from weirscale.gateway.quota import QuotaLedger
+from weirscale.gateway.limits.quota import QuotaLedger
+from weirscale.gateway.routing.load import HEARD_LIFE_S
+from weirscale.gateway.state.cluster_state import Knowledge
 from weirscale.ports.event_log import EventLog
 
 CUT_OFF_AGE_S = 2.0
--- a/src/weirscale/gateway/quota.py
+++ b/src/weirscale/gateway/limits/quota.py
@@ -23,16 +23,16 @@
 import msgspec
 
 from weirscale.domain.identifiers import TenantName
-from weirscale.gateway.load import HEARD_LIFE_S, SWEEP_INTERVAL_S
-from weirscale.gateway.model import Quota, QuotaUnit, Tenant
-from weirscale.gateway.settings import QuotaBounds
-from weirscale.gateway.usage import (
+from weirscale.gateway.limits.usage import (
     NO_USAGE,
     NUM_PRIORITIES,
     FleetUsage,
     OwnUsage,
     TenantUsage,
 )
+from weirscale.gateway.model.configuration import Quota, QuotaUnit, Tenant
+from weirscale.gateway.routing.load import HEARD_LIFE_S, SWEEP_INTERVAL_S
+from weirscale.gateway.settings import QuotaBounds
 
 SETTLE_INTERVALS = 2.5
 """The bucket is shared out over this many times the interval of news: shorter, and nodes let in
--- a/src/weirscale/gateway/usage_telling.py
+++ b/src/weirscale/gateway/limits/usage_gossip.py
@@ -3,9 +3,9 @@
 from collections.abc import Mapping
 
 from weirscale.domain.identifiers import TenantName
-from weirscale.gateway.news_outbox import NewsOutbox
-from weirscale.gateway.peer_messages import UsageNews
-from weirscale.gateway.usage import NO_USAGE, TenantUsage
+from weirscale.gateway.limits.usage import NO_USAGE, TenantUsage
+from weirscale.gateway.peers.messages import UsageNews
+from weirscale.gateway.peers.outbox import NewsOutbox
 
 
 class UsageTelling:
--- a/src/weirscale/gateway/routes.py
+++ b/src/weirscale/gateway/model/routes.py
@@ -1,7 +1,7 @@
 """The route table of one configuration: host and longest path prefix, keys, services."""
 
 from weirscale.domain.identifiers import ServiceName
-from weirscale.gateway.model import GatewayConfiguration, Route, Service, Tenant
+from weirscale.gateway.model.configuration import GatewayConfiguration, Route, Service, Tenant
 
 
 class RouteTable:
--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -9,22 +9,15 @@
 from weirscale.domain.duties.assignment import Duty, DutyKind
 from weirscale.domain.duties.lease import LeaseRules
 from weirscale.domain.identifiers import Incarnation, NodeId, NodeName
-from weirscale.gateway.age_exchange import AgeExchange
-from weirscale.gateway.back_ends import BackEnd
-from weirscale.gateway.caller_app import CallerApp
-from weirscale.gateway.choice import START_MARGIN_S
-from weirscale.gateway.contact import Contact
-from weirscale.gateway.counted_store import CountedFeed, CountedStore
-from weirscale.gateway.dispatcher import Dispatcher
-from weirscale.gateway.exchange_context import ExchangeContext
-from weirscale.gateway.follower import StateFollower
-from weirscale.gateway.group_relay import GroupRelay, is_group, is_member
-from weirscale.gateway.health import BackEndHealth
-from weirscale.gateway.knowledge import Knowledge
-from weirscale.gateway.load import NO_LOAD, FleetLoad, Load
-from weirscale.gateway.news_outbox import NewsOutbox
-from weirscale.gateway.node_metrics import NodeFigures, new_metrics
-from weirscale.gateway.peer_messages import (
+from weirscale.gateway.gossip.gossip_task import MessageReceiver, PeerTask
+from weirscale.gateway.gossip.group_relay import GroupRelay, is_group, is_member
+from weirscale.gateway.limits.isolation import Contact
+from weirscale.gateway.limits.quota import GONE_MEMORY_S, QuotaLedger
+from weirscale.gateway.limits.retry_budget import SharedRetryBudget
+from weirscale.gateway.limits.usage_gossip import UsageTelling, read_usage
+from weirscale.gateway.model.back_ends import BackEnd
+from weirscale.gateway.model.topology import Places
+from weirscale.gateway.peers.messages import (
     AgesQuery,
     AgesReply,
     LoadingNews,
@@ -34,27 +27,34 @@
     StateQuery,
     StateReply,
 )
-from weirscale.gateway.peers import MessageReceiver, PeerTask
-from weirscale.gateway.places import Places
+from weirscale.gateway.peers.outbox import NewsOutbox
+from weirscale.gateway.peers.registrations import PeerDirectory, Registration, RegistrationTask
 from weirscale.gateway.ports import BackEndConnector, BackEndPort, CallerDialect, StateFeed
 from weirscale.gateway.quarantine.keeper import Quarantine
-from weirscale.gateway.quota import GONE_MEMORY_S, QuotaLedger
-from weirscale.gateway.registrations import PeerDirectory, Registration, RegistrationTask
-from weirscale.gateway.retry_budget import SharedRetryBudget
+from weirscale.gateway.replication.age_exchange import AgeExchange
+from weirscale.gateway.replication.follower import StateFollower
+from weirscale.gateway.replication.subscription import ChangePublisher, StateSubscription
+from weirscale.gateway.requests.caller_app import CallerApp
+from weirscale.gateway.requests.exchange_context import ExchangeContext
 from weirscale.gateway.rollouts.gate import RecordReader, VersionGate
+from weirscale.gateway.rollouts.gossip import RolloutTelling
 from weirscale.gateway.rollouts.holder_task import RolloutHolderTask
 from weirscale.gateway.rollouts.tallies import Tallies
-from weirscale.gateway.rollouts.telling import RolloutTelling
 from weirscale.gateway.rollouts.trials import RolloutTrials
-from weirscale.gateway.runner_shares import RunnerShares
+from weirscale.gateway.routing.choice import START_MARGIN_S
+from weirscale.gateway.routing.dispatcher import Dispatcher
+from weirscale.gateway.routing.engine_shares import RunnerShares
+from weirscale.gateway.routing.health import BackEndHealth
+from weirscale.gateway.routing.load import NO_LOAD, FleetLoad, Load
 from weirscale.gateway.settings import Bounds, GatewaySettings, ListenAddress
-from weirscale.gateway.state_relay import ChangePublisher, StateSubscription
+from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.expiring_record import OrderTurn
+from weirscale.gateway.telemetry.node_metrics import NodeFigures, new_metrics
+from weirscale.gateway.telemetry.store_calls import CountedFeed, CountedStore
 from weirscale.gateway.ticks import sleep_to_tick
-from weirscale.gateway.timed_record import OrderTurn
-from weirscale.gateway.usage_telling import UsageTelling, read_usage
-from weirscale.gateway.version_check import VersionCheck
-from weirscale.gateway.weights_rollout import WeightsRolloutRules
-from weirscale.gateway.weights_rollout_task import WeightsRolloutTask
+from weirscale.gateway.weights.rollout_task import WeightsRolloutTask
+from weirscale.gateway.weights.schedule import WeightsRolloutRules
+from weirscale.gateway.weights.version_check import VersionCheck
 from weirscale.leases.lease_task import KEY_PREFIX, DutyLeaseTask
 from weirscale.ports.event_log import EventLog
 from weirscale.ports.key_value import KeyValuePort
--- /dev/null
+++ b/src/weirscale/gateway/peers/__init__.py
@@ -0,0 +1,1 @@
+"""Who the other nodes are and the datagrams that nodes exchange."""
--- a/src/weirscale/gateway/peer_messages.py
+++ b/src/weirscale/gateway/peers/messages.py
@@ -9,8 +9,8 @@
 import cbor2
 import msgspec
 
+from weirscale.gateway.model.prompt import PromptPart
 from weirscale.gateway.ports import VersionedChange
-from weirscale.gateway.prompt import PromptPart
 
 MAX_REPLY_BYTES = 24_000
 """Larger replies do not go out: datagrams of many fragments are lost too often."""
--- a/src/weirscale/gateway/news_outbox.py
+++ b/src/weirscale/gateway/peers/outbox.py
@@ -1,6 +1,6 @@
 """Gathers what a node is to tell others, until the next message."""
 
-from weirscale.gateway.peer_messages import (
+from weirscale.gateway.peers.messages import (
     AnsweredNews,
     CrashNews,
     LoadingNews,
--- a/src/weirscale/gateway/registrations.py
+++ b/src/weirscale/gateway/peers/registrations.py
@@ -8,9 +8,9 @@
 from result import Err
 
 from weirscale.domain.identifiers import ZoneName
-from weirscale.gateway.groups import Division, Member, divide
-from weirscale.gateway.knowledge import Knowledge
+from weirscale.gateway.peers.groups import Division, Member, divide
 from weirscale.gateway.settings import ListenAddress
+from weirscale.gateway.state.cluster_state import Knowledge
 from weirscale.gateway.ticks import sleep_to_tick
 from weirscale.ports.event_log import EventLog
 from weirscale.ports.key_value import KeyValueFailureKind, KeyValuePort
--- a/src/weirscale/gateway/ports.py
+++ b/src/weirscale/gateway/ports.py
@@ -9,10 +9,10 @@
 from result import Result
 
 from weirscale.domain.identifiers import ServiceName, SoftwareVersion, TenantName
-from weirscale.gateway.back_ends import BackEnd, ServedModel
-from weirscale.gateway.model import GatewayConfiguration
-from weirscale.gateway.prompt import Prompt
-from weirscale.gateway.rollouts.order import RolloutStatus
+from weirscale.gateway.model.back_ends import BackEnd, ServedModel
+from weirscale.gateway.model.configuration import GatewayConfiguration
+from weirscale.gateway.model.prompt import Prompt
+from weirscale.gateway.model.rollout_order import RolloutStatus
 from weirscale.ports.key_value import KeyValueFailure, SwapAnswer
 
 Headers = tuple[tuple[bytes, bytes], ...]
--- a/src/weirscale/gateway/program.py
+++ b/src/weirscale/gateway/program.py
@@ -10,11 +10,11 @@
 
 import anyio
 
-from weirscale.gateway.line_log import LineLog
 from weirscale.gateway.node import GatewayNode
 from weirscale.gateway.ports import BackEndConnector, CallerDialect, StateFeed
 from weirscale.gateway.settings import GatewaySettings, ListenAddress
 from weirscale.gateway.settings_watch import SettingsWatch
+from weirscale.gateway.telemetry.line_log import LineLog
 from weirscale.ports.boot_clock import boot_time_s
 from weirscale.ports.event_log import EventLog
 from weirscale.ports.http_server import ConnectionLimits, serve_on_listeners
--- a/src/weirscale/gateway/quarantine/crash_check.py
+++ b/src/weirscale/gateway/quarantine/crash_check.py
@@ -11,10 +11,10 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from weirscale.gateway.back_ends import TAKES_WORK, BackEnd, BackEndState, RunId
-from weirscale.gateway.knowledge import Knowledge
+from weirscale.gateway.model.back_ends import TAKES_WORK, BackEnd, BackEndState, RunId
 from weirscale.gateway.ports import BackEndPort, RunState
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint
+from weirscale.gateway.state.cluster_state import Knowledge
 
 CHECK_PAUSES_S = (0.0, 0.1, 0.2, 0.4, 0.8, 0.8)
 """Before each look: a process that has just ended may take a moment to let go of its address. What
--- a/src/weirscale/gateway/quarantine/fingerprint.py
+++ b/src/weirscale/gateway/quarantine/fingerprint.py
@@ -3,7 +3,7 @@
 from hashlib import blake2b
 from typing import NewType
 
-from weirscale.gateway.model import Tenant
+from weirscale.gateway.model.configuration import Tenant
 from weirscale.gateway.ports import CallerRequest
 
 RequestFingerprint = NewType("RequestFingerprint", str)
--- a/src/weirscale/gateway/quarantine/keeper.py
+++ b/src/weirscale/gateway/quarantine/keeper.py
@@ -9,10 +9,9 @@
 
 from result import Err
 
-from weirscale.gateway.back_ends import RunId
-from weirscale.gateway.knowledge import Knowledge
-from weirscale.gateway.news_outbox import NewsOutbox
-from weirscale.gateway.peer_messages import AnsweredNews, CrashNews, PeerNews
+from weirscale.gateway.model.back_ends import RunId
+from weirscale.gateway.peers.messages import AnsweredNews, CrashNews, PeerNews
+from weirscale.gateway.peers.outbox import NewsOutbox
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint, read_fingerprint
 from weirscale.gateway.quarantine.record import (
     QUARANTINE_PREFIX,
@@ -20,8 +19,9 @@
     read_quarantine_key,
 )
 from weirscale.gateway.quarantine.suspects import SuspectBook
+from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.expiring_record import write_timed_record
 from weirscale.gateway.ticks import sleep_to_tick
-from weirscale.gateway.timed_record import write_timed_record
 from weirscale.ports.event_log import EventLog
 from weirscale.ports.key_value import KeyValuePort
 
--- a/src/weirscale/gateway/age_exchange.py
+++ b/src/weirscale/gateway/replication/age_exchange.py
@@ -9,13 +9,13 @@
 from collections.abc import Awaitable, Callable, Iterable
 from random import Random
 
-from weirscale.gateway.ages import MILLISECONDS_PER_S, age_ms
-from weirscale.gateway.knowledge import Knowledge
-from weirscale.gateway.open_queries import OpenQueries
-from weirscale.gateway.peer_messages import AgesQuery, AgesReply, NamedNews, PeerMessage
-from weirscale.gateway.registrations import PeerDirectory
+from weirscale.gateway.durations import MILLISECONDS_PER_S, age_ms
+from weirscale.gateway.peers.messages import AgesQuery, AgesReply, NamedNews, PeerMessage
+from weirscale.gateway.peers.open_queries import OpenQueries
+from weirscale.gateway.peers.registrations import PeerDirectory
 from weirscale.gateway.settings import ListenAddress
-from weirscale.gateway.store_continuity import NEVER_S, Span
+from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.store_outages import NEVER_S, Span
 from weirscale.gateway.ticks import sleep_to_tick
 from weirscale.ports.event_log import EventLog
 
--- a/src/weirscale/gateway/follower.py
+++ b/src/weirscale/gateway/replication/follower.py
@@ -8,10 +8,10 @@
 import anyio
 from result import Err, Result
 
-from weirscale.gateway.knowledge import Knowledge
 from weirscale.gateway.ports import StateBatch, StateFeed
-from weirscale.gateway.state_relay import ChangePublisher, StateSubscription
-from weirscale.gateway.store_continuity import NEVER_S
+from weirscale.gateway.replication.subscription import ChangePublisher, StateSubscription
+from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.store_outages import NEVER_S
 from weirscale.gateway.ticks import sleep_to_tick
 from weirscale.ports.event_log import EventLog
 from weirscale.ports.key_value import KeyValueFailure, KeyValueFailureKind
--- a/src/weirscale/gateway/state_relay.py
+++ b/src/weirscale/gateway/replication/subscription.py
@@ -18,21 +18,21 @@
 import xxhash
 
 from weirscale.domain.identifiers import RegionName
-from weirscale.gateway.groups import Member, head_rank
-from weirscale.gateway.knowledge import Knowledge
-from weirscale.gateway.open_queries import OpenQueries
-from weirscale.gateway.peer_messages import (
+from weirscale.gateway.model.topology import ONE_PLACE, Places
+from weirscale.gateway.peers.groups import Member, head_rank
+from weirscale.gateway.peers.messages import (
     MAX_REPLY_BYTES,
     PeerMessage,
     StateQuery,
     StateReply,
     encode_message,
 )
-from weirscale.gateway.places import ONE_PLACE, Places
+from weirscale.gateway.peers.open_queries import OpenQueries
+from weirscale.gateway.peers.registrations import PeerDirectory
 from weirscale.gateway.ports import StateBatch
-from weirscale.gateway.registrations import PeerDirectory
 from weirscale.gateway.settings import ListenAddress
-from weirscale.gateway.store_continuity import NEVER_S
+from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.store_outages import NEVER_S
 from weirscale.gateway.ticks import sleep_to_tick
 from weirscale.ports.boot_clock import loop_deadline_s
 from weirscale.ports.event_log import EventLog
--- a/src/weirscale/gateway/caller_app.py
+++ b/src/weirscale/gateway/requests/caller_app.py
@@ -5,10 +5,10 @@
 
 import anyio
 
-from weirscale.gateway.exchange import Exchange
-from weirscale.gateway.exchange_context import ExchangeContext
 from weirscale.gateway.ports import CallerDialect, CallerRequest
-from weirscale.gateway.responder import Responder, Send
+from weirscale.gateway.requests.exchange import Exchange
+from weirscale.gateway.requests.exchange_context import ExchangeContext
+from weirscale.gateway.requests.responder import Responder, Send
 from weirscale.gateway.settings import GatewaySettings
 
 HTTP_OK = 200
--- a/src/weirscale/gateway/exchange.py
+++ b/src/weirscale/gateway/requests/exchange.py
@@ -10,13 +10,15 @@
 import anyio
 
 from weirscale.domain.identifiers import ServiceName
-from weirscale.gateway.back_ends import BackEnd
-from weirscale.gateway.choice import Choice
-from weirscale.gateway.dispatcher import DispatchQuery
-from weirscale.gateway.events import EventCutter
-from weirscale.gateway.exchange_context import ExchangeContext
-from weirscale.gateway.model import RequestKind, Route, Tenant
-from weirscale.gateway.outcome import (
+from weirscale.gateway.limits.quota import QuotaDecision
+from weirscale.gateway.model.back_ends import BackEnd
+from weirscale.gateway.model.configuration import RequestKind, Route, Tenant
+from weirscale.gateway.ports import Answer, BodyBrokenError, CallerRequest, Headers, OutboundRequest
+from weirscale.gateway.quarantine.fingerprint import RequestFingerprint, fingerprint_of
+from weirscale.gateway.requests.attempt_timeout import Patience
+from weirscale.gateway.requests.events import EventCutter
+from weirscale.gateway.requests.exchange_context import ExchangeContext
+from weirscale.gateway.requests.outcome import (
     BODY_BROKEN,
     CANCELLED,
     CONNECTION_LOST,
@@ -26,15 +28,13 @@
     judge_answer,
     judge_failure,
 )
-from weirscale.gateway.overload import come_back_s, should_come_back
-from weirscale.gateway.patience import Patience
-from weirscale.gateway.ports import Answer, BodyBrokenError, CallerRequest, Headers, OutboundRequest
-from weirscale.gateway.quarantine.fingerprint import RequestFingerprint, fingerprint_of
-from weirscale.gateway.quota import QuotaDecision
-from weirscale.gateway.responder import Responder
+from weirscale.gateway.requests.overload import come_back_s, should_come_back
+from weirscale.gateway.requests.responder import Responder
 from weirscale.gateway.rollouts.gate import Lane
 from weirscale.gateway.rollouts.pace import AttemptTimes
-from weirscale.gateway.summary import (
+from weirscale.gateway.routing.choice import Choice
+from weirscale.gateway.routing.dispatcher import DispatchQuery
+from weirscale.gateway.telemetry.request_summary import (
     NEVER_IN_QUOTA,
     OVER_QUOTA,
     OVERLOADED,
--- a/src/weirscale/gateway/exchange_context.py
+++ b/src/weirscale/gateway/requests/exchange_context.py
@@ -3,35 +3,35 @@
 from collections.abc import Callable
 
 from weirscale.domain.identifiers import ServiceName
-from weirscale.gateway.ages import MILLISECONDS_PER_S, age_ms
-from weirscale.gateway.back_ends import BackEnd
-from weirscale.gateway.choice import Choice
-from weirscale.gateway.contact import Contact
-from weirscale.gateway.dispatcher import Dispatcher
-from weirscale.gateway.health import BackEndHealth
-from weirscale.gateway.knowledge import Knowledge
-from weirscale.gateway.load import FleetLoad
-from weirscale.gateway.model import Route
-from weirscale.gateway.news_outbox import NewsOutbox
-from weirscale.gateway.node_metrics import NodeMetrics
-from weirscale.gateway.outcome import CANCELLED, AttemptEnd, Verdict, is_about_weights
-from weirscale.gateway.overload import QueueLimit
-from weirscale.gateway.patience import PatienceKeeper
-from weirscale.gateway.peer_messages import SendNews, SuspectNews
+from weirscale.gateway.durations import MILLISECONDS_PER_S, age_ms
+from weirscale.gateway.limits.isolation import Contact
+from weirscale.gateway.limits.quota import QuotaDecision, QuotaLedger
+from weirscale.gateway.limits.retry_budget import SharedRetryBudget
+from weirscale.gateway.model.back_ends import BackEnd
+from weirscale.gateway.model.configuration import Route
+from weirscale.gateway.model.prompt import Prompt
+from weirscale.gateway.peers.messages import SendNews, SuspectNews
+from weirscale.gateway.peers.outbox import NewsOutbox
+from weirscale.gateway.peers.registrations import PeerDirectory
 from weirscale.gateway.ports import Answer, BackEndPort
-from weirscale.gateway.prompt import Prompt
 from weirscale.gateway.quarantine.crash_check import CrashCheck, LostRequest
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint
 from weirscale.gateway.quarantine.keeper import Quarantine
-from weirscale.gateway.quota import QuotaDecision, QuotaLedger
-from weirscale.gateway.registrations import PeerDirectory
-from weirscale.gateway.retry_budget import SharedRetryBudget
+from weirscale.gateway.requests.attempt_timeout import PatienceKeeper
+from weirscale.gateway.requests.outcome import CANCELLED, AttemptEnd, Verdict, is_about_weights
+from weirscale.gateway.requests.overload import QueueLimit
 from weirscale.gateway.rollouts.pace import AttemptTimes
 from weirscale.gateway.rollouts.trials import Ending, RolloutTrials
+from weirscale.gateway.routing.choice import Choice
+from weirscale.gateway.routing.dispatcher import Dispatcher
+from weirscale.gateway.routing.health import BackEndHealth
+from weirscale.gateway.routing.load import FleetLoad
+from weirscale.gateway.routing.traffic_split import WeightedSplit
 from weirscale.gateway.settings import Bounds
-from weirscale.gateway.split import WeightedSplit
-from weirscale.gateway.summary import ExchangeSummary
-from weirscale.gateway.version_check import VersionCheck
+from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.telemetry.node_metrics import NodeMetrics
+from weirscale.gateway.telemetry.request_summary import ExchangeSummary
+from weirscale.gateway.weights.version_check import VersionCheck
 from weirscale.ports.event_log import EventLog
 
 PROOF_SHARE = 0.92
--- a/src/weirscale/gateway/overload.py
+++ b/src/weirscale/gateway/requests/overload.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from weirscale.gateway.choice import Choice
-from weirscale.gateway.model import Route
+from weirscale.gateway.model.configuration import Route
+from weirscale.gateway.routing.choice import Choice
 
 OVERLOAD_FACTOR = 0.8
 """A first event estimated later than this multiple of the objective is not waited for."""
--- a/src/weirscale/gateway/rollouts/barrier.py
+++ b/src/weirscale/gateway/rollouts/barrier.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from weirscale.domain.identifiers import ServiceName
-from weirscale.gateway.load import HEARD_LIFE_S
-from weirscale.gateway.rollouts.order import Epoch
+from weirscale.gateway.model.rollout_order import Epoch
+from weirscale.gateway.routing.load import HEARD_LIFE_S
 
 MovedKey = tuple[ServiceName, Epoch]
 
--- a/src/weirscale/gateway/rollouts/gate.py
+++ b/src/weirscale/gateway/rollouts/gate.py
@@ -7,10 +7,10 @@
 import xxhash
 
 from weirscale.domain.identifiers import ServiceName, SoftwareVersion
-from weirscale.gateway.back_ends import BackEnd
-from weirscale.gateway.knowledge import Knowledge
-from weirscale.gateway.rollouts.order import Epoch, RolloutOrder, RolloutState
+from weirscale.gateway.model.back_ends import BackEnd
+from weirscale.gateway.model.rollout_order import Epoch, RolloutOrder, RolloutState
 from weirscale.gateway.rollouts.record import RolloutRecord, Stage, decode_record, record_key
+from weirscale.gateway.state.cluster_state import Knowledge
 from weirscale.ports.event_log import EventLog
 
 PROOF_SHARE = 0.3
--- a/src/weirscale/gateway/rollouts/telling.py
+++ b/src/weirscale/gateway/rollouts/gossip.py
@@ -7,12 +7,11 @@
 from collections.abc import Callable, Iterable
 
 from weirscale.domain.identifiers import ServiceName
-from weirscale.gateway.knowledge import Knowledge
-from weirscale.gateway.news_outbox import NewsOutbox
-from weirscale.gateway.peer_messages import MovedNews, PeerNews, TrialNews
+from weirscale.gateway.model.rollout_order import Epoch
+from weirscale.gateway.peers.messages import MovedNews, PeerNews, TrialNews
+from weirscale.gateway.peers.outbox import NewsOutbox
 from weirscale.gateway.rollouts.barrier import MoveBarrier, MovedKey
 from weirscale.gateway.rollouts.gate import RecordReader
-from weirscale.gateway.rollouts.order import Epoch
 from weirscale.gateway.rollouts.record import Stage
 from weirscale.gateway.rollouts.tallies import (
     NO_COUNTS,
@@ -21,6 +20,7 @@
     Tallies,
     TallyKey,
 )
+from weirscale.gateway.state.cluster_state import Knowledge
 
 TELL_INTERVAL_S = 0.25
 """Least time between two tellings of changed tallies."""
--- a/src/weirscale/gateway/rollouts/holder_task.py
+++ b/src/weirscale/gateway/rollouts/holder_task.py
@@ -11,11 +11,10 @@
 from result import Err
 
 from weirscale.domain.identifiers import ServiceName
-from weirscale.gateway.back_ends import TAKES_WORK, BackEnd
-from weirscale.gateway.knowledge import Knowledge
+from weirscale.gateway.model.back_ends import TAKES_WORK, BackEnd
+from weirscale.gateway.model.rollout_order import Epoch, RolloutOrder, RolloutStatus
 from weirscale.gateway.ports import StateFeed
 from weirscale.gateway.rollouts.gate import RecordReader
-from weirscale.gateway.rollouts.order import Epoch, RolloutOrder, RolloutStatus
 from weirscale.gateway.rollouts.plan import RolloutFacts, Step, next_record, next_step, status_of
 from weirscale.gateway.rollouts.record import RolloutRecord, Stage, encode_record, record_key
 from weirscale.gateway.rollouts.tallies import (
@@ -27,6 +26,7 @@
 )
 from weirscale.gateway.rollouts.trials import verdict_fields
 from weirscale.gateway.rollouts.verdict import Judgement, Verdict, judge_end
+from weirscale.gateway.state.cluster_state import Knowledge
 from weirscale.gateway.ticks import sleep_to_tick
 from weirscale.leases.lease_task import DutyLeaseTask
 from weirscale.ports.event_log import EventLog
--- a/src/weirscale/gateway/rollouts/plan.py
+++ b/src/weirscale/gateway/rollouts/plan.py
@@ -3,8 +3,8 @@
 import msgspec
 
 from weirscale.domain.identifiers import SoftwareVersion
+from weirscale.gateway.model.rollout_order import RolloutOrder, RolloutState
 from weirscale.gateway.rollouts.gate import unusable_after
-from weirscale.gateway.rollouts.order import RolloutOrder, RolloutState
 from weirscale.gateway.rollouts.record import RolloutRecord, Stage
 from weirscale.gateway.rollouts.tallies import Evidence
 from weirscale.gateway.rollouts.verdict import Judgement, Verdict
--- a/src/weirscale/gateway/rollouts/record.py
+++ b/src/weirscale/gateway/rollouts/record.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from weirscale.domain.identifiers import ServiceName, SoftwareVersion
-from weirscale.gateway.rollouts.order import Epoch
+from weirscale.gateway.model.rollout_order import Epoch
 from weirscale.gateway.rollouts.tallies import Evidence
 
 RECORD_PREFIX = "weirscale/rollouts/"
--- a/src/weirscale/gateway/rollouts/tallies.py
+++ b/src/weirscale/gateway/rollouts/tallies.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from weirscale.domain.identifiers import ServiceName
-from weirscale.gateway.rollouts.order import Epoch
+from weirscale.gateway.model.rollout_order import Epoch
 
 
 class Counts(msgspec.Struct, frozen=True, array_like=True):
--- a/src/weirscale/gateway/rollouts/trials.py
+++ b/src/weirscale/gateway/rollouts/trials.py
@@ -6,12 +6,11 @@
 import msgspec
 
 from weirscale.domain.identifiers import ServiceName
-from weirscale.gateway.back_ends import BackEnd
-from weirscale.gateway.knowledge import Knowledge
-from weirscale.gateway.model import Route
+from weirscale.gateway.model.back_ends import BackEnd
+from weirscale.gateway.model.configuration import Route
+from weirscale.gateway.model.rollout_order import Epoch
 from weirscale.gateway.rollouts.allowance import Allowance, ExposureBounds, start_credit
 from weirscale.gateway.rollouts.gate import Lane, RecordReader, RolloutView, VersionGate
-from weirscale.gateway.rollouts.order import Epoch
 from weirscale.gateway.rollouts.pace import AnswerTimes, UsualPace
 from weirscale.gateway.rollouts.record import Stage
 from weirscale.gateway.rollouts.tallies import (
@@ -25,6 +24,7 @@
     evidence_of,
 )
 from weirscale.gateway.rollouts.verdict import MAIN_ROUTE_SHARE, AlarmTest, Verdict
+from weirscale.gateway.state.cluster_state import Knowledge
 from weirscale.ports.event_log import EventLog
 
 LOOK_INTERVAL_S = 0.2
--- a/src/weirscale/gateway/cache_belief.py
+++ b/src/weirscale/gateway/routing/cache_belief.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from weirscale.gateway.prompt import PromptPart
+from weirscale.gateway.model.prompt import PromptPart
 
 
 class KeptPart(msgspec.Struct):
--- a/src/weirscale/gateway/choice.py
+++ b/src/weirscale/gateway/routing/choice.py
@@ -12,17 +12,17 @@
 import xxhash
 
 from weirscale.domain.identifiers import RegionName, ZoneName
-from weirscale.gateway.back_ends import BackEnd
-from weirscale.gateway.cache_belief import CacheBelief
-from weirscale.gateway.first_event_model import (
+from weirscale.gateway.model.back_ends import BackEnd
+from weirscale.gateway.model.prompt import Prompt
+from weirscale.gateway.model.topology import NO_REGION, are_apart
+from weirscale.gateway.routing.cache_belief import CacheBelief
+from weirscale.gateway.routing.first_event_model import (
     START_RATES,
     FirstEventRates,
     ReadingWork,
     first_event_s,
 )
-from weirscale.gateway.load import Load
-from weirscale.gateway.places import NO_REGION, are_apart
-from weirscale.gateway.prompt import Prompt
+from weirscale.gateway.routing.load import Load
 
 HASH_RANGE = 2**32
 AFFINITY_SHARPNESS = 3
--- a/src/weirscale/gateway/dispatcher.py
+++ b/src/weirscale/gateway/routing/dispatcher.py
@@ -8,9 +8,13 @@
 import msgspec
 
 from weirscale.domain.identifiers import ServiceName, ZoneName
-from weirscale.gateway.back_ends import BackEnd
-from weirscale.gateway.cache_belief import CacheBelief
-from weirscale.gateway.choice import (
+from weirscale.gateway.model.back_ends import BackEnd
+from weirscale.gateway.model.configuration import KeptCacheStore, Service, Tenant
+from weirscale.gateway.model.prompt import CacheScope, Prompt, PromptPart
+from weirscale.gateway.model.topology import ONE_PLACE, Places
+from weirscale.gateway.rollouts.gate import Lane
+from weirscale.gateway.routing.cache_belief import CacheBelief
+from weirscale.gateway.routing.choice import (
     START_MARGIN_S,
     Candidate,
     Choice,
@@ -21,17 +25,13 @@
     fetch_s,
     reading_work,
 )
-from weirscale.gateway.first_event_model import FirstEventModel
-from weirscale.gateway.health import BackEndHealth
-from weirscale.gateway.knowledge import Knowledge
-from weirscale.gateway.load import FleetLoad
-from weirscale.gateway.model import KeptCacheStore, Service, Tenant
-from weirscale.gateway.overdue import OverdueAttempts
-from weirscale.gateway.places import ONE_PLACE, Places
-from weirscale.gateway.prompt import CacheScope, Prompt, PromptPart
-from weirscale.gateway.recent_waits import RecentWaits
-from weirscale.gateway.rollouts.gate import Lane
-from weirscale.gateway.weights import NamedVersion
+from weirscale.gateway.routing.first_event_model import FirstEventModel
+from weirscale.gateway.routing.health import BackEndHealth
+from weirscale.gateway.routing.load import FleetLoad
+from weirscale.gateway.routing.overdue import OverdueAttempts
+from weirscale.gateway.routing.recent_waits import RecentWaits
+from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.target_versions import NamedVersion
 
 LOADING_MARK_LIFE_S = 7.0
 """A runner that was announced to load is used again after this, should the end go untold."""
--- a/src/weirscale/gateway/runner_shares.py
+++ b/src/weirscale/gateway/routing/engine_shares.py
@@ -8,9 +8,9 @@
 
 from collections.abc import Collection, Iterable, Mapping
 
-from weirscale.gateway.back_ends import BackEnd, BackEndDirectory
-from weirscale.gateway.groups import Division, name_hash
-from weirscale.gateway.registrations import PeerDirectory
+from weirscale.gateway.model.back_ends import BackEnd, BackEndDirectory
+from weirscale.gateway.peers.groups import Division, name_hash
+from weirscale.gateway.peers.registrations import PeerDirectory
 
 
 class RunnerShares:
--- a/src/weirscale/gateway/overdue.py
+++ b/src/weirscale/gateway/routing/overdue.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from weirscale.gateway.choice import Choice
+from weirscale.gateway.routing.choice import Choice
 
 OVERDUE_FACTOR = 1.5
 """An attempt tells of itself once it has waited for this multiple of what was expected, and again
--- a/src/weirscale/gateway/split.py
+++ b/src/weirscale/gateway/routing/traffic_split.py
@@ -1,7 +1,7 @@
 """Shares a route's requests among its services by weight, evenly over short spans."""
 
 from weirscale.domain.identifiers import ServiceName
-from weirscale.gateway.model import Route, WeightedService
+from weirscale.gateway.model.configuration import Route, WeightedService
 
 
 class WeightedSplit:
--- a/src/weirscale/gateway/settings.py
+++ b/src/weirscale/gateway/settings.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from weirscale.domain.identifiers import RegionName, ZoneName
-from weirscale.gateway.retry_budget import RetryBudgetRules
+from weirscale.gateway.limits.retry_budget import RetryBudgetRules
 from weirscale.gateway.rollouts.allowance import ExposureBounds
 
 
--- a/src/weirscale/gateway/knowledge.py
+++ b/src/weirscale/gateway/state/cluster_state.py
@@ -10,14 +10,10 @@
 import msgspec
 
 from weirscale.domain.identifiers import ServiceName, SoftwareVersion
-from weirscale.gateway.ages import age_ms
-from weirscale.gateway.back_ends import (
-    TAKES_WORK,
-    BackEnd,
-    BackEndDirectory,
-    BackEndState,
-)
-from weirscale.gateway.change_log import ChangeLog
+from weirscale.gateway.durations import age_ms
+from weirscale.gateway.model.back_ends import TAKES_WORK, BackEnd, BackEndDirectory, BackEndState
+from weirscale.gateway.model.rollout_order import Epoch, RolloutOrder
+from weirscale.gateway.model.routes import RouteTable
 from weirscale.gateway.ports import (
     BackEndGone,
     BackEndRegistered,
@@ -31,12 +27,11 @@
     VersionedChange,
     WeightsNamed,
 )
-from weirscale.gateway.rollouts.order import Epoch, RolloutOrder
-from weirscale.gateway.rollouts.orders import RolloutBook
-from weirscale.gateway.routes import RouteTable
-from weirscale.gateway.store_continuity import NEVER_S, StoreContinuity
-from weirscale.gateway.weights import NamedVersion, VersionBook
-from weirscale.gateway.young_record import YoungRecord, read_young_record
+from weirscale.gateway.state.change_log import ChangeLog
+from weirscale.gateway.state.rollout_orders import RolloutBook
+from weirscale.gateway.state.store_outages import NEVER_S, StoreContinuity
+from weirscale.gateway.state.target_versions import NamedVersion, VersionBook
+from weirscale.gateway.state.weights_age_marker import YoungRecord, read_young_record
 from weirscale.ports.event_log import EventLog
 
 ESTABLISHED_S = 20.0
--- a/src/weirscale/gateway/timed_record.py
+++ b/src/weirscale/gateway/state/expiring_record.py
@@ -9,7 +9,7 @@
 import anyio
 from result import Err
 
-from weirscale.gateway.knowledge import Knowledge
+from weirscale.gateway.state.cluster_state import Knowledge
 from weirscale.ports.key_value import KeyValueFailureKind, KeyValuePort
 
 RENEWAL_LIFE_S = 0.4
--- a/src/weirscale/gateway/rollouts/orders.py
+++ b/src/weirscale/gateway/state/rollout_orders.py
@@ -1,7 +1,7 @@
 """The orders and statuses of rollouts as a node knows them; `Knowledge` is the only writer."""
 
 from weirscale.domain.identifiers import ServiceName
-from weirscale.gateway.rollouts.order import RolloutOrder, RolloutStatus, SeenStatus
+from weirscale.gateway.model.rollout_order import RolloutOrder, RolloutStatus, SeenStatus
 
 
 class RolloutBook:
--- /dev/null
+++ b/src/weirscale/gateway/telemetry/__init__.py
@@ -0,0 +1,1 @@
+"""Log lines, metrics and the summary of a request."""
--- a/src/weirscale/gateway/metrics.py
+++ b/src/weirscale/gateway/telemetry/metrics.py
@@ -7,8 +7,8 @@
 from prometheus_client.exposition import generate_latest
 
 from weirscale.domain.identifiers import ServiceName
-from weirscale.gateway.node_metrics import NodeFigures
-from weirscale.gateway.summary import ExchangeSummary
+from weirscale.gateway.telemetry.node_metrics import NodeFigures
+from weirscale.gateway.telemetry.request_summary import ExchangeSummary
 
 NEVER_PROVED_AGE_S = 1e9
 """Stands for the age of a state that was never proved: the text format is for plain numbers."""
--- a/src/weirscale/gateway/node_metrics.py
+++ b/src/weirscale/gateway/telemetry/node_metrics.py
@@ -11,7 +11,7 @@
 
 from weirscale.domain.identifiers import ServiceName, TenantName
 from weirscale.gateway.settings import GatewaySettings
-from weirscale.gateway.summary import ExchangeSummary
+from weirscale.gateway.telemetry.request_summary import ExchangeSummary
 
 
 class NodeFigures(msgspec.Struct, frozen=True):
@@ -83,6 +83,6 @@
     """Return the metrics of a node with these settings."""
     if settings.metrics is None:
         return NoMetrics()
-    from weirscale.gateway.metrics import GatewayMetrics
+    from weirscale.gateway.telemetry.metrics import GatewayMetrics
 
     return GatewayMetrics()
--- a/src/weirscale/gateway/summary.py
+++ b/src/weirscale/gateway/telemetry/request_summary.py
@@ -5,11 +5,11 @@
 import msgspec
 
 from weirscale.domain.identifiers import ServiceName, TenantName
-from weirscale.gateway.choice import Choice
-from weirscale.gateway.model import Route
+from weirscale.gateway.limits.quota import QuotaDecision
+from weirscale.gateway.model.configuration import Route
 from weirscale.gateway.ports import CallerRequest
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint
-from weirscale.gateway.quota import QuotaDecision
+from weirscale.gateway.routing.choice import Choice
 
 OVERLOADED = "overloaded"
 """Cause of a refusal because of the queues."""
--- a/src/weirscale/gateway/counted_store.py
+++ b/src/weirscale/gateway/telemetry/store_calls.py
@@ -6,8 +6,8 @@
 
 from result import Err, Result
 
+from weirscale.gateway.model.rollout_order import RolloutStatus
 from weirscale.gateway.ports import StateBatch, StateFeed
-from weirscale.gateway.rollouts.order import RolloutStatus
 from weirscale.ports.key_value import (
     KeyValueFailure,
     KeyValuePort,
--- a/src/weirscale/gateway/weights_rollout_task.py
+++ b/src/weirscale/gateway/weights/rollout_task.py
@@ -10,19 +10,19 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from weirscale.gateway.back_ends import BackEnd, BackEndState
-from weirscale.gateway.health import BackEndHealth
-from weirscale.gateway.knowledge import Knowledge
+from weirscale.gateway.model.back_ends import BackEnd, BackEndState
 from weirscale.gateway.ports import BackEndPort, OrderOutcome, RunnerReport, WeightOrder
+from weirscale.gateway.routing.health import BackEndHealth
+from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.expiring_record import OrderTurn, write_timed_record
+from weirscale.gateway.state.weights_age_marker import YoungRecord
 from weirscale.gateway.ticks import sleep_to_tick
-from weirscale.gateway.timed_record import OrderTurn, write_timed_record
-from weirscale.gateway.weights_rollout import (
+from weirscale.gateway.weights.schedule import (
     LaggingRunner,
     LoadedRunners,
     WeightsRolloutRules,
     runners_to_load,
 )
-from weirscale.gateway.young_record import YoungRecord
 from weirscale.leases.lease_task import DutyLeaseTask
 from weirscale.ports.event_log import EventLog
 from weirscale.ports.key_value import KeyValuePort
--- a/src/weirscale/gateway/version_check.py
+++ b/src/weirscale/gateway/weights/version_check.py
@@ -9,10 +9,10 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from weirscale.gateway.back_ends import BackEnd
-from weirscale.gateway.knowledge import Knowledge
-from weirscale.gateway.peer_messages import LoadingNews
+from weirscale.gateway.model.back_ends import BackEnd
+from weirscale.gateway.peers.messages import LoadingNews
 from weirscale.gateway.ports import BackEndPort
+from weirscale.gateway.state.cluster_state import Knowledge
 
 REPORT_TIMEOUT_S = 0.5
 MIN_INTERVAL_S = 0.4
