--- a/bench/gateway_cost.py
+++ b/bench/gateway_cost.py
@@ -11,11 +11,11 @@
 
 from weirscale.domain.identifiers import ServiceName, ZoneName
 from weirscale.gateway.model.back_ends import BackEnd, BackEndState
-from weirscale.gateway.model.prompt import CacheScope, Prompt, PromptPart
+from weirscale.gateway.model.prompt import CacheScope, Prompt, PromptBlock
 from weirscale.gateway.peers.messages import (
-    LoadNews,
-    PeerNews,
-    SendNews,
+    Gossip,
+    LoadGossip,
+    SendGossip,
     decode_message,
     encode_message,
 )
@@ -42,10 +42,10 @@
     prompts = []
     for number in range(NUM_PROMPTS):
         shared = tuple(
-            PromptPart(f"{number % (20 * (depth + 1)):x}-{depth}", tokens)
+            PromptBlock(f"{number % (20 * (depth + 1)):x}-{depth}", tokens)
             for depth, tokens in enumerate(SHARED_TOKENS)
         )
-        own = PromptPart(f"{random.getrandbits(32):x}", OWN_TOKENS)
+        own = PromptBlock(f"{random.getrandbits(32):x}", OWN_TOKENS)
         total = sum(SHARED_TOKENS) + OWN_TOKENS
         prompts.append(Prompt("model", (*shared, own), total, 20))
     return prompts
@@ -103,11 +103,11 @@
         return choose(candidates, need, sources, ZoneName("z1"), rules, random)
 
     report(f"choice over {NUM_RUNNERS} runners", time_each(choose_one, NUM_CHOICES))
-    loads = tuple(LoadNews(f"i-{number:08x}", 12, 3456, 45_678) for number in range(NUM_RUNNERS))
-    sends = (SendNews("i-0000000a", SCOPE, False, prompts[0].parts),) * NUM_SENDS_A_DATAGRAM
-    news = PeerNews("edge-hall-1", loads, sends)
-    datagram = encode_message(news)
-    report("datagram encoding", time_each(lambda _: encode_message(news), NUM_DATAGRAMS))
+    loads = tuple(LoadGossip(f"i-{number:08x}", 12, 3456, 45_678) for number in range(NUM_RUNNERS))
+    sends = (SendGossip("i-0000000a", SCOPE, False, prompts[0].parts),) * NUM_SENDS_A_DATAGRAM
+    gossip = Gossip("edge-hall-1", loads, sends)
+    datagram = encode_message(gossip)
+    report("datagram encoding", time_each(lambda _: encode_message(gossip), NUM_DATAGRAMS))
     report("datagram decoding", time_each(lambda _: decode_message(datagram), NUM_DATAGRAMS))
     print(
         f"datagram of {NUM_RUNNERS} loads and {NUM_SENDS_A_DATAGRAM} sends: {len(datagram)} bytes"
--- a/features/steps/gateway_choice_steps.py
+++ b/features/steps/gateway_choice_steps.py
@@ -20,7 +20,7 @@
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.gateway.limits.retry_budget import SharedRetryBudget
 from weirscale.gateway.model.back_ends import BackEnd, BackEndState
-from weirscale.gateway.model.prompt import CacheScope, Prompt, PromptPart
+from weirscale.gateway.model.prompt import CacheScope, Prompt, PromptBlock
 from weirscale.gateway.routing.cache_belief import CacheBelief
 from weirscale.gateway.routing.choice import Candidate, ChoiceRules, FetchSource, PromptNeed, choose
 from weirscale.gateway.routing.dispatcher import Dispatcher
@@ -40,8 +40,8 @@
 CAPACITY = 10_000
 SLOTS = 8
 VERSION = 2
-SHARED = PromptPart("aa", 800)
-OWN = PromptPart("bb", 200)
+SHARED = PromptBlock("aa", 800)
+OWN = PromptBlock("bb", 200)
 PROMPT = Prompt("m", (SHARED, OWN), 1000, 20)
 SCOPE = CacheScope("m", VERSION).text()
 LOADS = {
@@ -57,8 +57,8 @@
 def parse_parts(text):
     parts = []
     for one in text.split(","):
-        part_id, _, tokens = one.partition(":")
-        parts.append(PromptPart(part_id, int(tokens)))
+        block_id, _, tokens = one.partition(":")
+        parts.append(PromptBlock(block_id, int(tokens)))
     return tuple(parts)
 
 
@@ -124,7 +124,7 @@
 def step_place_cold(context, count, nodes):
     context.placed = []
     for number in range(count):
-        parts = (PromptPart(f"{number:x}", 800), PromptPart(f"own{number:x}", 200))
+        parts = (PromptBlock(f"{number:x}", 800), PromptBlock(f"own{number:x}", 200))
         need = PromptNeed(Prompt("m", parts, 1000, 20), {VERSION: SCOPE})
         context.placed.append(
             {
@@ -159,7 +159,7 @@
 @when("{nodes:d} nodes place a prompt each while news is {delay:g} seconds late")
 def step_late_news(context, nodes, delay):
     dispatcher = Dispatcher(
-        "here", None, None, None, 0.0, Random(1), lambda: 0.0, news_delay_s=lambda: delay
+        "here", None, None, None, 0.0, Random(1), lambda: 0.0, gossip_delay_s=lambda: delay
     )
     need = PromptNeed(PROMPT, {VERSION: SCOPE})
     rules = dispatcher.rules("lm")
--- a/features/steps/gateway_group_places_steps.py
+++ b/features/steps/gateway_group_places_steps.py
@@ -5,17 +5,17 @@
 
 from features.steps.gateway_groups_steps import RegisteredNodes, make_members
 from features.support.loopback import free_address
-from weirscale.gateway.gossip.gossip_task import PeerTask
+from weirscale.gateway.gossip.gossip_task import GossipTask
 from weirscale.gateway.model.back_ends import BackEnd, BackEndState
 from weirscale.gateway.peers.groups import divide
-from weirscale.gateway.peers.messages import LoadNews, decode_message
-from weirscale.gateway.peers.outbox import NewsOutbox
+from weirscale.gateway.peers.messages import LoadGossip, decode_message
+from weirscale.gateway.peers.outbox import GossipOutbox
 from weirscale.gateway.peers.registrations import PeerDirectory
 from weirscale.gateway.replication.readers import choose_readers
 from weirscale.gateway.requests.exchange_context import ExchangeContext
 from weirscale.gateway.routing.choice import Candidate, Choice
 from weirscale.gateway.routing.load import FleetLoad, Load
-from weirscale.gateway.settings import Bounds, ListenAddress
+from weirscale.gateway.settings import Guarantees, ListenAddress
 
 
 class Directory(RegisteredNodes):
@@ -25,7 +25,7 @@
         super().__init__(members, 100.0)
         own = members[0]
         self.peers = PeerDirectory(
-            own.name, self.knowledge, lambda: self.now_s, own.zone, own.strength
+            own.name, self.cluster, lambda: self.now_s, own.zone, own.capacity
         )
 
     def leave(self, members):
@@ -94,10 +94,10 @@
     def group_peers(self):
         return ("other",)
 
-    def must_show_life(self, timer):
+    def is_heartbeat_due(self, timer):
         return False
 
-    async def tell_own(self, news):
+    async def tell_own(self, gossip):
         """There is one group only."""
 
 
@@ -123,17 +123,17 @@
 
 @when("it sends a prompt of which {tokens:d} tokens are to be read")
 def step_sends_prompt(context, tokens):
-    load, outbox = FleetLoad(), NewsOutbox("node")
+    load, outbox = FleetLoad(), GossipOutbox("node")
 
     def gather(_must_refresh):
         for instance, one in load.take_changed().items():
             outbox.add_load(
-                LoadNews(instance, one.num_requests, one.waiting_tokens, one.held_tokens)
+                LoadGossip(instance, one.num_requests, one.waiting_tokens, one.held_tokens)
             )
 
     async def main():
         directory = OneOther(context.other_address)
-        peers = PeerTask(context.own_address, directory, SlowRelay(), outbox, None, gather)
+        peers = GossipTask(context.own_address, directory, SlowRelay(), outbox, None, gather)
         end = BackEnd("r-1", "lm", "10.3.0.1:1", "hall-0", BackEndState.READY, 16)
         choice = Choice(Candidate(end, Load(), False), read_tokens=tokens)
         shared = exchange_context(load, peers.hurry)
@@ -146,11 +146,11 @@
             tasks.start_soon(peers.run)
             await anyio.sleep(0.1)
             shared.begin(choice, None, is_first=False)
-            context.heard = None
+            context.received = None
             with anyio.move_on_after(1.0):
-                while context.heard is None or not context.heard.loads:
+                while context.received is None or not context.received.loads:
                     datagram, _ = await socket.receive()
-                    context.heard = decode_message(datagram)
+                    context.received = decode_message(datagram)
             tasks.cancel_scope.cancel()
 
     anyio.run(main)
@@ -160,20 +160,22 @@
     """Return a context of requests of which only load and telling matter."""
     parts = dict.fromkeys(
         (
-            "knowledge", "dispatcher", "health", "budget", "quotas", "peers", "outbox", "contact",
+            "cluster", "dispatcher", "health", "budget", "quotas", "peers", "outbox", "isolation",
             "version_check", "trials", "quarantine", "port_of", "event_log", "metrics",
         )
     )  # fmt: skip
     return ExchangeContext(
-        bounds=Bounds(), load=load, tell_now=tell_now, clock=anyio.current_time, **parts
+        bounds=Guarantees(), load=load, tell_now=tell_now, clock=anyio.current_time, **parts
     )
 
 
 @then("the other node hears of it within a second")
 def step_hears_at_once(context):
-    assert context.heard is not None and context.heard.loads[0].instance == "r-1", context.heard
+    assert context.received is not None and context.received.loads[0].instance == "r-1", (
+        context.received
+    )
 
 
 @then("the other node hears of it not within a second")
 def step_hears_later(context):
-    assert context.heard is None or not context.heard.loads, context.heard
+    assert context.received is None or not context.received.loads, context.received
--- a/features/steps/gateway_groups_steps.py
+++ b/features/steps/gateway_groups_steps.py
@@ -12,22 +12,22 @@
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.gateway.gossip.group_relay import GroupRelay, news_interval_s
 from weirscale.gateway.limits.quota import QuotaLedger
-from weirscale.gateway.model.prompt import CacheScope, PromptPart
+from weirscale.gateway.model.prompt import CacheScope, PromptBlock
 from weirscale.gateway.peers.groups import Member, divide
-from weirscale.gateway.peers.messages import LoadingNews, PeerNews, SendNews, SuspectNews
+from weirscale.gateway.peers.messages import Gossip, LoadingGossip, SendGossip, SuspectGossip
 from weirscale.gateway.peers.registrations import NODE_PREFIX, PeerDirectory, Registration
 from weirscale.gateway.ports.state_feed import RecordChanged, StateBatch, VersionedChange
 from weirscale.gateway.replication.readers import choose_readers
 from weirscale.gateway.routing.load import FleetLoad, Load
-from weirscale.gateway.settings import QuotaBounds
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.settings import QuotaPrecision
+from weirscale.gateway.state.cluster_state import ClusterState
 
 SETTLE_S = 4.0
 WEAK, STRONG = 30, 100
 RUNNER = RunnerStandIn("r-1", "10.3.0.1:8080", "lm")
 SCOPE = CacheScope("m", 1).text()
-SHARED = (PromptPart("aa", 800), PromptPart("bb", 300))
-OWN = PromptPart("cc", 200)
+SHARED = (PromptBlock("aa", 800), PromptBlock("bb", 300))
+OWN = PromptBlock("cc", 200)
 
 
 def make_members(count, zones, weak_each=0):
@@ -58,7 +58,7 @@
 @then("no weak node reads the store, and each node may ask {count:d} others")
 def step_strong_readers(context, count):
     readers = choose_readers(context.members)
-    weak = {one.name for one in context.members if one.strength == WEAK}
+    weak = {one.name for one in context.members if one.capacity == WEAK}
     assert len(readers) == count, readers
     assert not weak & set(readers)
 
@@ -92,23 +92,23 @@
 @then("the first head of each group is no weak node")
 def step_strong_heads(context):
     heads = [group[0] for group in context.division.groups.values()]
-    assert {head.strength for head in heads} == {STRONG}, heads
-    assert any(one.strength == WEAK for group in context.division.groups.values() for one in group)
+    assert {head.capacity for head in heads} == {STRONG}, heads
+    assert any(one.capacity == WEAK for group in context.division.groups.values() for one in group)
 
 
 @when("each node tells its news as often as it may")
 def step_often(context):
     groups = context.division.groups
     per_s = 1.0 / news_interval_s(len(groups))
-    context.heard = [(len(group) - 1) * per_s for group in groups.values()]
-    context.head_heard = [one + (len(groups) - 1) * per_s for one in context.heard]
+    context.received = [(len(group) - 1) * per_s for group in groups.values()]
+    context.head_heard = [one + (len(groups) - 1) * per_s for one in context.received]
     if len(groups) > 1:
-        context.heard = [one + per_s for one in context.heard]
+        context.received = [one + per_s for one in context.received]
 
 
 @then("a node that is no head hears at most {most:d} messages a second")
 def step_heard(context, most):
-    assert max(context.heard) <= most, max(context.heard)
+    assert max(context.received) <= most, max(context.received)
 
 
 @then("a head hears at most {most:d} messages a second")
@@ -216,7 +216,7 @@
 
 @when("one node tells that a runner has read a prompt")
 def step_tells_read(context):
-    context.send = SendNews(RUNNER.instance, SCOPE, True, (*SHARED, OWN))
+    context.send = SendGossip(RUNNER.instance, SCOPE, True, (*SHARED, OWN))
 
 
 @then("within {seconds:g} seconds every node believes that the runner keeps its shared parts")
@@ -271,7 +271,7 @@
     async def body():
         first = next(iter(context.fleet.nodes.values()))
         first.health.unreachable(RUNNER.instance, "connect", anyio.current_time())
-        first.outbox.add_suspect(SuspectNews(RUNNER.instance))
+        first.outbox.add_suspect(SuspectGossip(RUNNER.instance))
         await anyio.sleep(seconds)
         for name, node in context.fleet.nodes.items():
             reasons = [
@@ -290,13 +290,13 @@
     def __init__(self, members, now_s):
         self.members = members
         self.now_s = now_s
-        self.knowledge = Knowledge(EventRecorder(), lambda: self.now_s)
+        self.cluster = ClusterState(EventRecorder(), lambda: self.now_s)
         self.revision = 0
         for number, member in enumerate(members):
             self.register(member, number)
 
     def register(self, member, number):
-        address = Registration(f"10.9.0.{number}", 7000, member.zone, member.strength)
+        address = Registration(f"10.9.0.{number}", 7000, member.zone, member.capacity)
         self._change(member.name, cbor2.dumps(msgspec.to_builtins(address)))
 
     def remove(self, name):
@@ -306,7 +306,7 @@
         self.revision += 1
         key = NODE_PREFIX + name
         change = VersionedChange(key, self.revision, RecordChanged(key, value))
-        self.knowledge.apply(StateBatch(self.revision, (change,)), self.now_s)
+        self.cluster.apply(StateBatch(self.revision, (change,)), self.now_s)
 
 
 class LoneHead(RegisteredNodes):
@@ -315,26 +315,26 @@
     def __init__(self, members):
         super().__init__(members, 10.0)
         self.name = divide(members).groups["hall-0/0/0"][0].name
-        directory = PeerDirectory(self.name, self.knowledge, lambda: 10.0, "hall-0", STRONG)
+        directory = PeerDirectory(self.name, self.cluster, lambda: 10.0, "hall-0", STRONG)
         self.sent = []
         self.during_send = None
         quotas = QuotaLedger(
-            QuotaBounds(), lambda: len(members), lambda: 0.1, Random(1), lambda: 10.0
+            QuotaPrecision(), lambda: len(members), lambda: 0.1, Random(1), lambda: 10.0
         )
         self.relay = GroupRelay(self.name, directory, FleetLoad(), quotas, self._send, lambda: 10.0)
 
-    async def _send(self, news, addresses):
-        self.sent.append((news, list(addresses)))
-        if self.during_send is not None and news.group != "*":
+    async def _send(self, gossip, addresses):
+        self.sent.append((gossip, list(addresses)))
+        if self.during_send is not None and gossip.group != "*":
             self.during_send()
 
     def flush(self):
-        loading = LoadingNews(RUNNER.instance, "m", 2, False)
+        loading = LoadingGossip(RUNNER.instance, "m", 2, False)
 
         async def main():
             # What another head says goes on to the own group; what a member of its own group says goes to the heads.
-            await self.relay.hear(PeerNews("peer", loading=(loading,)))
-            await self.relay.hear(PeerNews("head", loading=(loading,), group="hall-1/0/0"))
+            await self.relay.receive(Gossip("peer", loading=(loading,)))
+            await self.relay.receive(Gossip("head", loading=(loading,), group="hall-1/0/0"))
             await self.relay.flush()
 
         run_in_virtual_time(main)
@@ -354,14 +354,14 @@
         head.during_send = lambda: head.register(newcomer, 200)
     else:
         head.during_send = lambda: head.remove(peers[0].name)
-    head.relay._to_group.add_suspect(SuspectNews("r-2"))
+    head.relay._to_group.add_suspect(SuspectGossip("r-2"))
     head.flush()
     context.num_peers = len(peers)
 
 
 @then("its whole group is told")
 def step_group_told(context):
-    to_group = [addresses for news, addresses in context.head.sent if news.group == "*"]
+    to_group = [addresses for gossip, addresses in context.head.sent if gossip.group == "*"]
     assert to_group, "nobody told"
     assert all(abs(len(one) - context.num_peers) <= 1 for one in to_group), to_group
 
@@ -375,8 +375,8 @@
     'source "{a}" tells {one:d} requests at second {first:g} and source "{b}" {two:d} requests at second {second:g}'
 )
 def step_sources(context, a, one, first, b, two, second):
-    context.load.hear(a, "r", Load(one, 0, 0), first)
-    context.load.hear(b, "r", Load(two, 0, 0), second)
+    context.load.receive(a, "r", Load(one, 0, 0), first)
+    context.load.receive(b, "r", Load(two, 0, 0), second)
 
 
 @then("the load is {count:d} requests at second {second:g}")
--- a/features/steps/gateway_instances_steps.py
+++ b/features/steps/gateway_instances_steps.py
@@ -27,8 +27,8 @@
     VersionedChange,
     WeightsNamed,
 )
-from weirscale.gateway.state.cluster_state import Knowledge
-from weirscale_platform.runner import RunnerConnector
+from weirscale.gateway.state.cluster_state import ClusterState
+from weirscale_platform.back_end_client import RunnerConnector
 
 KEYS = {"configuration": "c", "weights": "w", "the": "b"}
 
@@ -175,13 +175,13 @@
     "leaving back end"
 )
 def step_knowledge(context, version, weights):
-    context.knowledge = Knowledge(EventRecorder(), lambda: 100.0)
+    context.cluster = ClusterState(EventRecorder(), lambda: 100.0)
     changes = (
         VersionedChange("c", 5, ConfigurationNamed(GatewayConfiguration(version))),
         VersionedChange("w", 6, WeightsNamed(MODEL, weights)),
         VersionedChange("b", 10, BackEndRegistered(back_end(BackEndState.LEAVING))),
     )
-    context.knowledge.replace_all(StateBatch(10, changes), 99.0)
+    context.cluster.replace_all(StateBatch(10, changes), 99.0)
 
 
 @when('"{change}" arrives with revision {revision:d}')
@@ -196,13 +196,13 @@
     else:
         told = BackEndRegistered(back_end(BackEndState.READY))
     batch = StateBatch(revision, (VersionedChange(KEYS[words[0]], revision, told),))
-    context.knowledge.apply(batch, 99.5)
+    context.cluster.apply(batch, 99.5)
 
 
 @then('it knows configuration {version:d}, weights {weights:d} and a back end that is "{state}"')
 def step_knows(context, version, weights, state):
-    knowledge = context.knowledge
-    known = knowledge.directory.get("i-1")
-    assert knowledge.table.version == version
-    assert knowledge.weights.newest(MODEL) == weights
+    cluster = context.cluster
+    known = cluster.directory.get("i-1")
+    assert cluster.table.version == version
+    assert cluster.weights.newest(MODEL) == weights
     assert (known.state.value if known else "gone") == state
--- a/features/steps/gateway_old_weights_steps.py
+++ b/features/steps/gateway_old_weights_steps.py
@@ -9,7 +9,7 @@
     restart_all,
 )
 from features.support.platform_fleet import MODEL, STORE_ADDRESS
-from weirscale.gateway.state.target_versions import VersionBook
+from weirscale.gateway.state.target_versions import TargetVersions
 
 LATE_S = 60.0
 MOST_EARLY_S = 1.3
@@ -182,24 +182,24 @@
         fleet = play.fleet
         # The answers of node-2 alone are delayed; node-1 hears the naming from the store.
         ages = fleet.nodes["node-1"].ages
-        hear = ages.hear
+        receive = ages.receive
 
         def hear_late(reply):
             play.num_answers += 1
-            fleet.tasks.start_soon(hear_after, hear, reply, delay_s)
+            fleet.tasks.start_soon(hear_after, receive, reply, delay_s)
 
         play.num_answers = 0
-        ages.hear = hear_late
+        ages.receive = hear_late
         name_version(play, version)
         await anyio.sleep(delay_s + 3.0)
-        play.named_after_s = fleet.nodes["node-1"].knowledge.weights.newest_named(MODEL)
+        play.named_after_s = fleet.nodes["node-1"].cluster.weights.newest_named(MODEL)
 
     context.play.actions.append(action)
 
 
-async def hear_after(hear, reply, delay_s):
+async def hear_after(receive, reply, delay_s):
     await anyio.sleep(delay_s)
-    hear(reply)
+    receive(reply)
 
 
 @then("node-1 takes version {version:d} to be named no later than it was")
@@ -307,7 +307,7 @@
 
 @given("versions {first:d} and {second:d} that were named no earlier than {bound_s:g} s")
 def step_book(context, first, second, bound_s):
-    context.book = VersionBook()
+    context.book = TargetVersions()
     for version in (first, second):
         context.book.name(MODEL, version, bound_s)
 
@@ -330,7 +330,7 @@
             name_version(play, version)
             await anyio.sleep(seconds)
             for name, node in play.fleet.nodes.items():
-                named = node.knowledge.weights.newest_named(MODEL)
+                named = node.cluster.weights.newest_named(MODEL)
                 assert named.version == version
                 play.early_s[name].append(play.named_s - named.named_after_s)
 
--- a/features/steps/gateway_places_steps.py
+++ b/features/steps/gateway_places_steps.py
@@ -8,11 +8,11 @@
 from weirscale.gateway.model.configuration import (
     EngineProfile,
     GatewayConfiguration,
-    KeptCacheStore,
+    KeptKvStore,
     Service,
 )
-from weirscale.gateway.model.prompt import CacheScope, Prompt, PromptPart
-from weirscale.gateway.model.topology import ONE_PLACE, Places
+from weirscale.gateway.model.prompt import CacheScope, Prompt, PromptBlock
+from weirscale.gateway.model.topology import ONE_REGION, Topology
 from weirscale.gateway.peers.groups import Member
 from weirscale.gateway.ports.state_feed import (
     BackEndRegistered,
@@ -27,13 +27,13 @@
 from weirscale.gateway.routing.dispatcher import Dispatcher
 from weirscale.gateway.routing.health import BackEndHealth
 from weirscale.gateway.routing.load import FleetLoad, Load
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.cluster_state import ClusterState
 
-PARTS = (PromptPart("a", 4000), PromptPart("b", 2300), PromptPart("own", 2890))
+PARTS = (PromptBlock("a", 4000), PromptBlock("b", 2300), PromptBlock("own", 2890))
 PROMPT = Prompt("m", PARTS, 9190, 9)
 SCOPE = CacheScope("m", 1).text()
 CAPACITY = 90_000
-REGIONS = Places({"z1": "one", "z2": "two"})
+REGIONS = Topology({"z1": "one", "z2": "two"})
 
 
 def candidate_in(region, load=None):
@@ -41,7 +41,7 @@
     end = BackEnd(f"r-{region}", "lm", f"10.0.0.{zone[1]}:80", zone, BackEndState.READY, 12)
     return Candidate(
         end, load or Load(), False, CacheBelief(CAPACITY), CAPACITY, 1,
-        region=region, is_far=region != "one",
+        region=region, is_cross_region=region != "one",
     )  # fmt: skip
 
 
@@ -84,21 +84,21 @@
 @when("kept stores stand in region two and region one, in this order")
 def step_stores(context):
     stores = [
-        Service("k2", kept_cache=KeptCacheStore("10.9.0.2:80", "z2", 1_000_000)),
-        Service("k1", kept_cache=KeptCacheStore("10.9.0.1:80", "z1", 1_000_000)),
+        Service("k2", kept_cache=KeptKvStore("10.9.0.2:80", "z2", 1_000_000)),
+        Service("k1", kept_cache=KeptKvStore("10.9.0.1:80", "z1", 1_000_000)),
     ]
     engine = Service("lm", engine=EngineProfile(12, CAPACITY, ("m",)))
     log = EventRecorder()
-    knowledge = Knowledge(log, lambda: 100.0)
+    cluster = ClusterState(log, lambda: 100.0)
     named = ConfigurationNamed(GatewayConfiguration(1, services=(engine, *stores)))
     changes = [VersionedChange("c", 1, named)]
     for one in (context.near, context.far):
         instance = one.back_end.instance
         changes.append(VersionedChange(instance, 2, BackEndRegistered(one.back_end)))
-    knowledge.replace_all(StateBatch(2, tuple(changes)), 100.0)
+    cluster.replace_all(StateBatch(2, tuple(changes)), 100.0)
     context.dispatcher = Dispatcher(
-        "z1", knowledge, FleetLoad(), BackEndHealth(log, Random(1)), 8.0, Random(1),
-        lambda: 100.0, places=REGIONS,
+        "z1", cluster, FleetLoad(), BackEndHealth(log, Random(1)), 8.0, Random(1),
+        lambda: 100.0, topology=REGIONS,
     )  # fmt: skip
 
 
@@ -123,12 +123,14 @@
         for node in range(nodes)
     ]
     names = {1: "one", 2: "two"}
-    context.places = Places({f"z{one}": names.get(one, f"r{one}") for one in range(1, regions + 1)})
+    context.topology = Topology(
+        {f"z{one}": names.get(one, f"r{one}") for one in range(1, regions + 1)}
+    )
 
 
 @then("{count:d} nodes read the store, and every region has one")
 def step_readers(context, count):
-    readers = choose_readers(context.members, context.places)
+    readers = choose_readers(context.members, context.topology)
     assert len(readers) == count, readers
     zones = {member.name: member.zone for member in context.members}
     assert {zones[one] for one in readers} == set(zones.values())
@@ -137,13 +139,13 @@
 @then("a node of region two asks the reader of region two")
 def step_asks_near(context):
     name = "n2-3"
-    readers = choose_readers(context.members, context.places)
+    readers = choose_readers(context.members, context.topology)
     if name in readers:
         name = "n2-4"
     peers = SimpleNamespace(members=lambda: context.members)
     context.subscription = StateSubscription(
-        name, Knowledge(EventRecorder(), lambda: 100.0), peers, None, EventRecorder(),
-        Random(1), lambda: 100.0, context.places,
+        name, ClusterState(EventRecorder(), lambda: 100.0), peers, None, EventRecorder(),
+        Random(1), lambda: 100.0, context.topology,
     )  # fmt: skip
     context.reader = context.subscription._choose_reader()
     assert context.reader.startswith("n2-") and context.reader in readers
@@ -158,10 +160,10 @@
 
 @given("a node whose settings name no regions")
 def step_no_regions(context):
-    context.places = ONE_PLACE
+    context.topology = ONE_REGION
 
 
 @then("no zone is far from another")
 def step_none_far(context):
-    assert not context.places.is_far("z1", "z2")
-    assert not REGIONS.is_far("z1", "unknown")
+    assert not context.topology.is_cross_region("z1", "z2")
+    assert not REGIONS.is_cross_region("z1", "unknown")
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -26,7 +26,7 @@
 from weirscale.gateway.replication.subscription import StateSubscription
 from weirscale.gateway.settings import ListenAddress
 from weirscale.gateway.state.change_log import ChangeLog
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.cluster_state import ClusterState
 
 SETTLE_S = 4.0
 READER = "reader"
@@ -100,7 +100,7 @@
                 fleet.asked.clear()
             await anyio.sleep(1.0)
         context.known = {
-            name: set(node.knowledge.directory.instances()) for name, node in fleet.nodes.items()
+            name: set(node.cluster.directory.instances()) for name, node in fleet.nodes.items()
         }
 
     play(fleet, context.count, context.first, body)
@@ -134,7 +134,7 @@
         await anyio.sleep(context.delay_s)
         fleet.store.put("op/config", configuration(4))
         await anyio.sleep(seconds)
-        found.update({name: fleet.nodes[name].knowledge.table.version for name in sound})
+        found.update({name: fleet.nodes[name].cluster.table.version for name in sound})
 
     play(fleet, context.count, context.first, body)
     assert found, "no node left"
@@ -155,7 +155,7 @@
     async def body():
         fleet.store.put("op/config", context.large)
         await anyio.sleep(seconds)
-        found.update({name: node.knowledge.table.version for name, node in fleet.nodes.items()})
+        found.update({name: node.cluster.table.version for name, node in fleet.nodes.items()})
 
     play(fleet, context.count, context.first, body)
     assert len(found) == context.count
@@ -202,15 +202,15 @@
         self.now_s = 0.0
         self.sent = []
         log = EventRecorder()
-        self.knowledge = Knowledge(log, lambda: self.now_s)
-        self.knowledge.replace_all(StateBatch(100, ()), 0.0)
-        self.knowledge.confirmed_at_s = float("-inf")
-        peers = PeerDirectory("asker", self.knowledge, lambda: self.now_s)
+        self.cluster = ClusterState(log, lambda: self.now_s)
+        self.cluster.replace_all(StateBatch(100, ()), 0.0)
+        self.cluster.confirmed_at_s = float("-inf")
+        peers = PeerDirectory("asker", self.cluster, lambda: self.now_s)
         readers = (READER, "reader-2", "reader-3")
         peers.addresses = lambda: dict.fromkeys(readers, ListenAddress("10.0.0.1", 1))
         peers.members = lambda: [Member(name, "") for name in (self._name(), *readers)]
         self.subscription = StateSubscription(
-            self._name(), self.knowledge, peers, self._send, log, Random(1), lambda: self.now_s
+            self._name(), self.cluster, peers, self._send, log, Random(1), lambda: self.now_s
         )
 
     def _name(self):
@@ -249,12 +249,12 @@
 @when("the reply arrives at second {arrives:g} and tells a proof {age:g} seconds old")
 def step_reply(context, arrives, age):
     context.asker.now_s = arrives
-    context.asker.subscription.hear(reply_to(context.query, age))
+    context.asker.subscription.receive(reply_to(context.query, age))
 
 
 @then("the node's knowledge is proved as of second {proved:g}")
 def step_proved(context, proved):
-    assert abs(context.asker.knowledge.confirmed_at_s - proved) < 0.002
+    assert abs(context.asker.cluster.confirmed_at_s - proved) < 0.002
 
 
 @when('a reply "{kind}" arrives')
@@ -266,12 +266,12 @@
         "beginning too late": {"after_revision": 150, "revision": 160},
         "left out": {"is_left_out": True},
     }[kind]
-    context.asker.subscription.hear(reply_to(query, **more))
+    context.asker.subscription.receive(reply_to(query, **more))
 
 
 @then("the node's knowledge is not proved")
 def step_not_proved(context):
-    assert context.asker.knowledge.confirmed_at_s == float("-inf")
+    assert context.asker.cluster.confirmed_at_s == float("-inf")
 
 
 @then("the node {reads} the store")
--- a/features/steps/gateway_rollouts_steps.py
+++ b/features/steps/gateway_rollouts_steps.py
@@ -32,7 +32,7 @@
 from weirscale.gateway.model.rollout_order import Epoch
 from weirscale.gateway.rollouts.record import RolloutRecord, Stage, encode_record
 from weirscale.gateway.routing.load import Load
-from weirscale.gateway.settings import ExposureBounds
+from weirscale.gateway.settings import CanaryLimits
 
 VERSIONS = {
     "sound": None,
@@ -336,9 +336,9 @@
         await anyio.sleep(CALM_S)
         holder = node._rollout_holder
         # The node stands still while another holder decides.
-        known = node.knowledge.revision_of(RECORD_KEY)
+        known = node.cluster.revision_of(RECORD_KEY)
         world.fleet.store.put(RECORD_KEY, encode_record(later))
-        node.knowledge._revisions[RECORD_KEY] = known
+        node.cluster._revisions[RECORD_KEY] = known
         moved = RolloutRecord("orders", Epoch(5), "v2", Stage.MOVING, 2.0, 1)
         context.is_written = await holder._write(moved)
         context.value = world.fleet.store.items[RECORD_KEY]["value"]
@@ -385,7 +385,7 @@
 
 def stream_world(faults_of_new):
     """Return a fleet with three old runners of streams, and what adds three of the target."""
-    fleet = Fleet(exposure=ExposureBounds(SHARE, TOLERANCE, 5.0))
+    fleet = Fleet(exposure=CanaryLimits(SHARE, TOLERANCE, 5.0))
     fleet.store.put("op/config", configuration())
     runners = {"v1": [], "v2": []}
 
@@ -473,7 +473,7 @@
         await order_and_wait(context.fleet, context.add_target)
         node = context.fleet.nodes["node-1"]
         for runner in context.runners["v1"]:
-            node.load.hear("node-9", runner.instance, Load(40, 400_000, 90_000), node._clock())
+            node.load.receive("node-9", runner.instance, Load(40, 400_000, 90_000), node._clock())
         # The allowance is there: only the room is not.
         for _ in range(20):
             node.trials.note_request("lm")
--- a/features/steps/gateway_runner_shares_steps.py
+++ b/features/steps/gateway_runner_shares_steps.py
@@ -19,7 +19,7 @@
 from weirscale.gateway.peers.registrations import PeerDirectory
 from weirscale.gateway.routing.cache_belief import CacheBelief
 from weirscale.gateway.routing.choice import Candidate, ChoiceRules, PromptNeed, choose
-from weirscale.gateway.routing.engine_shares import RunnerShares, share_out
+from weirscale.gateway.routing.engine_shares import EngineShares, share_out
 from weirscale.gateway.routing.load import Load
 
 
@@ -111,11 +111,11 @@
     nodes = RegisteredNodes(make_members(79, 3), 10.0)
     own = nodes.members[0]
     context.name = own.name
-    context.peers = PeerDirectory(own.name, nodes.knowledge, lambda: 10.0, own.zone, own.strength)
+    context.peers = PeerDirectory(own.name, nodes.cluster, lambda: 10.0, own.zone, own.capacity)
     context.ends = BackEndDirectory()
     for runner in make_runners(45, 3):
         context.ends.put(runner)
-    context.shares = RunnerShares(own.name, context.peers, context.ends)
+    context.shares = EngineShares(own.name, context.peers, context.ends)
 
 
 @when("a runner is gone and another one comes")
--- a/features/steps/gateway_start_steps.py
+++ b/features/steps/gateway_start_steps.py
@@ -179,7 +179,7 @@
 def step_program(context):
     adapter = SimpleNamespace(
         settings=None, feed=lambda: None, store=lambda: None, connector=lambda: None,
-        dialect=lambda: None,
+        codec=lambda: None,
     )  # fmt: skip
     callers, readiness = (ListenAddress(LOOPBACK, port) for port in context.ports)
     peers = ListenAddress(LOOPBACK, 1)
--- a/features/steps/gateway_state_steps.py
+++ b/features/steps/gateway_state_steps.py
@@ -22,7 +22,7 @@
 from weirscale.gateway.model.back_ends import BackEnd, BackEndState
 from weirscale.gateway.ports.state_feed import BackEndRegistered, StateBatch, VersionedChange
 from weirscale.gateway.replication.follower import StateFollower
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.cluster_state import ClusterState
 
 TENANT = {"name": "t1", "api_keys": ["good"]}
 SETTLE_S = 0.3
@@ -145,7 +145,7 @@
     async def action(script):
         remaining_s = seconds - (anyio.current_time() - script.written_s)
         await anyio.sleep(max(0.0, remaining_s))
-        script.version = script.node.knowledge.table.version
+        script.version = script.node.cluster.table.version
 
     context.script.actions.append(action)
     assert context.script.play().version == version, context.script.version
@@ -390,12 +390,12 @@
         first = script.fleet.runners[0]
         script.log = script.fleet.logs[script.node.settings.name]
         script.events_before = list(script.log.events)
-        script.known_before = script.node.knowledge.directory.get(first.instance)
+        script.known_before = script.node.cluster.directory.get(first.instance)
         for number in range(count):
             entry = first.entry() | {"seq": 2 + number}
             script.fleet.store.put(f"servers/{first.instance}", entry)
             await anyio.sleep(0.2)
-        script.known_after = script.node.knowledge.directory.get(first.instance)
+        script.known_after = script.node.cluster.directory.get(first.instance)
 
     context.script.actions.append(action)
 
@@ -495,14 +495,14 @@
         pass
 
     async def body():
-        knowledge = Knowledge(EventRecorder(), anyio.current_time)
+        cluster = ClusterState(EventRecorder(), anyio.current_time)
         publisher = SimpleNamespace(publish=do_nothing, has_subscribers=lambda: False)
         subscription = SimpleNamespace(
             is_current=lambda: False, is_reading_due=lambda: False, has_read=lambda: None
         )
         follower = StateFollower(
             context.feed,
-            knowledge,
+            cluster,
             EventRecorder(),
             Random(1),
             publisher,
@@ -512,9 +512,9 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(follower.run)
             await anyio.sleep(0.1)
-            knowledge.apply(context.told, anyio.current_time())
+            cluster.apply(context.told, anyio.current_time())
             for _ in range(10):
-                context.is_known.append(knowledge.directory.get("o-1") is not None)
+                context.is_known.append(cluster.directory.get("o-1") is not None)
                 await anyio.sleep(0.05)
             tasks.cancel_scope.cancel()
 
@@ -536,7 +536,7 @@
             await anyio.sleep(seconds / count)
         await anyio.sleep(0.2)
         script.num_watches = num_watches(script.fleet.store) - script.num_watches
-        script.num_known = len(script.node.knowledge.directory.instances())
+        script.num_known = len(script.node.cluster.directory.instances())
 
     context.script.actions.append(action)
     context.num_registered = count + 2
--- a/features/steps/gateway_store_silence_steps.py
+++ b/features/steps/gateway_store_silence_steps.py
@@ -4,15 +4,15 @@
 from behave import given, then, when
 
 from features.support.platform_fleet import STORE_ADDRESS
-from weirscale.gateway.state.store_outages import NEVER_S, Span, StoreContinuity
+from weirscale.gateway.state.store_outages import NEVER_S, Span, StoreOutageDetector
 
 LOOK_INTERVAL_S = 0.4
 
 
 @given("a node that knows of {others:d} others")
 def step_continuity(context, others):
-    context.continuity = StoreContinuity()
-    context.continuity.num_others = lambda: others
+    context.store_outages = StoreOutageDetector()
+    context.store_outages.num_others = lambda: others
     context.now_s = 0.0
 
 
@@ -20,7 +20,7 @@
     """Let the node look at the time as often as it does when it does not stand still."""
     while context.now_s < until_s:
         context.now_s = min(until_s, context.now_s + LOOK_INTERVAL_S)
-        context.continuity.look(context.now_s)
+        context.store_outages.look(context.now_s)
 
 
 @when('it learns "{answers}"')
@@ -33,13 +33,13 @@
             continue
         stay_awake(context, float(at_s))
         if who == "own":
-            context.continuity.prove(float(what), float(at_s))
+            context.store_outages.prove(float(what), float(at_s))
         else:
             asked_at_s = float(at_s)
             if "@" in what:
                 what, asked = what.split("@")
                 asked_at_s = float(asked)
-            context.continuity.hear(who, read_span(what), asked_at_s, float(at_s))
+            context.store_outages.receive(who, read_span(what), asked_at_s, float(at_s))
 
 
 def read_span(text):
@@ -52,7 +52,7 @@
 def step_ended(context, now_s, ended):
     expected_s = NEVER_S if ended == "never" else float(ended)
     stay_awake(context, now_s)
-    found_s = context.continuity.outage_ended_s(now_s)
+    found_s = context.store_outages.outage_ended_s(now_s)
     assert found_s == expected_s, found_s
 
 
--- a/features/steps/gateway_suspension_steps.py
+++ b/features/steps/gateway_suspension_steps.py
@@ -26,7 +26,7 @@
         play.at_once = {
             "holds the duty": play.node._lease.is_held(),
             "holds a turn to order": play.node._turn._is_renewed(),
-            "has a proof of its configuration": play.node.knowledge.age_s() < 1.0,
+            "has a proof of its configuration": play.node.cluster.age_s() < 1.0,
         }
 
     context.play.actions.append(action)
@@ -57,7 +57,7 @@
     async def action(play):
         play.fleet.add_runner(RunnerStandIn("o-1", "10.2.0.1:8080", "orders", model=None))
         await anyio.sleep(seconds)
-        play.age_s = play.node.knowledge.age_s()
+        play.age_s = play.node.cluster.age_s()
         headers = request_headers("after", x_deadline_ms=DEADLINE_MS)
         play.answer = await ask(play.node, "/s/1", headers=headers)
         play.told_ms = int(play.fleet.runners[-1].arrivals[-1][2]["x-deadline-ms"])
@@ -89,7 +89,7 @@
     )
     adapter = SimpleNamespace(
         settings=None, feed=lambda: None, store=lambda: None, connector=lambda: None,
-        dialect=lambda: None,
+        codec=lambda: None,
     )  # fmt: skip
 
     async def make():
--- a/features/steps/gateway_weights_rollout_steps.py
+++ b/features/steps/gateway_weights_rollout_steps.py
@@ -22,10 +22,10 @@
 from weirscale.gateway.node import rank_delay_s
 from weirscale.gateway.weights.order_turn import TURN_KEY
 from weirscale.gateway.weights.schedule import (
-    LaggingRunner,
-    LoadedRunners,
+    LaggingEngine,
+    LoadedEngines,
     WeightsRolloutRules,
-    runners_to_load,
+    engines_to_load,
 )
 
 NOW_S = 100.0
@@ -57,10 +57,10 @@
 @when('runners are owed since "{ages}" seconds')
 def step_owed(context, ages):
     lagging = [
-        LaggingRunner(str(number), NOW_S - float(age), 0)
+        LaggingEngine(str(number), NOW_S - float(age), 0)
         for number, age in enumerate(ages.split(","), start=1)
     ]
-    context.chosen = runners_to_load(lagging, LoadedRunners(*context.counts), NOW_S, context.rules)
+    context.chosen = engines_to_load(lagging, LoadedEngines(*context.counts), NOW_S, context.rules)
 
 
 @given("{suspect:d} of them have failed lately")
@@ -72,21 +72,21 @@
 def step_new_requests(context, new, ago):
     num_runners, num_loading = context.counts
     suspect = context.num_suspect
-    context.others = LoadedRunners(num_runners, num_loading, suspect, new, NOW_S - ago)
+    context.others = LoadedEngines(num_runners, num_loading, suspect, new, NOW_S - ago)
 
 
 @when('runners with "{old}" requests are owed since {age:g} s')
 def step_old_requests(context, old, age):
     lagging = [
-        LaggingRunner(str(number), NOW_S - age, int(count))
+        LaggingEngine(str(number), NOW_S - age, int(count))
         for number, count in enumerate(old.split(","), start=1)
     ]
-    context.chosen = runners_to_load(lagging, context.others, NOW_S, context.rules)
+    context.chosen = engines_to_load(lagging, context.others, NOW_S, context.rules)
 
 
 @when('runners are owed since "" seconds')
 def step_owed_none(context):
-    context.chosen = runners_to_load([], LoadedRunners(*context.counts), NOW_S, context.rules)
+    context.chosen = engines_to_load([], LoadedEngines(*context.counts), NOW_S, context.rules)
 
 
 @then('"{chosen}" begin to load')
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -14,9 +14,9 @@
 from weirscale.gateway.model.back_ends import BackEnd, BackEndState
 from weirscale.gateway.ports.back_end import OutboundRequest
 from weirscale.gateway.ports.callers import CallerRequest
+from weirscale_platform.back_end_client import RunnerConnector
 from weirscale_platform.callers import Callers
 from weirscale_platform.items import StoreItem, read_item
-from weirscale_platform.runner import RunnerConnector
 from weirscale_platform.settings import SettingsUnreadableError, gateway_settings, read_node_file
 
 ROOT = ADAPTER.parent
--- a/features/steps/rollout_rules_steps.py
+++ b/features/steps/rollout_rules_steps.py
@@ -14,13 +14,13 @@
     VersionedChange,
 )
 from weirscale.gateway.rollouts.allowance import Allowance, start_credit
-from weirscale.gateway.rollouts.gate import Lane, RecordReader, VersionGate
+from weirscale.gateway.rollouts.gate import RecordReader, Track, VersionGate
 from weirscale.gateway.rollouts.plan import RolloutFacts, next_step
 from weirscale.gateway.rollouts.record import RolloutRecord, Stage, encode_record, record_key
 from weirscale.gateway.rollouts.tallies import Counts, FleetTallies, RouteEvidence, TallyKey
 from weirscale.gateway.rollouts.verdict import AlarmTest, Judgement, Verdict, judge_end
-from weirscale.gateway.settings import ExposureBounds
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.settings import CanaryLimits
+from weirscale.gateway.state.cluster_state import ClusterState
 
 SHARE = 0.1
 EPOCH = Epoch(5)
@@ -45,7 +45,7 @@
 def trials_of(context, tolerance):
     """Return the trials of one drawn history."""
     random = context.random
-    bounds = ExposureBounds(SHARE, tolerance, 5.0)
+    bounds = CanaryLimits(SHARE, tolerance, 5.0)
 
     def new(has_seen_order):
         credit = start_credit(bounds, context.num_nodes, has_seen_order, random.random())
@@ -113,7 +113,7 @@
             messages += [(name, other, told) for other in names if other != name]
         random.shuffle(messages)
         for sender, receiver, told in messages[: random.randrange(4)]:
-            nodes[receiver].hear(sender, told)
+            nodes[receiver].receive(sender, told)
         if random.random() < 0.5:
             messages = messages[random.randrange(3) :]
         for node in nodes.values():
@@ -123,7 +123,7 @@
     for name in names:
         for other in names:
             if other != name:
-                nodes[other].hear(name, tuple(nodes[name].own.items()))
+                nodes[other].receive(name, tuple(nodes[name].own.items()))
     for node in nodes.values():
         if node.sum_of(lambda _: True, with_own=True).get(key, Counts()) != truth:
             context.lacking.append(truth)
@@ -216,8 +216,8 @@
 def step_record(context, stage, age):
     now = SimpleNamespace(s=100.0)
     log = EventRecorder()
-    knowledge = Knowledge(log, lambda: now.s)
-    knowledge.replace_all(StateBatch(1, ()), now.s - 50.0)
+    cluster = ClusterState(log, lambda: now.s)
+    cluster.replace_all(StateBatch(1, ()), now.s - 50.0)
     changes = [VersionedChange("order", int(EPOCH), RolloutOrdered("s", "v2", 12.0))]
     earlier = RolloutRecord("s", Epoch(2), "v0", Stage.RETURNED, 1.0, 1, ("v0",))
     record = earlier
@@ -226,17 +226,17 @@
         record = RolloutRecord("s", EPOCH, "v2", Stage(stage), 1.0, 1, unusable)
     value = encode_record(record)
     changes.append(VersionedChange(record_key("s"), 6, RecordChanged(record_key("s"), value)))
-    knowledge.apply(StateBatch(6, tuple(changes)), now.s - age)
-    reader = RecordReader(knowledge, log)
-    context.gate = VersionGate(reader, knowledge, lambda: 5.0, lambda: False, lambda: SHARE)
+    cluster.apply(StateBatch(6, tuple(changes)), now.s - age)
+    reader = RecordReader(cluster, log)
+    context.gate = VersionGate(reader, cluster, lambda: 5.0, lambda: False, lambda: SHARE)
 
 
 @then('usual requests may go to "{usual}" and trials to "{trial}"')
 def step_usable(context, usual, trial):
     runners = [runner_of(version) for version in ("v0", "v1", "v2")]
-    for lane, expected in ((Lane.USUAL, usual), (Lane.TRIAL, trial)):
-        found = [one.software for one in context.gate.usable("s", runners, lane)]
-        assert found == ([] if expected == "-" else [expected]), (lane, found)
+    for track, expected in ((Track.STABLE, usual), (Track.CANARY, trial)):
+        found = [one.software for one in context.gate.usable("s", runners, track)]
+        assert found == ([] if expected == "-" else [expected]), (track, found)
 
 
 @given('a rollout with a deadline of 12 s at "{stage}" for {elapsed:g} s, judged "{judged}"')
--- a/features/support/platform_fleet.py
+++ b/features/support/platform_fleet.py
@@ -18,13 +18,13 @@
 from weirscale.gateway.node import GatewayNode  # noqa: E402
 from weirscale.gateway.peers.messages import decode_message, encode_message  # noqa: E402
 from weirscale.gateway.settings import (  # noqa: E402
-    Bounds,
     GatewaySettings,
+    Guarantees,
     ListenAddress,
     RetryBudgetRules,
 )
+from weirscale_platform.back_end_client import RunnerConnector  # noqa: E402
 from weirscale_platform.callers import Callers  # noqa: E402
-from weirscale_platform.runner import RunnerConnector  # noqa: E402
 from weirscale_platform.store import StoreClient  # noqa: E402
 
 STORE_ADDRESS = "10.0.0.1:7000"
@@ -150,7 +150,7 @@
         self.num_datagrams = 0
         self.logs = {}
         self.scopes = {}
-        self.bounds = Bounds(**bounds)
+        self.bounds = Guarantees(**bounds)
         self.budget = RetryBudgetRules(0.2, 50.0, 10.0)
         self.seed = seed
         self.tasks = None
@@ -191,7 +191,7 @@
             Random(self.seed + number),
             lambda: anyio.current_time() + self.suspended_s.get(name, 0.0),
         )  # fmt: skip
-        node.peer_task = InMemoryPeers(self, node)
+        node.gossip_task = InMemoryPeers(self, node)
         self.nodes[name] = node
         self.logs[name] = log
         scope = anyio.CancelScope()
@@ -228,7 +228,7 @@
         thawed, self.thawed = self.thawed, anyio.Event()
         thawed.set()
         for message, sender in backlog:
-            await self.nodes[name].hear(message, sender)
+            await self.nodes[name].receive(message, sender)
 
     async def wait_while_frozen(self, name):
         while name in self.frozen:
@@ -240,7 +240,7 @@
         if name in self.frozen:
             self.frozen[name].append((message, sender))
         else:
-            await node.hear(message, sender)
+            await node.receive(message, sender)
 
     async def tick(self):
         """Let time pass for runners: loads end and registrations follow."""
@@ -264,7 +264,7 @@
     async def run(self):
         while True:
             await self._fleet.wait_while_frozen(self._node.settings.name)
-            self._node._gather_news(True)
+            self._node._gather_gossip(True)
             await self.flush()
             with anyio.move_on_after(0.1):
                 await self._hurried.wait()
@@ -274,7 +274,7 @@
         self._hurried.set()
 
     async def flush(self):
-        news = self._node.outbox.take(with_empty=True)
+        gossip = self._node.outbox.take(with_empty=True)
         division = self._node.peers.division()
         group_peers = set(self._node.relay.group_peers())
         for name, node in list(self._fleet.nodes.items()):
@@ -282,8 +282,8 @@
             is_peer = name in group_peers or len(division.groups) == 1
             is_lost = {name, self._node.settings.name} & self._fleet.mute
             if node is not self._node and is_peer and not is_lost:
-                await self._fleet.deliver(node, news, self._node.settings.peers)
-        await self._node.relay.tell_own(news)
+                await self._fleet.deliver(node, gossip, self._node.settings.peers)
+        await self._node.relay.tell_own(gossip)
 
     async def send(self, message, addresses):
         decoded = decode_message(encode_message(message))
--- a/features/support/quota_fleet.py
+++ b/features/support/quota_fleet.py
@@ -14,15 +14,15 @@
 from features.support.platform_fleet import EventRecorder
 from weirscale.gateway.gossip.group_relay import GroupRelay, RefreshTimer
 from weirscale.gateway.limits.quota import QuotaLedger
-from weirscale.gateway.limits.usage_gossip import UsageTelling, read_usage
-from weirscale.gateway.peers.heartbeat import LIFE_INTERVAL_S
+from weirscale.gateway.limits.usage_reporter import UsageReporter, read_usage
+from weirscale.gateway.peers.heartbeat import HEARTBEAT_INTERVAL_S
 from weirscale.gateway.peers.messages import encode_message
-from weirscale.gateway.peers.outbox import NewsOutbox
+from weirscale.gateway.peers.outbox import GossipOutbox
 from weirscale.gateway.peers.registrations import NODE_PREFIX, PeerDirectory, Registration, cbor2
 from weirscale.gateway.ports.state_feed import RecordChanged, StateBatch, VersionedChange
 from weirscale.gateway.routing.load import FleetLoad
-from weirscale.gateway.settings import QuotaBounds
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.settings import QuotaPrecision
+from weirscale.gateway.state.cluster_state import ClusterState
 
 STEP_S = 0.01
 LEAST_DELAY_S, MOST_DELAY_S = 0.0005, 0.003
@@ -58,11 +58,11 @@
     def start(self):
         """Start the process: nothing is remembered."""
         fleet = self.fleet
-        knowledge = Knowledge(EventRecorder(), self.clock)
-        knowledge.apply(fleet.registrations, self.clock())
-        self.peers = PeerDirectory(self.name, knowledge, self.clock, self.zone, 100)
+        cluster = ClusterState(EventRecorder(), self.clock)
+        cluster.apply(fleet.registrations, self.clock())
+        self.peers = PeerDirectory(self.name, cluster, self.clock, self.zone, 100)
         self.load = FleetLoad()
-        self.outbox = NewsOutbox(self.name)
+        self.outbox = GossipOutbox(self.name)
         self.quotas = fleet.ledger_class(
             fleet.bounds,
             lambda: self.peers.num_nodes(fleet.bounds.window_s),
@@ -71,13 +71,13 @@
             self.clock,
         )
         self.quotas.set_tenants(fleet.tenants)
-        self.telling = UsageTelling()
+        self.telling = UsageReporter()
         self.relay = GroupRelay(
             self.name, self.peers, self.load, self.quotas, self.send, self.clock
         )
         self.refresh, self.head_refresh = RefreshTimer(), RefreshTimer()
-        self.life = RefreshTimer(LIFE_INTERVAL_S)
-        self.head_life = RefreshTimer(LIFE_INTERVAL_S)
+        self.life = RefreshTimer(HEARTBEAT_INTERVAL_S)
+        self.head_life = RefreshTimer(HEARTBEAT_INTERVAL_S)
         self.next_tick_s = fleet.now_s + fleet.random.random() * self.relay.interval_s()
 
     def is_up(self):
@@ -94,23 +94,23 @@
         must_refresh = self.refresh.is_due(self.clock())
         self.quotas.tick()
         self.telling.add_to(self.outbox, dict(self.quotas.own_usage()), must_refresh)
-        shows_life = must_refresh or self.relay.must_show_life(self.life)
-        news = self.outbox.take(with_empty=shows_life)
-        if news is not None:
-            self.fleet.deliver(self, news, self.relay.group_peers())
-            run(self.relay.tell_own(news))
+        is_heartbeat = must_refresh or self.relay.is_heartbeat_due(self.life)
+        gossip = self.outbox.take(with_empty=is_heartbeat)
+        if gossip is not None:
+            self.fleet.deliver(self, gossip, self.relay.group_peers())
+            run(self.relay.tell_own(gossip))
         if self.relay.is_head():
             must_refresh = self.head_refresh.is_due(self.clock())
             self.relay._gather(must_refresh)
-            shows_life = must_refresh or self.relay.must_show_life(self.head_life)
-            run(self.relay.flush(shows_life=shows_life))
+            is_heartbeat = must_refresh or self.relay.is_heartbeat_due(self.head_life)
+            run(self.relay.flush(is_heartbeat=is_heartbeat))
 
-    def hear(self, news):
-        source = self.relay.source_of(news)
+    def receive(self, gossip):
+        source = self.relay.source_of(gossip)
         if source is not None:
-            usage = [read_usage(one) for one in news.usage]
-            self.quotas.fleet.hear(source, news.num_nodes, usage, self.clock())
-        run(self.relay.hear(news))
+            usage = [read_usage(one) for one in gossip.usage]
+            self.quotas.fleet.receive(source, gossip.num_nodes, usage, self.clock())
+        run(self.relay.receive(gossip))
 
 
 class QuotaFleet:
@@ -183,7 +183,7 @@
                     node.late.append(message)
                 elif node.is_up():
                     self._wake(node)
-                    node.hear(message)
+                    node.receive(message)
             for node in self.nodes.values():
                 self._wake(node)
                 node.tick()
@@ -193,7 +193,7 @@
         if node.late and node.is_up():
             late, node.late = node.late, []
             for message in late:
-                node.hear(message)
+                node.receive(message)
 
     def _arrive(self):
         for tenant in self.tenants:
@@ -269,4 +269,4 @@
     return usual * (1.0 + bounds.overage) + bounds.tolerance
 
 
-BOUNDS = QuotaBounds(window_s=8.0, overage=0.1, tolerance=110_000.0)
+BOUNDS = QuotaPrecision(window_s=8.0, overage=0.1, tolerance=110_000.0)
--- a/features/support/recorded_forms.py
+++ b/features/support/recorded_forms.py
@@ -33,7 +33,7 @@
     CallerLimits,
     EngineProfile,
     GatewayConfiguration,
-    KeptCacheStore,
+    KeptKvStore,
     Quota,
     QuotaUnit,
     RequestKind,
@@ -42,25 +42,25 @@
     Tenant,
     WeightedService,
 )
-from weirscale.gateway.model.prompt import Prompt, PromptPart
+from weirscale.gateway.model.prompt import Prompt, PromptBlock
 from weirscale.gateway.model.rollout_order import Epoch, RolloutState, RolloutStatus
 from weirscale.gateway.peers.messages import (
     REST_OF_FLEET,
     AgesQuery,
     AgesReply,
-    AnsweredNews,
-    CrashNews,
-    LoadingNews,
-    LoadNews,
-    MovedNews,
-    NamedNews,
-    PeerNews,
-    SendNews,
+    AnsweredGossip,
+    CanaryGossip,
+    CrashGossip,
+    Gossip,
+    LoadGossip,
+    LoadingGossip,
+    MovedGossip,
+    SendGossip,
     StateQuery,
     StateReply,
-    SuspectNews,
-    TrialNews,
-    UsageNews,
+    SuspectGossip,
+    TargetVersionGossip,
+    UsageGossip,
 )
 from weirscale.gateway.peers.registrations import Registration, RegistrationTask
 from weirscale.gateway.ports.back_end import LoadMode, OutboundRequest, WeightOrder
@@ -88,13 +88,13 @@
     record_key,
 )
 from weirscale.gateway.rollouts.tallies import Counts, Evidence
-from weirscale.gateway.state.cluster_state import Knowledge
-from weirscale.gateway.state.weights_age_marker import YoungRecord, read_young_record
+from weirscale.gateway.state.cluster_state import ClusterState
+from weirscale.gateway.state.weights_age_marker import WeightsAgeMarker, read_weights_age_marker
 from weirscale.gateway.telemetry.metrics import GatewayMetrics
 from weirscale.gateway.weights.order_turn import OrderTurn
 from weirscale.leases.lease_task import DutyLeaseTask
 from weirscale.ports.key_value import KeyValue, ReadAnswer, SwapAnswer
-from weirscale_platform.runner import RunnerClient
+from weirscale_platform.back_end_client import RunnerClient
 from weirscale_platform.store import StoreClient
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -143,7 +143,7 @@
             Service(ServiceName("app")),
             Service(
                 ServiceName("kept"),
-                kept_cache=KeptCacheStore("10.0.0.9:8080", ZoneName("z"), 5_000_000),
+                kept_cache=KeptKvStore("10.0.0.9:8080", ZoneName("z"), 5_000_000),
             ),
         ),
         CallerLimits(1000, 2000, 1.5, 2.5),
@@ -195,28 +195,31 @@
 
 def messages():
     """Return an example of every message between nodes, by name."""
-    parts = (PromptPart("5c1e07a2", 800), PromptPart("91bd3f06", 410))
-    full = PeerNews(
+    parts = (PromptBlock("5c1e07a2", 800), PromptBlock("91bd3f06", 410))
+    full = Gossip(
         sender="node-1",
-        loads=(LoadNews("i-1", 3, 9190, 18000), LoadNews("i-2", 0, 0, 0)),
-        sends=(SendNews("i-1", "m@3/t", False, parts), SendNews("i-1", "m@3", True, parts[:1])),
-        loading=(LoadingNews("i-1", "m", 4, False), LoadingNews("i-2", "m", 4, True)),
-        named=(NamedNews("m", 4, 350),),
-        suspects=(SuspectNews("i-9"),),
+        loads=(LoadGossip("i-1", 3, 9190, 18000), LoadGossip("i-2", 0, 0, 0)),
+        sends=(SendGossip("i-1", "m@3/t", False, parts), SendGossip("i-1", "m@3", True, parts[:1])),
+        loading=(LoadingGossip("i-1", "m", 4, False), LoadingGossip("i-2", "m", 4, True)),
+        named=(TargetVersionGossip("m", 4, 350),),
+        suspects=(SuspectGossip("i-9"),),
         group="",
-        usage=(UsageNews("t", 1200, (300, 1000, 0)),),
+        usage=(UsageGossip("t", 1200, (300, 1000, 0)),),
         num_nodes=1,
-        trials=(TrialNews("lm", 77, "a", "i-1", 20, 2, 1), TrialNews("lm", 77, "a", "", 90, 1, 0)),
-        moved=(MovedNews("lm", 77, 1),),
+        trials=(
+            CanaryGossip("lm", 77, "a", "i-1", 20, 2, 1),
+            CanaryGossip("lm", 77, "a", "", 90, 1, 0),
+        ),
+        moved=(MovedGossip("lm", 77, 1),),
         run=3_735_928_559,
-        crashes=(CrashNews(FINGERPRINT, RUNS[0], True), CrashNews(FINGERPRINT, RUNS[1], False)),
-        answered=(AnsweredNews(FINGERPRINT),),
+        crashes=(CrashGossip(FINGERPRINT, RUNS[0], True), CrashGossip(FINGERPRINT, RUNS[1], False)),
+        answered=(AnsweredGossip(FINGERPRINT),),
     )
     return {
-        "news_empty": PeerNews("node-1"),
+        "news_empty": Gossip("node-1"),
         "news_full": full,
-        "news_of_group": PeerNews(
-            "node-1", (LoadNews("i-1", 3, 9, 18),), group=REST_OF_FLEET, num_nodes=12
+        "news_of_group": Gossip(
+            "node-1", (LoadGossip("i-1", 3, 9, 18),), group=REST_OF_FLEET, num_nodes=12
         ),
         "query": StateQuery("node-2", 5, 99),
         "reply_empty": StateReply("node-1", 5, 99, 99, 12, True),
@@ -225,7 +228,9 @@
         "reply_other_changes": _reply(_other_changes()),
         "ages_query": AgesQuery("node-2", 6),
         "ages_reply": AgesReply("node-1", 6, 5000, 120),
-        "ages_reply_silent": AgesReply("node-1", 6, 5000, 120, 9000, (NamedNews("m", 4, 350),)),
+        "ages_reply_silent": AgesReply(
+            "node-1", 6, 5000, 120, 9000, (TargetVersionGossip("m", 4, 350),)
+        ),
     }
 
 
@@ -306,7 +311,7 @@
 def _order_turn():
     async def start(store, tasks):
         clock = anyio.current_time
-        turn = OrderTurn("node-1", store, Knowledge(EventRecorder(), clock), 3.0, clock)
+        turn = OrderTurn("node-1", store, ClusterState(EventRecorder(), clock), 3.0, clock)
         assert await turn.take()
 
     return _written_by(start)
@@ -315,8 +320,8 @@
 def _quarantine():
     async def start(store, tasks):
         clock = anyio.current_time
-        knowledge = Knowledge(EventRecorder(), clock)
-        quarantine = Quarantine("node-1", knowledge, store, lambda: 0.0, EventRecorder(), clock)
+        cluster = ClusterState(EventRecorder(), clock)
+        quarantine = Quarantine("node-1", cluster, store, lambda: 0.0, EventRecorder(), clock)
         for run in RUNS:
             quarantine.note_crash(FINGERPRINT, RunId(run), True)
         tasks.start_soon(quarantine.run)
@@ -325,7 +330,7 @@
 
 
 def _weights_age():
-    return YoungRecord("m", 4, 2.5)
+    return WeightsAgeMarker("m", 4, 2.5)
 
 
 def _rollout():
@@ -369,7 +374,7 @@
     if name in ("rollout", "rollout_begun"):
         return decode_record(value), _rollout() if name == "rollout" else _rollout_begun()
     if name == "weights_age":
-        return read_young_record(key, value), _weights_age()
+        return read_weights_age_marker(key, value), _weights_age()
     if name == "quarantine":
         return read_quarantine_key(key), FINGERPRINT
     return cbor2.loads(value), ["10.0.0.2", 7340, "z", 85]
@@ -388,7 +393,7 @@
 
 
 def _request(is_full):
-    prompt = Prompt("m", (PromptPart("5c1e07a2", 800),), 900, 80) if is_full else None
+    prompt = Prompt("m", (PromptBlock("5c1e07a2", 800),), 900, 80) if is_full else None
     return CallerRequest(
         "9c41d07be2a35f68", "POST", b"/a/2f?x=1", "h.example", "/a/2f", "k1", 5.0, prompt, 980,
         "12", ((b"host", b"h.example"), (b"x-attempt-id", b"9c41d07be2a35f68")),
--- a/features/support/relay_history.py
+++ b/features/support/relay_history.py
@@ -14,7 +14,7 @@
 from weirscale.gateway.replication.readers import choose_readers
 from weirscale.gateway.replication.subscription import StateSubscription
 from weirscale.gateway.settings import ListenAddress
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.cluster_state import ClusterState
 
 KEYS = ("weirscale/a", "weirscale/b", "weirscale/c")
 NUM_STEPS = 120
@@ -47,10 +47,10 @@
         self.revisions = dict.fromkeys(KEYS, 0)
         self.flying = []
         self.num_proofs = 0
-        self.reader = Knowledge(EventRecorder(), self.clock)
-        self.asker = Knowledge(EventRecorder(), self.clock)
-        for knowledge in (self.reader, self.asker):
-            self.read_all(knowledge)
+        self.reader = ClusterState(EventRecorder(), self.clock)
+        self.asker = ClusterState(EventRecorder(), self.clock)
+        for cluster in (self.reader, self.asker):
+            self.read_all(cluster)
         self.publisher = ChangePublisher("r-1", self.reader, self.fly_to_asker, self.clock)
         peers = PeerDirectory(ASKER, self.asker, self.clock)
         peers.addresses = lambda: dict.fromkeys(READERS, ADDRESS)
@@ -69,29 +69,29 @@
         self.values[key].append((self.now_s, value))
         self.revisions[key] = self.revision
 
-    def read_all(self, knowledge):
+    def read_all(self, cluster):
         present = tuple(
             VersionedChange(key, self.revisions[key], RecordChanged(key, history[-1][1]))
             for key, history in self.values.items()
             if history[-1][1] is not None
         )
-        knowledge.replace_all(StateBatch(self.revision, present), self.now_s)
+        cluster.replace_all(StateBatch(self.revision, present), self.now_s)
 
-    def watch(self, knowledge, proves):
+    def watch(self, cluster, proves):
         """The reader hears of all changes; only sometimes has it asked for the revision too."""
         changes = sorted(
             (
                 VersionedChange(key, self.revisions[key], RecordChanged(key, history[-1][1]))
                 for key, history in self.values.items()
-                if self.revisions[key] > knowledge.revision
+                if self.revisions[key] > cluster.revision
             ),
             key=lambda change: change.revision,
         )
         asked_s = self.now_s if proves else float("-inf")
-        knowledge.apply(StateBatch(self.revision, tuple(changes)), asked_s)
+        cluster.apply(StateBatch(self.revision, tuple(changes)), asked_s)
 
     async def fly_to_asker(self, message, _address):
-        self.fly(message, self.subscription.hear)
+        self.fly(message, self.subscription.receive)
 
     async def fly_to_reader(self, message, _address):
         self.fly(message, lambda query: finish(self.publisher.answer(query, ADDRESS)))
--- a/features/support/rollouts_fleet.py
+++ b/features/support/rollouts_fleet.py
@@ -23,7 +23,7 @@
 )
 from features.support.platform_runner import RunnerStandIn
 from weirscale.gateway.rollouts.record import decode_record
-from weirscale.gateway.settings import ExposureBounds
+from weirscale.gateway.settings import CanaryLimits
 
 SERVICE = "orders"
 ORDER_KEY = f"op/rollout/{SERVICE}"
@@ -129,7 +129,7 @@
 
     def __post_init__(self):
         self.random = Random(self.seed)
-        exposure = ExposureBounds(SHARE, TOLERANCE, RETURN_S)
+        exposure = CanaryLimits(SHARE, TOLERANCE, RETURN_S)
         self.fleet = Fleet(self.seed, exposure=exposure)
         self.fleet.store.put(
             "op/config",
--- a/src/weirscale/gateway/gossip/gossip_task.py
+++ b/src/weirscale/gateway/gossip/gossip_task.py
@@ -6,9 +6,9 @@
 
 from weirscale.gateway.gossip.group_relay import GroupRelay, RefreshTimer
 from weirscale.gateway.peers.datagrams import DatagramSocket
-from weirscale.gateway.peers.heartbeat import LIFE_INTERVAL_S
+from weirscale.gateway.peers.heartbeat import HEARTBEAT_INTERVAL_S
 from weirscale.gateway.peers.messages import PeerMessage, decode_message, encode_message
-from weirscale.gateway.peers.outbox import NewsOutbox
+from weirscale.gateway.peers.outbox import GossipOutbox
 from weirscale.gateway.peers.registrations import PeerDirectory
 from weirscale.gateway.settings import ListenAddress
 from weirscale.gateway.ticks import nearest_tick_s, next_tick_s
@@ -23,12 +23,12 @@
 class MessageReceiver:
     """Takes what peers tell; the node implements it."""
 
-    async def hear(self, message: PeerMessage, sender: ListenAddress) -> None:
+    async def receive(self, message: PeerMessage, sender: ListenAddress) -> None:
         """Take over one message that came from an address."""
         raise NotImplementedError
 
 
-class PeerTask:
+class GossipTask:
     """Owns the datagram socket; `run` must be running.
 
     Args:
@@ -45,7 +45,7 @@
         address: ListenAddress,
         directory: PeerDirectory,
         relay: GroupRelay,
-        outbox: NewsOutbox,
+        outbox: GossipOutbox,
         receiver: MessageReceiver,
         gather: Callable[[bool], None],
     ) -> None:
@@ -63,14 +63,16 @@
     async def run(self) -> None:
         """Send and receive until cancelled."""
         socket = self._socket = DatagramSocket(self._address)
-        refresh, life = RefreshTimer(), RefreshTimer(LIFE_INTERVAL_S)
+        refresh, life = RefreshTimer(), RefreshTimer(HEARTBEAT_INTERVAL_S)
         try:
             while True:
                 await self._receive(socket)
                 if self._is_flush_due():
                     must_refresh = refresh.is_due(anyio.current_time())
                     self._gather(must_refresh)
-                    await self.flush(shows_life=must_refresh or self._relay.must_show_life(life))
+                    await self.flush(
+                        is_heartbeat=must_refresh or self._relay.is_heartbeat_due(life)
+                    )
                 with anyio.CancelScope(deadline=next_tick_s(anyio.current_time() + LEAST_WAIT_S)):
                     await self._hurried.wait()
         finally:
@@ -80,7 +82,7 @@
         for datagram, sender in socket.receive():
             message = decode_message(datagram)
             if message is not None:
-                await self._receiver.hear(message, sender)
+                await self._receiver.receive(message, sender)
 
     def _is_flush_due(self) -> bool:
         """Whether to tell what has changed: regularly, and at once in a hurry."""
@@ -97,18 +99,18 @@
         if anyio.current_time() >= self._flushed_at_s + LEAST_PAUSE_S:
             self._hurried.set()
 
-    async def flush(self, shows_life: bool = False) -> None:
+    async def flush(self, is_heartbeat: bool = False) -> None:
         """Tell this node's group what there is to tell, now.
 
         Args:
             shows_life: Whether to send a message also if there is nothing to tell.
         """
-        news = self._outbox.take(with_empty=shows_life)
-        if news is None:
+        gossip = self._outbox.take(with_empty=is_heartbeat)
+        if gossip is None:
             return
         addresses = self._directory.group_addresses()
-        await self.send(news, [addresses[name] for name in self._relay.group_peers()])
-        await self._relay.tell_own(news)
+        await self.send(gossip, [addresses[name] for name in self._relay.group_peers()])
+        await self._relay.tell_own(gossip)
 
     async def send(self, message: PeerMessage, addresses: Iterable[ListenAddress]) -> None:
         """Send a message to some nodes; any of them may miss it."""
--- a/src/weirscale/gateway/gossip/group_relay.py
+++ b/src/weirscale/gateway/gossip/group_relay.py
@@ -1,21 +1,21 @@
 """Carries news between groups of nodes: who speaks for a group, and what it passes on.
 
 The head of a group is its strongest member that has been heard lately. It tells the heads of the
-other groups the sum of its group's loads, which prompts its group's runs have read, which runners
+other groups the sum of its group's loads, which prompts its group's runs have read, which engines
 are unreachable, and at once which ones load weights; and it tells its own group the sum of what the
 other heads say. Two nodes that both take themselves for the head do no harm: sums are whole values,
 and the latest replaces the one before. A head that is dead, frozen or cut off is replaced
-`HEARD_LIFE_S` after it was last heard.
+`PEER_SILENCE_S` after it was last heard.
 """
 
 from collections.abc import Awaitable, Callable, Iterable
 
 from weirscale.gateway.limits.quota import QuotaLedger
 from weirscale.gateway.limits.usage import NO_USAGE
-from weirscale.gateway.limits.usage_gossip import UsageTelling
-from weirscale.gateway.peers.heartbeat import HEARD_LIFE_S, LIFE_INTERVAL_S
-from weirscale.gateway.peers.messages import REST_OF_FLEET, LoadNews, PeerNews, SendNews
-from weirscale.gateway.peers.outbox import NewsOutbox
+from weirscale.gateway.limits.usage_reporter import UsageReporter
+from weirscale.gateway.peers.heartbeat import HEARTBEAT_INTERVAL_S, PEER_SILENCE_S
+from weirscale.gateway.peers.messages import REST_OF_FLEET, Gossip, LoadGossip, SendGossip
+from weirscale.gateway.peers.outbox import GossipOutbox
 from weirscale.gateway.peers.registrations import PeerDirectory
 from weirscale.gateway.routing.load import NO_LOAD, FleetLoad, Load
 from weirscale.gateway.settings import ListenAddress
@@ -44,15 +44,15 @@
 
 MAX_REMEMBERED_SENDS = 20_000
 
-Send = Callable[[PeerNews, Iterable[ListenAddress]], Awaitable[None]]
+Send = Callable[[Gossip, Iterable[ListenAddress]], Awaitable[None]]
 """Sends a message to several nodes; any may miss it."""
 
 
-TellSums = Callable[[NewsOutbox, NewsOutbox, bool], None]
+TellSums = Callable[[GossipOutbox, GossipOutbox, bool], None]
 """Puts further sums into what the other heads and this group are told, all of them if so told."""
 
 
-def _tell_no_sums(_to_heads: NewsOutbox, _to_group: NewsOutbox, _must_refresh: bool) -> None:
+def _tell_no_sums(_to_heads: GossipOutbox, _to_group: GossipOutbox, _must_refresh: bool) -> None:
     """Tell nothing further."""
 
 
@@ -120,29 +120,29 @@
         self._quotas = quotas
         self._send = send
         self._clock = clock
-        self._to_heads = NewsOutbox(name)
-        self._to_group = NewsOutbox(name, REST_OF_FLEET)
+        self._to_heads = GossipOutbox(name)
+        self._to_group = GossipOutbox(name, REST_OF_FLEET)
         self._heard_at_s: dict[str, float] = {}
         """When a member of this node's group was last heard, or first seen in it."""
         self._speakers: dict[str, tuple[str, float]] = {}
         """Who spoke for another group last, and when."""
         self._told_sums: dict[str, dict[str, Load]] = {"": {}, REST_OF_FLEET: {}}
         self._told_sends: dict[tuple[str, str, str], float] = {}
-        self._usage_to_heads = UsageTelling()
-        self._usage_to_group = UsageTelling()
+        self._usage_to_heads = UsageReporter()
+        self._usage_to_group = UsageReporter()
         self._was_head = False
 
     async def run(self) -> None:
         """Pass on what has gathered, until cancelled."""
-        refresh, life = RefreshTimer(), RefreshTimer(LIFE_INTERVAL_S)
+        refresh, life = RefreshTimer(), RefreshTimer(HEARTBEAT_INTERVAL_S)
         while True:
             must_refresh = refresh.is_due(self._clock())
             if self.is_head():
                 self._gather(must_refresh)
-                await self.flush(shows_life=must_refresh or self.must_show_life(life))
+                await self.flush(is_heartbeat=must_refresh or self.is_heartbeat_due(life))
             await sleep_to_tick(self.interval_s())
 
-    def must_show_life(self, timer: "RefreshTimer") -> bool:
+    def is_heartbeat_due(self, timer: "RefreshTimer") -> bool:
         """Whether others need to hear from this node although it has nothing to tell."""
         return self._quotas.has_quotas() and timer.is_due(self._clock())
 
@@ -174,8 +174,8 @@
             if member.name == self._name:
                 return True
             # One that has just registered is given time to be heard.
-            heard_at_s = self._heard_at_s.setdefault(member.name, now_s)
-            if now_s - heard_at_s <= HEARD_LIFE_S:
+            received_at_s = self._heard_at_s.setdefault(member.name, now_s)
+            if now_s - received_at_s <= PEER_SILENCE_S:
                 return False
         return True
 
@@ -192,65 +192,65 @@
         """Whether what a source tells counts here: a head hears each group, others their sum."""
         return is_member(source) or (source == REST_SOURCE) != self.is_head()
 
-    def source_of(self, news: PeerNews) -> str | None:
+    def source_of(self, gossip: Gossip) -> str | None:
         """Return the source under which the loads of some news count, or None if they do not."""
-        if not news.group:
-            return news.sender
-        if (news.group == REST_OF_FLEET) == self.is_head():
+        if not gossip.group:
+            return gossip.sender
+        if (gossip.group == REST_OF_FLEET) == self.is_head():
             return None
-        return GROUP_SOURCE + news.group
+        return GROUP_SOURCE + gossip.group
 
-    async def hear(self, news: PeerNews) -> None:
+    async def receive(self, gossip: Gossip) -> None:
         """Take note of some news and pass on what concerns others."""
         now_s = self._clock()
-        if not news.group:
-            self._heard_at_s[news.sender] = now_s
+        if not gossip.group:
+            self._heard_at_s[gossip.sender] = now_s
             outbox = self._to_heads
-        elif news.group == REST_OF_FLEET:
-            self._heard_at_s[news.sender] = now_s
+        elif gossip.group == REST_OF_FLEET:
+            self._heard_at_s[gossip.sender] = now_s
             return
         else:
-            self._speakers[news.group] = (news.sender, now_s)
+            self._speakers[gossip.group] = (gossip.sender, now_s)
             outbox = self._to_group
         if self.is_head():
-            await self._pass_on(news, outbox)
+            await self._pass_on(gossip, outbox)
 
-    async def tell_own(self, news: PeerNews) -> None:
+    async def tell_own(self, gossip: Gossip) -> None:
         """Tell other groups what this node told its own."""
         if self.is_head():
-            await self._pass_on(news, self._to_heads)
+            await self._pass_on(gossip, self._to_heads)
 
-    async def _pass_on(self, news: PeerNews, outbox: NewsOutbox) -> None:
-        for send in news.sends:
+    async def _pass_on(self, gossip: Gossip, outbox: GossipOutbox) -> None:
+        for send in gossip.sends:
             if outbox is self._to_group:
                 outbox.add_send(send)
             else:
                 self._add_shared(send)
-        for loading in news.loading:
+        for loading in gossip.loading:
             outbox.add_loading(loading)
-        for suspect in news.suspects:
+        for suspect in gossip.suspects:
             outbox.add_suspect(suspect)
-        for crash in news.crashes:
+        for crash in gossip.crashes:
             outbox.add_crash(crash)
-        for answered in news.answered:
+        for answered in gossip.answered:
             outbox.add_answered(answered)
         # What was unreachable to one node is soon told by many: that waits for the next message.
-        if news.loading:
+        if gossip.loading:
             await self.flush()
 
-    def _add_shared(self, send: SendNews) -> None:
-        """Tell of a prompt's shared parts once they have been read; the last is its own alone."""
+    def _add_shared(self, send: SendGossip) -> None:
+        """Tell of a prompt's shared blocks once they have been read; the last is its own alone."""
         shared = send.parts[:-1]
         if not send.is_ready or not shared:
             return
         now_s = self._clock()
-        key = (send.instance, send.scope, shared[-1].part_id)
+        key = (send.instance, send.scope, shared[-1].block_id)
         if now_s - self._told_sends.get(key, float("-inf")) < REMIND_S:
             return
         if len(self._told_sends) >= MAX_REMEMBERED_SENDS:
             self._told_sends.clear()
         self._told_sends[key] = now_s
-        self._to_heads.add_send(SendNews(send.instance, send.scope, True, shared))
+        self._to_heads.add_send(SendGossip(send.instance, send.scope, True, shared))
 
     def _gather(self, must_refresh: bool) -> None:
         """Put the sums that have changed, or all, into the outboxes."""
@@ -277,18 +277,18 @@
         self._usage_to_group.add_to(self._to_group, rest, must_refresh)
 
     def _add_sums(
-        self, outbox: NewsOutbox, key: str, sums: dict[str, Load], must_refresh: bool
+        self, outbox: GossipOutbox, key: str, sums: dict[str, Load], must_refresh: bool
     ) -> None:
         told = self._told_sums[key]
         for instance in told.keys() | sums.keys():
             load = sums.get(instance, NO_LOAD)
             if must_refresh or load != told.get(instance, NO_LOAD):
                 outbox.add_load(
-                    LoadNews(instance, load.num_requests, load.waiting_tokens, load.held_tokens)
+                    LoadGossip(instance, load.num_requests, load.waiting_tokens, load.held_tokens)
                 )
         self._told_sums[key] = sums
 
-    async def flush(self, shows_life: bool = False) -> None:
+    async def flush(self, is_heartbeat: bool = False) -> None:
         """Send what has gathered, now.
 
         Args:
@@ -301,8 +301,8 @@
         others = [group for group in division.groups if group != own_group]
         heads = [addresses[name] for group in others for name in self._heads(group)]
         peers = [addresses[name] for name in self.group_peers()]
-        to_heads = self._to_heads.take(own_group, with_empty=shows_life)
-        to_group = self._to_group.take(with_empty=shows_life)
+        to_heads = self._to_heads.take(own_group, with_empty=is_heartbeat)
+        to_group = self._to_group.take(with_empty=is_heartbeat)
         if to_heads is not None:
             await self._send(to_heads, heads)
         if to_group is not None:
@@ -312,7 +312,7 @@
         """Return whom to tell of another group: who speaks for it, or its first members."""
         members = self._directory.division().groups[group]
         names = [member.name for member in members]
-        speaker, heard_at_s = self._speakers.get(group, ("", float("-inf")))
-        if speaker in names and self._clock() - heard_at_s <= HEARD_LIFE_S:
+        speaker, received_at_s = self._speakers.get(group, ("", float("-inf")))
+        if speaker in names and self._clock() - received_at_s <= PEER_SILENCE_S:
             return (speaker,)
         return tuple(names[:NUM_FIRST_HEADS])
--- a/src/weirscale/gateway/limits/isolation.py
+++ b/src/weirscale/gateway/limits/isolation.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 
 from weirscale.gateway.limits.quota import QuotaLedger
-from weirscale.gateway.peers.heartbeat import HEARD_LIFE_S
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.peers.heartbeat import PEER_SILENCE_S
+from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.ports.event_log import EventLog
 
 CUT_OFF_AGE_S = 2.0
@@ -21,7 +21,7 @@
 """A node that hears fewer of the others than this is on the smaller side of a cut."""
 
 
-class Contact:
+class IsolationDetector:
     """Judges this node's contact with the fleet.
 
     Args:
@@ -33,24 +33,24 @@
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        cluster: ClusterState,
         quotas: QuotaLedger,
         event_log: EventLog,
         clock: Callable[[], float],
     ) -> None:
-        self._knowledge = knowledge
+        self._cluster = cluster
         self._quotas = quotas
         self._event_log = event_log
         self._clock = clock
-        self._was_cut_off = False
+        self._was_isolated = False
 
-    def is_cut_off(self) -> bool:
+    def is_isolated(self) -> bool:
         """Whether neither the store nor half of the other nodes have been heard of late."""
-        age_s = self._knowledge.age_s()
-        share = self._quotas.heard_share(self._clock() - HEARD_LIFE_S)
-        is_cut_off = age_s > CUT_OFF_AGE_S and share < CUT_OFF_SHARE
-        if is_cut_off != self._was_cut_off:
-            self._was_cut_off = is_cut_off
-            name = "cut_off" if is_cut_off else "contact_regained"
+        age_s = self._cluster.age_s()
+        share = self._quotas.received_share(self._clock() - PEER_SILENCE_S)
+        is_isolated = age_s > CUT_OFF_AGE_S and share < CUT_OFF_SHARE
+        if is_isolated != self._was_isolated:
+            self._was_isolated = is_isolated
+            name = "cut_off" if is_isolated else "contact_regained"
             self._event_log.event(name, proof_age_s=age_s, share=share)
-        return is_cut_off
+        return is_isolated
--- a/src/weirscale/gateway/limits/quota.py
+++ b/src/weirscale/gateway/limits/quota.py
@@ -31,8 +31,8 @@
     TenantUsage,
 )
 from weirscale.gateway.model.configuration import Quota, QuotaUnit, Tenant
-from weirscale.gateway.peers.heartbeat import HEARD_LIFE_S, SWEEP_INTERVAL_S
-from weirscale.gateway.settings import QuotaBounds
+from weirscale.gateway.peers.heartbeat import PEER_SILENCE_S, SWEEP_INTERVAL_S
+from weirscale.gateway.settings import QuotaPrecision
 
 SETTLE_INTERVALS = 2.5
 """The bucket is shared out over this many times the interval of news: shorter, and nodes let in
@@ -110,7 +110,7 @@
 
     def __init__(
         self,
-        bounds: QuotaBounds,
+        bounds: QuotaPrecision,
         num_nodes: Callable[[], int],
         news_interval_s: Callable[[], float],
         random: Random,
@@ -130,7 +130,7 @@
         """Of tenants with requests at this node of late."""
         self.fleet = FleetUsage(self._reckon)
 
-    def set_bounds(self, bounds: QuotaBounds) -> None:
+    def set_bounds(self, bounds: QuotaPrecision) -> None:
         """Change the bounds."""
         self._bounds = bounds
 
@@ -151,23 +151,23 @@
     def tick(self) -> None:
         """Take note that this node runs; to be called as often as news is told."""
         now_s = self._clock()
-        if now_s - self._awake_at_s > HEARD_LIFE_S:
+        if now_s - self._awake_at_s > PEER_SILENCE_S:
             self._forget_the_past(now_s)
         self._awake_at_s = now_s
         if now_s - self._swept_at_s < SWEEP_INTERVAL_S:
             return
         self._swept_at_s = now_s
         self.fleet.sweep(now_s)
-        share = self.heard_share(self.heard_since_s())
+        share = self.received_share(self.heard_since_s())
         if share != self._share:
             for name in self._buckets:
                 self._reckon(name, now_s)
             self._share = share
 
-    def heard_share(self, since_s: float) -> float:
+    def received_share(self, since_s: float) -> float:
         """Return the share of the nodes that were heard since a time, this one included."""
-        heard = self.fleet.num_heard(since_s)
-        return min(1.0, (1 + heard) / max(1, self._num_nodes()))
+        received = self.fleet.num_heard(since_s)
+        return min(1.0, (1 + received) / max(1, self._num_nodes()))
 
     def has_quotas(self) -> bool:
         """Whether any tenant has a quota."""
--- a/src/weirscale/gateway/limits/usage.py
+++ b/src/weirscale/gateway/limits/usage.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from weirscale.domain.identifiers import TenantName
-from weirscale.gateway.peers.heartbeat import HEARD_LIFE_S
+from weirscale.gateway.peers.heartbeat import PEER_SILENCE_S
 
 NUM_PRIORITIES = 3
 """Priorities of routes that are told apart; all beyond count as the last."""
@@ -106,7 +106,7 @@
 
 class _HeardUsage(msgspec.Struct, frozen=True):
     usage: TenantUsage
-    heard_at_s: float
+    received_at_s: float
 
 
 class _Source(msgspec.Struct):
@@ -119,7 +119,7 @@
     """
 
     num_nodes: int
-    heard_at_s: float
+    received_at_s: float
     tenants: dict[TenantName, _HeardUsage]
 
 
@@ -136,7 +136,7 @@
         self._sources: dict[str, _Source] = {}
         self._sums: dict[TenantName, TenantUsage] = {}
 
-    def hear(
+    def receive(
         self,
         source: str,
         num_nodes: int,
@@ -146,7 +146,7 @@
         """Take over what a source tells, in place of what it told of these tenants before."""
         known = self._sources.setdefault(source, _Source(num_nodes, now_s, {}))
         known.num_nodes = num_nodes
-        known.heard_at_s = now_s
+        known.received_at_s = now_s
         for tenant, told in usage:
             before = known.tenants.pop(tenant, None)
             if before is not None and before.usage == told:
@@ -166,11 +166,11 @@
 
     def num_heard(self, since_s: float) -> int:
         """Return of how many other nodes the usage was told since a time."""
-        return sum(one.num_nodes for one in self._sources.values() if one.heard_at_s >= since_s)
+        return sum(one.num_nodes for one in self._sources.values() if one.received_at_s >= since_s)
 
     def age_s(self, now_s: float) -> float:
         """Return the age of the oldest news that counts."""
-        return max((now_s - one.heard_at_s for one in self._sources.values()), default=0.0)
+        return max((now_s - one.received_at_s for one in self._sources.values()), default=0.0)
 
     def sum_of(
         self, is_wanted: Callable[[str], bool], since_s: float
@@ -180,10 +180,10 @@
         sums: dict[TenantName, TenantUsage] = {}
         for name, source in self._sources.items():
             if is_wanted(name):
-                num_nodes += source.num_nodes if source.heard_at_s >= since_s else 0
-                for tenant, heard in source.tenants.items():
+                num_nodes += source.num_nodes if source.received_at_s >= since_s else 0
+                for tenant, received in source.tenants.items():
                     known = sums.get(tenant)
-                    sums[tenant] = heard.usage if known is None else known.plus(heard.usage)
+                    sums[tenant] = received.usage if known is None else known.plus(received.usage)
         return num_nodes, sums
 
     def sources(self) -> tuple[str, ...]:
@@ -194,19 +194,19 @@
         """Forget what a source told."""
         known = self._sources.pop(source, None)
         if known is not None:
-            for tenant, heard in known.tenants.items():
-                self._change(tenant, NO_USAGE.minus(heard.usage), now_s)
+            for tenant, received in known.tenants.items():
+                self._change(tenant, NO_USAGE.minus(received.usage), now_s)
 
     def sweep(self, now_s: float) -> None:
         """Drop sources, and what they told of single tenants, once that is too old."""
         for name, source in list(self._sources.items()):
-            if now_s - source.heard_at_s > HEARD_LIFE_S:
+            if now_s - source.received_at_s > PEER_SILENCE_S:
                 self.forget_source(name, now_s)
                 continue
-            for tenant, heard in list(source.tenants.items()):
-                if now_s - heard.heard_at_s > HEARD_LIFE_S:
+            for tenant, received in list(source.tenants.items()):
+                if now_s - received.received_at_s > PEER_SILENCE_S:
                     del source.tenants[tenant]
-                    self._change(tenant, NO_USAGE.minus(heard.usage), now_s)
+                    self._change(tenant, NO_USAGE.minus(received.usage), now_s)
 
     def keep(self, tenants: Iterable[TenantName]) -> None:
         """Forget all tenants but these."""
--- a/src/weirscale/gateway/model/back_ends.py
+++ b/src/weirscale/gateway/model/back_ends.py
@@ -28,7 +28,7 @@
 
 
 class ServedModel(msgspec.Struct, frozen=True):
-    """A model on a runner and the version of its weights."""
+    """A model on an engine and the version of its weights."""
 
     name: str
     version: int
@@ -44,7 +44,7 @@
         zone: Where it stands.
         state: Whether it takes new work.
         slots: Requests it works on at once.
-        models: Models and versions, for runners.
+        models: Models and versions, for engines.
         software: Version of its program.
         started_ms: Unix time of its start, or None if it does not tell.
     """
--- a/src/weirscale/gateway/model/configuration.py
+++ b/src/weirscale/gateway/model/configuration.py
@@ -59,7 +59,7 @@
     max_pause_s: float | None = None
 
     @property
-    def is_repeatable(self) -> bool:
+    def is_retryable(self) -> bool:
         """Whether a request may run more than once."""
         if self.kind is RequestKind.STREAMING:
             return self.is_resumable
@@ -67,11 +67,11 @@
 
 
 class EngineProfile(msgspec.Struct, frozen=True):
-    """What the runners of a model service have.
+    """What the engines of a model service have.
 
     Attributes:
-        slots: Requests that a runner works on at once.
-        cache_tokens: Tokens that fit into a runner's memory.
+        slots: Requests that an engine works on at once.
+        cache_tokens: Tokens that fit into an engine's memory.
         models: Names of the models served.
     """
 
@@ -80,11 +80,11 @@
     models: tuple[str, ...] = ()
 
 
-class KeptCacheStore(msgspec.Struct, frozen=True):
-    """A store of cached prompt parts outside the runners.
+class KeptKvStore(msgspec.Struct, frozen=True):
+    """A store of cached prompt blocks outside the engines.
 
     Attributes:
-        address: IP:PORT that runners reach it at.
+        address: IP:PORT that engines reach it at.
         zone: Where it stands.
         capacity_tokens: Tokens that it keeps.
     """
@@ -95,17 +95,17 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A service that routes may name, or a store of cached prompt parts."""
+    """A service that routes may name, or a store of cached prompt blocks."""
 
     name: ServiceName
     health_path: str = DEFAULT_HEALTH_PATH
     max_connections: int = 100
     engine: EngineProfile | None = None
-    kept_cache: KeptCacheStore | None = None
+    kept_cache: KeptKvStore | None = None
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """Bounds on what callers may send and how long connections may rest."""
+    """Guarantees on what callers may send and how long connections may rest."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -143,7 +143,7 @@
         name: Unique name.
         keys: API keys that belong to it.
         priority: Goes before the route's where given; 0 is the most urgent.
-        is_isolated: Whether it shares no cached prompt part with other tenants.
+        is_isolated: Whether it shares no cached prompt block with other tenants.
         quota: What it may spend, or None for no limit.
     """
 
--- a/src/weirscale/gateway/model/prompt.py
+++ b/src/weirscale/gateway/model/prompt.py
@@ -5,7 +5,7 @@
 from weirscale.domain.identifiers import TenantName
 
 
-class PromptPart(msgspec.Struct, frozen=True, array_like=True):
+class PromptBlock(msgspec.Struct, frozen=True, array_like=True):
     """One part of a prompt.
 
     Attributes:
@@ -13,7 +13,7 @@
         num_tokens: Tokens of this part alone.
     """
 
-    part_id: str
+    block_id: str
     num_tokens: int
 
 
@@ -28,7 +28,7 @@
     """
 
     model: str
-    parts: tuple[PromptPart, ...]
+    parts: tuple[PromptBlock, ...]
     num_tokens: int
     max_output_tokens: int
 
@@ -50,6 +50,6 @@
     isolated_tenant: TenantName | None = None
 
     def text(self) -> str:
-        """Return the text that runners and stores compare."""
+        """Return the text that engines and stores compare."""
         shared = f"{self.model}@{self.weight_version}"
         return f"{shared}/{self.isolated_tenant}" if self.isolated_tenant else shared
--- a/src/weirscale/gateway/model/routes.py
+++ b/src/weirscale/gateway/model/routes.py
@@ -55,5 +55,5 @@
         return self._services.get(name)
 
     def kept_caches(self) -> list[Service]:
-        """Return the stores of cached prompt parts."""
+        """Return the stores of cached prompt blocks."""
         return [service for service in self._services.values() if service.kept_cache]
--- a/src/weirscale/gateway/model/topology.py
+++ b/src/weirscale/gateway/model/topology.py
@@ -12,7 +12,7 @@
 """Of a zone that the settings do not name: it is near to everything."""
 
 
-class Places:
+class Topology:
     """Tells which places are far from one another.
 
     Args:
@@ -26,7 +26,7 @@
         """Return a zone's region."""
         return self._regions.get(zone, NO_REGION)
 
-    def is_far(self, zone: ZoneName, other: ZoneName) -> bool:
+    def is_cross_region(self, zone: ZoneName, other: ZoneName) -> bool:
         """Whether two zones are known to stand in different regions."""
         return are_apart(self.region_of(zone), self.region_of(other))
 
@@ -36,5 +36,5 @@
     return region != other and NO_REGION not in (region, other)
 
 
-ONE_PLACE = Places({})
+ONE_REGION = Topology({})
 """A deployment that names no regions."""
--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -9,28 +9,28 @@
 from weirscale.domain.duties.assignment import Duty, DutyKind
 from weirscale.domain.duties.lease import LeaseRules
 from weirscale.domain.identifiers import Incarnation, NodeId, NodeName
-from weirscale.gateway.gossip.gossip_task import MessageReceiver, PeerTask
+from weirscale.gateway.gossip.gossip_task import GossipTask, MessageReceiver
 from weirscale.gateway.gossip.group_relay import GroupRelay, is_group, is_member
-from weirscale.gateway.limits.isolation import Contact
+from weirscale.gateway.limits.isolation import IsolationDetector
 from weirscale.gateway.limits.quota import GONE_MEMORY_S, QuotaLedger
 from weirscale.gateway.limits.retry_budget import SharedRetryBudget
-from weirscale.gateway.limits.usage_gossip import UsageTelling, read_usage
+from weirscale.gateway.limits.usage_reporter import UsageReporter, read_usage
 from weirscale.gateway.model.back_ends import BackEnd
-from weirscale.gateway.model.topology import Places
+from weirscale.gateway.model.topology import Topology
 from weirscale.gateway.peers.messages import (
     AgesQuery,
     AgesReply,
-    LoadingNews,
-    LoadNews,
+    Gossip,
+    LoadGossip,
+    LoadingGossip,
     PeerMessage,
-    PeerNews,
     StateQuery,
     StateReply,
 )
-from weirscale.gateway.peers.outbox import NewsOutbox
+from weirscale.gateway.peers.outbox import GossipOutbox
 from weirscale.gateway.peers.registrations import PeerDirectory, Registration, RegistrationTask
 from weirscale.gateway.ports.back_end import BackEndConnector, BackEndPort
-from weirscale.gateway.ports.callers import CallerDialect
+from weirscale.gateway.ports.callers import RequestCodec
 from weirscale.gateway.ports.state_feed import StateFeed
 from weirscale.gateway.quarantine.keeper import Quarantine
 from weirscale.gateway.replication.age_exchange import AgeExchange
@@ -39,18 +39,18 @@
 from weirscale.gateway.replication.subscription import StateSubscription
 from weirscale.gateway.requests.caller_app import CallerApp
 from weirscale.gateway.requests.exchange_context import ExchangeContext
+from weirscale.gateway.rollouts.canary_traffic import CanaryTraffic
 from weirscale.gateway.rollouts.gate import RecordReader, VersionGate
-from weirscale.gateway.rollouts.gossip import RolloutTelling
 from weirscale.gateway.rollouts.holder_task import RolloutHolderTask
+from weirscale.gateway.rollouts.reporter import RolloutReporter
 from weirscale.gateway.rollouts.tallies import Tallies
-from weirscale.gateway.rollouts.trials import RolloutTrials
 from weirscale.gateway.routing.choice import START_MARGIN_S
 from weirscale.gateway.routing.dispatcher import Dispatcher
-from weirscale.gateway.routing.engine_shares import RunnerShares
+from weirscale.gateway.routing.engine_shares import EngineShares
 from weirscale.gateway.routing.health import BackEndHealth
 from weirscale.gateway.routing.load import NO_LOAD, FleetLoad, Load
-from weirscale.gateway.settings import Bounds, GatewaySettings, ListenAddress
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.settings import GatewaySettings, Guarantees, ListenAddress
+from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.gateway.telemetry.metrics_choice import new_metrics
 from weirscale.gateway.telemetry.node_metrics import NodeFigures
 from weirscale.gateway.telemetry.store_calls import CountedFeed, CountedStore
@@ -98,7 +98,7 @@
     return RANK_DELAY_S * num_first + LATER_RANK_DELAY_S * (rank - num_first)
 
 
-def _weights_rollout_rules(bounds: Bounds) -> WeightsRolloutRules:
+def _weights_rollout_rules(bounds: Guarantees) -> WeightsRolloutRules:
     return WeightsRolloutRules(
         load_s=LOAD_S,
         share_at_once=SHARE_LOADING_AT_ONCE,
@@ -111,9 +111,9 @@
     """Lets a node try for the duty once its key is gone, later by rank."""
 
     def __init__(
-        self, knowledge: Knowledge, peers: PeerDirectory, duty: Duty, clock: Callable[[], float]
+        self, cluster: ClusterState, peers: PeerDirectory, duty: Duty, clock: Callable[[], float]
     ) -> None:
-        self._knowledge = knowledge
+        self._cluster = cluster
         self._peers = peers
         self._key = KEY_PREFIX + duty.key
         self._clock = clock
@@ -121,7 +121,7 @@
 
     def is_own(self, duty: Duty, count: int, /) -> bool:
         """Whether this node should try now."""
-        if not self._knowledge.has_read_all or self._key in self._knowledge.records:
+        if not self._cluster.has_read_all or self._key in self._cluster.records:
             self._free_since_s = None
             return False
         if self._free_since_s is None:
@@ -149,7 +149,7 @@
         feed: StateFeed,
         store: KeyValuePort,
         connect: BackEndConnector,
-        dialect: CallerDialect,
+        codec: RequestCodec,
         event_log: EventLog,
         random: Random,
         clock: Callable[[], float] = anyio.current_time,
@@ -164,104 +164,104 @@
         self.metrics = new_metrics(settings)
         feed = CountedFeed(feed, self.metrics.count_store_call)
         store = CountedStore(store, self.metrics.count_store_call)
-        self.knowledge = Knowledge(event_log, clock)
-        self.knowledge.on_gone = self._forget_back_end
-        self.knowledge.on_version = self._take_version
+        self.cluster = ClusterState(event_log, clock)
+        self.cluster.on_gone = self._forget_back_end
+        self.cluster.on_version = self._take_version
         self.load = FleetLoad()
         self.health = BackEndHealth(event_log, random)
         bounds = settings.bounds
         self._exposure = bounds.exposure
-        self._records = RecordReader(self.knowledge, event_log)
+        self._records = RecordReader(self.cluster, event_log)
         self.version_gate = VersionGate(
-            self._records, self.knowledge, lambda: self._exposure.return_s,
-            lambda: self.contact.is_cut_off(), lambda: self._exposure.share,
+            self._records, self.cluster, lambda: self._exposure.return_s,
+            lambda: self.isolation.is_isolated(), lambda: self._exposure.share,
         )  # fmt: skip
         self.dispatcher = Dispatcher(
-            settings.zone, self.knowledge, self.load, self.health,
+            settings.zone, self.cluster, self.load, self.health,
             bounds.weights_s - START_MARGIN_S, random, clock,
-            news_delay_s=lambda: self.relay.delay_s(),
-            foreign=lambda: self.runner_shares.foreign(),
+            gossip_delay_s=lambda: self.relay.delay_s(),
+            foreign=lambda: self.engine_shares.foreign(),
             versions=self.version_gate,
-            places=Places(settings.regions),
+            topology=Topology(settings.regions),
         )  # fmt: skip
         self.budget = SharedRetryBudget(
             settings.retry_budget, clock(), skips_first_window=not settings.is_first_start
         )
-        strength = settings.machine.strength()
-        self.peers = PeerDirectory(settings.name, self.knowledge, clock, settings.zone, strength)
-        self.knowledge.continuity.num_others = lambda: len(self.peers.addresses())
-        self.runner_shares = RunnerShares(settings.name, self.peers, self.knowledge.directory)
-        self.outbox = NewsOutbox(settings.name)
+        capacity = settings.machine.capacity()
+        self.peers = PeerDirectory(settings.name, self.cluster, clock, settings.zone, capacity)
+        self.cluster.store_outages.num_others = lambda: len(self.peers.addresses())
+        self.engine_shares = EngineShares(settings.name, self.peers, self.cluster.directory)
+        self.outbox = GossipOutbox(settings.name)
         self.quotas = QuotaLedger(
             bounds.quota, lambda: self.peers.num_nodes(GONE_MEMORY_S),
             lambda: self.relay.interval_s(), random, clock,
         )  # fmt: skip
-        self.knowledge.on_table = lambda table: self.quotas.set_tenants(table.configuration.tenants)
-        self._usage_telling = UsageTelling()
+        self.cluster.on_table = lambda table: self.quotas.set_tenants(table.configuration.tenants)
+        self._usage_reporter = UsageReporter()
         self.relay = GroupRelay(
             settings.name, self.peers, self.load, self.quotas, self._send, clock,
             self._tell_rollout_sums,
         )  # fmt: skip
-        self.trials = RolloutTrials(
-            bounds.exposure, self.knowledge, self._records, self.version_gate,
+        self.trials = CanaryTraffic(
+            bounds.exposure, self.cluster, self._records, self.version_gate,
             lambda: self.peers.num_nodes(), self._rollout_sums, event_log, random, clock,
             self.metrics.count_rollout_end,
         )  # fmt: skip
-        self.rollout_telling = RolloutTelling(
-            self.knowledge, self._records, self.trials.tallies,
+        self.rollout_reporter = RolloutReporter(
+            self.cluster, self._records, self.trials.tallies,
             lambda instance: self.load.own(instance).num_requests, clock,
         )  # fmt: skip
         self.outbox.run = random.getrandbits(RUN_BITS)
-        self.peer_task = PeerTask(
-            settings.peers, self.peers, self.relay, self.outbox, self, self._gather_news
+        self.gossip_task = GossipTask(
+            settings.peers, self.peers, self.relay, self.outbox, self, self._gather_gossip
         )
-        self.publisher = ChangePublisher(settings.name, self.knowledge, self._send, clock)
+        self.publisher = ChangePublisher(settings.name, self.cluster, self._send, clock)
         self.subscription = StateSubscription(
-            settings.name, self.knowledge, self.peers, self._send, event_log, random, clock,
-            Places(settings.regions),
+            settings.name, self.cluster, self.peers, self._send, event_log, random, clock,
+            Topology(settings.regions),
         )  # fmt: skip
         self.ages = AgeExchange(
-            settings.name, self.knowledge, self.peers, self._send, event_log, random, clock
+            settings.name, self.cluster, self.peers, self._send, event_log, random, clock
         )
         self.follower = StateFollower(
-            feed, self.knowledge, event_log, random, self.publisher, self.subscription, clock
+            feed, self.cluster, event_log, random, self.publisher, self.subscription, clock
         )
         self.registration = RegistrationTask(
             settings.name,
-            Registration(settings.peers.host, settings.peers.port, settings.zone, strength),
+            Registration(settings.peers.host, settings.peers.port, settings.zone, capacity),
             store,
             event_log,
         )
         self.version_check = VersionCheck(
-            self.knowledge, self.port_of, self.outbox.add_loading, clock
+            self.cluster, self.port_of, self.outbox.add_loading, clock
         )
-        self.contact = Contact(self.knowledge, self.quotas, event_log, clock)
+        self.isolation = IsolationDetector(self.cluster, self.quotas, event_log, clock)
         self.quarantine = Quarantine(
-            settings.name, self.knowledge, store, lambda: rank_delay_s(self.peers.rank()),
+            settings.name, self.cluster, store, lambda: rank_delay_s(self.peers.rank()),
             event_log, clock,
         )  # fmt: skip
         self.context = ExchangeContext(
-            settings.bounds, self.knowledge, self.dispatcher, self.load, self.health, self.budget,
-            self.quotas, self.peers, self.outbox, lambda: self.peer_task.hurry(), self.contact,
+            settings.bounds, self.cluster, self.dispatcher, self.load, self.health, self.budget,
+            self.quotas, self.peers, self.outbox, lambda: self.gossip_task.hurry(), self.isolation,
             self.version_check, self.trials, self.quarantine, self.port_of, event_log, self.metrics,
             clock,
         )  # fmt: skip
         self.app = CallerApp(
-            settings, self.context, dialect, self.is_ready, self.sends_callers_on,
+            settings, self.context, codec, self.is_ready, self.sends_callers_on,
             self.metrics_text,
         )  # fmt: skip
         self._lease = self._make_lease(store, random)
-        self._turn = OrderTurn(settings.name, store, self.knowledge, bounds.lease_s, clock)
+        self._turn = OrderTurn(settings.name, store, self.cluster, bounds.lease_s, clock)
         self._rollout = WeightsRolloutTask(
-            settings.name, self._lease, self.knowledge, self.port_of, self._announce_loading,
+            settings.name, self._lease, self.cluster, self.port_of, self._announce_loading,
             lambda instance: self.load.total(instance, clock()).num_requests, self.health,
             event_log, _weights_rollout_rules(bounds), self._turn, store, self.version_gate.serves,
             clock,
         )  # fmt: skip
         self._rollout_holder = RolloutHolderTask(
-            self._lease, self.knowledge, self._records, store, feed, self._rollout_sums,
+            self._lease, self.cluster, self._records, store, feed, self._rollout_sums,
             self.trials.alarm,
-            lambda service, epoch: self.rollout_telling.num_moved(
+            lambda service, epoch: self.rollout_reporter.num_moved(
                 service, epoch, self.relay.counts
             ),
             lambda: self.peers.num_nodes(0.0),
@@ -279,7 +279,7 @@
             retry_interval_s=0.1,
             standby_interval_s=0.5,
         )
-        eligibility = HolderEligibility(self.knowledge, self.peers, duty, self._clock)
+        eligibility = HolderEligibility(self.cluster, self.peers, duty, self._clock)
         node_id = NodeId(NodeName(self.settings.name), Incarnation(0))
         return DutyLeaseTask(
             duty, node_id, store, eligibility, random, rules, sleep_to_tick,
@@ -300,11 +300,11 @@
 
     def is_ready(self) -> bool:
         """Whether new connections are welcome: a configuration is known and others know no more."""
-        return self.knowledge.table is not None and not self.sends_callers_on()
+        return self.cluster.table is not None and not self.sends_callers_on()
 
     def sends_callers_on(self) -> bool:
         """Whether connections should end with their answer: callers do better elsewhere."""
-        return self.is_stopping or self.contact.is_cut_off()
+        return self.is_stopping or self.isolation.is_isolated()
 
     async def run(self) -> None:
         """Run all tasks until cancelled."""
@@ -313,7 +313,7 @@
             tasks.start_soon(self.subscription.run)
             tasks.start_soon(self.ages.run)
             tasks.start_soon(self.registration.run)
-            tasks.start_soon(self.peer_task.run)
+            tasks.start_soon(self.gossip_task.run)
             tasks.start_soon(self.relay.run)
             tasks.start_soon(self._lease.run)
             tasks.start_soon(self._rollout.run)
@@ -334,7 +334,7 @@
         """Return the port of a back end."""
         port = self._ports.get(back_end.instance)
         if port is None:
-            table = self.knowledge.table
+            table = self.cluster.table
             service = table.service(back_end.service) if table else None
             limit = service.max_connections if service else DEFAULT_MAX_CONNECTIONS
             port = self._connect(back_end, max(4, int(limit * CONNECTION_SHARE)))
@@ -352,83 +352,83 @@
         self.dispatcher.weights_changed(instance)
 
     async def _send(self, message: PeerMessage, addresses: Iterable[ListenAddress]) -> None:
-        await self.peer_task.send(message, addresses)
+        await self.gossip_task.send(message, addresses)
 
-    async def hear(self, message: PeerMessage, sender: ListenAddress) -> None:
+    async def receive(self, message: PeerMessage, sender: ListenAddress) -> None:
         """Take over what a peer tells, or answer it."""
         if isinstance(message, StateQuery):
             await self.publisher.answer(message, sender)
         elif isinstance(message, StateReply):
-            self.subscription.hear(message)
+            self.subscription.receive(message)
         elif isinstance(message, AgesQuery):
             await self.ages.answer(message, sender)
         elif isinstance(message, AgesReply):
-            self.ages.hear(message)
+            self.ages.receive(message)
         else:
-            self._hear_news(message)
-            await self.relay.hear(message)
+            self._receive_gossip(message)
+            await self.relay.receive(message)
 
-    def _hear_news(self, news: PeerNews) -> None:
+    def _receive_gossip(self, gossip: Gossip) -> None:
         now_s = self._clock()
-        source = self.relay.source_of(news)
-        for load in news.loads if source is not None else ():
-            heard = Load(load.num_requests, load.waiting_tokens, load.held_tokens)
-            self.load.hear(source or "", load.instance, heard, now_s)
+        source = self.relay.source_of(gossip)
+        for load in gossip.loads if source is not None else ():
+            received = Load(load.num_requests, load.waiting_tokens, load.held_tokens)
+            self.load.receive(source or "", load.instance, received, now_s)
         if source is not None:
-            usage = [read_usage(one) for one in news.usage]
-            self.quotas.fleet.hear(source, news.num_nodes, usage, now_s)
-            if news.trials or news.moved:
-                self.rollout_telling.hear(source, news)
-        for send in news.sends:
-            if news.group:
+            usage = [read_usage(one) for one in gossip.usage]
+            self.quotas.fleet.receive(source, gossip.num_nodes, usage, now_s)
+            if gossip.trials or gossip.moved:
+                self.rollout_reporter.receive(source, gossip)
+        for send in gossip.sends:
+            if gossip.group:
                 self.dispatcher.note_shared_parts(send.instance, send.scope, send.parts)
             else:
                 self.dispatcher.note_parts(send.instance, send.scope, send.parts, send.is_ready)
-        for loading in news.loading:
-            self._hear_loading(loading)
-        self.quarantine.hear(news)
-        for suspect in news.suspects:
-            if self.knowledge.directory.get(suspect.instance) is not None:
+        for loading in gossip.loading:
+            self._receive_loading(loading)
+        self.quarantine.receive(gossip)
+        for suspect in gossip.suspects:
+            if self.cluster.directory.get(suspect.instance) is not None:
                 self.health.unreachable(suspect.instance, "told_by_peer", now_s)
 
-    def _hear_loading(self, loading: LoadingNews) -> None:
+    def _receive_loading(self, loading: LoadingGossip) -> None:
         self.dispatcher.mark_loading(loading.instance, loading.is_done)
         if loading.is_done and loading.version:
-            self.knowledge.learn_version(loading.instance, loading.model, loading.version, "peer")
+            self.cluster.learn_version(loading.instance, loading.model, loading.version, "peer")
 
     async def _announce_loading(
         self, instance: str, model: str, version: int, is_done: bool
     ) -> None:
         self.dispatcher.mark_loading(instance, is_done)
-        self.outbox.add_loading(LoadingNews(instance, model, version, is_done))
-        await self.peer_task.flush()
+        self.outbox.add_loading(LoadingGossip(instance, model, version, is_done))
+        await self.gossip_task.flush()
 
     def _rollout_sums(self) -> Tallies:
-        return self.rollout_telling.sums(self.relay.counts)
+        return self.rollout_reporter.sums(self.relay.counts)
 
     def _tell_rollout_sums(
-        self, to_heads: NewsOutbox, to_group: NewsOutbox, must_refresh: bool
+        self, to_heads: GossipOutbox, to_group: GossipOutbox, must_refresh: bool
     ) -> None:
-        self.rollout_telling.add_sums(to_heads, to_group, is_member, is_group, must_refresh)
+        self.rollout_reporter.add_sums(to_heads, to_group, is_member, is_group, must_refresh)
 
-    def _gather_news(self, must_refresh: bool) -> None:
+    def _gather_gossip(self, must_refresh: bool) -> None:
         self.trials.tick()
-        self.rollout_telling.add_own(self.outbox, must_refresh)
+        self.rollout_reporter.add_own(self.outbox, must_refresh)
         changed = self.load.take_changed()
         if must_refresh:
             changed.update({one: self.load.own(one) for one in self.load.own_instances()})
         self.quarantine.add_to(self.outbox, must_refresh)
         self.quotas.tick()
-        self._usage_telling.add_to(self.outbox, dict(self.quotas.own_usage()), must_refresh)
+        self._usage_reporter.add_to(self.outbox, dict(self.quotas.own_usage()), must_refresh)
         for instance, load in changed.items():
             self.outbox.add_load(
-                LoadNews(instance, load.num_requests, load.waiting_tokens, load.held_tokens)
+                LoadGossip(instance, load.num_requests, load.waiting_tokens, load.held_tokens)
             )
 
     async def _probe_regularly(self, tasks: TaskGroup) -> None:
         while True:
             await sleep_to_tick(PROBE_INTERVAL_S)
-            self.knowledge.forget_lapsed()
+            self.cluster.forget_lapsed()
             self._close_unused(tasks)
             for instance in self.health.to_probe(self._clock()):
                 tasks.start_soon(self._probe, instance)
@@ -443,8 +443,8 @@
                 tasks.start_soon(self._closing.pop(instance).close)
 
     async def _probe(self, instance: str) -> None:
-        back_end = self.knowledge.directory.get(instance)
-        table = self.knowledge.table
+        back_end = self.cluster.directory.get(instance)
+        table = self.cluster.table
         if back_end is None or table is None:
             self.health.forget(instance)
             return
@@ -457,14 +457,14 @@
 
     def metrics_text(self) -> bytes:
         """Return the metrics, with figures that are read off now."""
-        table = self.knowledge.table
-        services = {one.service for one in self.knowledge.directory.all()}
+        table = self.cluster.table
+        services = {one.service for one in self.cluster.directory.all()}
         num_nodes, now_s = self.peers.num_nodes(), self._clock()
         return self.metrics.text(
             NodeFigures(
-                knowledge_age_s=self.knowledge.age_s(),
+                state_age_s=self.cluster.age_s(),
                 configuration_version=table.version if table else 0,
-                num_back_ends=len(self.knowledge.directory.instances()),
+                num_back_ends=len(self.cluster.directory.instances()),
                 holds_lease=self._lease.is_held(),
                 queue_shares={one: self.context.queue_limit(one).share for one in services},
                 retries_left={one: self.budget.left(one, num_nodes, now_s) for one in services},
--- a/src/weirscale/gateway/peers/groups.py
+++ b/src/weirscale/gateway/peers/groups.py
@@ -32,7 +32,7 @@
 
     name: str
     zone: ZoneName
-    strength: int = 0
+    capacity: int = 0
 
 
 class Division(msgspec.Struct, frozen=True):
@@ -81,7 +81,7 @@
 
 def head_rank(member: Member) -> tuple[int, int, str]:
     """Return a sort key: the strongest first, then by hash, so that duties spread."""
-    return -member.strength, name_hash(member.name), member.name
+    return -member.capacity, name_hash(member.name), member.name
 
 
 def name_hash(name: str) -> int:
--- a/src/weirscale/gateway/peers/messages.py
+++ b/src/weirscale/gateway/peers/messages.py
@@ -1,6 +1,6 @@
 """What nodes tell one another: typed messages, cbor2 on the wire.
 
-`PeerNews` improves choices and nothing depends on it: a lost datagram costs a less good choice.
+`Gossip` improves choices and nothing depends on it: a lost datagram costs a less good choice.
 Loads are absolute values, so a later message repairs an earlier loss. `StateQuery` and `StateReply`
 spread the platform's state from the nodes that read it to the others (`state_relay`); `AgesQuery`
 and `AgesReply` tell since when something holds (`age_exchange`).
@@ -9,14 +9,14 @@
 import cbor2
 import msgspec
 
-from weirscale.gateway.model.prompt import PromptPart
+from weirscale.gateway.model.prompt import PromptBlock
 from weirscale.gateway.ports.state_feed import VersionedChange
 
 MAX_REPLY_BYTES = 24_000
 """Larger replies do not go out: datagrams of many fragments are lost too often."""
 
 
-class LoadNews(msgspec.Struct, frozen=True, array_like=True):
+class LoadGossip(msgspec.Struct, frozen=True, array_like=True):
     """The sender's own load on one back end."""
 
     instance: str
@@ -25,17 +25,17 @@
     held_tokens: int
 
 
-class SendNews(msgspec.Struct, frozen=True, array_like=True):
-    """A prompt was sent to a runner, or (`is_ready`) has been read there."""
+class SendGossip(msgspec.Struct, frozen=True, array_like=True):
+    """A prompt was sent to an engine, or (`is_ready`) has been read there."""
 
     instance: str
     scope: str
     is_ready: bool
-    parts: tuple[PromptPart, ...]
+    parts: tuple[PromptBlock, ...]
 
 
-class LoadingNews(msgspec.Struct, frozen=True, array_like=True):
-    """A runner is about to load weights, or has them (`is_done`)."""
+class LoadingGossip(msgspec.Struct, frozen=True, array_like=True):
+    """An engine is about to load weights, or has them (`is_done`)."""
 
     instance: str
     model: str
@@ -43,7 +43,7 @@
     is_done: bool
 
 
-class NamedNews(msgspec.Struct, frozen=True, array_like=True):
+class TargetVersionGossip(msgspec.Struct, frozen=True, array_like=True):
     """For how long a version has been named at most, as far as the sender knows."""
 
     model: str
@@ -51,13 +51,13 @@
     age_ms: int
 
 
-class SuspectNews(msgspec.Struct, frozen=True, array_like=True):
+class SuspectGossip(msgspec.Struct, frozen=True, array_like=True):
     """The sender could not reach a back end."""
 
     instance: str
 
 
-class UsageNews(msgspec.Struct, frozen=True, array_like=True):
+class UsageGossip(msgspec.Struct, frozen=True, array_like=True):
     """What a tenant with a quota spends and asks for, in its quota's units a second.
 
     Attributes:
@@ -71,14 +71,14 @@
     asked_per_s: tuple[int, int, int]
 
 
-class TrialNews(msgspec.Struct, frozen=True, array_like=True):
+class CanaryGossip(msgspec.Struct, frozen=True, array_like=True):
     """How requests of a service ended since a rollout was ordered; absolute counts.
 
     Attributes:
         service: The service.
         epoch: The order.
         route: Name of the route.
-        instance: A runner of the target, or empty for all runners of older versions.
+        instance: An engine of the target, or empty for all engines of older versions.
         num: Requests that ended there.
         num_failed: Those without a whole sound answer.
         num_slow: Those that were several times slower than usual.
@@ -93,7 +93,7 @@
     num_slow: int
 
 
-class MovedNews(msgspec.Struct, frozen=True, array_like=True):
+class MovedGossip(msgspec.Struct, frozen=True, array_like=True):
     """How many nodes know that a service's traffic moves and have nothing at older versions.
 
     Attributes:
@@ -107,7 +107,7 @@
     num_nodes: int
 
 
-class CrashNews(msgspec.Struct, frozen=True, array_like=True):
+class CrashGossip(msgspec.Struct, frozen=True, array_like=True):
     """A back end crashed under a request.
 
     Attributes:
@@ -121,7 +121,7 @@
     came_again: bool
 
 
-class AnsweredNews(msgspec.Struct, frozen=True, array_like=True):
+class AnsweredGossip(msgspec.Struct, frozen=True, array_like=True):
     """A back end answered a request under which others had crashed.
 
     Attributes:
@@ -132,17 +132,17 @@
 
 
 REST_OF_FLEET = "*"
-"""Names all groups but the receiver's own in `PeerNews.group`."""
+"""Names all groups but the receiver's own in `Gossip.group`."""
 
 
-class PeerNews(msgspec.Struct, frozen=True, array_like=True, tag="news"):
+class Gossip(msgspec.Struct, frozen=True, array_like=True, tag="news"):
     """What improves choices.
 
     Attributes:
         sender: The node that tells.
         loads: Loads on back ends.
-        sends: Prompts at runners.
-        loading: Runners that load weights.
+        sends: Prompts at engines.
+        loading: Engines that load weights.
         named: Not told any more (`AgesReply` is): the place of a field of earlier releases.
         suspects: Unreachable back ends.
         group: Empty for the sender's own doings; else the loads are the sum of this group's
@@ -157,19 +157,19 @@
     """
 
     sender: str
-    loads: tuple[LoadNews, ...] = ()
-    sends: tuple[SendNews, ...] = ()
-    loading: tuple[LoadingNews, ...] = ()
-    named: tuple[NamedNews, ...] = ()
-    suspects: tuple[SuspectNews, ...] = ()
+    loads: tuple[LoadGossip, ...] = ()
+    sends: tuple[SendGossip, ...] = ()
+    loading: tuple[LoadingGossip, ...] = ()
+    named: tuple[TargetVersionGossip, ...] = ()
+    suspects: tuple[SuspectGossip, ...] = ()
     group: str = ""
-    usage: tuple[UsageNews, ...] = ()
+    usage: tuple[UsageGossip, ...] = ()
     num_nodes: int = 1
-    trials: tuple[TrialNews, ...] = ()
-    moved: tuple[MovedNews, ...] = ()
+    trials: tuple[CanaryGossip, ...] = ()
+    moved: tuple[MovedGossip, ...] = ()
     run: int = 0
-    crashes: tuple[CrashNews, ...] = ()
-    answered: tuple[AnsweredNews, ...] = ()
+    crashes: tuple[CrashGossip, ...] = ()
+    answered: tuple[AnsweredGossip, ...] = ()
 
 
 class StateQuery(msgspec.Struct, frozen=True, array_like=True, tag="query"):
@@ -238,10 +238,10 @@
     span_age_ms: int
     proof_age_ms: int
     silent_age_ms: int | None = None
-    named: tuple[NamedNews, ...] = ()
+    named: tuple[TargetVersionGossip, ...] = ()
 
 
-PeerMessage = PeerNews | StateQuery | StateReply | AgesQuery | AgesReply
+PeerMessage = Gossip | StateQuery | StateReply | AgesQuery | AgesReply
 
 
 def encode_message(message: PeerMessage) -> bytes:
--- a/src/weirscale/gateway/peers/outbox.py
+++ b/src/weirscale/gateway/peers/outbox.py
@@ -1,16 +1,16 @@
 """Gathers what a node is to tell others, until the next message."""
 
 from weirscale.gateway.peers.messages import (
-    AnsweredNews,
-    CrashNews,
-    LoadingNews,
-    LoadNews,
-    MovedNews,
-    PeerNews,
-    SendNews,
-    SuspectNews,
-    TrialNews,
-    UsageNews,
+    AnsweredGossip,
+    CanaryGossip,
+    CrashGossip,
+    Gossip,
+    LoadGossip,
+    LoadingGossip,
+    MovedGossip,
+    SendGossip,
+    SuspectGossip,
+    UsageGossip,
 )
 
 MAX_SENDS_A_MESSAGE = 64
@@ -21,78 +21,78 @@
 """Beyond it the oldest are dropped: more crash at once only where a region is lost."""
 
 
-class NewsOutbox:
+class GossipOutbox:
     """Gathers what is to be told, until the next message.
 
     Args:
         sender: This node.
-        group: Whose news it is, as `PeerNews.group` tells.
+        group: Whose news it is, as `Gossip.group` tells.
     """
 
     def __init__(self, sender: str, group: str = "") -> None:
         self._sender = sender
         self._group = group
-        self._loads: dict[str, LoadNews] = {}
-        self._sends: list[SendNews] = []
-        self._loading: list[LoadingNews] = []
-        self._suspects: dict[str, SuspectNews] = {}
-        self._usage: dict[str, UsageNews] = {}
+        self._loads: dict[str, LoadGossip] = {}
+        self._sends: list[SendGossip] = []
+        self._loading: list[LoadingGossip] = []
+        self._suspects: dict[str, SuspectGossip] = {}
+        self._usage: dict[str, UsageGossip] = {}
         self._num_nodes = 1
-        self._trials: dict[tuple[int, str, str], TrialNews] = {}
-        self._moved: dict[int, MovedNews] = {}
-        self._crashes: dict[tuple[str, str], CrashNews] = {}
-        self._answered: dict[str, AnsweredNews] = {}
+        self._trials: dict[tuple[int, str, str], CanaryGossip] = {}
+        self._moved: dict[int, MovedGossip] = {}
+        self._crashes: dict[tuple[str, str], CrashGossip] = {}
+        self._answered: dict[str, AnsweredGossip] = {}
         self.run = 0
         """Told along: counts of one run of a process begin anew with the next."""
 
-    def add_usage(self, news: UsageNews) -> None:
+    def add_usage(self, gossip: UsageGossip) -> None:
         """Tell what a tenant spends; replaces what was to be told of it."""
-        self._usage[news.tenant] = news
+        self._usage[gossip.tenant] = gossip
 
     def set_num_nodes(self, num_nodes: int) -> None:
         """Set of how many nodes the usage is."""
         self._num_nodes = num_nodes
 
-    def add_trials(self, news: TrialNews) -> None:
+    def add_trials(self, gossip: CanaryGossip) -> None:
         """Tell counts of a rollout; replaces what was to be told of them."""
-        self._trials[(news.epoch, news.route, news.instance)] = news
+        self._trials[(gossip.epoch, gossip.route, gossip.instance)] = gossip
 
-    def add_moved(self, news: MovedNews) -> None:
+    def add_moved(self, gossip: MovedGossip) -> None:
         """Tell how many nodes have moved; replaces what was to be told."""
-        self._moved[news.epoch] = news
+        self._moved[gossip.epoch] = gossip
 
-    def add_load(self, news: LoadNews) -> None:
+    def add_load(self, gossip: LoadGossip) -> None:
         """Tell a load; replaces an earlier one."""
-        self._loads[news.instance] = news
+        self._loads[gossip.instance] = gossip
 
-    def add_send(self, news: SendNews) -> None:
+    def add_send(self, gossip: SendGossip) -> None:
         """Tell a send; the oldest are dropped when there are too many."""
-        self._sends.append(news)
+        self._sends.append(gossip)
         del self._sends[:-MAX_SENDS_A_MESSAGE]
 
-    def add_loading(self, news: LoadingNews) -> None:
-        """Tell of a runner that loads weights."""
-        self._loading.append(news)
+    def add_loading(self, gossip: LoadingGossip) -> None:
+        """Tell of an engine that loads weights."""
+        self._loading.append(gossip)
 
-    def add_suspect(self, news: SuspectNews) -> None:
+    def add_suspect(self, gossip: SuspectGossip) -> None:
         """Tell of an unreachable back end."""
-        self._suspects[news.instance] = news
+        self._suspects[gossip.instance] = gossip
 
-    def add_crash(self, news: CrashNews) -> None:
+    def add_crash(self, gossip: CrashGossip) -> None:
         """Tell of a crash under a request."""
-        self._crashes[(news.request, news.run)] = news
+        self._crashes[(gossip.request, gossip.run)] = gossip
         if len(self._crashes) > MAX_WAITING_CRASHES:
             del self._crashes[next(iter(self._crashes))]
 
-    def add_answered(self, news: AnsweredNews) -> None:
+    def add_answered(self, gossip: AnsweredGossip) -> None:
         """Tell of a request that crashes nothing after all."""
-        self._answered[news.request] = news
+        self._answered[gossip.request] = gossip
 
-    def _take_crashes(self) -> tuple[CrashNews, ...]:
+    def _take_crashes(self) -> tuple[CrashGossip, ...]:
         taken = list(self._crashes)[:MAX_CRASHES_A_MESSAGE]
         return tuple(self._crashes.pop(key) for key in taken)
 
-    def take(self, group: str | None = None, with_empty: bool = False) -> PeerNews | None:
+    def take(self, group: str | None = None, with_empty: bool = False) -> Gossip | None:
         """Return the message and begin the next; None if there is nothing to tell.
 
         Args:
@@ -101,7 +101,7 @@
         """
         if not with_empty and not self._tells_anything():
             return None
-        news = PeerNews(
+        gossip = Gossip(
             self._sender,
             tuple(self._loads.values()),
             tuple(self._sends),
@@ -125,7 +125,7 @@
         self._trials = {}
         self._moved = {}
         self._answered = {}
-        return news
+        return gossip
 
     def _tells_anything(self) -> bool:
         return bool(
--- a/src/weirscale/gateway/peers/registrations.py
+++ b/src/weirscale/gateway/peers/registrations.py
@@ -10,7 +10,7 @@
 from weirscale.domain.identifiers import ZoneName
 from weirscale.gateway.peers.groups import Division, Member, divide
 from weirscale.gateway.settings import ListenAddress
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.gateway.ticks import sleep_to_tick
 from weirscale.ports.event_log import EventLog
 from weirscale.ports.key_value import KeyValueFailureKind, KeyValuePort
@@ -36,7 +36,7 @@
     host: str
     port: int
     zone: str = ""
-    strength: int = 0
+    capacity: int = 0
 
 
 class PeerDirectory:
@@ -53,13 +53,13 @@
     def __init__(
         self,
         name: str,
-        knowledge: Knowledge,
+        cluster: ClusterState,
         clock: Callable[[], float],
         zone: ZoneName | None = None,
-        strength: int = 0,
+        capacity: int = 0,
     ) -> None:
-        self._own = Member(name, zone or ZoneName(""), strength)
-        self._knowledge = knowledge
+        self._own = Member(name, zone or ZoneName(""), capacity)
+        self._cluster = cluster
         self._clock = clock
         self._left_at_s: dict[str, float] = {}
         self._read_at_change = -1
@@ -96,12 +96,12 @@
 
     def _read_changes(self) -> None:
         """Read the registrations anew if any record has changed."""
-        if self._knowledge.num_record_changes == self._read_at_change:
+        if self._cluster.num_record_changes == self._read_at_change:
             self._forget_departed()
             return
-        self._read_at_change = self._knowledge.num_record_changes
+        self._read_at_change = self._cluster.num_record_changes
         found: dict[str, Registration] = {}
-        for key, value in self._knowledge.records_under(NODE_PREFIX):
+        for key, value in self._cluster.records_under(NODE_PREFIX):
             registration = _read_registration(value)
             if registration is not None:
                 found[key.removeprefix(NODE_PREFIX)] = registration
@@ -153,13 +153,13 @@
 
         While all nodes restart in turn, those that started last are the last to stop again.
         """
-        own = self._knowledge.revision_of(NODE_PREFIX + self._own.name)
-        others = (self._knowledge.revision_of(NODE_PREFIX + name) for name in self.addresses())
+        own = self._cluster.revision_of(NODE_PREFIX + self._own.name)
+        others = (self._cluster.revision_of(NODE_PREFIX + name) for name in self.addresses())
         return sum(1 for revision in others if revision > own)
 
 
 def _member(name: str, registration: Registration) -> Member:
-    return Member(name, ZoneName(registration.zone), registration.strength)
+    return Member(name, ZoneName(registration.zone), registration.capacity)
 
 
 def _addresses(registrations: dict[str, Registration]) -> dict[str, ListenAddress]:
--- a/src/weirscale/gateway/ports/back_end.py
+++ b/src/weirscale/gateway/ports/back_end.py
@@ -23,9 +23,9 @@
         timeout_s: Time left for the work.
         tenant: Tenant to name, if the route is keyed.
         priority: 0 to 9, 0 first, or None.
-        cache_scope: Text within which cached parts may be reused, or None.
-        weight_version: Version that the runner must have, or None.
-        fetch_from: IP:PORT that keeps parts that this runner lacks, or None.
+        cache_scope: Text within which cached blocks may be reused, or None.
+        weight_version: Version that the engine must have, or None.
+        fetch_from: IP:PORT that keeps parts that this engine lacks, or None.
         save_to: IP:PORT of a store that gets the parts, or None.
         resume_after: Id of the last event that the caller has, or None.
     """
@@ -88,7 +88,7 @@
 
 
 class OrderOutcome(enum.Enum):
-    """How a runner took an order."""
+    """How an engine took an order."""
 
     ACCEPTED = "accepted"
     HOLDS_ALREADY = "holds_already"
@@ -100,7 +100,7 @@
 
 
 class LoadMode(enum.Enum):
-    """What becomes of the requests that run while a runner takes new weights."""
+    """What becomes of the requests that run while an engine takes new weights."""
 
     AFTER_RUNS = "after_runs"
     """They end first; those that have not begun are refused meanwhile, for seconds."""
@@ -109,14 +109,14 @@
 
 
 class WeightOrder(msgspec.Struct, frozen=True):
-    """An order to a runner to take new weights.
+    """An order to an engine to take new weights.
 
     Attributes:
         model: Model whose weights change.
         version: Version to load.
         holder: Who gives the order.
         fencing_token: Token of the holder's lease.
-        expected_sequence: Orders that the runner has taken so far; any other number refuses.
+        expected_sequence: Orders that the engine has taken so far; any other number refuses.
         instance: The incarnation that is meant.
         mode: What becomes of the requests that run there.
     """
@@ -130,8 +130,8 @@
     mode: LoadMode = LoadMode.DURING_RUNS
 
 
-class RunnerReport(msgspec.Struct, frozen=True):
-    """What a runner tells of itself, some hundred milliseconds old.
+class EngineReport(msgspec.Struct, frozen=True):
+    """What an engine tells of itself, some hundred milliseconds old.
 
     Attributes:
         models: Models and versions.
@@ -175,8 +175,8 @@
         """Give an order."""
         ...
 
-    async def report(self, timeout_s: float) -> RunnerReport | None:
-        """Ask for the runner's report; None without an answer."""
+    async def report(self, timeout_s: float) -> EngineReport | None:
+        """Ask for the engine's report; None without an answer."""
         ...
 
     async def is_healthy(self, path: str, timeout_s: float) -> bool:
--- a/src/weirscale/gateway/ports/callers.py
+++ b/src/weirscale/gateway/ports/callers.py
@@ -41,7 +41,7 @@
     headers: Headers
 
 
-class CallerDialect(Protocol):
+class RequestCodec(Protocol):
     """How requests and refusals are written on the wire."""
 
     def parse(self, scope: Mapping[str, object]) -> CallerRequest | str:
--- a/src/weirscale/gateway/ports/state_feed.py
+++ b/src/weirscale/gateway/ports/state_feed.py
@@ -31,14 +31,14 @@
 
 
 class WeightsNamed(msgspec.Struct, frozen=True, tag=True):
-    """Operators want a version of a model's weights on all runners."""
+    """Operators want a version of a model's weights on all engines."""
 
     model: str
     version: int
 
 
 class RolloutOrdered(msgspec.Struct, frozen=True, tag=True):
-    """Operators want a service's traffic on runners of a version of its program."""
+    """Operators want a service's traffic on engines of a version of its program."""
 
     service: ServiceName
     target: SoftwareVersion
--- a/src/weirscale/gateway/program.py
+++ b/src/weirscale/gateway/program.py
@@ -12,7 +12,7 @@
 
 from weirscale.gateway.node import GatewayNode
 from weirscale.gateway.ports.back_end import BackEndConnector
-from weirscale.gateway.ports.callers import CallerDialect
+from weirscale.gateway.ports.callers import RequestCodec
 from weirscale.gateway.ports.state_feed import StateFeed
 from weirscale.gateway.settings import GatewaySettings, ListenAddress
 from weirscale.gateway.settings_watch import SettingsWatch
@@ -62,7 +62,7 @@
         """Return what makes ports of back ends."""
         ...
 
-    def dialect(self) -> CallerDialect:
+    def codec(self) -> RequestCodec:
         """Return how callers write."""
         ...
 
@@ -94,7 +94,7 @@
             adapter.feed(),
             adapter.store(),
             adapter.connector(),
-            adapter.dialect(),
+            adapter.codec(),
             event_log,
             random,
             # What was learnt before a suspension of the machine is as old as it really is.
--- a/src/weirscale/gateway/quarantine/crash_check.py
+++ b/src/weirscale/gateway/quarantine/crash_check.py
@@ -14,7 +14,7 @@
 from weirscale.gateway.model.back_ends import TAKES_WORK, BackEnd, BackEndState, RunId
 from weirscale.gateway.ports.back_end import BackEndPort, RunState
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.cluster_state import ClusterState
 
 CHECK_PAUSES_S = (0.0, 0.1, 0.2, 0.4, 0.8, 0.8)
 """Before each look: a process that has just ended may take a moment to let go of its address. What
@@ -51,9 +51,9 @@
     """
 
     def __init__(
-        self, knowledge: Knowledge, port_of: Callable[[BackEnd], BackEndPort], on_crash: Crashed
+        self, cluster: ClusterState, port_of: Callable[[BackEnd], BackEndPort], on_crash: Crashed
     ) -> None:
-        self._knowledge = knowledge
+        self._cluster = cluster
         self._port_of = port_of
         self._on_crash = on_crash
         self._lost: dict[RunId, list[LostRequest]] = {}
@@ -61,7 +61,7 @@
 
     def request(self, back_end: BackEnd, lost: LostRequest) -> None:
         """Look at a back end whose connection ended under a request."""
-        known = self._knowledge.directory.get(back_end.instance)
+        known = self._cluster.directory.get(back_end.instance)
         if known is None or known.state not in TAKES_WORK:
             # Its end was told before the connection's.
             return
@@ -95,13 +95,13 @@
             self._on_crash(back_end, lost)
 
     async def _look(self, back_end: BackEnd) -> RunState:
-        known = self._knowledge.directory.get(back_end.instance)
+        known = self._cluster.directory.get(back_end.instance)
         if known is None or known.run_id != back_end.run_id:
             # It was to take work when its connection ended, so it did not leave as planned.
             return RunState.ENDED
         if known.state is BackEndState.LEAVING:
             return RunState.LIVES
-        table = self._knowledge.table
+        table = self._cluster.table
         service = table.service(known.service) if table else None
         path = service.health_path if service else "/"
         return await self._port_of(known).run_state(path, CHECK_TIMEOUT_S)
--- a/src/weirscale/gateway/quarantine/keeper.py
+++ b/src/weirscale/gateway/quarantine/keeper.py
@@ -10,8 +10,8 @@
 from result import Err
 
 from weirscale.gateway.model.back_ends import RunId
-from weirscale.gateway.peers.messages import AnsweredNews, CrashNews, PeerNews
-from weirscale.gateway.peers.outbox import NewsOutbox
+from weirscale.gateway.peers.messages import AnsweredGossip, CrashGossip, Gossip
+from weirscale.gateway.peers.outbox import GossipOutbox
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint, read_fingerprint
 from weirscale.gateway.quarantine.record import (
     QUARANTINE_PREFIX,
@@ -19,7 +19,7 @@
     read_quarantine_key,
 )
 from weirscale.gateway.quarantine.suspects import SuspectBook
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.gateway.state.expiring_record import write_timed_record
 from weirscale.gateway.ticks import sleep_to_tick
 from weirscale.ports.event_log import EventLog
@@ -59,14 +59,14 @@
     def __init__(
         self,
         name: str,
-        knowledge: Knowledge,
+        cluster: ClusterState,
         store: KeyValuePort,
         delay_s: Callable[[], float],
         event_log: EventLog,
         clock: Callable[[], float],
     ) -> None:
         self._name = name
-        self._knowledge = knowledge
+        self._cluster = cluster
         self._store = store
         self._delay_s = delay_s
         self._event_log = event_log
@@ -78,8 +78,8 @@
         self._num_record_changes = -1
         self._write_at_s: dict[RequestFingerprint, float] = {}
         self._delete_at_s: dict[RequestFingerprint, float] = {}
-        self._untold: list[CrashNews | AnsweredNews] = []
-        self._told: list[tuple[CrashNews | AnsweredNews, float]] = []
+        self._untold: list[CrashGossip | AnsweredGossip] = []
+        self._told: list[tuple[CrashGossip | AnsweredGossip, float]] = []
 
     def is_watching(self) -> bool:
         """Whether any request needs to be recognised."""
@@ -113,34 +113,34 @@
     def note_crash(self, fingerprint: RequestFingerprint, run: RunId, came_again: bool) -> None:
         """This node has seen a back end crash under a request."""
         if self._take_crash(fingerprint, run, came_again, source="own"):
-            self._untold.append(CrashNews(fingerprint, run, came_again))
+            self._untold.append(CrashGossip(fingerprint, run, came_again))
 
     def note_answered(self, fingerprint: RequestFingerprint) -> None:
         """A back end has answered a request to its end: it is not what crashes them."""
         if self._take_answered(fingerprint):
-            self._untold.append(AnsweredNews(fingerprint))
+            self._untold.append(AnsweredGossip(fingerprint))
             self._delete_at_s[fingerprint] = self._clock()
 
-    def hear(self, news: PeerNews) -> None:
+    def receive(self, gossip: Gossip) -> None:
         """Take over what another node has seen."""
-        for crash in news.crashes:
+        for crash in gossip.crashes:
             fingerprint = read_fingerprint(crash.request)
             if fingerprint is not None:
                 self._take_crash(fingerprint, RunId(crash.run), crash.came_again, source="peer")
-        for answered in news.answered:
+        for answered in gossip.answered:
             fingerprint = read_fingerprint(answered.request)
             if fingerprint is not None:
                 self._take_answered(fingerprint)
 
-    def add_to(self, outbox: NewsOutbox, must_refresh: bool) -> None:
+    def add_to(self, outbox: GossipOutbox, must_refresh: bool) -> None:
         """Put into an outbox what is new, or again what was told of late."""
         if not (self._untold or self._told):
             return
         now_s = self._clock()
         untold, self._untold = self._untold, []
-        self._told = [(news, until_s) for news, until_s in self._told if until_s > now_s]
-        again = [news for news, _ in self._told] if must_refresh else []
-        self._told.extend((news, now_s + TELL_FOR_S) for news in untold)
+        self._told = [(gossip, until_s) for gossip, until_s in self._told if until_s > now_s]
+        again = [gossip for gossip, _ in self._told] if must_refresh else []
+        self._told.extend((gossip, now_s + TELL_FOR_S) for gossip in untold)
         _add_all(outbox, [*untold, *again])
 
     async def run(self) -> None:
@@ -199,11 +199,11 @@
 
     def _look_at_records(self) -> None:
         """Take over what has come into the store or gone from it since the last look."""
-        if self._num_record_changes == self._knowledge.num_record_changes:
+        if self._num_record_changes == self._cluster.num_record_changes:
             return
-        self._num_record_changes = self._knowledge.num_record_changes
+        self._num_record_changes = self._cluster.num_record_changes
         keys = (
-            read_quarantine_key(key) for key, _ in self._knowledge.records_under(QUARANTINE_PREFIX)
+            read_quarantine_key(key) for key, _ in self._cluster.records_under(QUARANTINE_PREFIX)
         )
         recorded = frozenset(one for one in keys if one is not None)
         for fingerprint in recorded - self._recorded:
@@ -236,18 +236,18 @@
     async def _delete(self, fingerprint: RequestFingerprint) -> None:
         key = quarantine_key(fingerprint)
         self._delete_at_s[fingerprint] = self._clock() + WRITE_AGAIN_S
-        if key not in self._knowledge.records:
+        if key not in self._cluster.records:
             del self._delete_at_s[fingerprint]
             return
-        revision = self._knowledge.revision_of(key)
+        revision = self._cluster.revision_of(key)
         deleted = await self._store.compare_and_swap(key, revision, None)
         if not isinstance(deleted, Err):
             self._delete_at_s.pop(fingerprint, None)
 
 
-def _add_all(outbox: NewsOutbox, news: Iterable[CrashNews | AnsweredNews]) -> None:
-    for one in news:
-        if isinstance(one, CrashNews):
+def _add_all(outbox: GossipOutbox, gossip: Iterable[CrashGossip | AnsweredGossip]) -> None:
+    for one in gossip:
+        if isinstance(one, CrashGossip):
             outbox.add_crash(one)
         else:
             outbox.add_answered(one)
--- a/src/weirscale/gateway/replication/age_exchange.py
+++ b/src/weirscale/gateway/replication/age_exchange.py
@@ -10,11 +10,11 @@
 from random import Random
 
 from weirscale.gateway.durations import MILLISECONDS_PER_S, age_ms
-from weirscale.gateway.peers.messages import AgesQuery, AgesReply, NamedNews, PeerMessage
+from weirscale.gateway.peers.messages import AgesQuery, AgesReply, PeerMessage, TargetVersionGossip
 from weirscale.gateway.peers.open_queries import OpenQueries
 from weirscale.gateway.peers.registrations import PeerDirectory
 from weirscale.gateway.settings import ListenAddress
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.gateway.state.store_outages import NEVER_S, Span
 from weirscale.gateway.ticks import sleep_to_tick
 from weirscale.ports.event_log import EventLog
@@ -52,7 +52,7 @@
     def __init__(
         self,
         name: str,
-        knowledge: Knowledge,
+        cluster: ClusterState,
         peers: PeerDirectory,
         send: Send,
         event_log: EventLog,
@@ -60,7 +60,7 @@
         clock: Callable[[], float],
     ) -> None:
         self._name = name
-        self._knowledge = knowledge
+        self._cluster = cluster
         self._peers = peers
         self._send = send
         self._event_log = event_log
@@ -73,30 +73,30 @@
 
     async def run(self) -> None:
         """Ask until cancelled, while there is doubt."""
-        await self._knowledge.wait_until_read()
+        await self._cluster.wait_until_read()
         began_s = self._clock()
         while True:
             now_s = self._clock()
-            self._knowledge.continuity.look(now_s)
-            self._knowledge.continuity.end_doubt(now_s - DOUBT_S)
+            self._cluster.store_outages.look(now_s)
+            self._cluster.store_outages.end_doubt(now_s - DOUBT_S)
             self._tell_silence(now_s)
             if now_s <= began_s + DOUBT_S or self._is_doubtful(now_s):
                 await self._ask(now_s)
             await sleep_to_tick(ASK_INTERVAL_S)
 
     def _is_doubtful(self, now_s: float) -> bool:
-        has_new_name = now_s <= self._knowledge.named_at_s + NAMING_DOUBT_S
-        return has_new_name or self._knowledge.continuity.is_doubtful(now_s)
+        has_new_name = now_s <= self._cluster.named_at_s + NAMING_DOUBT_S
+        return has_new_name or self._cluster.store_outages.is_doubtful(now_s)
 
     def _tell_silence(self, now_s: float) -> None:
         """Log that a silence of the store is in doubt, and later whose silence it was."""
-        continuity = self._knowledge.continuity
-        was_doubtful, self._was_doubtful = self._was_doubtful, continuity.is_doubtful(now_s)
+        store_outages = self._cluster.store_outages
+        was_doubtful, self._was_doubtful = self._was_doubtful, store_outages.is_doubtful(now_s)
         if self._was_doubtful:
             if not was_doubtful:
-                self._event_log.event("store_silent", age_ms=age_ms(self._knowledge.age_s()))
+                self._event_log.event("store_silent", age_ms=age_ms(self._cluster.age_s()))
             return
-        ended_s = continuity.outage_ended_s(now_s)
+        ended_s = store_outages.outage_ended_s(now_s)
         if was_doubtful:
             whose = "store" if ended_s > self._outage_ended_s else "own"
             self._event_log.event("store_silence_judged", whose=whose)
@@ -110,8 +110,8 @@
     async def answer(self, query: AgesQuery, address: ListenAddress) -> None:
         """Answer a query; a node that has proved nothing itself is silent."""
         now_s = self._clock()
-        self._knowledge.continuity.look(now_s)
-        span = self._knowledge.continuity.own_span()
+        self._cluster.store_outages.look(now_s)
+        span = self._cluster.store_outages.own_span()
         if span is None:
             return
         reply = AgesReply(
@@ -124,13 +124,13 @@
         )
         await self._send(reply, (address,))
 
-    def _named_lately(self, now_s: float) -> Iterable[NamedNews]:
-        for model, named in self._knowledge.weights.all():
+    def _named_lately(self, now_s: float) -> Iterable[TargetVersionGossip]:
+        for model, named in self._cluster.weights.all():
             age_s = now_s - named.named_after_s
             if age_s <= MAX_TOLD_AGE_S:
-                yield NamedNews(model, named.version, _whole_ms(age_s))
+                yield TargetVersionGossip(model, named.version, _whole_ms(age_s))
 
-    def hear(self, reply: AgesReply) -> None:
+    def receive(self, reply: AgesReply) -> None:
         """Take over an answer to a query that is still open."""
         asked_at_s = self._queries.asked_at_s(reply.number)
         if asked_at_s is None:
@@ -141,10 +141,10 @@
             asked_at_s - reply.proof_age_ms / MILLISECONDS_PER_S,
             None if silent_age_ms is None else asked_at_s - silent_age_ms / MILLISECONDS_PER_S,
         )
-        self._knowledge.continuity.hear(reply.sender, span, asked_at_s, self._clock())
+        self._cluster.store_outages.receive(reply.sender, span, asked_at_s, self._clock())
         for named in reply.named:
             named_after_s = asked_at_s - named.age_ms / MILLISECONDS_PER_S
-            self._knowledge.weights.narrow(named.model, named.version, named_after_s)
+            self._cluster.weights.narrow(named.model, named.version, named_after_s)
 
 
 def _whole_ms(age_s: float) -> int:
--- a/src/weirscale/gateway/replication/follower.py
+++ b/src/weirscale/gateway/replication/follower.py
@@ -11,7 +11,7 @@
 from weirscale.gateway.ports.state_feed import StateBatch, StateFeed
 from weirscale.gateway.replication.publisher import ChangePublisher
 from weirscale.gateway.replication.subscription import StateSubscription
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.gateway.state.store_outages import NEVER_S
 from weirscale.gateway.ticks import sleep_to_tick
 from weirscale.ports.event_log import EventLog
@@ -30,7 +30,7 @@
 LEAST_GATHER_S = 0.1
 MOST_GATHER_S = 0.4
 """Pause between an answer to the watch and the next watch: changes that come together cost one
-call. Each change ends every watch; a fleet that starts, or runners that take new weights, make many
+call. Each change ends every watch; a fleet that starts, or engines that take new weights, make many
 in a row, so the pause doubles while answers come at once. Changes must be in force within 2 s."""
 
 READ_PAUSE_S = 0.3
@@ -49,7 +49,7 @@
 
 
 class StateFollower:
-    """Keeps `Knowledge` up to date; `run` must be running.
+    """Keeps `ClusterState` up to date; `run` must be running.
 
     Args:
         feed: The platform's state.
@@ -64,7 +64,7 @@
     def __init__(
         self,
         feed: StateFeed,
-        knowledge: Knowledge,
+        cluster: ClusterState,
         event_log: EventLog,
         random: Random,
         publisher: ChangePublisher,
@@ -73,7 +73,7 @@
     ) -> None:
         self._clock = clock
         self._feed = feed
-        self._knowledge = knowledge
+        self._cluster = cluster
         self._publisher = publisher
         self._subscription = subscription
         self._event_log = event_log
@@ -111,10 +111,10 @@
             read = await self._feed.read_all()
             if isinstance(read, Err):
                 return read.err_value
-            if read.ok_value.revision < self._knowledge.revision:
+            if read.ok_value.revision < self._cluster.revision:
                 # A reader told newer changes meanwhile; what this reading lacks may be among them.
                 return None
-            self._knowledge.replace_all(read.ok_value, asked_at_s)
+            self._cluster.replace_all(read.ok_value, asked_at_s)
             self._must_read_all = False
             self._subscription.has_read()
             pause_s = READ_PAUSE_S
@@ -122,7 +122,7 @@
             followed = await self._follow()
             if isinstance(followed, Err):
                 return followed.err_value
-            self._knowledge.apply(followed.ok_value, NEVER_S)
+            self._cluster.apply(followed.ok_value, NEVER_S)
             pause_s = self._next_pause_s(self._clock() - asked_at_s)
         await self._publisher.publish()
         await anyio.sleep(pause_s)
@@ -139,7 +139,7 @@
 
     async def _follow(self) -> Result[StateBatch, KeyValueFailure]:
         with anyio.move_on_after(FOLLOW_WAIT_S + ANSWER_SLACK_S) as self._watch_scope:
-            return await self._feed.follow(self._knowledge.revision, FOLLOW_WAIT_S)
+            return await self._feed.follow(self._cluster.revision, FOLLOW_WAIT_S)
         return Err(KeyValueFailure(KeyValueFailureKind.AMBIGUOUS, "no answer to the watch"))
 
     async def _prove_regularly(self) -> None:
@@ -165,16 +165,14 @@
             # The watch may not notice by itself that its connection is dead.
             self._watch_scope.cancel()
             return
-        if self._knowledge.revision < read.ok_value:
+        if self._cluster.revision < read.ok_value:
             await anyio.sleep(LATE_CHANGE_S)
-        if self._knowledge.revision < read.ok_value:
-            self._event_log.event(
-                "watch_late", known=self._knowledge.revision, current=read.ok_value
-            )
+        if self._cluster.revision < read.ok_value:
+            self._event_log.event("watch_late", known=self._cluster.revision, current=read.ok_value)
             self._must_read_all = True
             self._watch_scope.cancel()
         else:
-            self._knowledge.confirm(asked_at_s)
+            self._cluster.confirm(asked_at_s)
             self._note_success()
 
     def _note_success(self) -> None:
@@ -184,14 +182,14 @@
 
     async def _note_failure(self, failure: KeyValueFailure) -> None:
         if failure.kind is KeyValueFailureKind.COMPACTED:
-            self._event_log.event("store_history_gone", revision=self._knowledge.revision)
+            self._event_log.event("store_history_gone", revision=self._cluster.revision)
             self._must_read_all = True
             return
         self._num_failures += 1
         if self._num_failures == 1:
             self._event_log.event(
                 "store_lost", kind=failure.kind.value, detail=failure.detail,
-                age_s=self._knowledge.age_s(),
+                age_s=self._cluster.age_s(),
             )  # fmt: skip
         pause_s = min(MAX_RETRY_S, FIRST_RETRY_S * 2 ** min(self._num_failures - 1, 8))
         pause_s *= 0.5 + self._random.random()
--- a/src/weirscale/gateway/replication/publisher.py
+++ b/src/weirscale/gateway/replication/publisher.py
@@ -13,7 +13,7 @@
     encode_message,
 )
 from weirscale.gateway.settings import ListenAddress
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.cluster_state import ClusterState
 
 SUBSCRIBED_S = 1.5
 """How long after its last query a node is told changes unasked."""
@@ -40,10 +40,10 @@
     """
 
     def __init__(
-        self, name: str, knowledge: Knowledge, send: Send, clock: Callable[[], float]
+        self, name: str, cluster: ClusterState, send: Send, clock: Callable[[], float]
     ) -> None:
         self._name = name
-        self._knowledge = knowledge
+        self._cluster = cluster
         self._send = send
         self._clock = clock
         self._subscribers: dict[str, _Subscriber] = {}
@@ -58,7 +58,7 @@
 
     async def answer(self, query: StateQuery, address: ListenAddress) -> None:
         """Answer a query."""
-        if not self._knowledge.has_read_all:
+        if not self._cluster.has_read_all:
             return
         self._subscribers[query.sender] = _Subscriber(address, self._clock())
         await self._send(self._reply(query.number, query.after_revision), (address,))
@@ -67,9 +67,9 @@
         """Tell all who asked lately what has changed since the last time."""
         after_revision, self._published_revision = (
             self._published_revision,
-            self._knowledge.revision,
+            self._cluster.revision,
         )
-        if not self.has_subscribers() or self._knowledge.revision <= after_revision:
+        if not self.has_subscribers() or self._cluster.revision <= after_revision:
             return
         reply = self._reply(0, after_revision)
         if not reply.changes:
@@ -77,13 +77,13 @@
         await self._send(reply, [one.address for one in self._subscribers.values()])
 
     def _reply(self, number: int, after_revision: int) -> StateReply:
-        knowledge = self._knowledge
-        age_ms = min(knowledge.age_s() * MILLISECONDS_PER_S, MAX_TOLD_AGE_MS)
+        cluster = self._cluster
+        age_ms = min(cluster.age_s() * MILLISECONDS_PER_S, MAX_TOLD_AGE_MS)
         told = StateReply(
-            self._name, number, after_revision, knowledge.revision, int(age_ms) + 1,
+            self._name, number, after_revision, cluster.revision, int(age_ms) + 1,
             is_left_out=True,
         )  # fmt: skip
-        changes = knowledge.log.since(after_revision)
+        changes = cluster.log.since(after_revision)
         if changes is None:
             return told
         whole = msgspec.structs.replace(told, is_left_out=False, changes=changes)
--- a/src/weirscale/gateway/replication/readers.py
+++ b/src/weirscale/gateway/replication/readers.py
@@ -3,7 +3,7 @@
 from collections.abc import Collection
 
 from weirscale.domain.identifiers import RegionName
-from weirscale.gateway.model.topology import ONE_PLACE, Places
+from weirscale.gateway.model.topology import ONE_REGION, Topology
 from weirscale.gateway.peers.groups import Member, head_rank
 
 MIN_READERS = 2
@@ -13,7 +13,7 @@
 many nodes a reader."""
 
 
-def choose_readers(members: Collection[Member], places: Places = ONE_PLACE) -> list[str]:
+def choose_readers(members: Collection[Member], topology: Topology = ONE_REGION) -> list[str]:
     """Return the nodes that read the store: the same on every node that knows the same members.
 
     Each region has a reader of its own, so that a change crosses the link between two regions once
@@ -21,7 +21,7 @@
     """
     regions: dict[RegionName, list[Member]] = {}
     for member in sorted(members, key=head_rank):
-        regions.setdefault(places.region_of(member.zone), []).append(member)
+        regions.setdefault(topology.region_of(member.zone), []).append(member)
     least = MIN_READERS if len(regions) < MIN_READERS else 1
     readers: list[str] = []
     for inhabitants in regions.values():
--- a/src/weirscale/gateway/replication/subscription.py
+++ b/src/weirscale/gateway/replication/subscription.py
@@ -17,7 +17,7 @@
 import xxhash
 
 from weirscale.gateway.durations import MILLISECONDS_PER_S
-from weirscale.gateway.model.topology import ONE_PLACE, Places
+from weirscale.gateway.model.topology import ONE_REGION, Topology
 from weirscale.gateway.peers.groups import Member
 from weirscale.gateway.peers.messages import (
     StateQuery,
@@ -28,7 +28,7 @@
 from weirscale.gateway.ports.state_feed import StateBatch
 from weirscale.gateway.replication.publisher import Send
 from weirscale.gateway.replication.readers import choose_readers
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.gateway.state.store_outages import NEVER_S
 from weirscale.gateway.ticks import sleep_to_tick
 from weirscale.ports.boot_clock import loop_deadline_s
@@ -59,17 +59,17 @@
     def __init__(
         self,
         name: str,
-        knowledge: Knowledge,
+        cluster: ClusterState,
         peers: PeerDirectory,
         send: Send,
         event_log: EventLog,
         random: Random,
         clock: Callable[[], float],
-        places: Places = ONE_PLACE,
+        topology: Topology = ONE_REGION,
     ) -> None:
-        self._places = places
+        self._topology = topology
         self._name = name
-        self._knowledge = knowledge
+        self._cluster = cluster
         self._peers = peers
         self._send = send
         self._event_log = event_log
@@ -88,7 +88,7 @@
         """Ask until cancelled."""
         while True:
             await sleep_to_tick(QUERY_INTERVAL_S * (0.9 + 0.2 * self._random.random()))
-            if self._knowledge.has_read_all:
+            if self._cluster.has_read_all:
                 await self._ask()
 
     def is_current(self) -> bool:
@@ -111,22 +111,22 @@
         if self._reading_due.is_set():
             self._reading_due = anyio.Event()
 
-    def hear(self, reply: StateReply) -> None:
+    def receive(self, reply: StateReply) -> None:
         """Take over a reply, or changes that were told unasked."""
         asked_at_s = self._queries.close(reply.number)
-        if reply.is_left_out or reply.after_revision > self._knowledge.revision:
+        if reply.is_left_out or reply.after_revision > self._cluster.revision:
             # What was told unasked may follow on something that got lost: the next query mends it.
-            if asked_at_s is not None and reply.revision > self._knowledge.revision:
+            if asked_at_s is not None and reply.revision > self._cluster.revision:
                 self._reading_due.set()
                 self.on_reading_due()
             return
         # What is not newer is known already, or has ended since: a late reply must not revive it.
-        newer = tuple(one for one in reply.changes if one.revision > self._knowledge.revision)
-        self._knowledge.apply(StateBatch(reply.revision, newer), NEVER_S)
+        newer = tuple(one for one in reply.changes if one.revision > self._cluster.revision)
+        self._cluster.apply(StateBatch(reply.revision, newer), NEVER_S)
         if asked_at_s is None:
             return
         proved_at_s = asked_at_s - reply.proof_age_ms / MILLISECONDS_PER_S
-        self._knowledge.confirm(proved_at_s)
+        self._cluster.confirm(proved_at_s)
         self._proved_at_s = max(self._proved_at_s, proved_at_s)
 
     async def _ask(self) -> None:
@@ -134,7 +134,7 @@
         if reader is None:
             return
         number = self._queries.open(self._clock())
-        query = StateQuery(self._name, number, self._knowledge.revision)
+        query = StateQuery(self._name, number, self._cluster.revision)
         await self._send(query, (self._peers.addresses()[reader],))
 
     def _choose_reader(self) -> str | None:
@@ -144,9 +144,9 @@
         """
         now_s = self._clock()
         members = self._peers.members()
-        readers = choose_readers(members, self._places)
+        readers = choose_readers(members, self._topology)
         if self._name in readers:
-            if self._knowledge.age_s() <= PATIENCE_S:
+            if self._cluster.age_s() <= PATIENCE_S:
                 self._reader = None
                 return None
             readers.remove(self._name)
@@ -167,7 +167,7 @@
         """Return the readers of this node's own region."""
         zones = {member.name: member.zone for member in members}
         own = zones[self._name]
-        return [one for one in readers if not self._places.is_far(own, zones[one])]
+        return [one for one in readers if not self._topology.is_cross_region(own, zones[one])]
 
     def _last_proof_s(self) -> float:
         """Return when the reader last proved to be of use, or was chosen."""
--- a/src/weirscale/gateway/requests/caller_app.py
+++ b/src/weirscale/gateway/requests/caller_app.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from weirscale.gateway.ports.callers import CallerDialect, CallerRequest
+from weirscale.gateway.ports.callers import CallerRequest, RequestCodec
 from weirscale.gateway.requests.exchange import Exchange
 from weirscale.gateway.requests.exchange_context import ExchangeContext
 from weirscale.gateway.requests.responder import Responder, Send
@@ -46,13 +46,13 @@
         self,
         settings: GatewaySettings,
         context: ExchangeContext,
-        dialect: CallerDialect,
+        codec: RequestCodec,
         is_ready: Callable[[], bool],
         sends_on: Callable[[], bool],
         metrics_text: Callable[[], bytes],
     ) -> None:
         self._context = context
-        self._dialect = dialect
+        self._codec = codec
         self._is_ready = is_ready
         self._sends_on = sends_on
         self._metrics_text = metrics_text
@@ -74,11 +74,11 @@
 
     async def _serve_caller(self, scope: Mapping[str, Any], receive: Receive, send: Send) -> None:
         arrived_at_s = self._context.clock()
-        request = self._dialect.parse(scope)
+        request = self._codec.parse(scope)
         if isinstance(request, str):
             await _answer(send, HTTP_BAD_REQUEST, request.encode())
             return
-        responder = Responder(send, self._dialect, request.request_id, self._sends_on)
+        responder = Responder(send, self._codec, request.request_id, self._sends_on)
         self.num_running += 1
         try:
             body = await self._read_body(receive)
@@ -106,7 +106,7 @@
             tasks.cancel_scope.cancel()
 
     async def _read_body(self, receive: Receive) -> bytes:
-        table = self._context.knowledge.table
+        table = self._context.cluster.table
         max_bytes = table.configuration.limits.max_body_bytes if table else 0
         parts: list[bytes] = []
         num_bytes = 0
--- a/src/weirscale/gateway/requests/exchange.py
+++ b/src/weirscale/gateway/requests/exchange.py
@@ -31,7 +31,7 @@
 )
 from weirscale.gateway.requests.overload import come_back_s, should_come_back
 from weirscale.gateway.requests.responder import Responder
-from weirscale.gateway.rollouts.gate import Lane
+from weirscale.gateway.rollouts.gate import Track
 from weirscale.gateway.rollouts.pace import AttemptTimes
 from weirscale.gateway.routing.choice import Choice
 from weirscale.gateway.routing.dispatcher import DispatchQuery
@@ -118,7 +118,7 @@
         self._cost = 0.0
         self._quota_refusal: QuotaDecision | None = None
         self._may_be_tried_elsewhere = False
-        self._has_repeat = False
+        self._has_retry = False
         """Whether a repeat of the shared budget was taken for the next attempt."""
         self._known_fingerprint: RequestFingerprint | None = None
         self._has_lost_back_end = False
@@ -149,11 +149,11 @@
         if self._request.timeout_s is not None:
             at_most_s = min(at_most_s, FIRST_READ_SHARE * self._request.timeout_s)
         with anyio.move_on_after(at_most_s):
-            await self._context.knowledge.wait_for_first_read(FIRST_READ_PATIENCE_S)
+            await self._context.cluster.wait_for_first_read(FIRST_READ_PATIENCE_S)
 
     def _admit(self) -> int | None:
         """Find route and tenant; returns the status of a refusal."""
-        table = self._context.knowledge.table
+        table = self._context.cluster.table
         if table is None:
             self._causes.append("no_configuration")
             return HTTP_UNAVAILABLE
@@ -177,8 +177,8 @@
 
     def _come_back_s(self) -> float:
         """Return when a caller should come back to whom this node cannot tell what is in force."""
-        is_cut_off = self._context.contact.is_cut_off()
-        return CUT_OFF_RETRY_S if is_cut_off else NO_CONFIGURATION_RETRY_S
+        is_isolated = self._context.isolation.is_isolated()
+        return CUT_OFF_RETRY_S if is_isolated else NO_CONFIGURATION_RETRY_S
 
     async def _is_within_quota(self) -> bool:
         """Let the tenant's quota decide; answers a request that it has no room for."""
@@ -251,18 +251,18 @@
         return chosen
 
     def _try_target(self, choice: Choice) -> Choice:
-        """Return the choice of a runner of a version on trial, if this request is to try it.
+        """Return the choice of an engine of a version on trial, if this request is to try it.
 
-        Whether the service has room was judged by the runners that serve: one that is tried has
+        Whether the service has room was judged by the engines that serve: one that is tried has
         room for the others' requests in no case.
         """
         assert self._route is not None and self._service is not None
         if (
             self._num_attempts
-            or self._context.trials.lane_of(self._service, self._route) is Lane.USUAL
+            or self._context.trials.track_of(self._service, self._route) is Track.STABLE
         ):
             return choice
-        trial = self._context.dispatcher.choose(self._query((), Lane.TRIAL))
+        trial = self._context.dispatcher.choose(self._query((), Track.CANARY))
         if trial is None:
             self._context.trials.give_back(self._service)
             return choice
@@ -275,9 +275,9 @@
             choice, self._route, self._request.timeout_s, limit
         )
 
-    def _query(self, excluded: Collection[str], lane: Lane = Lane.USUAL) -> DispatchQuery:
+    def _query(self, excluded: Collection[str], track: Track = Track.STABLE) -> DispatchQuery:
         assert self._service is not None
-        return DispatchQuery(self._service, self._request.prompt, self._tenant, excluded, lane)
+        return DispatchQuery(self._service, self._request.prompt, self._tenant, excluded, track)
 
     def _may_go_on(self, end: AttemptEnd) -> bool:
         """Whether another attempt may follow."""
@@ -287,15 +287,15 @@
             return False
         if end is AttemptEnd.NEVER_SENT:
             return True
-        if self._may_have_run and not self._route.is_repeatable:
+        if self._may_have_run and not self._route.is_retryable:
             return False
         if len(self._tried) >= self._route.max_attempts:
             self._causes.append("max_attempts")
             return False
-        if not (self._has_repeat or self._context.take_retry(self._service)):
+        if not (self._has_retry or self._context.take_retry(self._service)):
             self._causes.append("retry_budget")
             return False
-        self._has_repeat = False
+        self._has_retry = False
         return True
 
     async def _attempt(self, choice: Choice) -> AttemptEnd:
@@ -314,7 +314,7 @@
         came_again = self._comes_again()
         verdict = Verdict(AttemptEnd.UNCERTAIN, CANCELLED)
         scope = anyio.CancelScope()
-        patience = Patience(scope, self._take_repeat)
+        patience = Patience(scope, self._take_retry)
         self._may_be_tried_elsewhere = self._is_leavable(choice)
         self._set_patience(patience, self._context.first_event_patience_s(self._route, choice))
         self._context.patience.watch(patience)
@@ -381,13 +381,13 @@
         """Whether a silent back end may be left for another one, given a repeat to spend."""
         assert self._route is not None
         has_attempts = len(self._tried) + 1 < self._route.max_attempts
-        return self._route.is_repeatable and has_attempts and choice.num_candidates > 1
+        return self._route.is_retryable and has_attempts and choice.num_candidates > 1
 
-    def _take_repeat(self) -> bool:
+    def _take_retry(self) -> bool:
         """Take a repeat of the shared budget before a silent back end is left."""
         assert self._service is not None
-        self._has_repeat = self._context.take_retry(self._service)
-        return self._has_repeat
+        self._has_retry = self._context.take_retry(self._service)
+        return self._has_retry
 
     async def _send(self, choice: Choice, patience: Patience) -> Verdict:
         outbound = self._outbound(choice)
@@ -472,7 +472,7 @@
             await self._begin_stream(answer)
             self._note_pause()
             await self._responder.part(events)
-            # A caller that reads slowly holds the stream up here: that is no pause of the runner.
+            # A caller that reads slowly holds the stream up here: that is no pause of the engine.
             self._last_event_s = self._clock()
         await self._begin_stream(answer)
         rest = cutter.take_rest()
@@ -490,7 +490,7 @@
         if self._last_event_s is not None:
             pause_s = now_s - self._last_event_s
             self._longest_pause_s = max(self._longest_pause_s, pause_s)
-            # A pause that began before this run tells nothing of the runner.
+            # A pause that began before this run tells nothing of the engine.
             if self._service is not None and self._last_event_s > self._attempt_began_s:
                 self._context.note_pause(self._service, pause_s)
                 self._attempt_pause_s = max(self._attempt_pause_s or 0.0, pause_s)
--- a/src/weirscale/gateway/requests/exchange_context.py
+++ b/src/weirscale/gateway/requests/exchange_context.py
@@ -4,14 +4,14 @@
 
 from weirscale.domain.identifiers import ServiceName
 from weirscale.gateway.durations import MILLISECONDS_PER_S, age_ms
-from weirscale.gateway.limits.isolation import Contact
+from weirscale.gateway.limits.isolation import IsolationDetector
 from weirscale.gateway.limits.quota import QuotaDecision, QuotaLedger
 from weirscale.gateway.limits.retry_budget import SharedRetryBudget
 from weirscale.gateway.model.back_ends import BackEnd
 from weirscale.gateway.model.configuration import Route
 from weirscale.gateway.model.prompt import Prompt
-from weirscale.gateway.peers.messages import SendNews, SuspectNews
-from weirscale.gateway.peers.outbox import NewsOutbox
+from weirscale.gateway.peers.messages import SendGossip, SuspectGossip
+from weirscale.gateway.peers.outbox import GossipOutbox
 from weirscale.gateway.peers.registrations import PeerDirectory
 from weirscale.gateway.ports.back_end import Answer, BackEndPort
 from weirscale.gateway.quarantine.crash_check import CrashCheck, LostRequest
@@ -20,15 +20,15 @@
 from weirscale.gateway.requests.attempt_timeout import PatienceKeeper
 from weirscale.gateway.requests.outcome import CANCELLED, AttemptEnd, Verdict, is_about_weights
 from weirscale.gateway.requests.overload import QueueLimit
+from weirscale.gateway.rollouts.canary_traffic import CanaryTraffic, Ending
 from weirscale.gateway.rollouts.pace import AttemptTimes
-from weirscale.gateway.rollouts.trials import Ending, RolloutTrials
 from weirscale.gateway.routing.choice import Choice
 from weirscale.gateway.routing.dispatcher import Dispatcher
 from weirscale.gateway.routing.health import BackEndHealth
 from weirscale.gateway.routing.load import FleetLoad
-from weirscale.gateway.routing.traffic_split import WeightedSplit
-from weirscale.gateway.settings import Bounds
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.routing.traffic_split import TrafficSplit
+from weirscale.gateway.settings import Guarantees
+from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.gateway.telemetry.node_metrics import NodeMetrics
 from weirscale.gateway.telemetry.request_summary import ExchangeSummary
 from weirscale.gateway.weights.version_check import VersionCheck
@@ -43,7 +43,7 @@
 DEFAULT_TENANT_PRIORITY = 1
 
 FIRST_EVENT_SHARE = 1.2
-"""Share of the objective after which a silent runner is left, where another may take over."""
+"""Share of the objective after which a silent engine is left, where another may take over."""
 
 FIRST_EVENT_FACTOR = 3.0
 """The wait is at least this multiple of the estimate."""
@@ -52,15 +52,15 @@
 """A stream without an event for this multiple of its longest pause is taken up elsewhere, ..."""
 
 SLOW_PAUSE_FACTOR = 3.0
-"""... but not before this multiple of the usual pause: where all runners read long prompts, all
-streams pause, and another runner would only read the prompt once more."""
+"""... but not before this multiple of the usual pause: where all engines read long prompts, all
+streams pause, and another engine would only read the prompt once more."""
 
 PAUSE_WEIGHT = 0.02
 """Weight of one pause in the usual pause: some 50 count."""
 
 LONG_READ_TOKENS = 2_000
-"""A prompt of which a runner reads this much, for some 50 ms, is told to this node's group at once:
-two such prompts at one runner make every stream there pause."""
+"""A prompt of which an engine reads this much, some 50 ms, is gossiped within the group at once:
+two such prompts at one engine make every stream there pause."""
 
 OVERDUE_FACTOR = 2.0
 """An attempt that was given up without an event after this multiple of the objective counts as
@@ -86,7 +86,7 @@
         outbox: What peers are told.
         tell_now: Has peers told without waiting for the next regular message.
         contact: Whether this node is cut off.
-        version_check: Asks runners that have other weights than believed.
+        version_check: Asks engines that have other weights than believed.
         trials: Rollouts of services' programs.
         quarantine: Requests that crash back ends.
         port_of: Returns the port of a back end.
@@ -97,19 +97,19 @@
 
     def __init__(
         self,
-        bounds: Bounds,
-        knowledge: Knowledge,
+        bounds: Guarantees,
+        cluster: ClusterState,
         dispatcher: Dispatcher,
         load: FleetLoad,
         health: BackEndHealth,
         budget: SharedRetryBudget,
         quotas: QuotaLedger,
         peers: PeerDirectory,
-        outbox: NewsOutbox,
+        outbox: GossipOutbox,
         tell_now: Callable[[], None],
-        contact: Contact,
+        isolation: IsolationDetector,
         version_check: VersionCheck,
-        trials: RolloutTrials,
+        trials: CanaryTraffic,
         quarantine: Quarantine,
         port_of: Callable[[BackEnd], BackEndPort],
         event_log: EventLog,
@@ -117,7 +117,7 @@
         clock: Callable[[], float],
     ) -> None:
         self._key_removal_s = bounds.key_removal_s
-        self.knowledge = knowledge
+        self.cluster = cluster
         self.dispatcher = dispatcher
         self._load = load
         self._health = health
@@ -126,29 +126,29 @@
         self._peers = peers
         self._outbox = outbox
         self._tell_now = tell_now
-        self.contact = contact
+        self.isolation = isolation
         self._version_check = version_check
         self.trials = trials
         self.quarantine = quarantine
-        self.crash_check = CrashCheck(knowledge, port_of, self._take_crash)
+        self.crash_check = CrashCheck(cluster, port_of, self._take_crash)
         self.port_of = port_of
         self._event_log = event_log
         self._metrics = metrics
         self.clock = clock
-        self.split = WeightedSplit()
+        self.split = TrafficSplit()
         self.patience = PatienceKeeper(clock)
         self._waiting: dict[int, int] = {}
         self._usual_pause_s: dict[ServiceName, float] = {}
         self._queue_limits: dict[ServiceName, QueueLimit] = {}
 
-    def set_bounds(self, bounds: Bounds) -> None:
+    def set_bounds(self, bounds: Guarantees) -> None:
         """Change the bounds."""
         self._key_removal_s = bounds.key_removal_s
 
     def is_current(self) -> bool:
         """Whether the configuration is proved to be current enough for keys."""
         bound_s = self._key_removal_s
-        return bound_s is None or self.knowledge.age_s() <= PROOF_SHARE * bound_s
+        return bound_s is None or self.cluster.age_s() <= PROOF_SHARE * bound_s
 
     def priority(self, tenant_priority: int | None, route_priority: int) -> int:
         """Combine priorities: the tenant's goes before the route's; 0 is the most urgent."""
@@ -229,7 +229,7 @@
                 self._version_check.request(instance)
         elif verdict.end is AttemptEnd.NEVER_SENT:
             self._health.unreachable(instance, verdict.reason, now_s)
-            self._outbox.add_suspect(SuspectNews(instance))
+            self._outbox.add_suspect(SuspectGossip(instance))
         elif verdict.end is AttemptEnd.FAILED or verdict.reason in BLAMED:
             self._health.failed(instance, verdict.reason, now_s)
 
@@ -244,7 +244,7 @@
             requests=len(lost),
         )  # fmt: skip
         self._health.unreachable(back_end.instance, "crashed", self.clock())
-        self._outbox.add_suspect(SuspectNews(back_end.instance))
+        self._outbox.add_suspect(SuspectGossip(back_end.instance))
         for one in lost:
             self.quarantine.note_crash(one.fingerprint, back_end.run_id, one.came_again)
         self._tell_now()
@@ -259,7 +259,7 @@
     ) -> None:
         """Count an attempt for the version of its back end.
 
-        One that did not run for a reason of its runner's weights tells nothing of the version, nor
+        One that did not run for a reason of its engine's weights tells nothing of the version, nor
         does one that its caller left before it was overdue.
         """
         back_end = choice.candidate.back_end
@@ -273,16 +273,16 @@
         self.trials.note_end(back_end, route, Ending(is_sound, times.ended(ended_s, expected_s)))
 
     def note_answer(self, choice: Choice, prompt: Prompt | None, answer: Answer) -> None:
-        """Learn from the head of an answer which weights the runner has."""
+        """Learn from the head of an answer which weights the engine has."""
         if prompt is None or answer.weight_version is None or choice.scope is None:
             return
         instance = choice.candidate.back_end.instance
-        self.knowledge.learn_version(instance, prompt.model, answer.weight_version, "answer")
+        self.cluster.learn_version(instance, prompt.model, answer.weight_version, "answer")
 
     def _tell_send(self, choice: Choice, prompt: Prompt, is_ready: bool) -> None:
         assert choice.scope is not None
         instance = choice.candidate.back_end.instance
-        self._outbox.add_send(SendNews(instance, choice.scope, is_ready, prompt.parts))
+        self._outbox.add_send(SendGossip(instance, choice.scope, is_ready, prompt.parts))
 
     def tell_end(self, summary: ExchangeSummary) -> None:
         """Log and count a request that has ended."""
@@ -290,7 +290,7 @@
         self._event_log.event("request_ended", **self._fields(summary))
 
     def _fields(self, summary: ExchangeSummary) -> dict[str, object]:
-        table = self.knowledge.table
+        table = self.cluster.table
         fields: dict[str, object] = {
             "id": summary.request.request_id,
             "outcome": summary.stage.value,
@@ -300,7 +300,7 @@
             "attempts": summary.num_attempts,
             "ms": round(summary.duration_s * MILLISECONDS_PER_S, 1),
             "config": table.version if table else 0,
-            "config_age_ms": age_ms(self.knowledge.age_s()),
+            "config_age_ms": age_ms(self.cluster.age_s()),
         }
         if summary.first_byte_s is not None:
             fields["first_ms"] = round(summary.first_byte_s * MILLISECONDS_PER_S, 1)
@@ -310,7 +310,7 @@
             fields.update(_choice_fields(summary.choice))
             if summary.service is not None and self.trials.is_open(summary.service):
                 fields["software"] = summary.choice.candidate.back_end.software
-                fields["trial"] = int(summary.choice.is_trial)
+                fields["trial"] = int(summary.choice.is_canary)
             if summary.service is not None and summary.choice.scope is not None:
                 fields["queue_share"] = round(self.queue_limit(summary.service).share, 2)
         if summary.quota is not None:
--- a/src/weirscale/gateway/requests/overload.py
+++ b/src/weirscale/gateway/requests/overload.py
@@ -4,7 +4,7 @@
 come back finds the queue shorter. The queue that callers may join is bounded by a share of the
 objective. A caller that has come back may join a longer one than one that asks for the first time.
 
-Where prompts are read without end, runners generate one token for each piece that they read, so
+Where prompts are read without end, engines generate one token for each piece that they read, so
 that every stream pauses although no queue is long. So the bound follows what streams show: each
 stream that paused longer than its route allows lowers it, each one that did not raises it.
 """
--- a/src/weirscale/gateway/requests/responder.py
+++ b/src/weirscale/gateway/requests/responder.py
@@ -3,7 +3,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from weirscale.gateway.ports.callers import CallerDialect, Headers
+from weirscale.gateway.ports.callers import Headers, RequestCodec
 
 Send = Callable[[dict[str, Any]], Awaitable[None]]
 """ASGI's send."""
@@ -25,10 +25,10 @@
     """
 
     def __init__(
-        self, send: Send, dialect: CallerDialect, request_id: str, sends_on: Callable[[], bool]
+        self, send: Send, codec: RequestCodec, request_id: str, sends_on: Callable[[], bool]
     ) -> None:
         self._send = send
-        self._dialect = dialect
+        self._codec = codec
         self._request_id = request_id
         self._sends_on = sends_on
         self.has_begun = False
@@ -37,7 +37,7 @@
 
     async def refuse(self, status: int, retry_after_s: float | None = None) -> None:
         """Answer on the gateway's own behalf."""
-        headers = self._dialect.refusal_headers(self._request_id, retry_after_s)
+        headers = self._codec.refusal_headers(self._request_id, retry_after_s)
         await self.whole(status, headers, b"")
 
     async def whole(self, status: int, headers: Headers, body: bytes) -> None:
--- a/src/weirscale/gateway/rollouts/allowance.py
+++ b/src/weirscale/gateway/rollouts/allowance.py
@@ -7,13 +7,13 @@
 
 import math
 
-from weirscale.gateway.settings import ExposureBounds
+from weirscale.gateway.settings import CanaryLimits
 
 SAFETY = 0.9
 """Share of the allowed share that is used: nodes see the same requests a little apart."""
 
 MOST_SAVED = 3.0
-"""Attempts that may be saved up: more at once would be no ordinary load of a runner."""
+"""Attempts that may be saved up: more at once would be no ordinary load of an engine."""
 
 SPREAD_ERRORS = 5.0
 """A random start needs a tolerance of this many standard errors of the sum over all nodes."""
@@ -25,9 +25,7 @@
 """Share of the tolerance that is handed out at the start; the rest bears the rounding."""
 
 
-def start_credit(
-    bounds: ExposureBounds, num_nodes: int, has_seen_order: bool, drawn: float
-) -> float:
+def start_credit(bounds: CanaryLimits, num_nodes: int, has_seen_order: bool, drawn: float) -> float:
     """Return what a node begins with.
 
     Args:
--- a/src/weirscale/gateway/rollouts/trials.py
+++ b/src/weirscale/gateway/rollouts/canary_traffic.py
@@ -10,7 +10,7 @@
 from weirscale.gateway.model.configuration import Route
 from weirscale.gateway.model.rollout_order import Epoch
 from weirscale.gateway.rollouts.allowance import Allowance, start_credit
-from weirscale.gateway.rollouts.gate import Lane, RecordReader, RolloutView, VersionGate
+from weirscale.gateway.rollouts.gate import RecordReader, RolloutView, Track, VersionGate
 from weirscale.gateway.rollouts.pace import AnswerTimes, UsualPace
 from weirscale.gateway.rollouts.record import Stage
 from weirscale.gateway.rollouts.tallies import (
@@ -24,8 +24,8 @@
     evidence_of,
 )
 from weirscale.gateway.rollouts.verdict import MAIN_ROUTE_SHARE, AlarmTest, Verdict
-from weirscale.gateway.settings import ExposureBounds
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.settings import CanaryLimits
+from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.ports.event_log import EventLog
 
 LOOK_INTERVAL_S = 0.2
@@ -57,7 +57,7 @@
     times: AnswerTimes | None = None
 
 
-class RolloutTrials:
+class CanaryTraffic:
     """Decides which requests of this node try a target, and counts how all of them end.
 
     Args:
@@ -75,8 +75,8 @@
 
     def __init__(
         self,
-        bounds: ExposureBounds,
-        knowledge: Knowledge,
+        bounds: CanaryLimits,
+        cluster: ClusterState,
         reader: RecordReader,
         gate: VersionGate,
         num_nodes: Callable[[], int],
@@ -88,7 +88,7 @@
     ) -> None:
         self._count = count
         self._bounds = bounds
-        self._knowledge = knowledge
+        self._cluster = cluster
         self._reader = reader
         self._gate = gate
         self._num_nodes = num_nodes
@@ -104,21 +104,21 @@
         """What was known of each open rollout at the last look."""
         self._looked_at_s = float("-inf")
 
-    def set_bounds(self, bounds: ExposureBounds) -> None:
+    def set_bounds(self, bounds: CanaryLimits) -> None:
         """Change what an unproved version may get; allowances that have begun keep their share."""
         self._bounds = bounds
 
-    def lane_of(self, service: ServiceName, route: Route) -> Lane:
+    def track_of(self, service: ServiceName, route: Route) -> Track:
         """Return which versions a request that was not sent yet is for, and spend the allowance."""
         view = self._open_view(service)
         if view is None or not self._gate.may_try(view) or self.alarm(view.epoch) is not None:
-            return Lane.USUAL
-        if not route.is_repeatable and not self._may_try_once(service, view):
-            return Lane.USUAL
+            return Track.STABLE
+        if not route.is_retryable and not self._may_try_once(service, view):
+            return Track.STABLE
         allowance = self._allowance(service, view)
         if not self._is_wanted(route, view.epoch) and not allowance.is_full():
-            return Lane.USUAL
-        return Lane.TRIAL if allowance.try_take() else Lane.USUAL
+            return Track.STABLE
+        return Track.CANARY if allowance.try_take() else Track.STABLE
 
     def _is_wanted(self, route: Route, epoch: Epoch) -> bool:
         """Whether no other route needs trials more than this one, which has had enough."""
@@ -132,7 +132,7 @@
         )
 
     def give_back(self, service: ServiceName) -> None:
-        """A request that was to try the target did not: there is no runner for it."""
+        """A request that was to try the target did not: there is no engine for it."""
         view = self._open_view(service)
         if view is not None:
             self._allowance(service, view).give_back()
@@ -177,7 +177,7 @@
 
     def stages(self) -> dict[ServiceName, str]:
         """Return how far the rollouts of all services are that have an order."""
-        views = {one: self._reader.view(one) for one in self._knowledge.rollouts.orders}
+        views = {one: self._reader.view(one) for one in self._cluster.rollouts.orders}
         return {
             service: view.stage.value if view.stage else "ordered"
             for service, view in views.items()
@@ -185,14 +185,14 @@
         }
 
     def _open_view(self, service: ServiceName) -> RolloutView | None:
-        if not self._knowledge.rollouts.orders:
+        if not self._cluster.rollouts.orders:
             return None
         view = self._reader.view(service)
         return view if view is not None and view.is_open() else None
 
     def _may_try_once(self, service: ServiceName, view: RolloutView) -> bool:
         """Whether requests that may not be repeated may try the target."""
-        order = self._knowledge.rollouts.orders.get(service)
+        order = self._cluster.rollouts.orders.get(service)
         if order is not None:
             elapsed_s = self._clock() - order.seen_at_s
             if elapsed_s >= LAST_KINDS_SHARE * order.deadline_s:
@@ -203,7 +203,7 @@
     def _allowance(self, service: ServiceName, view: RolloutView) -> Allowance:
         allowance = self._allowances.get(view.epoch)
         if allowance is None:
-            order = self._knowledge.rollouts.orders.get(service)
+            order = self._cluster.rollouts.orders.get(service)
             has_seen_order = order is not None and not order.was_there
             credit = start_credit(
                 self._bounds, self._num_nodes(), has_seen_order, self._random.random()
@@ -219,7 +219,7 @@
     def tick(self) -> None:
         """Look at the tallies of the open rollouts, if it is time, and forget the ended ones."""
         now_s = self._clock()
-        orders = self._knowledge.rollouts.orders
+        orders = self._cluster.rollouts.orders
         if not orders or now_s - self._looked_at_s < LOOK_INTERVAL_S:
             return
         self._looked_at_s = now_s
@@ -233,7 +233,7 @@
     def _look(self, service: ServiceName, view: RolloutView, sums: Tallies, now_s: float) -> None:
         test = self._tests.get(view.epoch)
         if test is None:
-            order = self._knowledge.rollouts.orders[service]
+            order = self._cluster.rollouts.orders[service]
             test = self._tests[view.epoch] = AlarmTest(order.deadline_s)
         had_alarm = test.alarm is not None
         known = self._known[view.epoch] = by_route(sums, service, view.epoch)
@@ -247,7 +247,7 @@
     def _forget_ended(self) -> None:
         open_epochs = [
             view.epoch
-            for view in map(self._open_view, tuple(self._knowledge.rollouts.orders))
+            for view in map(self._open_view, tuple(self._cluster.rollouts.orders))
             if view is not None
         ]
         self.tallies.keep(open_epochs)
