--- a/src/weirscale/gateway/rollouts/gate.py
+++ b/src/weirscale/gateway/rollouts/gate.py
@@ -10,23 +10,23 @@
 from weirscale.gateway.model.back_ends import BackEnd
 from weirscale.gateway.model.rollout_order import Epoch, RolloutOrder, RolloutState
 from weirscale.gateway.rollouts.record import RolloutRecord, Stage, decode_record, record_key
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.ports.event_log import EventLog
 
 PROOF_SHARE = 0.3
 """Share of the time for a return for which a proof of the record holds. The rest is for the news of
 the bad answers, the decision and its way here."""
 
-LEAST_CANARY_RUNNERS = 3
-"""With fewer a single bad runner could not be told from a bad version."""
+MIN_CANARY_ENGINES = 3
+"""With fewer a single bad engine could not be told from a bad version."""
 
 
-class Lane(enum.Enum):
+class Track(enum.Enum):
     """Which versions a request is for."""
 
-    USUAL = "usual"
+    STABLE = "usual"
     """Those that serve."""
-    TRIAL = "trial"
+    CANARY = "trial"
     """The target that is being tried."""
 
 
@@ -71,14 +71,14 @@
         event_log: Where a record that cannot be read is told.
     """
 
-    def __init__(self, knowledge: Knowledge, event_log: EventLog) -> None:
-        self._knowledge = knowledge
+    def __init__(self, cluster: ClusterState, event_log: EventLog) -> None:
+        self._cluster = cluster
         self._event_log = event_log
         self._read: dict[ServiceName, tuple[bytes, RolloutRecord | None]] = {}
 
     def record(self, service: ServiceName) -> RolloutRecord | None:
         """Return the latest record of a service, whichever order it is about."""
-        value = self._knowledge.records.get(record_key(service))
+        value = self._cluster.records.get(record_key(service))
         if value is None:
             return None
         known = self._read.get(service)
@@ -94,7 +94,7 @@
 
     def view(self, service: ServiceName) -> RolloutView | None:
         """Return what is known of a service's rollout; None if there was never one."""
-        order = self._knowledge.rollouts.orders.get(service)
+        order = self._cluster.rollouts.orders.get(service)
         record = self.record(service)
         if record is not None and (order is None or record.epoch >= order.epoch):
             view = view_of(record)
@@ -121,12 +121,12 @@
         if not order.was_there:
             return order.served_before
         # This node did not see what served before the order: what serves alone must have.
-        found = {one.software for one in self._knowledge.directory.of_service(order.service)}
+        found = {one.software for one in self._cluster.directory.of_service(order.service)}
         return found == {order.target}
 
     def _told_end(self, order: RolloutOrder) -> Stage | None:
         """Return the end that operators have been told of an order whose record is gone."""
-        seen = self._knowledge.rollouts.status_of(order.service)
+        seen = self._cluster.rollouts.status_of(order.service)
         if seen is None or seen.revision < order.epoch or seen.status.target != order.target:
             return None
         return _END_STAGES.get(seen.status.state)
@@ -177,23 +177,23 @@
     def __init__(
         self,
         reader: RecordReader,
-        knowledge: Knowledge,
+        cluster: ClusterState,
         return_s: Callable[[], float],
-        is_cut_off: Callable[[], bool],
+        is_isolated: Callable[[], bool],
         share: Callable[[], float],
     ) -> None:
         self._reader = reader
-        self._knowledge = knowledge
+        self._cluster = cluster
         self._return_s = return_s
-        self._is_cut_off = is_cut_off
+        self._is_cut_off = is_isolated
         self._share = share
 
-    def usable(self, service: ServiceName, back_ends: list[BackEnd], lane: Lane) -> list[BackEnd]:
+    def usable(self, service: ServiceName, back_ends: list[BackEnd], track: Track) -> list[BackEnd]:
         """Return those of a service's back ends that a request of a lane may go to."""
         view = self._reader.view(service)
         if view is None:
             return back_ends if self._may_serve_unproved() else []
-        if lane is Lane.TRIAL:
+        if track is Track.CANARY:
             return self._canary(view, back_ends) if self.may_try(view) else []
         if not self._may_serve(view):
             return []
@@ -209,7 +209,7 @@
         return view is None or view.is_usual(back_end.software)
 
     def _is_proved(self) -> bool:
-        return self._knowledge.age_s() <= PROOF_SHARE * self._return_s()
+        return self._cluster.age_s() <= PROOF_SHARE * self._return_s()
 
     def _may_serve(self, view: RolloutView) -> bool:
         """Whether the versions that serve are known for sure enough."""
@@ -217,18 +217,18 @@
             # It may have been returned; at the predecessors nobody may begin any more.
             return self._is_proved()
         if view.is_open():
-            return self._knowledge.age_s() <= self._return_s()
+            return self._cluster.age_s() <= self._return_s()
         return self._may_serve_unproved()
 
     def _may_serve_unproved(self) -> bool:
         """Whether there may be no rollout that this node has missed from order to end."""
-        return self._knowledge.age_s() <= self._return_s() or not self._is_cut_off()
+        return self._cluster.age_s() <= self._return_s() or not self._is_cut_off()
 
     def _canary(self, view: RolloutView, back_ends: list[BackEnd]) -> list[BackEnd]:
-        """Return the few runners of the target that are tried, the same on all nodes."""
+        """Return the few engines of the target that are tried, the same on all nodes."""
         targets = [one for one in back_ends if one.software == view.target]
         num_old = sum(1 for one in back_ends if view.is_usual(one.software))
-        num = max(LEAST_CANARY_RUNNERS, round(self._share() * num_old))
+        num = max(MIN_CANARY_ENGINES, round(self._share() * num_old))
         return sorted(targets, key=lambda one: _rank(view.epoch, one.instance))[:num]
 
 
--- a/src/weirscale/gateway/rollouts/holder_task.py
+++ b/src/weirscale/gateway/rollouts/holder_task.py
@@ -14,6 +14,7 @@
 from weirscale.gateway.model.back_ends import TAKES_WORK, BackEnd
 from weirscale.gateway.model.rollout_order import Epoch, RolloutOrder, RolloutStatus
 from weirscale.gateway.ports.state_feed import StateFeed
+from weirscale.gateway.rollouts.canary_traffic import verdict_fields
 from weirscale.gateway.rollouts.gate import RecordReader
 from weirscale.gateway.rollouts.plan import RolloutFacts, Step, next_record, next_step, status_of
 from weirscale.gateway.rollouts.record import RolloutRecord, Stage, encode_record, record_key
@@ -24,9 +25,8 @@
     by_route,
     evidence_of,
 )
-from weirscale.gateway.rollouts.trials import verdict_fields
 from weirscale.gateway.rollouts.verdict import Judgement, Verdict, judge_end
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.gateway.ticks import sleep_to_tick
 from weirscale.leases.lease_task import DutyLeaseTask
 from weirscale.ports.event_log import EventLog
@@ -91,7 +91,7 @@
     def __init__(
         self,
         lease: DutyLeaseTask,
-        knowledge: Knowledge,
+        cluster: ClusterState,
         reader: RecordReader,
         store: KeyValuePort,
         feed: StateFeed,
@@ -105,7 +105,7 @@
         clock: Callable[[], float],
     ) -> None:
         self._lease = lease
-        self._knowledge = knowledge
+        self._cluster = cluster
         self._reader = reader
         self._store = store
         self._feed = feed
@@ -123,7 +123,7 @@
     async def run(self) -> None:
         """Plan until cancelled."""
         while True:
-            for order in tuple(self._knowledge.rollouts.orders.values()):
+            for order in tuple(self._cluster.rollouts.orders.values()):
                 await self._advance(order)
             await self._close_withdrawn()
             await sleep_to_tick(PLAN_INTERVAL_S)
@@ -156,7 +156,7 @@
         return is_time and self._lease.token() is not None
 
     def _facts(self, order: RolloutOrder, record: RolloutRecord | None) -> RolloutFacts:
-        known = tuple(self._knowledge.directory.of_service(order.service))
+        known = tuple(self._cluster.directory.of_service(order.service))
         old = [one for one in known if one.software != order.target]
         target = [one for one in known if one.software == order.target]
         # Those that leave take no new work, but what runs there must end too.
@@ -224,7 +224,7 @@
         """Write a record over the one that is known; False if that is not known to be done."""
         self._not_before_s[record.service] = self._clock() + AFTER_CALL_S
         key = record_key(record.service)
-        revision = self._knowledge.revision_of(key) if key in self._knowledge.records else 0
+        revision = self._cluster.revision_of(key) if key in self._cluster.records else 0
         with anyio.move_on_after(CALL_TIMEOUT_S):
             swapped = await self._store.compare_and_swap(key, revision, encode_record(record))
             return not isinstance(swapped, Err) and swapped.ok_value.succeeded
@@ -233,7 +233,7 @@
     async def _tell_operators(self, record: RolloutRecord) -> None:
         """Write the status, unless it says what the record says."""
         status = RolloutStatus(record.service, record.target, status_of(record))
-        seen = self._knowledge.rollouts.status_of(record.service)
+        seen = self._cluster.rollouts.status_of(record.service)
         if seen is not None and seen.status == status and seen.revision > record.epoch:
             return
         self._not_before_s[record.service] = self._clock() + AFTER_CALL_S
@@ -249,8 +249,8 @@
 
     async def _close_withdrawn(self) -> None:
         """Return the rollouts whose order was withdrawn."""
-        orders = self._knowledge.rollouts.orders
-        for service in {one.service for one in self._knowledge.directory.all()}:
+        orders = self._cluster.rollouts.orders
+        for service in {one.service for one in self._cluster.directory.all()}:
             record = self._reader.record(service)
             if record is None or service in orders or not self._may_write(service):
                 continue
--- a/src/weirscale/gateway/rollouts/plan.py
+++ b/src/weirscale/gateway/rollouts/plan.py
@@ -20,7 +20,7 @@
 """A version that is undecided so long before the deadline is returned."""
 
 LEAST_CAPACITY_SHARE = 0.5
-"""The target's runners must have at least this share of the slots that the older ones have."""
+"""The target's engines must have at least this share of the slots that the older ones have."""
 
 HOLD_S = 1.5
 """The conditions of the end must hold for so long: news of loads and moves may be as old."""
@@ -36,8 +36,8 @@
         elapsed_s: Time since the order, at least.
         verdict: What is known of the target.
         evidence: Counts that it rests on.
-        target_slots: Slots of the target's runners that take work.
-        old_slots: Slots of the older runners that take work.
+        target_slots: Slots of the target's engines that take work.
+        old_slots: Slots of the older engines that take work.
         old_versions: Versions of the older back ends, leaving ones included.
         has_moved_s: For how long every node has been known to have moved and nothing to run at
             older versions; 0 if that is not so.
--- a/src/weirscale/gateway/rollouts/gossip.py
+++ b/src/weirscale/gateway/rollouts/reporter.py
@@ -8,8 +8,8 @@
 
 from weirscale.domain.identifiers import ServiceName
 from weirscale.gateway.model.rollout_order import Epoch
-from weirscale.gateway.peers.messages import MovedNews, PeerNews, TrialNews
-from weirscale.gateway.peers.outbox import NewsOutbox
+from weirscale.gateway.peers.messages import CanaryGossip, Gossip, MovedGossip
+from weirscale.gateway.peers.outbox import GossipOutbox
 from weirscale.gateway.rollouts.barrier import MoveBarrier, MovedKey
 from weirscale.gateway.rollouts.gate import RecordReader
 from weirscale.gateway.rollouts.record import Stage
@@ -20,7 +20,7 @@
     Tallies,
     TallyKey,
 )
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.cluster_state import ClusterState
 
 TELL_INTERVAL_S = 0.25
 """Least time between two tellings of changed tallies."""
@@ -37,7 +37,7 @@
         self._told_at_s = float("-inf")
 
     def add_to(
-        self, outbox: NewsOutbox, tallies: Tallies, must_refresh: bool, now_s: float
+        self, outbox: GossipOutbox, tallies: Tallies, must_refresh: bool, now_s: float
     ) -> None:
         """Put into an outbox what has changed, or all of it, unless it was done just before."""
         if not must_refresh and now_s - self._told_at_s < TELL_INTERVAL_S:
@@ -49,8 +49,8 @@
         self._told = tallies
 
 
-def _news(key: TallyKey, counts: Counts) -> TrialNews:
-    return TrialNews(
+def _news(key: TallyKey, counts: Counts) -> CanaryGossip:
+    return CanaryGossip(
         key.service,
         key.epoch,
         key.route,
@@ -61,12 +61,12 @@
     )
 
 
-def _read(news: TrialNews) -> tuple[TallyKey, Counts]:
-    key = TallyKey(ServiceName(news.service), Epoch(news.epoch), news.route, news.instance)
-    return key, Counts(news.num, news.num_failed, news.num_slow)
+def _read(gossip: CanaryGossip) -> tuple[TallyKey, Counts]:
+    key = TallyKey(ServiceName(gossip.service), Epoch(gossip.epoch), gossip.route, gossip.instance)
+    return key, Counts(gossip.num, gossip.num_failed, gossip.num_slow)
 
 
-class RolloutTelling:
+class RolloutReporter:
     """Passes tallies and moves on; each node has one.
 
     Args:
@@ -79,13 +79,13 @@
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        cluster: ClusterState,
         reader: RecordReader,
         tallies: FleetTallies,
         num_requests: Callable[[str], int],
         clock: Callable[[], float],
     ) -> None:
-        self._knowledge = knowledge
+        self._cluster = cluster
         self._reader = reader
         self._tallies = tallies
         self._num_requests = num_requests
@@ -97,33 +97,33 @@
 
     def is_idle(self) -> bool:
         """Whether there is no order, so nothing to tell."""
-        return not self._knowledge.rollouts.orders
+        return not self._cluster.rollouts.orders
 
-    def hear(self, source: str, news: PeerNews) -> None:
+    def receive(self, source: str, gossip: Gossip) -> None:
         """Take over what a source tells; `source` is as for the loads."""
-        known = {order.epoch for order in self._knowledge.rollouts.orders.values()}
-        told = [_read(one) for one in news.trials if one.epoch in known]
+        known = {order.epoch for order in self._cluster.rollouts.orders.values()}
+        told = [_read(one) for one in gossip.trials if one.epoch in known]
         if told:
-            name = source if news.group else f"{source}#{news.run}"
-            self._tallies.hear(name, told)
-        for moved in news.moved:
+            name = source if gossip.group else f"{source}#{gossip.run}"
+            self._tallies.receive(name, told)
+        for moved in gossip.moved:
             if moved.epoch in known:
                 key = (ServiceName(moved.service), Epoch(moved.epoch))
-                self._barrier.hear(source, key, moved.num_nodes, self._clock())
+                self._barrier.receive(source, key, moved.num_nodes, self._clock())
 
-    def add_own(self, outbox: NewsOutbox, must_refresh: bool) -> None:
+    def add_own(self, outbox: GossipOutbox, must_refresh: bool) -> None:
         """Tell this node's group what this node has seen, and whether it has moved."""
         if self.is_idle():
             return
         self._to_own.add_to(outbox, dict(self._tallies.own), must_refresh, self._clock())
         for key in self._moves():
             if self.has_moved(key[0]):
-                outbox.add_moved(MovedNews(key[0], key[1], 1))
+                outbox.add_moved(MovedGossip(key[0], key[1], 1))
 
     def add_sums(
         self,
-        to_heads: NewsOutbox,
-        to_group: NewsOutbox,
+        to_heads: GossipOutbox,
+        to_group: GossipOutbox,
         is_member: SourceTest,
         is_group: SourceTest,
         must_refresh: bool,
@@ -139,8 +139,8 @@
         for key in self._moves():
             num_own = self._barrier.num_moved(key, is_member, now_s) + self.has_moved(key[0])
             num_rest = self._barrier.num_moved(key, is_group, now_s)
-            to_heads.add_moved(MovedNews(key[0], key[1], num_own))
-            to_group.add_moved(MovedNews(key[0], key[1], num_rest))
+            to_heads.add_moved(MovedGossip(key[0], key[1], num_own))
+            to_group.add_moved(MovedGossip(key[0], key[1], num_rest))
 
     def sums(self, counts: SourceTest) -> Tallies:
         """Return what all nodes have seen, by the sources that count at this node."""
@@ -158,14 +158,14 @@
             return False
         return not any(
             self._num_requests(one.instance)
-            for one in self._knowledge.directory.of_service(service)
+            for one in self._cluster.directory.of_service(service)
             if one.software != view.target
         )
 
     def _moves(self) -> Iterable[MovedKey]:
         """Return the rollouts that move now."""
         moves: set[MovedKey] = set()
-        for service in self._knowledge.rollouts.orders:
+        for service in self._cluster.rollouts.orders:
             view = self._reader.view(service)
             if view is not None and view.stage is Stage.MOVING:
                 moves.add((service, view.epoch))
--- a/src/weirscale/gateway/rollouts/tallies.py
+++ b/src/weirscale/gateway/rollouts/tallies.py
@@ -60,14 +60,14 @@
 
 
 class Evidence(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of a target and its predecessors, all routes and runners together."""
+    """What is known of a target and its predecessors, all routes and engines together."""
 
     target: Counts = NO_COUNTS
     old: Counts = NO_COUNTS
 
 
 PREDECESSORS = ""
-"""Stands for the instance where a tally is of all runners of older versions."""
+"""Stands for the instance where a tally is of all engines of older versions."""
 
 
 class TallyKey(msgspec.Struct, frozen=True):
@@ -77,7 +77,7 @@
         service: The service.
         epoch: The rollout.
         route: Name of the route.
-        instance: The target's runner, or `PREDECESSORS`.
+        instance: The target's engine, or `PREDECESSORS`.
     """
 
     service: ServiceName
@@ -99,7 +99,7 @@
 
     def __init__(self) -> None:
         self.own: Tallies = {}
-        self._heard: dict[str, Tallies] = {}
+        self._received: dict[str, Tallies] = {}
         self.num_changes = 0
         """Rises with each change, for those who read by change."""
 
@@ -108,22 +108,22 @@
         add_to(self.own, key, counts)
         self.num_changes += 1
 
-    def hear(self, source: str, told: Iterable[tuple[TallyKey, Counts]]) -> None:
+    def receive(self, source: str, told: Iterable[tuple[TallyKey, Counts]]) -> None:
         """Take over what a source tells."""
-        heard = self._heard.setdefault(source, {})
+        received = self._received.setdefault(source, {})
         for key, counts in told:
-            known = heard.get(key, NO_COUNTS)
+            known = received.get(key, NO_COUNTS)
             most = known.most(counts)
             if most != known:
-                heard[key] = most
+                received[key] = most
                 self.num_changes += 1
 
     def sum_of(self, is_wanted: Callable[[str], bool], with_own: bool = False) -> Tallies:
         """Return the sum over some sources."""
         sums: Tallies = dict(self.own) if with_own else {}
-        for source, heard in self._heard.items():
+        for source, received in self._received.items():
             if is_wanted(source):
-                for key, counts in heard.items():
+                for key, counts in received.items():
                     add_to(sums, key, counts)
         return sums
 
@@ -131,8 +131,12 @@
         """Forget all rollouts but these."""
         wanted = frozenset(epochs)
         self.own = _only(self.own, wanted)
-        self._heard = {source: _only(heard, wanted) for source, heard in self._heard.items()}
-        self._heard = {source: heard for source, heard in self._heard.items() if heard}
+        self._received = {
+            source: _only(received, wanted) for source, received in self._received.items()
+        }
+        self._received = {
+            source: received for source, received in self._received.items() if received
+        }
 
 
 def _only(tallies: Tallies, epochs: frozenset[Epoch]) -> Tallies:
@@ -143,8 +147,8 @@
     """What is known of a rollout on one route.
 
     Attributes:
-        old: Runners of older versions.
-        target: The target's runners by instance.
+        old: Engines of older versions.
+        target: The target's engines by instance.
     """
 
     old: Counts
@@ -167,7 +171,7 @@
 
 
 def evidence_of(routes: dict[str, RouteEvidence]) -> Evidence:
-    """Return the sums over all routes and runners."""
+    """Return the sums over all routes and engines."""
     target, old = NO_COUNTS, NO_COUNTS
     for route in routes.values():
         old = old.plus(route.old)
--- a/src/weirscale/gateway/rollouts/verdict.py
+++ b/src/weirscale/gateway/rollouts/verdict.py
@@ -4,8 +4,8 @@
 same time (its upper limit). The evidence is a ratio of likelihoods that may be looked at after each
 answer (`exact_test.log_evidence`). Several such ratios are averaged with fixed weights, which keeps
 their error rate: over all routes together and each route, from the start on and from later moments
-on, since some versions turn bad later. One runner that fails is no bad version, so there must also
-be evidence without the worst runner.
+on, since some versions turn bad later. One engine that fails is no bad version, so there must also
+be evidence without the worst engine.
 """
 
 import enum
@@ -20,8 +20,8 @@
 FALSE_ALARMS = 0.001
 """Share of sound versions that are called bad."""
 
-ONE_RUNNER_ERROR = 0.05
-"""How often a version may be called bad for a single runner that is."""
+ONE_ENGINE_ERROR = 0.05
+"""How often a version may be called bad for a single engine that is."""
 
 USUAL_ERROR = 0.01
 """How often the share of bad answers of older versions may lie above the limit that is used."""
@@ -54,7 +54,7 @@
 """More than that decides anyway."""
 
 LEAST_TO_COMPARE = 2
-"""With fewer runners there is none to compare the worst with."""
+"""With fewer engines there is none to compare the worst with."""
 
 
 class Judgement(enum.Enum):
@@ -87,30 +87,30 @@
     name: str
     weight: float
     old: Counts
-    runners: Mapping[str, Counts]
+    engines: Mapping[str, Counts]
 
     def target(self) -> Counts:
         total = NO_COUNTS
-        for counts in self.runners.values():
+        for counts in self.engines.values():
             total = total.plus(counts)
         return total
 
     def without_worst(self) -> Counts:
-        """Return the target's counts less those of the runner with most bad ones."""
-        if len(self.runners) < LEAST_TO_COMPARE:
+        """Return the target's counts less those of the engine with most bad ones."""
+        if len(self.engines) < LEAST_TO_COMPARE:
             return self.target()
-        worst = max(self.runners.values(), key=lambda one: (one.num_bad, -one.num))
+        worst = max(self.engines.values(), key=lambda one: (one.num_bad, -one.num))
         return self.target().minus(worst)
 
     def evidence(self) -> "_Evidence":
-        """Return the evidence that the target is worse, whole and without the worst runner."""
+        """Return the evidence that the target is worse, whole and without the worst engine."""
         usual = upper_limit(self.old.num_bad, self.old.num, USUAL_ERROR)
         whole, less = self.target(), self.without_worst()
         return _Evidence(_ratio(whole, usual), _ratio(less, usual))
 
 
 class _Evidence(msgspec.Struct, frozen=True):
-    """Ratios of likelihoods: of all runners, and of all but the worst."""
+    """Ratios of likelihoods: of all engines, and of all but the worst."""
 
     whole: float = 0.0
     without_worst: float = 0.0
@@ -123,8 +123,8 @@
         )
 
     def is_alarming(self) -> bool:
-        """Whether a sound version, or one bad runner, would show this too seldom."""
-        return self.whole >= 1.0 / FALSE_ALARMS and self.without_worst >= 1.0 / ONE_RUNNER_ERROR
+        """Whether a sound version, or one bad engine, would show this too seldom."""
+        return self.whole >= 1.0 / FALSE_ALARMS and self.without_worst >= 1.0 / ONE_ENGINE_ERROR
 
 
 def _ratio(counts: Counts, usual: float) -> float:
@@ -176,7 +176,7 @@
 def _mean_evidence(strata: list[_Stratum]) -> _Evidence:
     total = _Evidence()
     for stratum in strata:
-        if any(one.num_bad for one in stratum.runners.values()):
+        if any(one.num_bad for one in stratum.engines.values()):
             total = total.plus(stratum.evidence(), stratum.weight)
     return total
 
@@ -185,23 +185,23 @@
     """Return what the target has done since a moment, beside all that its predecessors did."""
     if earlier is None:
         return now
-    runners = {
+    engines = {
         instance: counts.minus(earlier.target.get(instance, NO_COUNTS))
         for instance, counts in now.target.items()
     }
-    return RouteEvidence(now.old, runners)
+    return RouteEvidence(now.old, engines)
 
 
 def _strata(routes: dict[str, RouteEvidence]) -> list[_Stratum]:
     """Return all routes together and each by itself."""
     old = NO_COUNTS
-    runners: dict[str, Counts] = {}
+    engines: dict[str, Counts] = {}
     for route in routes.values():
         old = old.plus(route.old)
         for instance, counts in route.target.items():
-            runners[instance] = runners.get(instance, NO_COUNTS).plus(counts)
+            engines[instance] = engines.get(instance, NO_COUNTS).plus(counts)
     weight = (1.0 - WHOLE_WEIGHT) / max(1, len(routes))
-    return [_Stratum("all", WHOLE_WEIGHT, old, runners)] + [
+    return [_Stratum("all", WHOLE_WEIGHT, old, engines)] + [
         _Stratum(name, weight, one.old, one.target) for name, one in routes.items()
     ]
 
--- a/src/weirscale/gateway/routing/cache_belief.py
+++ b/src/weirscale/gateway/routing/cache_belief.py
@@ -1,7 +1,7 @@
-"""What a node believes a runner or a store keeps of prompts.
+"""What a node believes an engine or a store keeps of prompts.
 
 Beliefs come from sends, the node's own and those that other nodes tell of. They are hints: the
-runner reads what it lacks, and finds a part only within the scope that it was made in.
+engine reads what it lacks, and finds a part only within the scope that it was made in.
 """
 
 from collections import OrderedDict
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from weirscale.gateway.model.prompt import PromptPart
+from weirscale.gateway.model.prompt import PromptBlock
 
 
 class KeptPart(msgspec.Struct):
@@ -17,7 +17,7 @@
 
     Attributes:
         num_tokens: Its size.
-        is_ready: Whether the runner has certainly read it, so that others may fetch it.
+        is_ready: Whether the engine has certainly read it, so that others may fetch it.
     """
 
     num_tokens: int
@@ -36,11 +36,11 @@
         self._num_tokens = 0
         self._parts: OrderedDict[tuple[str, str], KeptPart] = OrderedDict()
 
-    def note(self, scope: str, parts: Sequence[PromptPart], is_ready: bool) -> None:
+    def note(self, scope: str, parts: Sequence[PromptBlock], is_ready: bool) -> None:
         """Note that a request with these parts goes there, or that it has been read there."""
         # The first part is touched last, so that a chain loses its end before its beginning.
         for part in reversed(parts):
-            self._note_part((scope, part.part_id), part.num_tokens, is_ready)
+            self._note_part((scope, part.block_id), part.num_tokens, is_ready)
         while self._num_tokens > self._capacity_tokens and self._parts:
             _, dropped = self._parts.popitem(last=False)
             self._num_tokens -= dropped.num_tokens
@@ -55,23 +55,23 @@
         self._parts.move_to_end(key)
 
     def matched_tokens(
-        self, scope: str, parts: Sequence[PromptPart], only_ready: bool = False
+        self, scope: str, parts: Sequence[PromptBlock], only_ready: bool = False
     ) -> int:
         """Return the tokens of the leading parts that are kept."""
         num_tokens = 0
         for part in parts:
-            kept = self._parts.get((scope, part.part_id))
+            kept = self._parts.get((scope, part.block_id))
             if kept is None or (only_ready and not kept.is_ready):
                 break
             num_tokens += part.num_tokens
         return num_tokens
 
-    def forget(self, scope: str, parts: Sequence[PromptPart]) -> None:
+    def forget(self, scope: str, parts: Sequence[PromptBlock]) -> None:
         """Forget parts that were expected and not read there."""
         for part in parts:
-            kept = self._parts.get((scope, part.part_id))
+            kept = self._parts.get((scope, part.block_id))
             if kept is not None and not kept.is_ready:
-                del self._parts[(scope, part.part_id)]
+                del self._parts[(scope, part.block_id)]
                 self._num_tokens -= kept.num_tokens
 
     def clear(self) -> None:
--- a/src/weirscale/gateway/routing/choice.py
+++ b/src/weirscale/gateway/routing/choice.py
@@ -1,7 +1,7 @@
 """Choice of the back end that answers a request first with the least prompt read again.
 
 Estimates are in seconds. What must be read again is weighed beyond the time that it takes, because
-reading it costs the whole runner; fetching a part from another runner costs little.
+reading it costs the whole engine; fetching a part from another engine costs little.
 """
 
 import math
@@ -26,11 +26,11 @@
 
 HASH_RANGE = 2**32
 AFFINITY_SHARPNESS = 3
-"""Makes one runner's share stand out from the others'."""
+"""Makes one engine's share stand out from the others'."""
 
 
 START_MARGIN_S = 1.1
-"""Requests wait at a runner before they start: sending on old weights ends this much early, ..."""
+"""Requests wait at an engine before they start: sending on old weights ends this much early, ..."""
 
 START_FACTOR = 3.0
 RECENT_FACTOR = 1.2
@@ -44,7 +44,7 @@
 
     Attributes:
         rates: What makes up the time to a first event, as learnt.
-        fetch_tokens_per_s: Tokens of cached parts that move between runners in a second.
+        fetch_tokens_per_s: Tokens of cached blocks that move between engines in a second.
         fetch_setup_s: Fixed time of a fetch.
         queue_s: Delay that each request beyond the slots adds.
         memory_s: Delay at full memory, by how far requests exceed what fits.
@@ -57,13 +57,13 @@
             answer on older weights is better than a late one.
         tie_s: Estimates closer than this count as equal.
         tie_share: The same grows by this share of what news of loads is late: meanwhile many nodes
-            see the same runner as the best, and would all choose it.
-        foreign_share: Cost of a runner that other groups of nodes prefer, as a share of what news
+            see the same engine as the best, and would all choose it.
+        foreign_share: Cost of an engine that other groups of nodes prefer, as a share of what news
             of loads is late: what they send it meanwhile is not known.
         foreign_s: That cost now.
-        memory_share: Share of a runner's memory that may be filled by running requests.
+        memory_share: Share of an engine's memory that may be filled by running requests.
         min_fetch_tokens: Smaller parts are read, not fetched.
-        affinity_s: Advantage of the runner that a prompt nobody keeps belongs to by its hash, so
+        affinity_s: Advantage of the engine that a prompt nobody keeps belongs to by its hash, so
             that nodes that have not heard of each other's sends choose the same.
     """
 
@@ -100,7 +100,7 @@
         newest_version: The newest weights named, where its own are older; None otherwise.
         owed_s: For how long weights newer than its own have been named.
         begins_within_s: Until its weights are too old for a request to begin on.
-        recent_wait_s: Longest wait of this node's for a first event of late, at any runner.
+        recent_wait_s: Longest wait of this node's for a first event of late, at any engine.
         is_foreign: Whether another group of nodes prefers it.
         region: Where it stands.
         is_far: Whether it stands in another region than this node.
@@ -119,7 +119,7 @@
     recent_wait_s: float = 0.0
     is_foreign: bool = False
     region: RegionName = NO_REGION
-    is_far: bool = False
+    is_cross_region: bool = False
 
     @property
     def has_old_weights(self) -> bool:
@@ -128,14 +128,14 @@
 
 
 class FetchSource(msgspec.Struct, frozen=True):
-    """Where cached parts can be fetched.
+    """Where cached blocks can be fetched.
 
     Attributes:
         address: IP:PORT.
         zone: Where it stands.
         cache: What it is believed to keep.
         weight_version: Version that its parts are of; None for a store, which keeps all.
-        instance: The runner, or None for a store.
+        instance: The engine, or None for a store.
         region: Where it stands: moves between regions take longer than reading again.
     """
 
@@ -172,7 +172,7 @@
     estimate_s: float = 0.0
     idle_s: float = 0.0
     num_candidates: int = 0
-    is_trial: bool = False
+    is_canary: bool = False
 
 
 class PromptNeed(msgspec.Struct, frozen=True):
@@ -198,22 +198,22 @@
     Attributes:
         num_tokens: Leading tokens that it keeps.
         is_ready: Whether it has certainly read all of them.
-        is_runner: Whether it is a runner, not a store.
+        is_runner: Whether it is an engine, not a store.
         source: The source.
     """
 
     num_tokens: int
     is_ready: bool
-    is_runner: bool
+    is_engine: bool
     source: FetchSource
 
     def rank(self) -> tuple[int, bool, bool]:
         """Return what puts one source before another, wherever the candidate stands."""
-        return self.num_tokens, self.is_ready, self.is_runner
+        return self.num_tokens, self.is_ready, self.is_engine
 
 
 class _SourceFinder:
-    """Finds the best source of a prompt's cached parts; each source is looked up once."""
+    """Finds the best source of a prompt's cached blocks; each source is looked up once."""
 
     def __init__(
         self, need: PromptNeed, sources: Sequence[FetchSource], rules: ChoiceRules
@@ -228,8 +228,8 @@
         """Return the source that has most beyond what is cached, and how many tokens.
 
         A store is named as the source even if nothing is believed to be there: a miss costs a
-        millisecond, and beliefs are lost with each restart. Among equals a runner that has
-        certainly read its parts goes first, then a runner before a store, then the nearer one: a
+        millisecond, and beliefs are lost with each restart. Among equals an engine that has
+        certainly read its parts goes first, then an engine before a store, then the nearer one: a
         source that does not answer delays the request.
         """
         best: _Match | None = None
@@ -255,7 +255,7 @@
         return next(near, None)
 
     def _ranked(self, version: int | None) -> list[_Match]:
-        """Return the sources of parts made by a version of the weights, the best first."""
+        """Return the sources of blocks made by a version of the weights, the best first."""
         if version is None:
             return []
         ranked = self._matches.get(version)
@@ -290,7 +290,7 @@
     Args:
         candidates: Back ends that may serve.
         need: The prompt, for generations.
-        sources: Where cached parts may be fetched.
+        sources: Where cached blocks may be fetched.
         zone: The node's zone.
         rules: Weights.
         random: Breaks ties, so that nodes do not all pick the same.
@@ -310,7 +310,7 @@
 
 
 def _begins_in_time(choice: Choice) -> bool:
-    """Whether a request would begin before its runner's weights are too old."""
+    """Whether a request would begin before its engine's weights are too old."""
     candidate = choice.candidate
     wait_s = max(START_FACTOR * choice.estimate_s, RECENT_FACTOR * candidate.recent_wait_s)
     return wait_s <= candidate.begins_within_s
@@ -335,7 +335,7 @@
     cost_s = rules.suspect_s if candidate.is_suspect else 0.0
     if candidate.has_old_weights:
         cost_s += rules.old_weights_s
-    if candidate.is_far:
+    if candidate.is_cross_region:
         cost_s += rules.other_region_s
     elif candidate.back_end.zone != zone:
         cost_s += rules.other_zone_s
@@ -380,20 +380,20 @@
 
 
 def reading_work(candidate: Candidate, read_tokens: int) -> ReadingWork:
-    """Return what a request that has some tokens to read meets at a runner."""
+    """Return what a request that has some tokens to read meets at an engine."""
     load = candidate.load
     return ReadingWork(read_tokens, load.waiting_tokens, load.num_requests)
 
 
 def fetch_s(num_tokens: int, rules: ChoiceRules) -> float:
-    """Return the time that a fetch of cached parts takes."""
+    """Return the time that a fetch of cached blocks takes."""
     return rules.fetch_setup_s + num_tokens / rules.fetch_tokens_per_s if num_tokens else 0.0
 
 
 def _affinity(scope: str, prompt: Prompt, candidate: Candidate) -> float:
-    """Return from 0 to 1 how much a prompt's shared parts belong to a runner, by their hash."""
+    """Return from 0 to 1 how much a prompt's shared blocks belong to an engine, by their hash."""
     shared = prompt.parts[-2] if len(prompt.parts) > 1 else prompt.parts[-1]
-    text = f"{scope}|{shared.part_id}|{candidate.back_end.instance}"
+    text = f"{scope}|{shared.block_id}|{candidate.back_end.instance}"
     share = xxhash.xxh32_intdigest(text.encode()) / HASH_RANGE
     return float(share**AFFINITY_SHARPNESS)
 
--- a/src/weirscale/gateway/routing/dispatcher.py
+++ b/src/weirscale/gateway/routing/dispatcher.py
@@ -9,10 +9,10 @@
 
 from weirscale.domain.identifiers import ServiceName, ZoneName
 from weirscale.gateway.model.back_ends import BackEnd
-from weirscale.gateway.model.configuration import KeptCacheStore, Service, Tenant
-from weirscale.gateway.model.prompt import CacheScope, Prompt, PromptPart
-from weirscale.gateway.model.topology import ONE_PLACE, Places
-from weirscale.gateway.rollouts.gate import Lane
+from weirscale.gateway.model.configuration import KeptKvStore, Service, Tenant
+from weirscale.gateway.model.prompt import CacheScope, Prompt, PromptBlock
+from weirscale.gateway.model.topology import ONE_REGION, Topology
+from weirscale.gateway.rollouts.gate import Track
 from weirscale.gateway.routing.cache_belief import CacheBelief
 from weirscale.gateway.routing.choice import (
     START_MARGIN_S,
@@ -30,11 +30,11 @@
 from weirscale.gateway.routing.load import FleetLoad
 from weirscale.gateway.routing.overdue import OverdueAttempts
 from weirscale.gateway.routing.recent_waits import RecentWaits
-from weirscale.gateway.state.cluster_state import Knowledge
-from weirscale.gateway.state.target_versions import NamedVersion
+from weirscale.gateway.state.cluster_state import ClusterState
+from weirscale.gateway.state.target_versions import TargetVersion
 
 LOADING_MARK_LIFE_S = 7.0
-"""A runner that was announced to load is used again after this, should the end go untold."""
+"""An engine that was announced to load is used again after this, should the end go untold."""
 
 REFUSAL_PAUSE_S = 0.15
 """A back end that refused a request unrun is left alone for this long, unless nothing else serves:
@@ -47,7 +47,7 @@
 """How long a suspect store is not fetched from."""
 
 CACHE_SHARE = 0.8
-"""Share of a runner's memory that is believed to keep parts; running requests take the rest."""
+"""Share of an engine's memory that is believed to keep parts; running requests take the rest."""
 
 
 class DispatchQuery(msgspec.Struct, frozen=True):
@@ -65,13 +65,13 @@
     prompt: Prompt | None
     tenant: Tenant | None
     excluded: Collection[str]
-    lane: Lane = Lane.USUAL
+    track: Track = Track.STABLE
 
 
 class VersionRules(Protocol):
     """Tells which versions of a service's program may be chosen."""
 
-    def usable(self, service: ServiceName, back_ends: list[BackEnd], lane: Lane) -> list[BackEnd]:
+    def usable(self, service: ServiceName, back_ends: list[BackEnd], track: Track) -> list[BackEnd]:
         """Return those of some back ends that a request of a lane may go to."""
         ...
 
@@ -79,7 +79,7 @@
 class AllVersions:
     """Lets every version be chosen."""
 
-    def usable(self, service: ServiceName, back_ends: list[BackEnd], lane: Lane) -> list[BackEnd]:
+    def usable(self, service: ServiceName, back_ends: list[BackEnd], track: Track) -> list[BackEnd]:
         """Return all back ends."""
         return back_ends
 
@@ -97,7 +97,7 @@
         clock: Monotonic seconds.
         rules: Weights of the choice.
         news_delay_s: Returns how much later than at once news of other nodes' loads comes.
-        foreign: Returns the runners that other groups of nodes prefer.
+        foreign: Returns the engines that other groups of nodes prefer.
         versions: Which versions of a service's program may be chosen.
         places: Which zones are far from one another.
     """
@@ -105,29 +105,29 @@
     def __init__(
         self,
         zone: ZoneName,
-        knowledge: Knowledge,
+        cluster: ClusterState,
         load: FleetLoad,
         health: BackEndHealth,
         weights_grace_s: float,
         random: Random,
         clock: Callable[[], float],
         rules: ChoiceRules | None = None,
-        news_delay_s: Callable[[], float] = lambda: 0.0,
+        gossip_delay_s: Callable[[], float] = lambda: 0.0,
         foreign: Callable[[], Collection[str]] = tuple,
         versions: VersionRules | None = None,
-        places: Places = ONE_PLACE,
+        topology: Topology = ONE_REGION,
     ) -> None:
-        self._places = places
+        self._topology = topology
         self._versions = versions or AllVersions()
         self._zone = zone
-        self._knowledge = knowledge
+        self._cluster = cluster
         self._load = load
         self._health = health
         self._weights_grace_s = weights_grace_s
         self._random = random
         self._clock = clock
         self._start_rules = rules or ChoiceRules()
-        self._news_delay_s = news_delay_s
+        self._gossip_delay_s = gossip_delay_s
         self._foreign = foreign
         self._models: dict[ServiceName, FirstEventModel] = {}
         self._caches: dict[str, CacheBelief] = {}
@@ -146,7 +146,7 @@
         """Return the best back end, or None if none may serve."""
         for overdue, waited_s in self._overdue.take_due(self._clock()):
             self._learn_rates(overdue, waited_s)
-        table = self._knowledge.table
+        table = self._cluster.table
         service = table.service(query.service) if table else None
         candidates = self._candidates(query, service)
         if not candidates:
@@ -159,18 +159,18 @@
         choice = choose(
             candidates, need, sources, self._zone, self.rules(query.service), self._random
         )
-        return None if choice is None else self._with_age(choice, query.lane)
+        return None if choice is None else self._with_age(choice, query.track)
 
-    def _with_age(self, choice: Choice, lane: Lane) -> Choice:
+    def _with_age(self, choice: Choice, track: Track) -> Choice:
         """Note the age of what the choice rests on; only the chosen back end's is asked for."""
         age_s = self._load.age_s(choice.candidate.back_end.instance, self._clock())
         candidate = msgspec.structs.replace(choice.candidate, load_age_s=age_s)
-        return msgspec.structs.replace(choice, candidate=candidate, is_trial=lane is Lane.TRIAL)
+        return msgspec.structs.replace(choice, candidate=candidate, is_canary=track is Track.CANARY)
 
     def rules(self, service: ServiceName) -> ChoiceRules:
         """Return the weights of the choice as they are now.
 
-        The rates are those learnt of the service's runners, and the older the news of loads is, the
+        The rates are those learnt of the service's engines, and the older the news of loads is, the
         more estimates count as equal.
         """
         rules = self._start_rules
@@ -178,12 +178,12 @@
         return msgspec.structs.replace(
             rules,
             rates=rules.rates if model is None else model.rates,
-            tie_s=rules.tie_s + rules.tie_share * self._news_delay_s(),
-            foreign_s=rules.foreign_share * self._news_delay_s(),
+            tie_s=rules.tie_s + rules.tie_share * self._gossip_delay_s(),
+            foreign_s=rules.foreign_share * self._gossip_delay_s(),
         )
 
     def save_address(self, choice: Choice, prompt: Prompt) -> str | None:
-        """Return the address of the store that gets what this runner reads, if it lacks it.
+        """Return the address of the store that gets what this engine reads, if it lacks it.
 
         The last part of a prompt is its own; saving it alone is not worth the move.
         """
@@ -195,18 +195,18 @@
         lacks = kept.matched_tokens(choice.scope, shared) < sum(p.num_tokens for p in shared)
         return store.address if lacks else None
 
-    def _store_near(self, zone: ZoneName) -> KeptCacheStore | None:
-        """Return the store that the runners of a zone's region use: the same on all nodes."""
-        near = (one for one in self._stores() if not self._places.is_far(zone, one.zone))
+    def _store_near(self, zone: ZoneName) -> KeptKvStore | None:
+        """Return the store that the engines of a zone's region use: the same on all nodes."""
+        near = (one for one in self._stores() if not self._topology.is_cross_region(zone, one.zone))
         return next(near, None)
 
     def _candidates(self, query: DispatchQuery, service: Service | None) -> list[Candidate]:
         now_s = self._clock()
-        ready = self._knowledge.ready_back_ends(query.service)
+        ready = self._cluster.ready_back_ends(query.service)
         lowest = 0 if query.prompt is None else self._lowest_version(query.prompt.model, now_s)
         usable = [
             back_end
-            for back_end in self._versions.usable(query.service, ready, query.lane)
+            for back_end in self._versions.usable(query.service, ready, query.track)
             if back_end.instance not in query.excluded
             and self._has_usable_weights(back_end, query.prompt, lowest)
         ]
@@ -219,9 +219,9 @@
         return [self._candidate(one, query.prompt, service, foreign, now_s) for one in chosen]
 
     def _passed_over(self, query: DispatchQuery, service: Service) -> list[Candidate]:
-        """Return the runners whose version is not chosen now; they may keep what is wanted."""
-        ready = self._knowledge.ready_back_ends(query.service)
-        usable = self._versions.usable(query.service, ready, query.lane)
+        """Return the engines whose version is not chosen now; they may keep what is wanted."""
+        ready = self._cluster.ready_back_ends(query.service)
+        usable = self._versions.usable(query.service, ready, query.track)
         if len(usable) == len(ready):
             return []
         chosen = {one.instance for one in usable}
@@ -235,15 +235,15 @@
     def _has_usable_weights(self, back_end: BackEnd, prompt: Prompt | None, lowest: int) -> bool:
         if prompt is None or not back_end.models:
             return True
-        version = self._knowledge.version_of(back_end.instance, prompt.model)
+        version = self._cluster.version_of(back_end.instance, prompt.model)
         if version is None:
             return False
         return version >= lowest
 
     def _lowest_version(self, model: str, now_s: float) -> int:
         """Return the oldest weights that may be used."""
-        return self._knowledge.weights.lowest_allowed(
-            model, now_s, self._weights_grace_s, self._knowledge.outage_ended_s()
+        return self._cluster.weights.lowest_allowed(
+            model, now_s, self._weights_grace_s, self._cluster.outage_ended_s()
         )
 
     def _candidate(
@@ -256,11 +256,11 @@
     ) -> Candidate:
         load = self._load.total(back_end.instance, now_s)
         is_suspect = self._health.is_suspect(back_end.instance, now_s)
-        is_far = self._places.is_far(self._zone, back_end.zone)
+        is_cross_region = self._topology.is_cross_region(self._zone, back_end.zone)
         if prompt is None or service is None or service.engine is None:
-            return Candidate(back_end, load, is_suspect, is_far=is_far)
+            return Candidate(back_end, load, is_suspect, is_cross_region=is_cross_region)
         capacity = service.engine.cache_tokens
-        version = self._knowledge.version_of(back_end.instance, prompt.model)
+        version = self._cluster.version_of(back_end.instance, prompt.model)
         owed = self._owed(prompt.model, version)
         return Candidate(
             back_end,
@@ -269,23 +269,23 @@
             self._cache(back_end.instance, capacity),
             capacity,
             version,
-            newest_version=None if owed is None else self._knowledge.weights.newest(prompt.model),
+            newest_version=None if owed is None else self._cluster.weights.newest(prompt.model),
             owed_s=0.0 if owed is None else now_s - owed.named_after_s,
             begins_within_s=math.inf if owed is None else self._begins_within_s(owed, now_s),
             recent_wait_s=0.0 if owed is None else self._longest_wait_s(back_end.service, now_s),
             is_foreign=back_end.instance in foreign,
-            region=self._places.region_of(back_end.zone),
-            is_far=is_far,
+            region=self._topology.region_of(back_end.zone),
+            is_cross_region=is_cross_region,
         )
 
-    def _begins_within_s(self, owed: NamedVersion, now_s: float) -> float:
+    def _begins_within_s(self, owed: TargetVersion, now_s: float) -> float:
         """Return the time until requests may not begin any more on weights older than a version."""
-        began_s = self._knowledge.grace_began_s(owed)
+        began_s = self._cluster.grace_began_s(owed)
         return began_s + self._weights_grace_s + START_MARGIN_S - now_s
 
-    def _owed(self, model: str, version: int | None) -> NamedVersion | None:
-        """Return the first version newer than a runner's, or None."""
-        return None if version is None else self._knowledge.weights.first_newer(model, version)
+    def _owed(self, model: str, version: int | None) -> TargetVersion | None:
+        """Return the first version newer than an engine's, or None."""
+        return None if version is None else self._cluster.weights.first_newer(model, version)
 
     def _cache(self, instance: str, capacity_tokens: int) -> CacheBelief:
         cache = self._caches.get(instance)
@@ -319,14 +319,14 @@
                 store.address,
                 store.zone,
                 self._kept_cache(store),
-                region=self._places.region_of(store.zone),
+                region=self._topology.region_of(store.zone),
             )
             for store in self._stores()
             if self._slow_until_s.get(store.address, 0.0) <= now_s
         ]
 
     def note_event(self, instance: str) -> None:
-        """A runner has made an event, so it lives."""
+        """An engine has made an event, so it lives."""
         self._overdue.note_alive(instance, self._clock())
 
     def note_first_event(self, choice: Choice, took_s: float) -> None:
@@ -340,7 +340,7 @@
 
     def _learn_rates(self, choice: Choice, took_s: float) -> None:
         # What a version takes that may be bad says nothing of the others.
-        if choice.scope is None or choice.is_trial:
+        if choice.scope is None or choice.is_canary:
             return
         candidate = choice.candidate
         self._waits_at(candidate.back_end.service).note(took_s, self._clock())
@@ -359,19 +359,19 @@
             waits = self._waits[service] = RecentWaits(self._clock())
         return waits
 
-    def _stores(self) -> list[KeptCacheStore]:
-        table = self._knowledge.table
+    def _stores(self) -> list[KeptKvStore]:
+        table = self._cluster.table
         services = table.kept_caches() if table else []
         return [service.kept_cache for service in services if service.kept_cache is not None]
 
-    def _kept_cache(self, store: KeptCacheStore) -> CacheBelief:
+    def _kept_cache(self, store: KeptKvStore) -> CacheBelief:
         cache = self._kept_caches.get(store.address)
         if cache is None:
             cache = self._kept_caches[store.address] = CacheBelief(store.capacity_tokens)
         return cache
 
     def note_sent(self, choice: Choice, prompt: Prompt) -> None:
-        """Note that a prompt goes to a runner."""
+        """Note that a prompt goes to an engine."""
         self._overdue.begin(choice, self._clock())
         self.note_parts(choice.candidate.back_end.instance, choice.scope, prompt.parts, False)
 
@@ -380,13 +380,13 @@
         self._overdue.end(choice)
 
     def note_read(self, choice: Choice, prompt: Prompt) -> None:
-        """Note that a runner has read a prompt."""
+        """Note that an engine has read a prompt."""
         self.note_parts(choice.candidate.back_end.instance, choice.scope, prompt.parts, True)
 
     def note_parts(
-        self, instance: str, scope: str | None, parts: tuple[PromptPart, ...], is_ready: bool
+        self, instance: str, scope: str | None, parts: tuple[PromptBlock, ...], is_ready: bool
     ) -> None:
-        """Note parts at a runner, from this node's own sends or a peer's."""
+        """Note parts at an engine, from this node's own sends or a peer's."""
         cache = self._cache_of(instance)
         if cache is None or scope is None:
             return
@@ -394,40 +394,40 @@
         if is_ready:
             self._note_saved(instance, scope, parts[:-1])
 
-    def note_shared_parts(self, instance: str, scope: str, shared: tuple[PromptPart, ...]) -> None:
-        """Note the parts of a prompt but its own, which a runner has read for another group."""
+    def note_shared_parts(self, instance: str, scope: str, shared: tuple[PromptBlock, ...]) -> None:
+        """Note the parts of a prompt but its own, which an engine has read for another group."""
         cache = self._cache_of(instance)
         if cache is not None:
             cache.note(scope, shared, is_ready=True)
             self._note_saved(instance, scope, shared)
 
     def _cache_of(self, instance: str) -> CacheBelief | None:
-        """Return what is believed of a runner, or None if it is no runner that is known."""
+        """Return what is believed of an engine, or None if it is no engine that is known."""
         cache = self._caches.get(instance)
         if cache is not None:
             return cache
-        back_end = self._knowledge.directory.get(instance)
-        table = self._knowledge.table
+        back_end = self._cluster.directory.get(instance)
+        table = self._cluster.table
         service = table.service(back_end.service) if table and back_end else None
         if service is None or service.engine is None:
             return None
         return self._cache(instance, service.engine.cache_tokens)
 
-    def _note_saved(self, instance: str, scope: str, shared: tuple[PromptPart, ...]) -> None:
-        """Every node has runners save what they read, so what was read is in the store."""
-        back_end = self._knowledge.directory.get(instance)
+    def _note_saved(self, instance: str, scope: str, shared: tuple[PromptBlock, ...]) -> None:
+        """Every node has engines save what they read, so what was read is in the store."""
+        back_end = self._cluster.directory.get(instance)
         store = None if back_end is None else self._store_near(back_end.zone)
         if store is not None:
             self._kept_cache(store).note(scope, shared, is_ready=True)
 
     def note_unread(self, choice: Choice, prompt: Prompt) -> None:
-        """Note that a runner did not read a prompt after all."""
+        """Note that an engine did not read a prompt after all."""
         cache = self._caches.get(choice.candidate.back_end.instance)
         if cache is not None and choice.scope is not None:
             cache.forget(choice.scope, prompt.parts)
 
     def mark_loading(self, instance: str, is_done: bool) -> None:
-        """Mark that a runner is about to load weights, or has done so."""
+        """Mark that an engine is about to load weights, or has done so."""
         if is_done:
             self._loading_until_s.pop(instance, None)
         else:
@@ -444,7 +444,7 @@
         return self._refused_until_s.get(instance, 0.0) > now_s
 
     def weights_changed(self, instance: str) -> None:
-        """A runner has new weights: what it kept is gone."""
+        """An engine has new weights: what it kept is gone."""
         cache = self._caches.get(instance)
         if cache is not None:
             cache.clear()
@@ -455,7 +455,7 @@
         self._caches.pop(instance, None)
         self._loading_until_s.pop(instance, None)
         self._refused_until_s.pop(instance, None)
-        self._overdue.forget_runner(instance)
+        self._overdue.forget_engine(instance)
         self._load.forget(instance)
         self._health.forget(instance)
 
--- a/src/weirscale/gateway/routing/engine_shares.py
+++ b/src/weirscale/gateway/routing/engine_shares.py
@@ -1,8 +1,8 @@
-"""Shares the model runners out among the groups of nodes.
+"""Shares the model engines out among the groups of nodes.
 
 News of loads is fresh within a group and some tenths of a second old beyond it (`groups`):
-meanwhile nodes of several groups see the same runner idle and send it their long prompts together.
-So each group prefers runners of its own, which usually only its own nodes use, and these hear each
+meanwhile nodes of several groups see the same engine idle and send it their long prompts together.
+So each group prefers engines of its own, which usually only its own nodes use, and these hear each
 other at once. It is a preference: what is busy there goes elsewhere.
 """
 
@@ -13,7 +13,7 @@
 from weirscale.gateway.peers.registrations import PeerDirectory
 
 
-class RunnerShares:
+class EngineShares:
     """Keeps up by change which back ends other groups prefer.
 
     Args:
@@ -31,20 +31,20 @@
         self._foreign: frozenset[str] = frozenset()
 
     def foreign(self) -> Collection[str]:
-        """Return the runners that other groups of nodes prefer."""
+        """Return the engines that other groups of nodes prefer."""
         division = self._peers.division()
         if division is not self._division or self._directory.num_changes != self._num_changes:
             self._division = division
             self._num_changes = self._directory.num_changes
-            runners = [one for one in self._directory.all() if one.models]
-            owners = share_out(runners, division)
+            engines = [one for one in self._directory.all() if one.models]
+            owners = share_out(engines, division)
             own_group = division.group_of.get(self._name)
             self._foreign = frozenset(one for one in owners if owners[one] != own_group)
         return self._foreign
 
 
 def share_out(back_ends: Iterable[BackEnd], division: Division) -> dict[str, str]:
-    """Return the group that each runner belongs to; the same on all nodes that know the same.
+    """Return the group that each engine belongs to; the same on all nodes that know the same.
 
     Within a zone every group gets about as many as the others, by rendezvous hashing, so that few
     change hands when one comes or goes. A zone without nodes leaves its back ends to all groups.
--- a/src/weirscale/gateway/routing/first_event_model.py
+++ b/src/weirscale/gateway/routing/first_event_model.py
@@ -1,10 +1,10 @@
-"""How long a runner takes to its first event: learnt from the first events that are observed.
+"""How long an engine takes to its first event: learnt from the first events that are observed.
 
 The time is taken for linear in the prompt tokens to read, in those that wait before them, and in
 the requests at work. Waiting tokens weigh less: some of them have been read since they were heard
 of, and more urgent requests go first. The coefficients are learnt by recursive least squares with
 forgetting (S. Haykin, Adaptive Filter Theory, chapter on the RLS algorithm). An observation far
-off, such as that of a runner that lost its memory, counts with a bounded error.
+off, such as that of an engine that lost its memory, counts with a bounded error.
 """
 
 from collections.abc import Sequence
@@ -46,11 +46,11 @@
 
 LEAST_RATES = FirstEventRates(0.0, 1 / 400_000.0, 1 / 800_000.0, 0.0)
 MOST_RATES = FirstEventRates(0.2, 1 / 4_000.0, 1 / 4_000.0, 0.02)
-"""Bounds, whatever is observed."""
+"""Guarantees, whatever is observed."""
 
 
 class ReadingWork(msgspec.Struct, frozen=True):
-    """What a request meets at a runner.
+    """What a request meets at an engine.
 
     Attributes:
         num_tokens: Prompt tokens of its own to read.
@@ -75,7 +75,7 @@
 
 
 class FirstEventModel:
-    """Learns the rates of the runners of one service."""
+    """Learns the rates of the engines of one service."""
 
     def __init__(self, start: FirstEventRates = START_RATES) -> None:
         self.rates = start
--- a/src/weirscale/gateway/routing/load.py
+++ b/src/weirscale/gateway/routing/load.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from weirscale.gateway.peers.heartbeat import HEARD_LIFE_S, SWEEP_INTERVAL_S
+from weirscale.gateway.peers.heartbeat import PEER_SILENCE_S, SWEEP_INTERVAL_S
 
 
 class Load(msgspec.Struct, frozen=True):
@@ -18,7 +18,7 @@
     Attributes:
         num_requests: Requests without a whole answer.
         waiting_tokens: Prompt tokens to read for requests without a first event.
-        held_tokens: Prompt tokens of all these requests, which take the runner's memory.
+        held_tokens: Prompt tokens of all these requests, which take the engine's memory.
     """
 
     num_requests: int = 0
@@ -45,9 +45,9 @@
 NO_LOAD = Load()
 
 
-class _HeardLoad(msgspec.Struct, frozen=True):
+class _ReceivedLoad(msgspec.Struct, frozen=True):
     load: Load
-    heard_at_s: float
+    received_at_s: float
 
 
 class FleetLoad:
@@ -55,9 +55,9 @@
 
     def __init__(self) -> None:
         self._own: dict[str, Load] = {}
-        self._heard: dict[str, dict[str, _HeardLoad]] = {}
+        self._received: dict[str, dict[str, _ReceivedLoad]] = {}
         """By source, then by back end."""
-        self._heard_sums: dict[str, Load] = {}
+        self._received_sums: dict[str, Load] = {}
         self._swept_at_s = 0.0
         self._changed: set[str] = set()
 
@@ -77,19 +77,19 @@
         _add_to(self._own, instance, change)
         self._changed.add(instance)
 
-    def hear(self, source: str, instance: str, load: Load, now_s: float) -> None:
+    def receive(self, source: str, instance: str, load: Load, now_s: float) -> None:
         """Take over what a source tells of its load, in place of what it told before."""
-        heard = self._heard.setdefault(source, {})
-        known = heard.pop(instance, None)
+        received = self._received.setdefault(source, {})
+        known = received.pop(instance, None)
         if load != NO_LOAD:
-            heard[instance] = _HeardLoad(load, now_s)
+            received[instance] = _ReceivedLoad(load, now_s)
         change = load if known is None else load.minus(known.load)
-        _add_to(self._heard_sums, instance, change)
+        _add_to(self._received_sums, instance, change)
 
     def forget_source(self, source: str) -> None:
         """Forget what a source told."""
-        for instance, heard in self._heard.pop(source, {}).items():
-            _add_to(self._heard_sums, instance, NO_LOAD.minus(heard.load))
+        for instance, received in self._received.pop(source, {}).items():
+            _add_to(self._received_sums, instance, NO_LOAD.minus(received.load))
 
     def own(self, instance: str) -> Load:
         """Return this node's own load on a back end."""
@@ -102,29 +102,29 @@
     def total(self, instance: str, now_s: float) -> Load:
         """Return the load of all nodes on a back end."""
         self._sweep(now_s)
-        heard = self._heard_sums.get(instance)
+        received = self._received_sums.get(instance)
         own = self.own(instance)
-        return own if heard is None else own.plus(heard)
+        return own if received is None else own.plus(received)
 
     def sum_of(self, is_wanted: Callable[[str], bool], now_s: float) -> dict[str, Load]:
         """Return the sum over some sources for each back end that they have work at."""
         self._sweep(now_s)
         sums: dict[str, Load] = {}
-        for source, loads in self._heard.items():
+        for source, loads in self._received.items():
             if is_wanted(source):
-                for instance, heard in loads.items():
-                    _add_to(sums, instance, heard.load)
+                for instance, received in loads.items():
+                    _add_to(sums, instance, received.load)
         return sums
 
     def sources(self) -> tuple[str, ...]:
         """Return the sources that have told of work."""
-        return tuple(self._heard)
+        return tuple(self._received)
 
     def age_s(self, instance: str, now_s: float) -> float:
         """Return the age of the oldest news that counts in the load of a back end."""
         self._sweep(now_s)
-        heard = (loads.get(instance) for loads in self._heard.values())
-        return max((now_s - one.heard_at_s for one in heard if one is not None), default=0.0)
+        received = (loads.get(instance) for loads in self._received.values())
+        return max((now_s - one.received_at_s for one in received if one is not None), default=0.0)
 
     def take_changed(self) -> dict[str, Load]:
         """Return the loads that changed since the last call."""
@@ -134,21 +134,21 @@
 
     def forget(self, instance: str) -> None:
         """Forget what others told of a back end that is gone."""
-        for loads in self._heard.values():
+        for loads in self._received.values():
             loads.pop(instance, None)
-        self._heard_sums.pop(instance, None)
+        self._received_sums.pop(instance, None)
 
     def _sweep(self, now_s: float) -> None:
         """Drop what has not been told again for too long."""
         if now_s - self._swept_at_s < SWEEP_INTERVAL_S:
             return
         self._swept_at_s = now_s
-        for source, loads in list(self._heard.items()):
-            old = [one for one in loads if now_s - loads[one].heard_at_s > HEARD_LIFE_S]
+        for source, loads in list(self._received.items()):
+            old = [one for one in loads if now_s - loads[one].received_at_s > PEER_SILENCE_S]
             for instance in old:
-                _add_to(self._heard_sums, instance, NO_LOAD.minus(loads.pop(instance).load))
+                _add_to(self._received_sums, instance, NO_LOAD.minus(loads.pop(instance).load))
             if not loads:
-                del self._heard[source]
+                del self._received[source]
 
 
 def _add_to(loads: dict[str, Load], instance: str, change: Load) -> None:
--- a/src/weirscale/gateway/routing/overdue.py
+++ b/src/weirscale/gateway/routing/overdue.py
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self._open: dict[int, _OpenAttempt] = {}
         self._alive_at_s: dict[str, float] = {}
-        """When a runner last made an event for this node."""
+        """When an engine last made an event for this node."""
 
     def begin(self, choice: Choice, now_s: float) -> None:
         """An attempt goes out."""
@@ -41,17 +41,17 @@
         self._open.pop(id(choice), None)
 
     def note_alive(self, instance: str, now_s: float) -> None:
-        """A runner has made an event."""
+        """An engine has made an event."""
         self._alive_at_s[instance] = now_s
 
-    def forget_runner(self, instance: str) -> None:
-        """Forget a runner that is gone."""
+    def forget_engine(self, instance: str) -> None:
+        """Forget an engine that is gone."""
         self._alive_at_s.pop(instance, None)
 
     def take_due(self, now_s: float) -> list[tuple[Choice, float]]:
         """Return the attempts that are overdue, each with how long it has waited.
 
-        A runner that has made nothing else meanwhile may be dead, and tells nothing of rates.
+        An engine that has made nothing else meanwhile may be dead, and tells nothing of rates.
         """
         due = []
         for attempt in self._open.values():
--- a/src/weirscale/gateway/routing/recent_waits.py
+++ b/src/weirscale/gateway/routing/recent_waits.py
@@ -1,6 +1,6 @@
 """The longest wait for a first event of late.
 
-Estimates follow what a service's runners take on the whole; a single one may work several times
+Estimates follow what a service's engines take on the whole; a single one may work several times
 slower, and one that nothing was sent to for a while may have become so.
 """
 
@@ -9,7 +9,7 @@
 
 
 class RecentWaits:
-    """What this node has waited at the runners of one service.
+    """What this node has waited at the engines of one service.
 
     Args:
         now_s: Time.
--- a/src/weirscale/gateway/routing/traffic_split.py
+++ b/src/weirscale/gateway/routing/traffic_split.py
@@ -4,7 +4,7 @@
 from weirscale.gateway.model.configuration import Route, WeightedService
 
 
-class WeightedSplit:
+class TrafficSplit:
     """Smooth weighted turns: each part's share is exact over any run of requests, not by chance."""
 
     def __init__(self) -> None:
--- a/src/weirscale/gateway/settings.py
+++ b/src/weirscale/gateway/settings.py
@@ -18,7 +18,7 @@
     port: int
 
 
-class QuotaBounds(msgspec.Struct, frozen=True):
+class QuotaPrecision(msgspec.Struct, frozen=True):
     """How exactly tenants' quotas are to be kept.
 
     Attributes:
@@ -32,7 +32,7 @@
     tolerance: float = 0.0
 
 
-class ExposureBounds(msgspec.Struct, frozen=True):
+class CanaryLimits(msgspec.Struct, frozen=True):
     """What an unproved version may get.
 
     Attributes:
@@ -46,7 +46,7 @@
     return_s: float = 5.0
 
 
-class Bounds(msgspec.Struct, frozen=True):
+class Guarantees(msgspec.Struct, frozen=True):
     """Times within which the deployment's promises hold.
 
     Attributes:
@@ -64,8 +64,8 @@
     lease_s: float = 3.0
     weights_s: float = 8.0
     min_lease_s: float = 1.0
-    quota: QuotaBounds = QuotaBounds()
-    exposure: ExposureBounds = ExposureBounds()
+    quota: QuotaPrecision = QuotaPrecision()
+    exposure: CanaryLimits = CanaryLimits()
 
 
 class RetryBudgetRules(msgspec.Struct, frozen=True):
@@ -90,7 +90,7 @@
 """A machine with this much is as good as any for work that it does for others. A group's head hears
 some 200 KB/s in a fleet of 200 nodes (docs/design/0014-size.md): a few hundredths of this link."""
 
-FULL_STRENGTH = 100
+FULL_CAPACITY = 100
 
 
 class MachineSize(msgspec.Struct, frozen=True):
@@ -106,14 +106,14 @@
     memory_mb: float = ORDINARY_MEMORY_MB
     link_mbps: float = ORDINARY_LINK_MBPS
 
-    def strength(self) -> int:
+    def capacity(self) -> int:
         """Return how much the machine can do for others, in hundredths of an ordinary one."""
         shares = (
             self.cores / ORDINARY_CORES,
             self.memory_mb / ORDINARY_MEMORY_MB,
             self.link_mbps / ORDINARY_LINK_MBPS,
         )
-        return int(FULL_STRENGTH * min(1.0, *shares))
+        return int(FULL_CAPACITY * min(1.0, *shares))
 
 
 class GatewaySettings(msgspec.Struct, frozen=True):
@@ -142,7 +142,7 @@
     metrics: ListenAddress | None = None
     metrics_path: str = "/metrics"
     is_first_start: bool = False
-    bounds: Bounds = Bounds()
+    bounds: Guarantees = Guarantees()
     retry_budget: RetryBudgetRules = RetryBudgetRules(0.2, 50.0, 10.0)
     machine: MachineSize = MachineSize()
     regions: Mapping[ZoneName, RegionName] = {}
--- a/src/weirscale/gateway/state/change_log.py
+++ b/src/weirscale/gateway/state/change_log.py
@@ -12,7 +12,7 @@
 
 
 class ChangeLog:
-    """What other nodes may be told; `Knowledge` is its only writer."""
+    """What other nodes may be told; `ClusterState` is its only writer."""
 
     def __init__(self) -> None:
         self._latest: OrderedDict[str, VersionedChange] = OrderedDict()
--- a/src/weirscale/gateway/state/cluster_state.py
+++ b/src/weirscale/gateway/state/cluster_state.py
@@ -29,9 +29,9 @@
 )
 from weirscale.gateway.state.change_log import ChangeLog
 from weirscale.gateway.state.rollout_orders import RolloutBook
-from weirscale.gateway.state.store_outages import NEVER_S, StoreContinuity
-from weirscale.gateway.state.target_versions import NamedVersion, VersionBook
-from weirscale.gateway.state.weights_age_marker import YoungRecord, read_young_record
+from weirscale.gateway.state.store_outages import NEVER_S, StoreOutageDetector
+from weirscale.gateway.state.target_versions import TargetVersion, TargetVersions
+from weirscale.gateway.state.weights_age_marker import WeightsAgeMarker, read_weights_age_marker
 from weirscale.ports.event_log import EventLog
 
 ESTABLISHED_S = 20.0
@@ -45,7 +45,7 @@
 the store's return, and one that is gone gets no new work two seconds after that was told."""
 
 
-class Knowledge:
+class ClusterState:
     """The platform's state as this node knows it.
 
     Args:
@@ -66,7 +66,7 @@
         for how long those that it finds have been there."""
         self.table: RouteTable | None = None
         self.directory = BackEndDirectory()
-        self.weights = VersionBook()
+        self.weights = TargetVersions()
         self.rollouts = RolloutBook()
         self.log = ChangeLog()
         self.records: dict[str, bytes] = {}
@@ -75,10 +75,10 @@
         self.revision = 0
         self.confirmed_at_s = NEVER_S
         """Everything acknowledged before this time is known."""
-        self.continuity = StoreContinuity()
+        self.store_outages = StoreOutageDetector()
         self.named_at_s = NEVER_S
         """When this node last heard of newly named weights."""
-        self._young_records: dict[str, YoungRecord] = {}
+        self._weights_age_markers: dict[str, WeightsAgeMarker] = {}
         self.has_read_all = False
         self._first_read = anyio.Event()
         self._made_at_s = clock()
@@ -133,8 +133,8 @@
         if proved_at_s <= self.confirmed_at_s:
             return
         self.confirmed_at_s = proved_at_s
-        self.continuity.prove(proved_at_s, self._clock())
-        for young in self._young_records.values():
+        self.store_outages.prove(proved_at_s, self._clock())
+        for young in self._weights_age_markers.values():
             self.weights.narrow(young.model, young.version, proved_at_s - young.max_age_s)
 
     def _apply_one(self, versioned: VersionedChange) -> None:
@@ -218,12 +218,12 @@
 
     def outage_ended_s(self) -> float:
         """Return when the last outage of the store for all nodes ended; now, while there is one."""
-        return self.continuity.outage_ended_s(self._clock())
+        return self.store_outages.outage_ended_s(self._clock())
 
-    def grace_began_s(self, named: NamedVersion) -> float:
-        """Return from when runners with older weights count the time to take a version.
+    def grace_began_s(self, named: TargetVersion) -> float:
+        """Return from when engines with older weights count the time to take a version.
 
-        Nobody can bring new weights to the runners while the store answers no node, so it begins
+        Nobody can bring new weights to the engines while the store answers no node, so it begins
         anew after that, and not after what befell this node alone.
         """
         return max(named.named_after_s, self.outage_ended_s())
@@ -285,7 +285,7 @@
     def _is_established(self, service: ServiceName, version: SoftwareVersion) -> bool:
         """Whether a version of a service's program has served for some time, or alone.
 
-        Runners that an operator starts just before ordering their version are not, nor are those
+        Engines that an operator starts just before ordering their version are not, nor are those
         that a node found at its own start just before.
         """
         if {one.software for one in self.directory.of_service(service)} == {version}:
@@ -304,15 +304,15 @@
         self.num_record_changes += 1
         if change.value is None:
             self.records.pop(change.key, None)
-            self._young_records.pop(change.key, None)
+            self._weights_age_markers.pop(change.key, None)
             return
         self.records[change.key] = change.value
-        young = read_young_record(change.key, change.value)
+        young = read_weights_age_marker(change.key, change.value)
         if young is not None:
-            self._young_records[change.key] = young
+            self._weights_age_markers[change.key] = young
 
     def learn_version(self, instance: str, model: str, version: int, source: str) -> None:
-        """Learn which weights a runner has; an incarnation's version only rises."""
+        """Learn which weights an engine has; an incarnation's version only rises."""
         known = self._versions.get((instance, model), 0)
         if version <= known or self.directory.get(instance) is None:
             return
@@ -325,7 +325,7 @@
             )  # fmt: skip
 
     def version_of(self, instance: str, model: str) -> int | None:
-        """Return the version that a runner is believed to have."""
+        """Return the version that an engine is believed to have."""
         return self._versions.get((instance, model))
 
     def age_s(self) -> float:
--- a/src/weirscale/gateway/state/rollout_orders.py
+++ b/src/weirscale/gateway/state/rollout_orders.py
@@ -1,4 +1,4 @@
-"""The orders and statuses of rollouts as a node knows them; `Knowledge` is the only writer."""
+"""The orders and statuses of rollouts as a node knows them; `ClusterState` is the only writer."""
 
 from weirscale.domain.identifiers import ServiceName
 from weirscale.gateway.model.rollout_order import RolloutOrder, RolloutStatus, SeenStatus
--- a/src/weirscale/gateway/state/store_outages.py
+++ b/src/weirscale/gateway/state/store_outages.py
@@ -1,6 +1,6 @@
 """When the store last answered no node at all.
 
-While the store is away nobody can bring new weights to the runners, so the grace of older ones
+While the store is away nobody can bring new weights to the engines, so the grace of older ones
 begins anew after an outage; and registrations lapse with it. That holds for an outage of all nodes
 alone: one that stands still, loses its own connections or is turned away sees the same silence
 while the store answers others, and would let older weights and back ends that are gone serve on
@@ -41,7 +41,7 @@
     silent_from_s: float | None = None
 
 
-class StoreContinuity:
+class StoreOutageDetector:
     """Joins what this node and others have proved of the store; starts without any proof.
 
     Attributes:
@@ -73,7 +73,7 @@
             self._own_span = msgspec.structs.replace(own, proved_at_s=proved_at_s)
         self._join(Span(proved_at_s, proved_at_s), now_s)
 
-    def hear(self, witness: str, span: Span, asked_at_s: float, now_s: float) -> None:
+    def receive(self, witness: str, span: Span, asked_at_s: float, now_s: float) -> None:
         """Learn from another node, asked at a time, in which time the store has answered it."""
         self.look(now_s)
         if self._span is None:
--- a/src/weirscale/gateway/state/target_versions.py
+++ b/src/weirscale/gateway/state/target_versions.py
@@ -14,13 +14,13 @@
 """Versions below the newest that a node reckons with when it does not know them."""
 
 MAX_KEPT_VERSIONS = 64
-"""Of one model; who names more within a grace has its oldest runners left out of use."""
+"""Of one model; who names more within a grace has its oldest engines left out of use."""
 
 LONG_AGO_S = float("-inf")
 """The bound where nothing is known: the version may have been named at any time."""
 
 
-class NamedVersion(msgspec.Struct, frozen=True):
+class TargetVersion(msgspec.Struct, frozen=True):
     """A version that operators named.
 
     Attributes:
@@ -32,17 +32,17 @@
     named_after_s: float
 
 
-class VersionBook:
+class TargetVersions:
     """The versions named for each model, newest last; their bounds rise with the versions."""
 
     def __init__(self) -> None:
-        self._named: dict[str, list[NamedVersion]] = {}
+        self._named: dict[str, list[TargetVersion]] = {}
 
     def name(self, model: str, version: int, named_after_s: float) -> bool:
         """Note a version; False if one as high is known.
 
         The store keeps only the newest name. Versions between it and the newest known here may have
-        been named as well since this node last knew all, and runners may owe one of them.
+        been named as well since this node last knew all, and engines may owe one of them.
 
         Args:
             model: The model.
@@ -54,7 +54,7 @@
             return False
         lowest = max(FIRST_VERSION, version - MAX_EARLIER_VERSIONS)
         first = max(lowest, versions[-1].version + 1) if versions else lowest
-        versions.extend(NamedVersion(one, named_after_s) for one in range(first, version + 1))
+        versions.extend(TargetVersion(one, named_after_s) for one in range(first, version + 1))
         del versions[:-MAX_KEPT_VERSIONS]
         return True
 
@@ -63,14 +63,14 @@
         versions = self._named.get(model, [])
         for index, named in enumerate(versions):
             if named.version >= version and named.named_after_s < named_after_s:
-                versions[index] = NamedVersion(named.version, named_after_s)
+                versions[index] = TargetVersion(named.version, named_after_s)
 
     def newest(self, model: str) -> int | None:
         """Return the newest version of a model."""
         versions = self._named.get(model)
         return versions[-1].version if versions else None
 
-    def newest_named(self, model: str) -> NamedVersion | None:
+    def newest_named(self, model: str) -> TargetVersion | None:
         """Return the newest version of a model and when it was named."""
         versions = self._named.get(model)
         return versions[-1] if versions else None
@@ -93,8 +93,8 @@
                 allowed = named.version
         return allowed
 
-    def first_newer(self, model: str, version: int) -> NamedVersion | None:
-        """Return the first version named after one; its age is what that one's runners owe."""
+    def first_newer(self, model: str, version: int) -> TargetVersion | None:
+        """Return the first version named after one; its age is what that one's engines owe."""
         for named in self._named.get(model, ()):
             if named.version > version:
                 return named
@@ -104,7 +104,7 @@
         """Return the models with named versions."""
         return tuple(self._named)
 
-    def all(self) -> Iterator[tuple[str, NamedVersion]]:
+    def all(self) -> Iterator[tuple[str, TargetVersion]]:
         """Return every named version of every model."""
         for model, versions in self._named.items():
             for named in versions:
--- a/src/weirscale/gateway/state/weights_age_marker.py
+++ b/src/weirscale/gateway/state/weights_age_marker.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
-YOUNG_PREFIX = "weirscale/young/"
+WEIGHTS_AGE_PREFIX = "weirscale/young/"
 
 
-class YoungRecord(msgspec.Struct, frozen=True):
+class WeightsAgeMarker(msgspec.Struct, frozen=True):
     """Lives in the store while a version is newly named; what it proves to a node that starts.
 
     Attributes:
@@ -23,19 +23,19 @@
 
     def key(self) -> str:
         """Return the key in the store."""
-        return f"{YOUNG_PREFIX}{self.model}/{self.version}"
+        return f"{WEIGHTS_AGE_PREFIX}{self.model}/{self.version}"
 
     def value(self) -> bytes:
         """Return the value in the store."""
         return str(self.max_age_s).encode()
 
 
-def read_young_record(key: str, value: bytes) -> YoungRecord | None:
+def read_weights_age_marker(key: str, value: bytes) -> WeightsAgeMarker | None:
     """Return the record with a key; None for any other key, or a value that proves nothing."""
-    if not key.startswith(YOUNG_PREFIX):
+    if not key.startswith(WEIGHTS_AGE_PREFIX):
         return None
-    model, _, version = key.removeprefix(YOUNG_PREFIX).rpartition("/")
+    model, _, version = key.removeprefix(WEIGHTS_AGE_PREFIX).rpartition("/")
     try:
-        return YoungRecord(model, int(version), float(value))
+        return WeightsAgeMarker(model, int(version), float(value))
     except ValueError:
         return None
--- a/src/weirscale/gateway/telemetry/metrics.py
+++ b/src/weirscale/gateway/telemetry/metrics.py
@@ -152,7 +152,7 @@
 
     def text(self, figures: NodeFigures) -> bytes:
         """Return all figures in the text format."""
-        self._knowledge_age.set(min(figures.knowledge_age_s, NEVER_PROVED_AGE_S))
+        self._knowledge_age.set(min(figures.state_age_s, NEVER_PROVED_AGE_S))
         self._configuration_version.set(figures.configuration_version)
         self._back_ends.set(figures.num_back_ends)
         self._lease_held.set(1 if figures.holds_lease else 0)
@@ -172,7 +172,7 @@
 
 
 def _shared_read_tokens(summary: ExchangeSummary) -> int:
-    """Return the tokens of shared parts that a runner was expected to read (again)."""
+    """Return the tokens of shared blocks that an engine was expected to read (again)."""
     prompt, choice = summary.request.prompt, summary.choice
     if prompt is None or choice is None or not prompt.parts:
         return 0
--- a/src/weirscale/gateway/telemetry/node_metrics.py
+++ b/src/weirscale/gateway/telemetry/node_metrics.py
@@ -25,7 +25,7 @@
         num_quarantined: Requests that are refused for that.
     """
 
-    knowledge_age_s: float
+    state_age_s: float
     configuration_version: int
     num_back_ends: int
     holds_lease: bool
--- a/src/weirscale/gateway/telemetry/request_summary.py
+++ b/src/weirscale/gateway/telemetry/request_summary.py
@@ -77,5 +77,5 @@
         return QUARANTINED in self.causes
 
     def deadline_passed_after_sending(self) -> bool:
-        """Whether a runner worked on it, or let it wait, until its time was over."""
+        """Whether an engine worked on it, or let it wait, until its time was over."""
         return self.stage is Stage.TIMED_OUT and self.num_attempts > 0
--- a/src/weirscale/gateway/weights/order_turn.py
+++ b/src/weirscale/gateway/weights/order_turn.py
@@ -5,7 +5,7 @@
 import anyio
 from result import Err
 
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.ports.key_value import KeyValueFailureKind, KeyValuePort
 
 RENEWAL_LIFE_S = 0.4
@@ -32,13 +32,13 @@
         self,
         holder: str,
         store: KeyValuePort,
-        knowledge: Knowledge,
+        cluster: ClusterState,
         apart_s: float,
         clock: Callable[[], float],
     ) -> None:
         self._holder = holder
         self._store = store
-        self._knowledge = knowledge
+        self._cluster = cluster
         self._life_s = 0.0
         self.set_apart(apart_s)
         self._clock = clock
@@ -70,7 +70,7 @@
         return self._is_renewed()
 
     async def _begin(self) -> bool:
-        if TURN_KEY in self._knowledge.records:
+        if TURN_KEY in self._cluster.records:
             return False
         granted = await self._store.grant_lease(self._life_s)
         if isinstance(granted, Err):
@@ -92,7 +92,7 @@
         if self._is_written:
             return True
         value = f"{self._holder}/{self._lease_id}".encode()
-        if self._knowledge.records.get(TURN_KEY) == value:
+        if self._cluster.records.get(TURN_KEY) == value:
             self._is_written = True
             return True
         swapped = await self._store.compare_and_swap(TURN_KEY, 0, value, self._lease_id)
--- a/src/weirscale/gateway/weights/rollout_task.py
+++ b/src/weirscale/gateway/weights/rollout_task.py
@@ -1,7 +1,7 @@
-"""Brings named weights to the runners, while this node holds the lease on that duty.
+"""Brings named weights to the engines, while this node holds the lease on that duty.
 
 Orders carry the lease's fencing token, the incarnation that is meant and the number of orders that
-the runner has taken, so one that is carried out late changes nothing.
+the engine has taken, so one that is carried out late changes nothing.
 """
 
 import math
@@ -11,18 +11,18 @@
 from anyio.abc import TaskGroup
 
 from weirscale.gateway.model.back_ends import BackEnd, BackEndState
-from weirscale.gateway.ports.back_end import BackEndPort, OrderOutcome, RunnerReport, WeightOrder
+from weirscale.gateway.ports.back_end import BackEndPort, EngineReport, OrderOutcome, WeightOrder
 from weirscale.gateway.routing.health import BackEndHealth
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.gateway.state.expiring_record import write_timed_record
-from weirscale.gateway.state.weights_age_marker import YoungRecord
+from weirscale.gateway.state.weights_age_marker import WeightsAgeMarker
 from weirscale.gateway.ticks import sleep_to_tick
 from weirscale.gateway.weights.order_turn import OrderTurn
 from weirscale.gateway.weights.schedule import (
-    LaggingRunner,
-    LoadedRunners,
+    LaggingEngine,
+    LoadedEngines,
     WeightsRolloutRules,
-    runners_to_load,
+    engines_to_load,
 )
 from weirscale.leases.lease_task import DutyLeaseTask
 from weirscale.ports.event_log import EventLog
@@ -32,10 +32,10 @@
 REPORT_INTERVAL_S = 0.2
 CALL_TIMEOUT_S = 0.8
 ANNOUNCE_LEAD_S = 0.06
-"""Time for peers to hear that a runner is about to load, before the order goes out."""
+"""Time for peers to hear that an engine is about to load, before the order goes out."""
 
 RUNS_END_S = 0.4
-"""How long the order waits for the runs at the runner to end: what they make afterwards is of
+"""How long the order waits for the runs at the engine to end: what they make afterwards is of
 mixed weights."""
 
 RUNS_POLL_S = 0.05
@@ -44,7 +44,7 @@
 """A load that has not ended by then is looked at anew."""
 
 MAX_SILENT_REPORTS = 2
-"""A runner that leaves so many reports unanswered is down; others load meanwhile."""
+"""An engine that leaves so many reports unanswered is down; others load meanwhile."""
 
 TAKEN_BY_S = 1.0
 """An order without an answer that shows no effect by then is given again."""
@@ -66,11 +66,11 @@
     Args:
         holder: Name of this node.
         lease: Lease on the duty; asked at each order.
-        knowledge: Runners, versions.
+        knowledge: Engines, versions.
         port_of: Returns the port of a back end.
-        announce: Tells peers that a runner loads (`is_done` False) or has the version.
+        announce: Tells peers that an engine loads (`is_done` False) or has the version.
         num_requests: Requests at work at an instance.
-        health: Runners that fail; those that leave reports unanswered are told to it.
+        health: Engines that fail; those that leave reports unanswered are told to it.
         event_log: Where orders are told.
         rules: Times.
         turn: Keeps orders apart from another holder's.
@@ -83,7 +83,7 @@
         self,
         holder: str,
         lease: DutyLeaseTask,
-        knowledge: Knowledge,
+        cluster: ClusterState,
         port_of: Callable[[BackEnd], BackEndPort],
         announce: Callable[[str, str, int, bool], Awaitable[None]],
         num_requests: Callable[[str], int],
@@ -99,7 +99,7 @@
         self._serves = serves
         self._holder = holder
         self._lease = lease
-        self._knowledge = knowledge
+        self._cluster = cluster
         self._port_of = port_of
         self._announce = announce
         self._num_requests = num_requests
@@ -122,8 +122,8 @@
         async with anyio.create_task_group() as tasks:
             while True:
                 if self._holds_lease():
-                    for model in self._knowledge.weights.models():
-                        self._record_young(model, tasks)
+                    for model in self._cluster.weights.models():
+                        self._write_weights_age_marker(model, tasks)
                         self._begin_loads(model, tasks)
                 await sleep_to_tick(PLAN_INTERVAL_S)
 
@@ -136,16 +136,16 @@
             self._event_log.event("lease_won", duty=self._lease.duty.key, token=token)
         return True
 
-    def _record_young(self, model: str, tasks: TaskGroup) -> None:
+    def _write_weights_age_marker(self, model: str, tasks: TaskGroup) -> None:
         """Record that a version was named just now, for nodes that start meanwhile."""
-        named = self._knowledge.weights.newest_named(model)
+        named = self._cluster.weights.newest_named(model)
         if named is None or self._recorded.get(model, 0) >= named.version:
             return
         self._recorded[model] = named.version
         life_s = YOUNG_SHARE * self._rules.urgent_s
         left_s = named.named_after_s + life_s - self._clock()
         if left_s > MIN_YOUNG_S:
-            record = YoungRecord(model, named.version, life_s + WRITE_DELAY_S)
+            record = WeightsAgeMarker(model, named.version, life_s + WRITE_DELAY_S)
             tasks.start_soon(
                 write_timed_record,
                 self._store,
@@ -157,136 +157,136 @@
             )
 
     def _begin_loads(self, model: str, tasks: TaskGroup) -> None:
-        runners = [
-            runner
-            for runner in self._knowledge.directory.all()
-            if runner.version_of(model) is not None and runner.state is BackEndState.READY
+        engines = [
+            engine
+            for engine in self._cluster.directory.all()
+            if engine.version_of(model) is not None and engine.state is BackEndState.READY
         ]
-        # Waves are as large as those can spare that serve; runners on trial are not counted.
-        self._begin_waves(model, [one for one in runners if self._serves(one)], tasks)
-        self._begin_waves(model, [one for one in runners if not self._serves(one)], tasks)
-
-    def _begin_waves(self, model: str, runners: list[BackEnd], tasks: TaskGroup) -> None:
-        lagging = [one for one in map(self._lag_of(model), runners) if one is not None]
-        others = self._others(model, runners, lagging)
-        for instance in runners_to_load(lagging, others, self._clock(), self._rules):
-            runner = self._knowledge.directory.get(instance)
-            if runner is not None:
+        # Waves are as large as those can spare that serve; engines on trial are not counted.
+        self._begin_waves(model, [one for one in engines if self._serves(one)], tasks)
+        self._begin_waves(model, [one for one in engines if not self._serves(one)], tasks)
+
+    def _begin_waves(self, model: str, engines: list[BackEnd], tasks: TaskGroup) -> None:
+        lagging = [one for one in map(self._lag_of(model), engines) if one is not None]
+        others = self._others(model, engines, lagging)
+        for instance in engines_to_load(lagging, others, self._clock(), self._rules):
+            engine = self._cluster.directory.get(instance)
+            if engine is not None:
                 self._loading.add(instance)
-                self._tell_begun(runner, model, lagging, others)
-                tasks.start_soon(self._load, runner, model)
+                self._tell_begun(engine, model, lagging, others)
+                tasks.start_soon(self._load, engine, model)
 
     def _tell_begun(
-        self, runner: BackEnd, model: str, lagging: list[LaggingRunner], others: LoadedRunners
+        self, engine: BackEnd, model: str, lagging: list[LaggingEngine], others: LoadedEngines
     ) -> None:
         self._event_log.event(
-            "load_begun", instance=runner.instance, model=model,
-            newest=self._knowledge.weights.newest(model), lagging=len(lagging),
+            "load_begun", instance=engine.instance, model=model,
+            newest=self._cluster.weights.newest(model), lagging=len(lagging),
             loading=others.num_loading, old_requests=sum(one.num_requests for one in lagging),
             new_requests=others.num_requests,
         )  # fmt: skip
 
     def _others(
-        self, model: str, runners: list[BackEnd], lagging: list[LaggingRunner]
-    ) -> LoadedRunners:
+        self, model: str, engines: list[BackEnd], lagging: list[LaggingEngine]
+    ) -> LoadedEngines:
         behind = {one.instance for one in lagging} | self._loading
         now_s = self._clock()
-        loaded = [runner.instance for runner in runners if runner.instance not in behind]
-        return LoadedRunners(
-            num_runners=len(runners),
-            num_loading=sum(1 for runner in runners if runner.instance in self._loading),
+        loaded = [engine.instance for engine in engines if engine.instance not in behind]
+        return LoadedEngines(
+            num_engines=len(engines),
+            num_loading=sum(1 for engine in engines if engine.instance in self._loading),
             num_suspect=sum(
                 1
-                for runner in runners
-                if runner.instance not in self._loading
-                and self._health.is_suspect(runner.instance, now_s)
+                for engine in engines
+                if engine.instance not in self._loading
+                and self._health.is_suspect(engine.instance, now_s)
             ),
             num_requests=sum(self._num_requests(instance) for instance in loaded),
             last_load_s=self._last_load_s.get(model, -math.inf),
         )
 
-    def _lag_of(self, model: str) -> Callable[[BackEnd], LaggingRunner | None]:
-        def lag(runner: BackEnd) -> LaggingRunner | None:
-            version = self._knowledge.version_of(runner.instance, model)
-            if version is None or runner.instance in self._loading:
+    def _lag_of(self, model: str) -> Callable[[BackEnd], LaggingEngine | None]:
+        def lag(engine: BackEnd) -> LaggingEngine | None:
+            version = self._cluster.version_of(engine.instance, model)
+            if version is None or engine.instance in self._loading:
                 return None
-            owed = self._knowledge.weights.first_newer(model, version)
+            owed = self._cluster.weights.first_newer(model, version)
             if owed is None:
                 return None
-            num_requests = self._num_requests(runner.instance)
-            is_suspect = self._health.is_suspect(runner.instance, self._clock())
-            owed_since_s = self._knowledge.grace_began_s(owed)
-            return LaggingRunner(runner.instance, owed_since_s, num_requests, is_suspect)
+            num_requests = self._num_requests(engine.instance)
+            is_suspect = self._health.is_suspect(engine.instance, self._clock())
+            owed_since_s = self._cluster.grace_began_s(owed)
+            return LaggingEngine(engine.instance, owed_since_s, num_requests, is_suspect)
 
         return lag
 
-    async def _load(self, runner: BackEnd, model: str) -> None:
+    async def _load(self, engine: BackEnd, model: str) -> None:
         try:
-            await self._announce(runner.instance, model, 0, False)
+            await self._announce(engine.instance, model, 0, False)
             await anyio.sleep(ANNOUNCE_LEAD_S)
-            await self._let_runs_end(runner)
+            await self._let_runs_end(engine)
             with anyio.move_on_after(MAX_LOAD_S):
-                await self._order_until_done(runner, model)
+                await self._order_until_done(engine, model)
         finally:
-            self._loading.discard(runner.instance)
+            self._loading.discard(engine.instance)
             self._last_load_s[model] = self._clock()
-            version = self._knowledge.version_of(runner.instance, model) or 0
+            version = self._cluster.version_of(engine.instance, model) or 0
             with anyio.CancelScope(shield=True):
-                await self._announce(runner.instance, model, version, True)
+                await self._announce(engine.instance, model, version, True)
 
-    async def _let_runs_end(self, runner: BackEnd) -> None:
+    async def _let_runs_end(self, engine: BackEnd) -> None:
         with anyio.move_on_after(RUNS_END_S):
-            while self._num_requests(runner.instance) > 0:  # noqa: ASYNC110 - load tells nobody
+            while self._num_requests(engine.instance) > 0:  # noqa: ASYNC110 - load tells nobody
                 await anyio.sleep(RUNS_POLL_S)
 
-    async def _order_until_done(self, runner: BackEnd, model: str) -> None:
+    async def _order_until_done(self, engine: BackEnd, model: str) -> None:
         """Order the newest version and wait for it; a version named later is another load."""
-        port = self._port_of(runner)
-        wanted = self._knowledge.weights.newest(model) or 0
+        port = self._port_of(engine)
+        wanted = self._cluster.weights.newest(model) or 0
         ordered_sequence: int | None = None
         ordered_at_s = 0.0
         num_silent = 0
-        while self._is_own_term() and self._knowledge.directory.get(runner.instance) is not None:
+        while self._is_own_term() and self._cluster.directory.get(engine.instance) is not None:
             report = await port.report(CALL_TIMEOUT_S)
             num_silent = num_silent + 1 if report is None else 0
             if num_silent >= MAX_SILENT_REPORTS:
-                self._health.unreachable(runner.instance, "report", self._clock())
+                self._health.unreachable(engine.instance, "report", self._clock())
                 return
             if report is not None and not report.is_ordered:
-                if self._has_version(runner, model, wanted, report):
+                if self._has_version(engine, model, wanted, report):
                     return
                 has_waited = self._clock() - ordered_at_s >= TAKEN_BY_S
                 if ordered_sequence != report.sequence or has_waited:
-                    wanted = self._knowledge.weights.newest(model) or 0
-                    if await self._order(port, runner, model, wanted, report.sequence):
+                    wanted = self._cluster.weights.newest(model) or 0
+                    if await self._order(port, engine, model, wanted, report.sequence):
                         ordered_sequence = report.sequence
                         ordered_at_s = self._clock()
             await anyio.sleep(REPORT_INTERVAL_S)
 
-    def _has_version(self, runner: BackEnd, model: str, wanted: int, report: RunnerReport) -> bool:
+    def _has_version(self, engine: BackEnd, model: str, wanted: int, report: EngineReport) -> bool:
         for served in report.models:
             if served.name == model:
-                self._knowledge.learn_version(runner.instance, model, served.version, "report")
-        return (self._knowledge.version_of(runner.instance, model) or 0) >= wanted
+                self._cluster.learn_version(engine.instance, model, served.version, "report")
+        return (self._cluster.version_of(engine.instance, model) or 0) >= wanted
 
     def _is_own_term(self) -> bool:
         token = self._lease.token()
         return token is not None and token == self._token
 
     async def _order(
-        self, port: BackEndPort, runner: BackEnd, model: str, version: int, sequence: int
+        self, port: BackEndPort, engine: BackEnd, model: str, version: int, sequence: int
     ) -> bool:
         """Give an order; False if it may not be given now."""
         # Without the lease the record must not be renewed either: it keeps the next holder out.
         if not self._is_own_term() or not await self._turn.take() or not self._is_own_term():
             return False
         token = self._token
-        order = WeightOrder(model, version, self._holder, token, sequence, runner.instance)
+        order = WeightOrder(model, version, self._holder, token, sequence, engine.instance)
         outcome = await port.order(order, CALL_TIMEOUT_S)
         self._event_log.event(
-            "order_given", instance=runner.instance, model=model, version=version,
+            "order_given", instance=engine.instance, model=model, version=version,
             token=token, sequence=sequence, outcome=outcome.value,
         )  # fmt: skip
         if outcome is OrderOutcome.HOLDS_ALREADY:
-            self._knowledge.learn_version(runner.instance, model, version, "order")
+            self._cluster.learn_version(engine.instance, model, version, "order")
         return True
--- a/src/weirscale/gateway/weights/schedule.py
+++ b/src/weirscale/gateway/weights/schedule.py
@@ -1,8 +1,8 @@
-"""When which runner takes newly named weights: pure planning.
+"""When which engine takes newly named weights: pure planning.
 
-A runner that loads serves nobody for a while, and many loading at once take longer each. So runners
-load in waves. The first wave loads at once, and the next ones follow as long as requests go on
-starting on older weights: the runners that have the new ones do not suffice. Runners that nobody
+An engine that loads serves nobody for a while, and many loading at once take longer each. So
+engines load in waves. The first wave loads at once, and the next ones follow as long as requests go
+on starting on older weights: the engines that have the new ones do not suffice. Engines that nobody
 needs meanwhile load no earlier than the bound asks for: a version named until then is taken by the
 same load.
 """
@@ -18,10 +18,10 @@
 
     Attributes:
         load_s: Time that a wave is expected to take, runs that end first included.
-        share_at_once: Share of a model's runners that may load at once.
-        target_s: Time after the naming by which every runner should have begun its load.
-        urgent_s: From this age on, runners are out of use anyway and load all at once.
-        settle_s: Time after a load before it is judged whether the loaded runners suffice.
+        share_at_once: Share of a model's engines that may load at once.
+        target_s: Time after the naming by which every engine should have begun its load.
+        urgent_s: From this age on, engines are out of use anyway and load all at once.
+        settle_s: Time after a load before it is judged whether the loaded engines suffice.
         old_share: They do not while more than this share of the requests runs on older weights.
     """
 
@@ -33,11 +33,11 @@
     old_share: float = 0.2
 
 
-class LaggingRunner(msgspec.Struct, frozen=True):
-    """A runner whose weights are older than the newest named.
+class LaggingEngine(msgspec.Struct, frozen=True):
+    """An engine whose weights are older than the newest named.
 
     Attributes:
-        instance: The runner.
+        instance: The engine.
         owed_since_s: When the first version newer than its own was named.
         num_requests: Requests at work there.
         is_suspect: Whether it has failed lately; the others load before it.
@@ -49,39 +49,39 @@
     is_suspect: bool = False
 
 
-class LoadedRunners(msgspec.Struct, frozen=True):
-    """The other runners of a model.
+class LoadedEngines(msgspec.Struct, frozen=True):
+    """The other engines of a model.
 
     Attributes:
-        num_runners: All runners of the model, those that lag included.
-        num_loading: Runners that load now.
-        num_suspect: Runners that have failed lately; they are missed as those that load are.
-        num_requests: Requests at work at runners that have the newest weights.
+        num_runners: All engines of the model, those that lag included.
+        num_loading: Engines that load now.
+        num_suspect: Engines that have failed lately; they are missed as those that load are.
+        num_requests: Requests at work at engines that have the newest weights.
         last_load_s: When the last load ended.
     """
 
-    num_runners: int
+    num_engines: int
     num_loading: int = 0
     num_suspect: int = 0
     num_requests: int = 0
     last_load_s: float = -math.inf
 
 
-def runners_to_load(
-    lagging: Sequence[LaggingRunner],
-    others: LoadedRunners,
+def engines_to_load(
+    lagging: Sequence[LaggingEngine],
+    others: LoadedEngines,
     now_s: float,
     rules: WeightsRolloutRules,
 ) -> list[str]:
-    """Return the runners that should begin to load now.
+    """Return the engines that should begin to load now.
 
     Args:
-        lagging: Runners to load that have not begun.
-        others: The other runners.
+        lagging: Engines to load that have not begun.
+        others: The other engines.
         now_s: Time.
         rules: Times.
     """
-    at_once = max(1, round(others.num_runners * rules.share_at_once))
+    at_once = max(1, round(others.num_engines * rules.share_at_once))
     order = sorted(lagging, key=_load_order)
     urgent = [one.instance for one in order if now_s - one.owed_since_s >= rules.urgent_s]
     num_at_once = 0
@@ -94,12 +94,12 @@
     return chosen + [instance for instance in urgent if instance not in chosen]
 
 
-def _load_order(runner: LaggingRunner) -> tuple[bool, float, int, str]:
-    return runner.is_suspect, runner.owed_since_s, runner.num_requests, runner.instance
+def _load_order(engine: LaggingEngine) -> tuple[bool, float, int, str]:
+    return engine.is_suspect, engine.owed_since_s, engine.num_requests, engine.instance
 
 
 def _is_needed(
-    order: Sequence[LaggingRunner], others: LoadedRunners, now_s: float, rules: WeightsRolloutRules
+    order: Sequence[LaggingEngine], others: LoadedEngines, now_s: float, rules: WeightsRolloutRules
 ) -> bool:
     """Whether too many requests run on older weights."""
     if now_s < others.last_load_s + rules.settle_s:
@@ -109,9 +109,9 @@
 
 
 def _must_begin(
-    order: Sequence[LaggingRunner], at_once: int, now_s: float, rules: WeightsRolloutRules
+    order: Sequence[LaggingEngine], at_once: int, now_s: float, rules: WeightsRolloutRules
 ) -> bool:
-    """Whether waiting longer would make some runner in the order late."""
+    """Whether waiting longer would make some engine in the order late."""
     for index, one in enumerate(order):
         num_waves_before = index // at_once
         latest_s = one.owed_since_s + rules.target_s - rules.load_s * num_waves_before
@@ -120,8 +120,8 @@
     return False
 
 
-def _num_needed(order: Sequence[LaggingRunner], now_s: float, rules: WeightsRolloutRules) -> int:
-    """Return how many runners must load at once for none to be late.
+def _num_needed(order: Sequence[LaggingEngine], now_s: float, rules: WeightsRolloutRules) -> int:
+    """Return how many engines must load at once for none to be late.
 
     After lost time, somewhat larger waves now are better than all that is left at the end.
     """
--- a/src/weirscale/gateway/weights/version_check.py
+++ b/src/weirscale/gateway/weights/version_check.py
@@ -1,4 +1,4 @@
-"""Asks runners for their weights when they refuse a request for having others than believed.
+"""Asks engines for their weights when they refuse a request for having others than believed.
 
 After an outage of the store many nodes believe old weights. One report mends the belief, and peers
 are told, so that one refusal is enough for all.
@@ -10,13 +10,13 @@
 from anyio.abc import TaskGroup
 
 from weirscale.gateway.model.back_ends import BackEnd
-from weirscale.gateway.peers.messages import LoadingNews
+from weirscale.gateway.peers.messages import LoadingGossip
 from weirscale.gateway.ports.back_end import BackEndPort
-from weirscale.gateway.state.cluster_state import Knowledge
+from weirscale.gateway.state.cluster_state import ClusterState
 
 REPORT_TIMEOUT_S = 0.5
 MIN_INTERVAL_S = 0.4
-"""A runner's report lags by some hundred milliseconds: asking sooner teaches nothing."""
+"""An engine's report lags by some hundred milliseconds: asking sooner teaches nothing."""
 
 MAX_WAITING = 64
 
@@ -33,12 +33,12 @@
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        cluster: ClusterState,
         port_of: Callable[[BackEnd], BackEndPort],
-        tell: Callable[[LoadingNews], None],
+        tell: Callable[[LoadingGossip], None],
         clock: Callable[[], float],
     ) -> None:
-        self._knowledge = knowledge
+        self._cluster = cluster
         self._port_of = port_of
         self._tell = tell
         self._clock = clock
@@ -46,7 +46,7 @@
         self._send, self._receive = anyio.create_memory_object_stream[str](MAX_WAITING)
 
     def request(self, instance: str) -> None:
-        """Ask a runner soon, unless it was asked just now."""
+        """Ask an engine soon, unless it was asked just now."""
         now_s = self._clock()
         if now_s - self._asked_at_s.get(instance, float("-inf")) < MIN_INTERVAL_S:
             return
@@ -57,7 +57,7 @@
         self._asked_at_s[instance] = now_s
 
     def forget(self, instance: str) -> None:
-        """Forget a runner that is gone."""
+        """Forget an engine that is gone."""
         self._asked_at_s.pop(instance, None)
 
     async def run(self) -> None:
@@ -67,7 +67,7 @@
                 self._ask_in(tasks, instance)
 
     def _ask_in(self, tasks: TaskGroup, instance: str) -> None:
-        back_end = self._knowledge.directory.get(instance)
+        back_end = self._cluster.directory.get(instance)
         if back_end is not None:
             tasks.start_soon(self._ask, back_end)
 
@@ -77,7 +77,7 @@
             return
         instance = back_end.instance
         for served in report.models:
-            known = self._knowledge.version_of(instance, served.name) or 0
-            self._knowledge.learn_version(instance, served.name, served.version, "refusal")
+            known = self._cluster.version_of(instance, served.name) or 0
+            self._cluster.learn_version(instance, served.name, served.version, "refusal")
             if served.version > known:
-                self._tell(LoadingNews(instance, served.name, served.version, True))
+                self._tell(LoadingGossip(instance, served.name, served.version, True))
