--- a/bench/gateway_cost.py
+++ b/bench/gateway_cost.py
@@ -11,6 +11,7 @@
 
 from weirscale.domain.identifiers import ServiceName, ZoneName
 from weirscale.gateway.model.back_ends import BackEnd, BackEndState
+from weirscale.gateway.model.identifiers import Address, InstanceId
 from weirscale.gateway.model.prompt import CacheScope, Prompt, PromptBlock
 from weirscale.gateway.peers.messages import (
     Gossip,
@@ -59,9 +60,13 @@
         for prompt in random.sample(prompts, 12):
             cache.note(SCOPE, prompt.parts, is_ready=True)
         back_end = BackEnd(
-            f"i-{number}", ServiceName("lm"), f"10.0.0.{number}:80", ZoneName(f"z{number % 4}"),
-            BackEndState.READY, 48,
-        )  # fmt: skip
+            InstanceId(f"i-{number}"),
+            ServiceName("lm"),
+            Address(f"10.0.0.{number}:80"),
+            ZoneName(f"z{number % 4}"),
+            BackEndState.READY,
+            48,
+        )
         load = Load(random.randrange(20), random.randrange(9000), random.randrange(60_000))
         candidates.append(Candidate(back_end, load, False, cache, CAPACITY_TOKENS, VERSION))
     return candidates
@@ -103,8 +108,12 @@
         return choose(candidates, need, sources, ZoneName("z1"), rules, random)
 
     report(f"choice over {NUM_RUNNERS} runners", time_each(choose_one, NUM_CHOICES))
-    loads = tuple(LoadGossip(f"i-{number:08x}", 12, 3456, 45_678) for number in range(NUM_RUNNERS))
-    sends = (SendGossip("i-0000000a", SCOPE, False, prompts[0].parts),) * NUM_SENDS_A_DATAGRAM
+    loads = tuple(
+        LoadGossip(InstanceId(f"i-{number:08x}"), 12, 3456, 45_678) for number in range(NUM_RUNNERS)
+    )
+    sends = (
+        SendGossip(InstanceId("i-0000000a"), SCOPE, False, prompts[0].parts),
+    ) * NUM_SENDS_A_DATAGRAM
     gossip = Gossip("edge-hall-1", loads, sends)
     datagram = encode_message(gossip)
     report("datagram encoding", time_each(lambda _: encode_message(gossip), NUM_DATAGRAMS))
--- a/features/support/recorded_forms.py
+++ b/features/support/recorded_forms.py
@@ -28,7 +28,7 @@
     TenantName,
     ZoneName,
 )
-from weirscale.gateway.model.back_ends import BackEnd, BackEndState, RunId, ServedModel
+from weirscale.gateway.model.back_ends import BackEnd, BackEndState, ServedModel
 from weirscale.gateway.model.configuration import (
     CallerLimits,
     EngineProfile,
@@ -42,6 +42,7 @@
     Tenant,
     WeightedService,
 )
+from weirscale.gateway.model.identifiers import RunId
 from weirscale.gateway.model.prompt import Prompt, PromptBlock
 from weirscale.gateway.model.rollout_order import Epoch, RolloutState, RolloutStatus
 from weirscale.gateway.peers.messages import (
--- a/src/weirscale/gateway/gossip/group_relay.py
+++ b/src/weirscale/gateway/gossip/group_relay.py
@@ -13,6 +13,7 @@
 from weirscale.gateway.limits.quota import QuotaLedger
 from weirscale.gateway.limits.usage import NO_USAGE
 from weirscale.gateway.limits.usage_reporter import UsageReporter
+from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.peers.heartbeat import HEARTBEAT_INTERVAL_S, PEER_SILENCE_S
 from weirscale.gateway.peers.messages import REST_OF_FLEET, Gossip, LoadGossip, SendGossip
 from weirscale.gateway.peers.outbox import GossipOutbox
@@ -126,7 +127,7 @@
         """When a member of this node's group was last heard, or first seen in it."""
         self._speakers: dict[str, tuple[str, float]] = {}
         """Who spoke for another group last, and when."""
-        self._told_sums: dict[str, dict[str, Load]] = {"": {}, REST_OF_FLEET: {}}
+        self._told_sums: dict[str, dict[InstanceId, Load]] = {"": {}, REST_OF_FLEET: {}}
         self._told_sends: dict[tuple[str, str, str], float] = {}
         self._usage_to_heads = UsageReporter()
         self._usage_to_group = UsageReporter()
@@ -277,7 +278,7 @@
         self._usage_to_group.add_to(self._to_group, rest, must_refresh)
 
     def _add_sums(
-        self, outbox: GossipOutbox, key: str, sums: dict[str, Load], must_refresh: bool
+        self, outbox: GossipOutbox, key: str, sums: dict[InstanceId, Load], must_refresh: bool
     ) -> None:
         told = self._told_sums[key]
         for instance in told.keys() | sums.keys():
--- a/src/weirscale/gateway/model/back_ends.py
+++ b/src/weirscale/gateway/model/back_ends.py
@@ -2,14 +2,11 @@
 
 import enum
 from collections.abc import Iterable
-from typing import NewType
 
 import msgspec
 
 from weirscale.domain.identifiers import ServiceName, SoftwareVersion, ZoneName
-
-RunId = NewType("RunId", str)
-"""One run of a back end's process."""
+from weirscale.gateway.model.identifiers import Address, InstanceId, RunId
 
 
 class BackEndState(enum.Enum):
@@ -49,9 +46,9 @@
         started_ms: Unix time of its start, or None if it does not tell.
     """
 
-    instance: str
+    instance: InstanceId
     service: ServiceName
-    address: str
+    address: Address
     zone: ZoneName
     state: BackEndState
     slots: int
@@ -80,12 +77,12 @@
     """
 
     def __init__(self) -> None:
-        self._by_instance: dict[str, BackEnd] = {}
-        self._by_service: dict[ServiceName, dict[str, BackEnd]] = {}
+        self._by_instance: dict[InstanceId, BackEnd] = {}
+        self._by_service: dict[ServiceName, dict[InstanceId, BackEnd]] = {}
         self.num_changes = 0
         """Rises when an instance comes or goes, for those who read them by change."""
 
-    def put(self, back_end: BackEnd) -> tuple[str, ...]:
+    def put(self, back_end: BackEnd) -> tuple[InstanceId, ...]:
         """Take a registration; returns the instances that it displaces."""
         displaced = tuple(
             other.instance
@@ -100,20 +97,20 @@
         self._by_service.setdefault(back_end.service, {})[back_end.instance] = back_end
         return displaced
 
-    def remove(self, instance: str) -> BackEnd | None:
+    def remove(self, instance: InstanceId) -> BackEnd | None:
         """Forget an instance; returns what was known of it."""
         known = self._drop(instance)
         if known is not None:
             self.num_changes += 1
         return known
 
-    def _drop(self, instance: str) -> BackEnd | None:
+    def _drop(self, instance: InstanceId) -> BackEnd | None:
         known = self._by_instance.pop(instance, None)
         if known is not None:
             del self._by_service[known.service][instance]
         return known
 
-    def get(self, instance: str) -> BackEnd | None:
+    def get(self, instance: InstanceId) -> BackEnd | None:
         """Return an instance."""
         return self._by_instance.get(instance)
 
@@ -121,7 +118,7 @@
         """Return all instances of a service, leaving ones included."""
         return self._by_service.get(service, {}).values()
 
-    def instances(self) -> tuple[str, ...]:
+    def instances(self) -> tuple[InstanceId, ...]:
         """Return all instance identifiers."""
         return tuple(self._by_instance)
 
--- a/src/weirscale/gateway/model/configuration.py
+++ b/src/weirscale/gateway/model/configuration.py
@@ -5,6 +5,7 @@
 import msgspec
 
 from weirscale.domain.identifiers import ServiceName, TenantName, ZoneName
+from weirscale.gateway.model.identifiers import Address
 
 DEFAULT_HEALTH_PATH = "/healthz"
 
@@ -89,7 +90,7 @@
         capacity_tokens: Tokens that it keeps.
     """
 
-    address: str
+    address: Address
     zone: ZoneName
     capacity_tokens: int
 
--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -16,6 +16,7 @@
 from weirscale.gateway.limits.retry_budget import SharedRetryBudget
 from weirscale.gateway.limits.usage_reporter import UsageReporter, read_usage
 from weirscale.gateway.model.back_ends import BackEnd
+from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.model.topology import Topology
 from weirscale.gateway.peers.messages import (
     AgesQuery,
@@ -158,8 +159,8 @@
         self._connect = connect
         self._event_log = event_log
         self._clock = clock
-        self._ports: dict[str, BackEndPort] = {}
-        self._closing: dict[str, BackEndPort] = {}
+        self._ports: dict[InstanceId, BackEndPort] = {}
+        self._closing: dict[InstanceId, BackEndPort] = {}
         self.is_stopping = False
         self.metrics = new_metrics(settings)
         feed = CountedFeed(feed, self.metrics.count_store_call)
@@ -348,7 +349,7 @@
         self.dispatcher.forget(back_end.instance)
         self.version_check.forget(back_end.instance)
 
-    def _take_version(self, instance: str, model: str, version: int) -> None:
+    def _take_version(self, instance: InstanceId, model: str, version: int) -> None:
         self.dispatcher.weights_changed(instance)
 
     async def _send(self, message: PeerMessage, addresses: Iterable[ListenAddress]) -> None:
@@ -397,7 +398,7 @@
             self.cluster.learn_version(loading.instance, loading.model, loading.version, "peer")
 
     async def _announce_loading(
-        self, instance: str, model: str, version: int, is_done: bool
+        self, instance: InstanceId, model: str, version: int, is_done: bool
     ) -> None:
         self.dispatcher.mark_loading(instance, is_done)
         self.outbox.add_loading(LoadingGossip(instance, model, version, is_done))
@@ -442,7 +443,7 @@
             if self.load.own(instance) == NO_LOAD:
                 tasks.start_soon(self._closing.pop(instance).close)
 
-    async def _probe(self, instance: str) -> None:
+    async def _probe(self, instance: InstanceId) -> None:
         back_end = self.cluster.directory.get(instance)
         table = self.cluster.table
         if back_end is None or table is None:
--- a/src/weirscale/gateway/peers/messages.py
+++ b/src/weirscale/gateway/peers/messages.py
@@ -9,6 +9,7 @@
 import cbor2
 import msgspec
 
+from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.model.prompt import PromptBlock
 from weirscale.gateway.ports.state_feed import VersionedChange
 
@@ -19,7 +20,7 @@
 class LoadGossip(msgspec.Struct, frozen=True, array_like=True):
     """The sender's own load on one back end."""
 
-    instance: str
+    instance: InstanceId
     num_requests: int
     waiting_tokens: int
     held_tokens: int
@@ -28,7 +29,7 @@
 class SendGossip(msgspec.Struct, frozen=True, array_like=True):
     """A prompt was sent to an engine, or (`is_ready`) has been read there."""
 
-    instance: str
+    instance: InstanceId
     scope: str
     is_ready: bool
     parts: tuple[PromptBlock, ...]
@@ -37,7 +38,7 @@
 class LoadingGossip(msgspec.Struct, frozen=True, array_like=True):
     """An engine is about to load weights, or has them (`is_done`)."""
 
-    instance: str
+    instance: InstanceId
     model: str
     version: int
     is_done: bool
@@ -54,7 +55,7 @@
 class SuspectGossip(msgspec.Struct, frozen=True, array_like=True):
     """The sender could not reach a back end."""
 
-    instance: str
+    instance: InstanceId
 
 
 class UsageGossip(msgspec.Struct, frozen=True, array_like=True):
@@ -87,7 +88,7 @@
     service: str
     epoch: int
     route: str
-    instance: str
+    instance: InstanceId
     num: int
     num_failed: int
     num_slow: int
--- a/src/weirscale/gateway/ports/back_end.py
+++ b/src/weirscale/gateway/ports/back_end.py
@@ -10,6 +10,7 @@
 
 from weirscale.domain.identifiers import TenantName
 from weirscale.gateway.model.back_ends import BackEnd, ServedModel
+from weirscale.gateway.model.identifiers import Address, InstanceId, RequestId
 from weirscale.gateway.ports.callers import CallerRequest, Headers
 
 
@@ -32,14 +33,14 @@
 
     request: CallerRequest
     body: bytes
-    instance: str
+    instance: InstanceId
     timeout_s: float
     tenant: TenantName | None = None
     priority: int | None = None
     cache_scope: str | None = None
     weight_version: int | None = None
-    fetch_from: str | None = None
-    save_to: str | None = None
+    fetch_from: Address | None = None
+    save_to: Address | None = None
     resume_after: str | None = None
 
 
@@ -59,8 +60,8 @@
 
     status: int
     headers: Headers
-    request_id: str | None
-    instance: str | None
+    request_id: RequestId | None
+    instance: InstanceId | None
     is_proved_unrun: bool
     is_sealed: bool
     weight_version: int | None
@@ -126,7 +127,7 @@
     holder: str
     fencing_token: int
     expected_sequence: int
-    instance: str
+    instance: InstanceId
     mode: LoadMode = LoadMode.DURING_RUNS
 
 
--- a/src/weirscale/gateway/ports/callers.py
+++ b/src/weirscale/gateway/ports/callers.py
@@ -5,6 +5,7 @@
 
 import msgspec
 
+from weirscale.gateway.model.identifiers import RequestId
 from weirscale.gateway.model.prompt import Prompt
 
 Headers = tuple[tuple[bytes, bytes], ...]
@@ -28,7 +29,7 @@
         headers: What travels on to the back end.
     """
 
-    request_id: str
+    request_id: RequestId
     method: str
     target: bytes
     host: str
@@ -48,6 +49,6 @@
         """Read the head of an ASGI request; a string tells what is wrong with it."""
         ...
 
-    def refusal_headers(self, request_id: str, retry_after_s: float | None) -> Headers:
+    def refusal_headers(self, request_id: RequestId, retry_after_s: float | None) -> Headers:
         """Return the header fields of an answer of the gateway's own."""
         ...
--- a/src/weirscale/gateway/ports/state_feed.py
+++ b/src/weirscale/gateway/ports/state_feed.py
@@ -8,6 +8,7 @@
 from weirscale.domain.identifiers import ServiceName, SoftwareVersion
 from weirscale.gateway.model.back_ends import BackEnd
 from weirscale.gateway.model.configuration import GatewayConfiguration
+from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.model.rollout_order import RolloutStatus
 from weirscale.ports.key_value import KeyValueFailure, SwapAnswer
 
@@ -27,7 +28,7 @@
 class BackEndGone(msgspec.Struct, frozen=True, tag=True):
     """A registration ended."""
 
-    instance: str
+    instance: InstanceId
 
 
 class WeightsNamed(msgspec.Struct, frozen=True, tag=True):
--- a/src/weirscale/gateway/quarantine/crash_check.py
+++ b/src/weirscale/gateway/quarantine/crash_check.py
@@ -11,7 +11,8 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from weirscale.gateway.model.back_ends import TAKES_WORK, BackEnd, BackEndState, RunId
+from weirscale.gateway.model.back_ends import TAKES_WORK, BackEnd, BackEndState
+from weirscale.gateway.model.identifiers import RunId
 from weirscale.gateway.ports.back_end import BackEndPort, RunState
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint
 from weirscale.gateway.state.cluster_state import ClusterState
--- a/src/weirscale/gateway/quarantine/keeper.py
+++ b/src/weirscale/gateway/quarantine/keeper.py
@@ -9,7 +9,7 @@
 
 from result import Err
 
-from weirscale.gateway.model.back_ends import RunId
+from weirscale.gateway.model.identifiers import RunId
 from weirscale.gateway.peers.messages import AnsweredGossip, CrashGossip, Gossip
 from weirscale.gateway.peers.outbox import GossipOutbox
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint, read_fingerprint
--- a/src/weirscale/gateway/quarantine/suspects.py
+++ b/src/weirscale/gateway/quarantine/suspects.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from weirscale.gateway.model.back_ends import RunId
+from weirscale.gateway.model.identifiers import RunId
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint
 
 NUM_CRASHES = 3
--- a/src/weirscale/gateway/requests/exchange.py
+++ b/src/weirscale/gateway/requests/exchange.py
@@ -13,6 +13,7 @@
 from weirscale.gateway.limits.quota import QuotaDecision
 from weirscale.gateway.model.back_ends import BackEnd
 from weirscale.gateway.model.configuration import RequestKind, Route, Tenant
+from weirscale.gateway.model.identifiers import Address, InstanceId
 from weirscale.gateway.ports.back_end import Answer, BodyBrokenError, OutboundRequest
 from weirscale.gateway.ports.callers import CallerRequest, Headers
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint, fingerprint_of
@@ -101,8 +102,8 @@
         self._tenant: Tenant | None = None
         self._service: ServiceName | None = None
         self._deadline_s = 0.0
-        self._excluded: set[str] = set()
-        self._tried: set[str] = set()
+        self._excluded: set[InstanceId] = set()
+        self._tried: set[InstanceId] = set()
         self._may_have_run = False
         self._num_attempts = 0
         self._attempt_began_s = arrived_at_s
@@ -275,7 +276,9 @@
             choice, self._route, self._request.timeout_s, limit
         )
 
-    def _query(self, excluded: Collection[str], track: Track = Track.STABLE) -> DispatchQuery:
+    def _query(
+        self, excluded: Collection[InstanceId], track: Track = Track.STABLE
+    ) -> DispatchQuery:
         assert self._service is not None
         return DispatchQuery(self._service, self._request.prompt, self._tenant, excluded, track)
 
@@ -422,7 +425,7 @@
             resume_after=self._cutter.last_id or self._request.resume_after,
         )
 
-    def _save_to(self, choice: Choice) -> str | None:
+    def _save_to(self, choice: Choice) -> Address | None:
         prompt = self._request.prompt
         if prompt is None:
             return None
--- a/src/weirscale/gateway/requests/exchange_context.py
+++ b/src/weirscale/gateway/requests/exchange_context.py
@@ -9,6 +9,7 @@
 from weirscale.gateway.limits.retry_budget import SharedRetryBudget
 from weirscale.gateway.model.back_ends import BackEnd
 from weirscale.gateway.model.configuration import Route
+from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.model.prompt import Prompt
 from weirscale.gateway.peers.messages import SendGossip, SuspectGossip
 from weirscale.gateway.peers.outbox import GossipOutbox
@@ -219,7 +220,7 @@
             self.dispatcher.note_unread(choice, prompt)
         self._judge_health(instance, verdict)
 
-    def _judge_health(self, instance: str, verdict: Verdict) -> None:
+    def _judge_health(self, instance: InstanceId, verdict: Verdict) -> None:
         now_s = self.clock()
         if verdict.end is AttemptEnd.ANSWERED:
             self._health.succeeded(instance, now_s)
--- a/src/weirscale/gateway/requests/outcome.py
+++ b/src/weirscale/gateway/requests/outcome.py
@@ -4,6 +4,7 @@
 
 import msgspec
 
+from weirscale.gateway.model.identifiers import InstanceId, RequestId
 from weirscale.gateway.ports.back_end import Answer, SendFailure, SendFailureKind
 
 HTTP_OK = 200
@@ -58,7 +59,7 @@
     return Verdict(AttemptEnd.UNCERTAIN, NO_ANSWER)
 
 
-def judge_answer(answer: Answer, request_id: str, instance: str) -> Verdict:
+def judge_answer(answer: Answer, request_id: RequestId, instance: InstanceId) -> Verdict:
     """Judge the head of an answer.
 
     A success must carry the back end's signature and belong to this request. A refusal without
--- a/src/weirscale/gateway/requests/responder.py
+++ b/src/weirscale/gateway/requests/responder.py
@@ -3,6 +3,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
+from weirscale.gateway.model.identifiers import RequestId
 from weirscale.gateway.ports.callers import Headers, RequestCodec
 
 Send = Callable[[dict[str, Any]], Awaitable[None]]
@@ -25,7 +26,7 @@
     """
 
     def __init__(
-        self, send: Send, codec: RequestCodec, request_id: str, sends_on: Callable[[], bool]
+        self, send: Send, codec: RequestCodec, request_id: RequestId, sends_on: Callable[[], bool]
     ) -> None:
         self._send = send
         self._codec = codec
--- a/src/weirscale/gateway/rollouts/gate.py
+++ b/src/weirscale/gateway/rollouts/gate.py
@@ -8,6 +8,7 @@
 
 from weirscale.domain.identifiers import ServiceName, SoftwareVersion
 from weirscale.gateway.model.back_ends import BackEnd
+from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.model.rollout_order import Epoch, RolloutOrder, RolloutState
 from weirscale.gateway.rollouts.record import RolloutRecord, Stage, decode_record, record_key
 from weirscale.gateway.state.cluster_state import ClusterState
@@ -232,5 +233,5 @@
         return sorted(targets, key=lambda one: _rank(view.epoch, one.instance))[:num]
 
 
-def _rank(epoch: Epoch, instance: str) -> int:
+def _rank(epoch: Epoch, instance: InstanceId) -> int:
     return xxhash.xxh64_intdigest(f"{epoch}|{instance}".encode())
--- a/src/weirscale/gateway/rollouts/holder_task.py
+++ b/src/weirscale/gateway/rollouts/holder_task.py
@@ -12,6 +12,7 @@
 
 from weirscale.domain.identifiers import ServiceName
 from weirscale.gateway.model.back_ends import TAKES_WORK, BackEnd
+from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.model.rollout_order import Epoch, RolloutOrder, RolloutStatus
 from weirscale.gateway.ports.state_feed import StateFeed
 from weirscale.gateway.rollouts.canary_traffic import verdict_fields
@@ -99,7 +100,7 @@
         alarm_of: Callable[[Epoch], Verdict | None],
         num_moved: Callable[[ServiceName, Epoch], int],
         num_nodes: Callable[[], int],
-        num_requests: Callable[[str], int],
+        num_requests: Callable[[InstanceId], int],
         return_s: Callable[[], float],
         event_log: EventLog,
         clock: Callable[[], float],
--- a/src/weirscale/gateway/rollouts/reporter.py
+++ b/src/weirscale/gateway/rollouts/reporter.py
@@ -7,6 +7,7 @@
 from collections.abc import Callable, Iterable
 
 from weirscale.domain.identifiers import ServiceName
+from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.model.rollout_order import Epoch
 from weirscale.gateway.peers.messages import CanaryGossip, Gossip, MovedGossip
 from weirscale.gateway.peers.outbox import GossipOutbox
@@ -82,7 +83,7 @@
         cluster: ClusterState,
         reader: RecordReader,
         tallies: FleetTallies,
-        num_requests: Callable[[str], int],
+        num_requests: Callable[[InstanceId], int],
         clock: Callable[[], float],
     ) -> None:
         self._cluster = cluster
--- a/src/weirscale/gateway/rollouts/tallies.py
+++ b/src/weirscale/gateway/rollouts/tallies.py
@@ -10,6 +10,7 @@
 import msgspec
 
 from weirscale.domain.identifiers import ServiceName
+from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.model.rollout_order import Epoch
 
 
@@ -66,7 +67,7 @@
     old: Counts = NO_COUNTS
 
 
-PREDECESSORS = ""
+PREDECESSORS = InstanceId("")
 """Stands for the instance where a tally is of all engines of older versions."""
 
 
@@ -83,7 +84,7 @@
     service: ServiceName
     epoch: Epoch
     route: str
-    instance: str
+    instance: InstanceId
 
 
 Tallies = dict[TallyKey, Counts]
--- a/src/weirscale/gateway/routing/choice.py
+++ b/src/weirscale/gateway/routing/choice.py
@@ -13,6 +13,7 @@
 
 from weirscale.domain.identifiers import RegionName, ZoneName
 from weirscale.gateway.model.back_ends import BackEnd
+from weirscale.gateway.model.identifiers import Address, InstanceId
 from weirscale.gateway.model.prompt import Prompt
 from weirscale.gateway.model.topology import NO_REGION, are_apart
 from weirscale.gateway.routing.cache_belief import CacheBelief
@@ -139,11 +140,11 @@
         region: Where it stands: moves between regions take longer than reading again.
     """
 
-    address: str
+    address: Address
     zone: ZoneName
     cache: CacheBelief
     weight_version: int | None = None
-    instance: str | None = None
+    instance: InstanceId | None = None
     region: RegionName = NO_REGION
 
 
@@ -168,7 +169,7 @@
     cached_tokens: int = 0
     fetched_tokens: int = 0
     read_tokens: int = 0
-    fetch_from: str | None = None
+    fetch_from: Address | None = None
     estimate_s: float = 0.0
     idle_s: float = 0.0
     num_candidates: int = 0
--- a/src/weirscale/gateway/routing/dispatcher.py
+++ b/src/weirscale/gateway/routing/dispatcher.py
@@ -10,6 +10,7 @@
 from weirscale.domain.identifiers import ServiceName, ZoneName
 from weirscale.gateway.model.back_ends import BackEnd
 from weirscale.gateway.model.configuration import KeptKvStore, Service, Tenant
+from weirscale.gateway.model.identifiers import Address, InstanceId
 from weirscale.gateway.model.prompt import CacheScope, Prompt, PromptBlock
 from weirscale.gateway.model.topology import ONE_REGION, Topology
 from weirscale.gateway.rollouts.gate import Track
@@ -64,7 +65,7 @@
     service: ServiceName
     prompt: Prompt | None
     tenant: Tenant | None
-    excluded: Collection[str]
+    excluded: Collection[InstanceId]
     track: Track = Track.STABLE
 
 
@@ -113,7 +114,7 @@
         clock: Callable[[], float],
         rules: ChoiceRules | None = None,
         gossip_delay_s: Callable[[], float] = lambda: 0.0,
-        foreign: Callable[[], Collection[str]] = tuple,
+        foreign: Callable[[], Collection[InstanceId]] = tuple,
         versions: VersionRules | None = None,
         topology: Topology = ONE_REGION,
     ) -> None:
@@ -130,11 +131,11 @@
         self._gossip_delay_s = gossip_delay_s
         self._foreign = foreign
         self._models: dict[ServiceName, FirstEventModel] = {}
-        self._caches: dict[str, CacheBelief] = {}
-        self._kept_caches: dict[str, CacheBelief] = {}
-        self._loading_until_s: dict[str, float] = {}
-        self._refused_until_s: dict[str, float] = {}
-        self._slow_until_s: dict[str, float] = {}
+        self._caches: dict[InstanceId, CacheBelief] = {}
+        self._kept_caches: dict[Address, CacheBelief] = {}
+        self._loading_until_s: dict[InstanceId, float] = {}
+        self._refused_until_s: dict[InstanceId, float] = {}
+        self._slow_until_s: dict[Address, float] = {}
         self._overdue = OverdueAttempts()
         self._waits: dict[ServiceName, RecentWaits] = {}
 
@@ -182,7 +183,7 @@
             foreign_s=rules.foreign_share * self._gossip_delay_s(),
         )
 
-    def save_address(self, choice: Choice, prompt: Prompt) -> str | None:
+    def save_address(self, choice: Choice, prompt: Prompt) -> Address | None:
         """Return the address of the store that gets what this engine reads, if it lacks it.
 
         The last part of a prompt is its own; saving it alone is not worth the move.
@@ -251,7 +252,7 @@
         back_end: BackEnd,
         prompt: Prompt | None,
         service: Service | None,
-        foreign: Collection[str],
+        foreign: Collection[InstanceId],
         now_s: float,
     ) -> Candidate:
         load = self._load.total(back_end.instance, now_s)
@@ -287,7 +288,7 @@
         """Return the first version newer than an engine's, or None."""
         return None if version is None else self._cluster.weights.first_newer(model, version)
 
-    def _cache(self, instance: str, capacity_tokens: int) -> CacheBelief:
+    def _cache(self, instance: InstanceId, capacity_tokens: int) -> CacheBelief:
         cache = self._caches.get(instance)
         if cache is None:
             cache = self._caches[instance] = CacheBelief(int(capacity_tokens * CACHE_SHARE))
@@ -325,7 +326,7 @@
             if self._slow_until_s.get(store.address, 0.0) <= now_s
         ]
 
-    def note_event(self, instance: str) -> None:
+    def note_event(self, instance: InstanceId) -> None:
         """An engine has made an event, so it lives."""
         self._overdue.note_alive(instance, self._clock())
 
@@ -384,7 +385,11 @@
         self.note_parts(choice.candidate.back_end.instance, choice.scope, prompt.parts, True)
 
     def note_parts(
-        self, instance: str, scope: str | None, parts: tuple[PromptBlock, ...], is_ready: bool
+        self,
+        instance: InstanceId,
+        scope: str | None,
+        parts: tuple[PromptBlock, ...],
+        is_ready: bool,
     ) -> None:
         """Note parts at an engine, from this node's own sends or a peer's."""
         cache = self._cache_of(instance)
@@ -394,14 +399,16 @@
         if is_ready:
             self._note_saved(instance, scope, parts[:-1])
 
-    def note_shared_parts(self, instance: str, scope: str, shared: tuple[PromptBlock, ...]) -> None:
+    def note_shared_parts(
+        self, instance: InstanceId, scope: str, shared: tuple[PromptBlock, ...]
+    ) -> None:
         """Note the parts of a prompt but its own, which an engine has read for another group."""
         cache = self._cache_of(instance)
         if cache is not None:
             cache.note(scope, shared, is_ready=True)
             self._note_saved(instance, scope, shared)
 
-    def _cache_of(self, instance: str) -> CacheBelief | None:
+    def _cache_of(self, instance: InstanceId) -> CacheBelief | None:
         """Return what is believed of an engine, or None if it is no engine that is known."""
         cache = self._caches.get(instance)
         if cache is not None:
@@ -413,7 +420,9 @@
             return None
         return self._cache(instance, service.engine.cache_tokens)
 
-    def _note_saved(self, instance: str, scope: str, shared: tuple[PromptBlock, ...]) -> None:
+    def _note_saved(
+        self, instance: InstanceId, scope: str, shared: tuple[PromptBlock, ...]
+    ) -> None:
         """Every node has engines save what they read, so what was read is in the store."""
         back_end = self._cluster.directory.get(instance)
         store = None if back_end is None else self._store_near(back_end.zone)
@@ -426,31 +435,31 @@
         if cache is not None and choice.scope is not None:
             cache.forget(choice.scope, prompt.parts)
 
-    def mark_loading(self, instance: str, is_done: bool) -> None:
+    def mark_loading(self, instance: InstanceId, is_done: bool) -> None:
         """Mark that an engine is about to load weights, or has done so."""
         if is_done:
             self._loading_until_s.pop(instance, None)
         else:
             self._loading_until_s[instance] = self._clock() + LOADING_MARK_LIFE_S
 
-    def _is_loading(self, instance: str, now_s: float) -> bool:
+    def _is_loading(self, instance: InstanceId, now_s: float) -> bool:
         return self._loading_until_s.get(instance, 0.0) > now_s
 
-    def note_refused(self, instance: str) -> None:
+    def note_refused(self, instance: InstanceId) -> None:
         """A back end refused a request without running it."""
         self._refused_until_s[instance] = self._clock() + REFUSAL_PAUSE_S
 
-    def _has_refused(self, instance: str, now_s: float) -> bool:
+    def _has_refused(self, instance: InstanceId, now_s: float) -> bool:
         return self._refused_until_s.get(instance, 0.0) > now_s
 
-    def weights_changed(self, instance: str) -> None:
+    def weights_changed(self, instance: InstanceId) -> None:
         """An engine has new weights: what it kept is gone."""
         cache = self._caches.get(instance)
         if cache is not None:
             cache.clear()
         self._loading_until_s.pop(instance, None)
 
-    def forget(self, instance: str) -> None:
+    def forget(self, instance: InstanceId) -> None:
         """Forget a back end that is gone."""
         self._caches.pop(instance, None)
         self._loading_until_s.pop(instance, None)
--- a/src/weirscale/gateway/routing/engine_shares.py
+++ b/src/weirscale/gateway/routing/engine_shares.py
@@ -9,6 +9,7 @@
 from collections.abc import Collection, Iterable, Mapping
 
 from weirscale.gateway.model.back_ends import BackEnd, BackEndDirectory
+from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.peers.groups import Division, name_hash
 from weirscale.gateway.peers.registrations import PeerDirectory
 
@@ -28,9 +29,9 @@
         self._directory = directory
         self._division: Division | None = None
         self._num_changes = -1
-        self._foreign: frozenset[str] = frozenset()
+        self._foreign: frozenset[InstanceId] = frozenset()
 
-    def foreign(self) -> Collection[str]:
+    def foreign(self) -> Collection[InstanceId]:
         """Return the engines that other groups of nodes prefer."""
         division = self._peers.division()
         if division is not self._division or self._directory.num_changes != self._num_changes:
@@ -43,7 +44,7 @@
         return self._foreign
 
 
-def share_out(back_ends: Iterable[BackEnd], division: Division) -> dict[str, str]:
+def share_out(back_ends: Iterable[BackEnd], division: Division) -> dict[InstanceId, str]:
     """Return the group that each engine belongs to; the same on all nodes that know the same.
 
     Within a zone every group gets about as many as the others, by rendezvous hashing, so that few
@@ -56,7 +57,7 @@
     by_zone: dict[str, list[BackEnd]] = {}
     for back_end in back_ends:
         by_zone.setdefault(back_end.zone, []).append(back_end)
-    owners: dict[str, str] = {}
+    owners: dict[InstanceId, str] = {}
     for zone, inhabitants in by_zone.items():
         owners.update(_share_out(inhabitants, groups.get(zone, every_group)))
     return owners
@@ -69,10 +70,10 @@
     return groups
 
 
-def _share_out(back_ends: list[BackEnd], groups: list[str]) -> dict[str, str]:
+def _share_out(back_ends: list[BackEnd], groups: list[str]) -> dict[InstanceId, str]:
     fair = len(back_ends) // len(groups)
     num_owned = dict.fromkeys(groups, 0)
-    owners: dict[str, str] = {}
+    owners: dict[InstanceId, str] = {}
     for back_end in sorted(back_ends, key=lambda one: name_hash(one.instance)):
         short = [group for group in groups if num_owned[group] < fair]
         free = short or [group for group in groups if num_owned[group] == fair]
@@ -82,5 +83,5 @@
     return owners
 
 
-def _score(group: str, instance: str) -> int:
+def _score(group: str, instance: InstanceId) -> int:
     return name_hash(f"{group}|{instance}")
--- a/src/weirscale/gateway/routing/health.py
+++ b/src/weirscale/gateway/routing/health.py
@@ -14,6 +14,7 @@
     state_at,
 )
 from weirscale.domain.health.rules import HealthRules
+from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.ports.event_log import EventLog
 
 GATEWAY_HEALTH_RULES = HealthRules(
@@ -46,33 +47,33 @@
         self._event_log = event_log
         self._random = random
         self._rules = rules
-        self._circuits: dict[str, Circuit] = {}
+        self._circuits: dict[InstanceId, Circuit] = {}
 
-    def succeeded(self, instance: str, now_s: float) -> None:
+    def succeeded(self, instance: InstanceId, now_s: float) -> None:
         """A request was answered."""
         circuit = self._circuits.get(instance)
         if circuit is not None:
             self._set(instance, after_success(circuit, self._rules, now_s), now_s)
 
-    def failed(self, instance: str, reason: str, now_s: float) -> None:
+    def failed(self, instance: InstanceId, reason: str, now_s: float) -> None:
         """A request failed."""
         circuit = self._circuits.get(instance, HEALTHY)
         after = after_failure(circuit, self._rules, now_s, self._random, reason)
         self._set(instance, after, now_s)
 
-    def unreachable(self, instance: str, reason: str, now_s: float) -> None:
+    def unreachable(self, instance: InstanceId, reason: str, now_s: float) -> None:
         """No connection could be made, or a probe went unanswered."""
         circuit = self._circuits.get(instance, HEALTHY)
         after = after_probe_failure(circuit, self._rules, now_s, self._random, reason)
         self._set(instance, after, now_s)
 
-    def probed(self, instance: str, now_s: float) -> None:
+    def probed(self, instance: InstanceId, now_s: float) -> None:
         """A probe was answered."""
         circuit = self._circuits.get(instance)
         if circuit is not None:
             self._set(instance, after_probe_success(circuit, now_s), now_s)
 
-    def admits(self, instance: str, now_s: float) -> bool:
+    def admits(self, instance: InstanceId, now_s: float) -> bool:
         """Whether a request may go there now; by chance while the back end returns."""
         circuit = self._circuits.get(instance)
         if circuit is None:
@@ -80,12 +81,12 @@
         weight = admission_weight(circuit, self._rules, now_s)
         return weight >= 1.0 or self._random.random() < weight
 
-    def is_suspect(self, instance: str, now_s: float) -> bool:
+    def is_suspect(self, instance: InstanceId, now_s: float) -> bool:
         """Whether the circuit is not closed."""
         circuit = self._circuits.get(instance)
         return circuit is not None and state_at(circuit, now_s) is not CircuitState.CLOSED
 
-    def to_probe(self, now_s: float) -> tuple[str, ...]:
+    def to_probe(self, now_s: float) -> tuple[InstanceId, ...]:
         """Return the back ends whose circuit a probe can close now."""
         return tuple(
             instance
@@ -93,11 +94,11 @@
             if not circuit.needs_request and state_at(circuit, now_s) is CircuitState.HALF_OPEN
         )
 
-    def forget(self, instance: str) -> None:
+    def forget(self, instance: InstanceId) -> None:
         """Forget a back end that is gone."""
         self._circuits.pop(instance, None)
 
-    def _set(self, instance: str, circuit: Circuit, now_s: float) -> None:
+    def _set(self, instance: InstanceId, circuit: Circuit, now_s: float) -> None:
         was_open = self._circuits.get(instance, HEALTHY).is_open
         self._circuits[instance] = circuit
         if circuit.is_open and not was_open:
--- a/src/weirscale/gateway/routing/load.py
+++ b/src/weirscale/gateway/routing/load.py
@@ -9,6 +9,7 @@
 
 import msgspec
 
+from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.peers.heartbeat import PEER_SILENCE_S, SWEEP_INTERVAL_S
 
 
@@ -54,30 +55,30 @@
     """Sums the load of all nodes for each back end."""
 
     def __init__(self) -> None:
-        self._own: dict[str, Load] = {}
-        self._received: dict[str, dict[str, _ReceivedLoad]] = {}
+        self._own: dict[InstanceId, Load] = {}
+        self._received: dict[str, dict[InstanceId, _ReceivedLoad]] = {}
         """By source, then by back end."""
-        self._received_sums: dict[str, Load] = {}
+        self._received_sums: dict[InstanceId, Load] = {}
         self._swept_at_s = 0.0
-        self._changed: set[str] = set()
+        self._changed: set[InstanceId] = set()
 
-    def begin(self, instance: str, waiting_tokens: int, held_tokens: int) -> None:
+    def begin(self, instance: InstanceId, waiting_tokens: int, held_tokens: int) -> None:
         """A request goes out."""
         self._add(instance, Load(1, waiting_tokens, held_tokens))
 
-    def first_event(self, instance: str, waiting_tokens: int) -> None:
+    def first_event(self, instance: InstanceId, waiting_tokens: int) -> None:
         """Its prompt has been read."""
         self._add(instance, Load(0, -waiting_tokens, 0))
 
-    def end(self, instance: str, held_tokens: int) -> None:
+    def end(self, instance: InstanceId, held_tokens: int) -> None:
         """It has ended."""
         self._add(instance, Load(-1, 0, -held_tokens))
 
-    def _add(self, instance: str, change: Load) -> None:
+    def _add(self, instance: InstanceId, change: Load) -> None:
         _add_to(self._own, instance, change)
         self._changed.add(instance)
 
-    def receive(self, source: str, instance: str, load: Load, now_s: float) -> None:
+    def receive(self, source: str, instance: InstanceId, load: Load, now_s: float) -> None:
         """Take over what a source tells of its load, in place of what it told before."""
         received = self._received.setdefault(source, {})
         known = received.pop(instance, None)
@@ -91,25 +92,25 @@
         for instance, received in self._received.pop(source, {}).items():
             _add_to(self._received_sums, instance, NO_LOAD.minus(received.load))
 
-    def own(self, instance: str) -> Load:
+    def own(self, instance: InstanceId) -> Load:
         """Return this node's own load on a back end."""
         return self._own.get(instance, NO_LOAD)
 
-    def own_instances(self) -> tuple[str, ...]:
+    def own_instances(self) -> tuple[InstanceId, ...]:
         """Return the back ends that this node has work at."""
         return tuple(self._own)
 
-    def total(self, instance: str, now_s: float) -> Load:
+    def total(self, instance: InstanceId, now_s: float) -> Load:
         """Return the load of all nodes on a back end."""
         self._sweep(now_s)
         received = self._received_sums.get(instance)
         own = self.own(instance)
         return own if received is None else own.plus(received)
 
-    def sum_of(self, is_wanted: Callable[[str], bool], now_s: float) -> dict[str, Load]:
+    def sum_of(self, is_wanted: Callable[[str], bool], now_s: float) -> dict[InstanceId, Load]:
         """Return the sum over some sources for each back end that they have work at."""
         self._sweep(now_s)
-        sums: dict[str, Load] = {}
+        sums: dict[InstanceId, Load] = {}
         for source, loads in self._received.items():
             if is_wanted(source):
                 for instance, received in loads.items():
@@ -120,19 +121,19 @@
         """Return the sources that have told of work."""
         return tuple(self._received)
 
-    def age_s(self, instance: str, now_s: float) -> float:
+    def age_s(self, instance: InstanceId, now_s: float) -> float:
         """Return the age of the oldest news that counts in the load of a back end."""
         self._sweep(now_s)
         received = (loads.get(instance) for loads in self._received.values())
         return max((now_s - one.received_at_s for one in received if one is not None), default=0.0)
 
-    def take_changed(self) -> dict[str, Load]:
+    def take_changed(self) -> dict[InstanceId, Load]:
         """Return the loads that changed since the last call."""
         changed = {instance: self.own(instance) for instance in self._changed}
         self._changed.clear()
         return changed
 
-    def forget(self, instance: str) -> None:
+    def forget(self, instance: InstanceId) -> None:
         """Forget what others told of a back end that is gone."""
         for loads in self._received.values():
             loads.pop(instance, None)
@@ -151,7 +152,7 @@
                 del self._received[source]
 
 
-def _add_to(loads: dict[str, Load], instance: str, change: Load) -> None:
+def _add_to(loads: dict[InstanceId, Load], instance: InstanceId, change: Load) -> None:
     """Add to one of several loads; what has become nothing takes no place."""
     known = loads.get(instance)
     total = change if known is None else known.plus(change)
--- a/src/weirscale/gateway/routing/overdue.py
+++ b/src/weirscale/gateway/routing/overdue.py
@@ -7,6 +7,7 @@
 
 import msgspec
 
+from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.routing.choice import Choice
 
 OVERDUE_FACTOR = 1.5
@@ -28,7 +29,7 @@
 
     def __init__(self) -> None:
         self._open: dict[int, _OpenAttempt] = {}
-        self._alive_at_s: dict[str, float] = {}
+        self._alive_at_s: dict[InstanceId, float] = {}
         """When an engine last made an event for this node."""
 
     def begin(self, choice: Choice, now_s: float) -> None:
@@ -40,11 +41,11 @@
         """An attempt has had its first event, or has ended."""
         self._open.pop(id(choice), None)
 
-    def note_alive(self, instance: str, now_s: float) -> None:
+    def note_alive(self, instance: InstanceId, now_s: float) -> None:
         """An engine has made an event."""
         self._alive_at_s[instance] = now_s
 
-    def forget_engine(self, instance: str) -> None:
+    def forget_engine(self, instance: InstanceId) -> None:
         """Forget an engine that is gone."""
         self._alive_at_s.pop(instance, None)
 
--- a/src/weirscale/gateway/state/cluster_state.py
+++ b/src/weirscale/gateway/state/cluster_state.py
@@ -12,6 +12,7 @@
 from weirscale.domain.identifiers import ServiceName, SoftwareVersion
 from weirscale.gateway.durations import age_ms
 from weirscale.gateway.model.back_ends import TAKES_WORK, BackEnd, BackEndDirectory, BackEndState
+from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.model.rollout_order import Epoch, RolloutOrder
 from weirscale.gateway.model.routes import RouteTable
 from weirscale.gateway.ports.state_feed import (
@@ -57,10 +58,10 @@
         self._event_log = event_log
         self._clock = clock
         self._revisions: dict[str, int] = {}
-        self._instance_keys: dict[str, str] = {}
-        self._lapsed_until_s: dict[str, float] = {}
+        self._instance_keys: dict[InstanceId, str] = {}
+        self._lapsed_until_s: dict[InstanceId, float] = {}
         self._record_keys: dict[str, str] = {}
-        self._versions: dict[tuple[str, str], int] = {}
+        self._versions: dict[tuple[InstanceId, str], int] = {}
         self._versions_since_s: dict[tuple[ServiceName, SoftwareVersion], float] = {}
         """When a version of a service's program was first seen. A node that starts does not know
         for how long those that it finds have been there."""
@@ -84,7 +85,7 @@
         self._made_at_s = clock()
         self.on_gone: Callable[[BackEnd], None] = _ignore
         self.on_table: Callable[[RouteTable], None] = _ignore
-        self.on_version: Callable[[str, str, int], None] = _ignore_version
+        self.on_version: Callable[[InstanceId, str, int], None] = _ignore_version
 
     def replace_all(self, batch: StateBatch, asked_at_s: float) -> None:
         """Take over a reading of everything; what it lacks is gone."""
@@ -202,7 +203,7 @@
                 software=back_end.software,
             )
 
-    def _remove_back_end(self, instance: str) -> None:
+    def _remove_back_end(self, instance: InstanceId) -> None:
         self._instance_keys.pop(instance, None)
         known = self.directory.get(instance)
         if known is not None and self._may_have_lapsed(known):
@@ -244,7 +245,7 @@
             if until_s <= now_s:
                 self._forget_back_end(instance)
 
-    def _forget_back_end(self, instance: str) -> None:
+    def _forget_back_end(self, instance: InstanceId) -> None:
         self._lapsed_until_s.pop(instance, None)
         known = self.directory.remove(instance)
         for key in [key for key in self._versions if key[0] == instance]:
@@ -311,7 +312,7 @@
         if young is not None:
             self._weights_age_markers[change.key] = young
 
-    def learn_version(self, instance: str, model: str, version: int, source: str) -> None:
+    def learn_version(self, instance: InstanceId, model: str, version: int, source: str) -> None:
         """Learn which weights an engine has; an incarnation's version only rises."""
         known = self._versions.get((instance, model), 0)
         if version <= known or self.directory.get(instance) is None:
@@ -324,7 +325,7 @@
                 previous=known, source=source,
             )  # fmt: skip
 
-    def version_of(self, instance: str, model: str) -> int | None:
+    def version_of(self, instance: InstanceId, model: str) -> int | None:
         """Return the version that an engine is believed to have."""
         return self._versions.get((instance, model))
 
@@ -355,5 +356,5 @@
     """Do nothing until the node sets a handler."""
 
 
-def _ignore_version(_instance: str, _model: str, _version: int) -> None:
+def _ignore_version(_instance: InstanceId, _model: str, _version: int) -> None:
     """Do nothing until the node sets a handler."""
--- a/src/weirscale/gateway/weights/rollout_task.py
+++ b/src/weirscale/gateway/weights/rollout_task.py
@@ -11,6 +11,7 @@
 from anyio.abc import TaskGroup
 
 from weirscale.gateway.model.back_ends import BackEnd, BackEndState
+from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.ports.back_end import BackEndPort, EngineReport, OrderOutcome, WeightOrder
 from weirscale.gateway.routing.health import BackEndHealth
 from weirscale.gateway.state.cluster_state import ClusterState
@@ -85,8 +86,8 @@
         lease: DutyLeaseTask,
         cluster: ClusterState,
         port_of: Callable[[BackEnd], BackEndPort],
-        announce: Callable[[str, str, int, bool], Awaitable[None]],
-        num_requests: Callable[[str], int],
+        announce: Callable[[InstanceId, str, int, bool], Awaitable[None]],
+        num_requests: Callable[[InstanceId], int],
         health: BackEndHealth,
         event_log: EventLog,
         rules: WeightsRolloutRules,
@@ -108,7 +109,7 @@
         self._rules = rules
         self._turn = turn
         self._store = store
-        self._loading: set[str] = set()
+        self._loading: set[InstanceId] = set()
         self._last_load_s: dict[str, float] = {}
         self._recorded: dict[str, int] = {}
         self._token = 0
--- a/src/weirscale/gateway/weights/schedule.py
+++ b/src/weirscale/gateway/weights/schedule.py
@@ -12,6 +12,8 @@
 
 import msgspec
 
+from weirscale.gateway.model.identifiers import InstanceId
+
 
 class WeightsRolloutRules(msgspec.Struct, frozen=True):
     """Times of the rollout.
@@ -43,7 +45,7 @@
         is_suspect: Whether it has failed lately; the others load before it.
     """
 
-    instance: str
+    instance: InstanceId
     owed_since_s: float
     num_requests: int
     is_suspect: bool = False
@@ -72,7 +74,7 @@
     others: LoadedEngines,
     now_s: float,
     rules: WeightsRolloutRules,
-) -> list[str]:
+) -> list[InstanceId]:
     """Return the engines that should begin to load now.
 
     Args:
--- a/src/weirscale/gateway/weights/version_check.py
+++ b/src/weirscale/gateway/weights/version_check.py
@@ -10,6 +10,7 @@
 from anyio.abc import TaskGroup
 
 from weirscale.gateway.model.back_ends import BackEnd
+from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.peers.messages import LoadingGossip
 from weirscale.gateway.ports.back_end import BackEndPort
 from weirscale.gateway.state.cluster_state import ClusterState
@@ -42,10 +43,10 @@
         self._port_of = port_of
         self._tell = tell
         self._clock = clock
-        self._asked_at_s: dict[str, float] = {}
-        self._send, self._receive = anyio.create_memory_object_stream[str](MAX_WAITING)
+        self._asked_at_s: dict[InstanceId, float] = {}
+        self._send, self._receive = anyio.create_memory_object_stream[InstanceId](MAX_WAITING)
 
-    def request(self, instance: str) -> None:
+    def request(self, instance: InstanceId) -> None:
         """Ask an engine soon, unless it was asked just now."""
         now_s = self._clock()
         if now_s - self._asked_at_s.get(instance, float("-inf")) < MIN_INTERVAL_S:
@@ -56,7 +57,7 @@
             return
         self._asked_at_s[instance] = now_s
 
-    def forget(self, instance: str) -> None:
+    def forget(self, instance: InstanceId) -> None:
         """Forget an engine that is gone."""
         self._asked_at_s.pop(instance, None)
 
@@ -66,7 +67,7 @@
             async for instance in self._receive:
                 self._ask_in(tasks, instance)
 
-    def _ask_in(self, tasks: TaskGroup, instance: str) -> None:
+    def _ask_in(self, tasks: TaskGroup, instance: InstanceId) -> None:
         back_end = self._cluster.directory.get(instance)
         if back_end is not None:
             tasks.start_soon(self._ask, back_end)
