--- a/Makefile
+++ b/Makefile
@@ -33,7 +33,7 @@
 	$(PYTHON) -m bench.real_fleet startgrid --report=reports/real-startgrid
 
 faults: $(STAMP)
-	$(PYTHON) -m bench.fault_soak run --minutes=$(MINUTES) --seed=$(SEED) --nodes=$(NODES) --interval=$(INTERVAL)
+	$(PYTHON) -m bench.fault_soak run --minutes=$(MINUTES) --seed=$(SEED) --nodes=$(NODES) --interval=$(INTERVAL) $(if $(BESIDE),--beside=$(BESIDE))
 
 format: $(STAMP)
 	$(VENV)/bin/ruff format src features bench scripts
--- a/bench/fault_soak/__main__.py
+++ b/bench/fault_soak/__main__.py
@@ -44,6 +44,7 @@
     nodes: int = DEFAULT_NODES,
     interval: float = MEAN_INTERVAL_S,
     report: str | None = None,
+    beside: str | None = None,
 ) -> None:
     """Soak node processes under faults, and judge what was seen.
 
@@ -53,6 +54,7 @@
         nodes: Node processes.
         interval: Mean time between two faults, in seconds.
         report: Directory of logs and history; a new temporary one by default.
+        beside: Checkout of another release that runs side by side with this build.
     """
     if not 0.0 < minutes <= LONGEST_MINUTES or not 0 < nodes <= MOST_NODES or interval <= 0.0:
         print(
@@ -63,11 +65,13 @@
         sys.exit(EXIT_BAD_ARGUMENT)
     chosen = SystemRandom().randrange(MOST_SEEDS) if seed is None else seed
     replay = f"make faults MINUTES={minutes:g} SEED={chosen} NODES={nodes} INTERVAL={interval:g}"
+    if beside is not None:
+        replay += f" BESIDE={beside}"
     directory = Path(report or tempfile.mkdtemp(prefix="fault-soak-"))
     directory.mkdir(parents=True, exist_ok=True)
     print(f"seed {chosen}, logs in {directory}", flush=True)
     signal.signal(signal.SIGTERM, _exit_on_signal)
-    settings = SoakSettings(chosen, minutes * SECONDS_PER_MINUTE, nodes, interval)
+    settings = SoakSettings(chosen, minutes * SECONDS_PER_MINUTE, nodes, interval, beside)
     outcome = anyio.run(Soak(settings, directory).run)
     _show(outcome.records, outcome.violations)
     print(f"replay: {replay}", flush=True)
--- a/bench/fault_soak/nodes.py
+++ b/bench/fault_soak/nodes.py
@@ -2,7 +2,8 @@
 
 import signal
 import sys
-from collections.abc import Mapping
+from collections.abc import Mapping, Sequence
+from itertools import cycle
 from pathlib import Path
 
 import anyio
@@ -29,7 +30,9 @@
 )
 
 ROOT = Path(__file__).resolve().parents[2]
-COMMAND = (sys.executable, str(ROOT / "platform" / "run.py"))
+PROGRAM = Path("platform") / "run.py"
+"""The program that is run, in a checkout."""
+
 RESTART_S = 0.3
 PROBE_INTERVAL_S = 0.8
 LISTENING_INTERVAL_S = 0.02
@@ -61,6 +64,7 @@
         zone: Its zone.
         store_host: Address of the store.
         directory: Where its settings file lies.
+        checkouts: Where the program lies; each start runs it from the next of them.
         processes: Starts and, at the end, ends the processes.
         recorder: Where starts, signals and ends are noted.
     """
@@ -72,6 +76,7 @@
         zone: str,
         store_host: str,
         directory: Path,
+        checkouts: Sequence[Path],
         processes: ProcessSet,
         recorder: Recorder,
     ) -> None:
@@ -82,6 +87,7 @@
         self._zone = zone
         self._store_host = store_host
         self._settings_file = directory / f"{name}.toml"
+        self._checkouts = cycle(checkouts)
         self._processes = processes
         self._recorder = recorder
         self._extra = FIRST_EXTRA
@@ -110,7 +116,8 @@
         self._is_stopping = False
         self._recorder.note(NodeStarted(at_s=self._recorder.now_s(), node=self.name))
         environment = {**ENVIRONMENT, SETTINGS_VARIABLE: str(self._settings_file)}
-        self._process = self._processes.start_program(self.name, COMMAND, environment)
+        command = (sys.executable, str(next(self._checkouts) / PROGRAM))
+        self._process = self._processes.start_program(self.name, command, environment)
 
     async def _note_listening(self, process: RunningProcess) -> None:
         while process.is_running:
--- a/bench/fault_soak/run.py
+++ b/bench/fault_soak/run.py
@@ -24,7 +24,7 @@
     RequestSent,
     write_history,
 )
-from bench.fault_soak.nodes import SoakNode
+from bench.fault_soak.nodes import ROOT, SoakNode
 from bench.fault_soak.operator import MarkerCaller, Operator
 from bench.fault_soak.recorder import Recorder
 from bench.fault_soak.rules import judge
@@ -76,12 +76,23 @@
         duration_s: How long faults begin.
         num_nodes: Node processes.
         mean_interval_s: Mean time between the beginnings of two faults.
+        other_checkout: Checkout of another release, or None to run this build alone. Every second
+            node begins with it, and each start of a node runs the release that its last one did
+            not: a rolling restart in both directions.
     """
 
     seed: int
     duration_s: float
     num_nodes: int
     mean_interval_s: float
+    other_checkout: str | None = None
+
+    def checkouts(self, number: int) -> tuple[Path, ...]:
+        """Return the checkouts that the starts of a node go through, by its number."""
+        if self.other_checkout is None:
+            return (ROOT,)
+        both = (ROOT, Path(self.other_checkout))
+        return both if number % 2 == 0 else both[::-1]
 
 
 class SoakOutcome(msgspec.Struct, frozen=True):
@@ -167,6 +178,7 @@
                 ZONES[number % len(ZONES)],
                 store_host,
                 self._directory,
+                self._settings.checkouts(number),
                 self.processes,
                 self._recorder,
             )
--- a/features/fault_soak.feature
+++ b/features/fault_soak.feature
@@ -132,6 +132,11 @@
     Then the schedules of seed 7 are equal, and differ from those of seed 8
     And eight schedules of an hour hold every kind of fault, and none beyond their end
 
+  Scenario: Beside another release, nodes run both by turns
+    Given a soak beside the checkout "older"
+    Then node 0 is started from "this build, older, this build"
+    And node 1 is started from "older, this build, older"
+
   Scenario: A short soak of a fixed seed shows nothing broken
     When node processes are soaked for 20 s with seed 5
     Then the soak shows nothing broken
--- a/features/steps/fault_soak_steps.py
+++ b/features/steps/fault_soak_steps.py
@@ -1,9 +1,10 @@
 import tempfile
 from collections import Counter
+from itertools import cycle, islice
 from pathlib import Path
 
 import anyio
-from behave import then, when
+from behave import given, then, when
 
 from bench.fault_soak.history import (
     ConfigurationAcknowledged,
@@ -15,6 +16,7 @@
     read_history,
     write_history,
 )
+from bench.fault_soak.nodes import ROOT
 from bench.fault_soak.rules import judge
 from bench.fault_soak.run import BOUNDS, Soak, SoakSettings
 from bench.fault_soak.schedule import FaultKind, draw_schedule
@@ -120,3 +122,15 @@
     assert num_started >= SOAK_NODES
     running = [process.name for process in context.soak.processes.started if process.is_running]
     assert not running, running
+
+
+@given('a soak beside the checkout "{folder}"')
+def step_soak_beside(context, folder):
+    context.settings = SoakSettings(1, 1.0, 2, 1.0, folder)
+
+
+@then('node {number:d} is started from "{checkouts}"')
+def step_started_from(context, number, checkouts):
+    starts = cycle(context.settings.checkouts(number))
+    names = ["this build" if one == ROOT else str(one) for one in islice(starts, 3)]
+    assert names == checkouts.split(", "), names
