--- a/scripts/run_checks.py
+++ b/scripts/run_checks.py
@@ -45,7 +45,6 @@
     "claims_faults",
     "experiment_virtual_runs",
     "limits_shares",
-    "choice_comparison",
     "gateway_quota",
     "gateway_quota_schedules",
 )
--- a/src/weirscale/cli/main.py
+++ b/src/weirscale/cli/main.py
@@ -8,7 +8,7 @@
 
 from result import Err
 
-from weirscale.cli.exit_codes import EXIT_DONE, EXIT_FAILED, EXIT_USAGE
+from weirscale.cli.exit_codes import EXIT_FAILED, EXIT_USAGE
 
 Run = Callable[[], int]
 
@@ -56,10 +56,6 @@
 
         return Command(lambda: fault_matrix.run(results, pairs, seed=seed))
 
-    def choice(self, deployment: str = "tsehay", seed: int = 1) -> Command:
-        """Compare the policies of engine choice on one deployment, in virtual time."""
-        return Command(lambda: _compare_choices(deployment, seed))
-
 
 class Commands:
     """Router for language-model traffic with long shared prompts.
@@ -192,17 +188,6 @@
     return tuple(str(part) for part in given)
 
 
-def _compare_choices(deployment: str, seed: int) -> int:
-    from weirscale.experiments.choice.main import format_results, run
-    from weirscale.experiments.choice.shape import SHAPES
-
-    if deployment not in SHAPES:
-        _print_error(f"no deployment {deployment!r}; use one of {', '.join(SHAPES)}")
-        return EXIT_USAGE
-    print(format_results(deployment, run(deployment, seed)))
-    return EXIT_DONE
-
-
 def _run_node(settings_file: str | None, overrides: dict[str, object]) -> int:
     from weirscale.node.program import run_node
     from weirscale.node.settings import load_settings
