--- a/bench/claims_and_limits.py
+++ b/bench/claims_and_limits.py
@@ -15,6 +15,7 @@
 import msgspec
 from result import Err, Ok, Result
 
+from features.support.local_allowances import LocalAllowances
 from weirscale.domain.claims.holder import ClaimHolder, HolderPhase
 from weirscale.domain.claims.model import ClaimKey, claim_key, make_claimant, short_fingerprint
 from weirscale.domain.configuration.model import ClaimRules, Deployment, Region, Tenant
@@ -36,7 +37,6 @@
 from weirscale.messages.limits import LimitDemand, LimitGrant
 from weirscale.node.claims.ledger import QuorumClaimLedger
 from weirscale.node.interfaces import ClaimState, ConfigurationInForce, Peer, PeerState
-from weirscale.node.limits.local import LocalAllowances
 from weirscale.node.limits.task import AdmissionTask
 from weirscale.ports.peers import PeerFailure
 from weirscale.standins.key_value.in_process import InProcessKeyValue
--- a/features/steps/configuration_bootstrap_steps.py
+++ b/features/steps/configuration_bootstrap_steps.py
@@ -1,9 +1,9 @@
 import anyio
 from behave import given, then, when
 
+from features.support.configuration_fleet import run_configuration_fleet
 from features.support.deployments import small_deployment
 from features.support.virtual_time import run_in_virtual_time
-from weirscale.experiments.configuration.fleet import run_configuration_fleet
 
 NUM_ZONES = 2
 SEEDS = range(1, 3)
--- a/features/steps/configuration_difference_steps.py
+++ b/features/steps/configuration_difference_steps.py
@@ -7,6 +7,7 @@
 
 from features.support.deployments import text_of
 from features.support.generated import for_all
+from features.support.large_deployment import large_deployment
 from weirscale.domain.configuration.difference import (
     apply_delta,
     canonical,
@@ -25,7 +26,6 @@
 )
 from weirscale.domain.configuration.model import Deployment, Engine, Model
 from weirscale.domain.configuration.parse import check_deployment
-from weirscale.experiments.configuration.deployments import large_deployment
 
 NAMES = st.sampled_from("abcdef")
 
--- a/features/steps/configuration_spread_steps.py
+++ b/features/steps/configuration_spread_steps.py
@@ -7,13 +7,13 @@
 from result import Err
 
 from features.support.async_steps import async_when
+from features.support.configuration_fleet import run_configuration_fleet as run_fleet
+from features.support.configuration_soak import run_soak
 from features.support.deployments import small_deployment
+from features.support.large_deployment import large_deployment
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.domain.configuration.difference import canonical
 from weirscale.domain.identifiers import NodeAddress, NodeId
-from weirscale.experiments.configuration.deployments import large_deployment
-from weirscale.experiments.configuration.fleet import run_configuration_fleet as run_fleet
-from weirscale.experiments.configuration.soak import run_soak
 from weirscale.experiments.memory_network import LinkQuality
 from weirscale.messages.configuration import ConfigurationReply
 from weirscale.node.configuration.holder import MAX_KEPT_REVISIONS, ConfigurationHolder
--- a/features/steps/duties_lease_steps.py
+++ b/features/steps/duties_lease_steps.py
@@ -5,6 +5,7 @@
 from behave import given, then, when
 
 from features.support.lease_model import Broken, LeaseModel
+from features.support.token_fence import TokenFence
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.domain.duties.assignment import (
     Duty,
@@ -14,7 +15,6 @@
     holders,
     holders_across_zones,
 )
-from weirscale.domain.duties.fence import TokenFence
 from weirscale.domain.identifiers import NodeAddress, NodeId
 from weirscale.leases.lease_task import DutyLeaseTask
 from weirscale.node.duties.view import DutyView
--- a/features/steps/experiment_virtual_runs_steps.py
+++ b/features/steps/experiment_virtual_runs_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 
 from features.support.scripted_nodes import ScriptedNode
-from features.support.virtual_time import run_in_virtual_time as run_on_mock_clock
+from features.support.virtual_time import run_in_virtual_time
 from weirscale.experiments.faults.kinds import FaultKind, PlannedFault
 from weirscale.experiments.faults.schedule import random_schedule
 from weirscale.experiments.history.records import (
@@ -20,7 +20,7 @@
 from weirscale.experiments.run.life import ProcessKilled, ProcessLife
 from weirscale.experiments.run.load import with_shape
 from weirscale.experiments.run.node_process import NodeProcess
-from weirscale.experiments.run.virtual import VirtualRun, run_in_virtual_time
+from weirscale.experiments.run.virtual import VirtualRun, run_experiment
 from weirscale.experiments.soak.experiments import PRESET_OF, read_deployment
 
 DEPLOYMENTS = Path("deployments")
@@ -56,7 +56,7 @@
 def step_run_scripted(context, duration):
     loaded = experiment(read_deployment(DEPLOYMENTS, "tsehay"), duration)
     run = VirtualRun(loaded, seed=3, make_factory=context.make_factory)
-    context.figures = run_in_virtual_time(run).figures
+    context.figures = run_experiment(run).figures
 
 
 @then('the scripted fleet\'s violations are of rules "{rules}"')
@@ -111,7 +111,7 @@
 
 @when("it is paused from {paused:g} s to {resumed:g} s and killed at {killed:g} s")
 def step_pause_and_kill(context, paused, resumed, killed):
-    run_on_mock_clock(count_in_process, context.counted_at, paused, resumed, killed, 20.0)
+    run_in_virtual_time(count_in_process, context.counted_at, paused, resumed, killed, 20.0)
 
 
 @then('it has counted at "{times}" and never again by 20 s')
@@ -157,7 +157,7 @@
 
 @when("its drain begins at {begun:g} s and it is killed at {killed:g} s")
 def step_kill_draining(context, begun, killed):
-    context.ended_at = run_on_mock_clock(drain_and_kill, context.num_gates, begun, killed)
+    context.ended_at = run_in_virtual_time(drain_and_kill, context.num_gates, begun, killed)
 
 
 @then("its drain has ended without an exception by {by:g} s")
@@ -173,7 +173,7 @@
 
 @when("the product's nodes run it in virtual time with seed {seed:d}")
 def step_run_product(context, seed):
-    context.outcome = run_in_virtual_time(VirtualRun(context.loaded, seed))
+    context.outcome = run_experiment(VirtualRun(context.loaded, seed))
 
 
 @then("no rule is broken and most requests are answered once")
@@ -206,7 +206,7 @@
 
 @when("the product's nodes run it twice in virtual time with seed {seed:d}")
 def step_run_twice(context, seed):
-    context.outcomes = [run_in_virtual_time(VirtualRun(context.loaded, seed)) for _ in range(2)]
+    context.outcomes = [run_experiment(VirtualRun(context.loaded, seed)) for _ in range(2)]
 
 
 @then("both virtual runs have the same records")
--- a/features/steps/key_value_history_steps.py
+++ b/features/steps/key_value_history_steps.py
@@ -6,8 +6,8 @@
 from behave import then, when
 from result import Err
 
+from features.support.linearizability import Operation, find_linearization
 from features.support.virtual_time import run_in_virtual_time
-from weirscale.experiments.linearizability import Operation, find_linearization
 from weirscale.ports.key_value import KeyValueFailureKind
 from weirscale.standins.key_value.in_process import InProcessKeyValue
 from weirscale.standins.key_value.server import KeyValueServer
--- a/features/steps/limits_admission_steps.py
+++ b/features/steps/limits_admission_steps.py
@@ -2,10 +2,10 @@
 from behave import given, then, when
 
 from features.support.async_steps import async_when
+from features.support.local_allowances import LocalAllowances
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.domain.configuration.model import Tenant
 from weirscale.domain.request.model import RunStatus
-from weirscale.node.limits.local import LocalAllowances
 from weirscale.node.limits.task import AdmissionTask
 
 
--- a/src/weirscale/experiments/configuration/soak.py
+++ b/features/support/configuration_soak.py
@@ -1,23 +1,18 @@
-"""Fleets under all faults at once: racing operators, restarts, pauses, cuts and a bad store.
+"""Fleets under all faults at once: racing operators, restarts, pauses, cuts and a bad store."""
 
-`python -m weirscale.experiments.configuration.soak 1 40` runs the seeds 1 to 40 and prints a line
-for each; a seed with violations gives the same ones when it is run alone.
-"""
-
-import sys
 from functools import partial
 
 import anyio
 import msgspec
 
-from weirscale.domain.configuration.encode import decode_stored
-from weirscale.domain.configuration.model import Deployment
-from weirscale.experiments.configuration.fleet import (
+from features.support.configuration_fleet import (
     ConfigurationFleet,
     run_configuration_fleet,
 )
+from features.support.virtual_time import run_in_virtual_time
+from weirscale.domain.configuration.encode import decode_stored
+from weirscale.domain.configuration.model import Deployment
 from weirscale.experiments.memory_network import LinkQuality
-from weirscale.experiments.virtual_time import run_in_virtual_time
 from weirscale.node.configuration.apply import CONFIGURATION_KEY, Applier
 from weirscale.node.configuration.outcome import Accepted, ApplyOutcome, Refused
 from weirscale.standins.key_value.in_process import InProcessKeyValue
@@ -208,24 +203,3 @@
 
 def _deployment(name: str) -> Deployment:
     return Deployment(1, name, (), (), (), ())
-
-
-def main(first_seed: int, last_seed: int) -> int:
-    """Run seeds and print a line for each; returns the number of seeds with violations."""
-    num_failed = 0
-    for seed in range(first_seed, last_seed + 1):
-        result = run_soak(seed)
-        num_failed += bool(result.violations)
-        print(
-            f"seed={seed} accepted={result.num_accepted} refused={result.num_refused} "
-            f"unknown={result.num_unknown} restarts={result.num_restarts} "
-            f"in_force_s={result.in_force_s:.2f} violations={len(result.violations)}",
-            flush=True,
-        )
-        for violation in result.violations:
-            print(f"  {violation}")
-    return num_failed
-
-
-if __name__ == "__main__":
-    sys.exit(1 if main(int(sys.argv[1]), int(sys.argv[2])) else 0)
--- a/features/support/lease_model.py
+++ b/features/support/lease_model.py
@@ -14,8 +14,8 @@
 
 from msgspec.structs import replace
 
+from features.support.token_fence import TokenFence
 from weirscale.domain.duties.assignment import Duty, DutyKind
-from weirscale.domain.duties.fence import TokenFence
 from weirscale.domain.duties.lease import (
     NEVER_S,
     CallFailed,
--- a/src/weirscale/experiments/run/main.py
+++ b/src/weirscale/experiments/run/main.py
@@ -15,7 +15,7 @@
 from weirscale.experiments.run.load import LoadedExperiment, load_experiment, with_shape
 from weirscale.experiments.run.policies import POLICIES
 from weirscale.experiments.run.real import RealRun, run_against_processes
-from weirscale.experiments.run.virtual import Progress, RunOutcome, VirtualRun, run_in_virtual_time
+from weirscale.experiments.run.virtual import Progress, RunOutcome, VirtualRun, run_experiment
 
 EXIT_OK = 0
 EXIT_VIOLATIONS = 1
@@ -124,7 +124,7 @@
             bar.update(task, completed=num_ended, total=num_planned, description=text)
 
         progress: Progress = show
-        return run_in_virtual_time(VirtualRun(loaded, seed, progress=progress))
+        return run_experiment(VirtualRun(loaded, seed, progress=progress))
 
 
 MAX_PRINTED_VIOLATIONS = 20
--- a/src/weirscale/experiments/run/virtual.py
+++ b/src/weirscale/experiments/run/virtual.py
@@ -1,6 +1,5 @@
 """Runs one experiment: a whole fleet in one process, in virtual time."""
 
-import importlib
 from collections.abc import Callable, Sequence
 from random import Random
 
@@ -24,6 +23,7 @@
 from weirscale.experiments.run.operator import Operator
 from weirscale.experiments.run.platform import Platform
 from weirscale.experiments.run.recorder import Recorder
+from weirscale.experiments.virtual_time import run_in_virtual_time
 from weirscale.experiments.workload.items import PlanItem
 from weirscale.experiments.workload.plan import PlanSetting, make_plan
 from weirscale.ports.event_log import EventLog, SilentEventLog
@@ -180,20 +180,6 @@
     return expected_text(sent.prompt, sent.max_tokens)
 
 
-def run_in_virtual_time(run: VirtualRun) -> RunOutcome:
-    """Run on trio with a clock that jumps when all tasks wait; a seed gives one schedule."""
-    from trio.testing import MockClock
-
-    _seed_scheduler(run.seed)
-    clock = MockClock(autojump_threshold=0)
-    return anyio.run(run.run, backend="trio", backend_options={"clock": clock})
-
-
-def _seed_scheduler(seed: int) -> None:
-    """Make trio run tasks that are ready together in an order that the seed alone determines.
-
-    Trio shuffles them by a generator of its own, which has no public seed.
-    """
-    scheduler = importlib.import_module("trio._core._run")
-    scheduler._ALLOW_DETERMINISTIC_SCHEDULING = True  # type: ignore[attr-defined]
-    scheduler._r.seed(seed)
+def run_experiment(run: VirtualRun) -> RunOutcome:
+    """Run an experiment in virtual time; its seed gives one schedule."""
+    return run_in_virtual_time(run.run, seed=run.seed)
--- a/src/weirscale/experiments/soak/main.py
+++ b/src/weirscale/experiments/soak/main.py
@@ -12,7 +12,7 @@
     has_failed,
     print_outcome,
 )
-from weirscale.experiments.run.virtual import RunOutcome, VirtualRun, run_in_virtual_time
+from weirscale.experiments.run.virtual import RunOutcome, VirtualRun, run_experiment
 from weirscale.experiments.soak.experiments import (
     DEPLOYMENT_NAMES,
     read_deployment,
@@ -61,7 +61,7 @@
     """Run one seed."""
     name = DEPLOYMENT_NAMES[(seed + 1) % len(DEPLOYMENT_NAMES)]
     loaded = soak_experiment(read_deployment(deployments, name), seed)
-    return run_in_virtual_time(VirtualRun(loaded, seed))
+    return run_experiment(VirtualRun(loaded, seed))
 
 
 def reproducing_command(seed: int) -> str:
--- a/src/weirscale/experiments/soak/matrix.py
+++ b/src/weirscale/experiments/soak/matrix.py
@@ -18,7 +18,7 @@
     ensure_fixed_hash_seed,
     has_failed,
 )
-from weirscale.experiments.run.virtual import RunOutcome, VirtualRun, run_in_virtual_time
+from weirscale.experiments.run.virtual import RunOutcome, VirtualRun, run_experiment
 from weirscale.experiments.soak.experiments import (
     DEPLOYMENT_NAMES,
     matrix_experiment,
@@ -100,7 +100,7 @@
 
 def _run_cell(deployment_name: str, faults: Sequence[FaultKind], seed: int) -> RunOutcome:
     deployment = read_deployment(DEPLOYMENTS_FOLDER, deployment_name)
-    return run_in_virtual_time(VirtualRun(matrix_experiment(deployment, faults), seed))
+    return run_experiment(VirtualRun(matrix_experiment(deployment, faults), seed))
 
 
 def _cell(
