--- a/bench/real_fleet/__main__.py
+++ b/bench/real_fleet/__main__.py
@@ -70,7 +70,7 @@
         memory = max(one.resident_mib for one in outcome.usages)
         share = max(one.core_share for one in outcome.usages)
         print(f"nodes: at most {memory:.0f} MiB resident and {share:.1%} of a core each")
-    write_report(directory, figures, outcome.history, ())
+    write_report(directory, figures)
     processes = {"starts": outcome.starts, "usages": outcome.usages}
     encoded = msgspec.json.format(msgspec.json.encode(processes), indent=2)
     (directory / PROCESSES_FILE).write_bytes(encoded + b"\n")
--- a/src/weirscale/cli/main.py
+++ b/src/weirscale/cli/main.py
@@ -29,7 +29,7 @@
 
 
 class ExperimentCommands:
-    """Experiments: run one, compare reports, the fault matrix."""
+    """Experiments in virtual time."""
 
     def run(
         self,
@@ -39,23 +39,11 @@
         faults: str | Sequence[str] | None = None,
         policy: str | None = None,
     ) -> Command:
-        """Run an experiment file; writes report.json and a page into the REPORT folder."""
+        """Run an experiment file; writes report.json into the REPORT folder."""
         from weirscale.experiments.run import main as run_main
 
         return Command(lambda: run_main.run(str(file), seed, report, faults, policy))
 
-    def compare(self, *directories: str) -> Command:
-        """Print reports side by side, as ratios to the first."""
-        from weirscale.experiments.report import compare as compare_reports
-
-        return Command(lambda: compare_reports.compare(*directories))
-
-    def matrix(self, results: str, pairs: bool = False, seed: int = 1) -> Command:
-        """Run every fault (with PAIRS: every pair) on both deployments into a results file."""
-        from weirscale.experiments.soak import matrix as fault_matrix
-
-        return Command(lambda: fault_matrix.run(results, pairs, seed=seed))
-
 
 class Commands:
     """Router for language-model traffic with long shared prompts.
