--- a/Makefile
+++ b/Makefile
@@ -8,7 +8,7 @@
 NODES ?= 6
 INTERVAL ?= 1.5
 
-.PHONY: demo test bench soak real faults format clean
+.PHONY: demo test soak faults format clean
 
 $(STAMP): requirements.txt pyproject.toml
 	python3 -m venv $(VENV)
@@ -22,16 +22,9 @@
 test: $(STAMP)
 	$(PYTHON) scripts/run_checks.py
 
-bench: $(STAMP)
-	$(PYTHON) -m bench.relay_comparison
-
 soak: $(STAMP)
 	$(VENV)/bin/weirscale soak --seeds=$(SEEDS)
 
-real: $(STAMP)
-	$(PYTHON) -m bench.real_fleet tsehay --report=reports/real-tsehay
-	$(PYTHON) -m bench.real_fleet startgrid --report=reports/real-startgrid
-
 faults: $(STAMP)
 	$(PYTHON) -m bench.fault_soak run --minutes=$(MINUTES) --seed=$(SEED) --nodes=$(NODES) --interval=$(INTERVAL)
 
--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks; `make bench` prints ratios, nothing here is a timed test."""
+"""Soak of the gateway under faults, measurements, and days for the users' bench."""
--- a/bench/fault_soak/nodes.py
+++ b/bench/fault_soak/nodes.py
@@ -18,8 +18,8 @@
     NodeStarted,
     SignalName,
 )
+from bench.fault_soak.processes import ProcessSet, RunningProcess
 from bench.fault_soak.recorder import Recorder
-from bench.real_fleet.processes import ProcessSet, RunningProcess
 from features.support.platform_words import (
     READY_PATH,
     READY_PORT,
--- a/bench/real_fleet/processes.py
+++ b/bench/fault_soak/processes.py
@@ -4,35 +4,14 @@
 import os
 import signal
 import subprocess
-import sys
 import time
 from collections.abc import Mapping, Sequence
 from pathlib import Path
 
 import anyio
 import anyio.to_thread
-import msgspec
-import psutil
 
-COMMAND = (sys.executable, "-m", "weirscale.cli.main")
 END_TIMEOUT_S = 5.0
-BYTES_PER_MIB = 1 << 20
-
-
-class Usage(msgspec.Struct, frozen=True):
-    """What a process has used.
-
-    Attributes:
-        name: The process.
-        resident_mib: Resident memory now, in MiB.
-        core_share: Processor time over its life, as a share of one core.
-        lived_s: Time since its start.
-    """
-
-    name: str
-    resident_mib: float
-    core_share: float
-    lived_s: float
 
 
 class RunningProcess:
@@ -102,20 +81,6 @@
             return False
         return True
 
-    def usage(self) -> Usage | None:
-        """Return what it has used so far, None once it has ended."""
-        if not self.is_running:
-            return None
-        process = psutil.Process(self._process.pid)  # type: ignore[no-untyped-call]
-        times = process.cpu_times()
-        lived_s = time.monotonic() - self.started_at_s
-        return Usage(
-            name=self.name,
-            resident_mib=process.memory_info().rss / BYTES_PER_MIB,
-            core_share=(times.user + times.system) / lived_s,
-            lived_s=lived_s,
-        )
-
 
 class ProcessSet:
     """Starts processes and ends every one of them at the end of the run.
@@ -129,10 +94,6 @@
         self._started: list[RunningProcess] = []
         self._owner_pid = os.getpid()
 
-    def start(self, name: str, arguments: Sequence[str]) -> RunningProcess:
-        """Start one process of the product's command line."""
-        return self.start_program(name, [*COMMAND, *arguments])
-
     def start_program(
         self, name: str, command: Sequence[str], environment: Mapping[str, str] | None = None
     ) -> RunningProcess:
@@ -142,12 +103,6 @@
         self._started.append(process)
         return process
 
-    async def run(self, name: str, arguments: Sequence[str]) -> tuple[int, str]:
-        """Run one command to its end; returns exit code and output."""
-        process = self.start(name, arguments)
-        code = await process.wait()
-        return code, process.log_file.read_text(errors="replace")
-
     @property
     def started(self) -> tuple[RunningProcess, ...]:
         """Every process started so far."""
--- a/bench/fault_soak/run.py
+++ b/bench/fault_soak/run.py
@@ -26,13 +26,13 @@
 )
 from bench.fault_soak.nodes import SoakNode
 from bench.fault_soak.operator import MarkerCaller, Operator
+from bench.fault_soak.processes import ProcessSet
 from bench.fault_soak.recorder import Recorder
 from bench.fault_soak.rules import judge
 from bench.fault_soak.schedule import Fault, draw_schedule
 from bench.fault_soak.strikes import Striker
+from bench.fault_soak.traces import internal_errors
 from bench.fault_soak.violations import Violation
-from bench.real_fleet.collect import internal_errors
-from bench.real_fleet.processes import ProcessSet
 from features.support.platform_words import (
     CONFIGURATION_BOUND_S,
     CONTACT_S,
--- a/features/fault_soak.feature
+++ b/features/fault_soak.feature
@@ -128,6 +128,10 @@
     And the history is written down and read again
     Then the soak finds "weights_in_time" broken, and nothing else
 
+  Scenario: Traces in a node's log count as internal errors, once each
+    When a node's log has the traces "plain, grouped, none"
+    Then the internal errors are "ValueError: bad number; TypeError: Missing required argument"
+
   Scenario: A seed determines the schedule
     Then the schedules of seed 7 are equal, and differ from those of seed 8
     And eight schedules of an hour hold every kind of fault, and none beyond their end
--- a/features/steps/fault_soak_steps.py
+++ b/features/steps/fault_soak_steps.py
@@ -18,6 +18,7 @@
 from bench.fault_soak.rules import judge
 from bench.fault_soak.run import BOUNDS, Soak, SoakSettings
 from bench.fault_soak.schedule import FaultKind, draw_schedule
+from bench.fault_soak.traces import internal_errors
 from features.support import soak_histories
 from features.support.platform_words import with_events
 
@@ -25,6 +26,13 @@
 SOAK_NODES = 4
 SOAK_INTERVAL_S = 1.2
 MIN_ANSWERED = 100
+TRACES = {
+    "plain": 'Traceback (most recent call last):\n  File "a.py", line 1\n'
+    "ValueError: bad number\nKeyError: not of a trace",
+    "grouped": "  | Traceback (most recent call last):\n  |   File x\n"
+    "  | TypeError: Missing required argument\n  +----",
+    "none": "time=1970-01-01T00:00:00.000Z event=refused kind=ValueError",
+}
 
 
 @when("a sound history of a soak also has {what}")
@@ -120,3 +128,15 @@
     assert num_started >= SOAK_NODES
     running = [process.name for process in context.soak.processes.started if process.is_running]
     assert not running, running
+
+
+@when('a node\'s log has the traces "{names}"')
+def step_traces(context, names):
+    lines = "\n".join(TRACES[name] for name in names.split(", ")).splitlines()
+    context.errors = internal_errors(lines)
+
+
+@then('the internal errors are "{expected}"')
+def step_internal_errors(context, expected):
+    shown = "; ".join(str(error) for error in context.errors)
+    assert shown == expected, shown
--- a/features/steps/placement_states_steps.py
+++ b/features/steps/placement_states_steps.py
@@ -4,8 +4,8 @@
 import msgspec
 from behave import given, then, when
 
-from bench.placement_states import StatesFleet
 from features.support.backend_fleet import MODEL, declare_engine
+from features.support.placement_states_fleet import StatesFleet
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.domain.placement.model import PlacementRules
 from weirscale.messages.cache import LoadReport
--- a/bench/placement_states.py
+++ b/features/support/placement_states_fleet.py
@@ -1,4 +1,4 @@
-"""Traffic of a planner over many zones, in virtual time: `python -m bench.placement_states`.
+"""A planner over many zones, in virtual time.
 
 Real planners, states servers and authenticated links over an in-memory network; engines, membership
 and the digests by which a zone hears of its engines are hollow: each node hears of its own zone's
@@ -7,7 +7,6 @@
 
 import math
 from collections import Counter
-from functools import partial
 from random import Random
 from typing import Any
 
@@ -29,7 +28,6 @@
     ZoneName,
 )
 from weirscale.experiments.memory_network import MemoryNetwork
-from weirscale.experiments.virtual_time import run_in_virtual_time
 from weirscale.messages.cache import LoadReport
 from weirscale.messages.envelope import KeyRing, PeerKey
 from weirscale.node.backends.facts import EMPTY_SNAPSHOT, DirectorySnapshot, EngineFacts
@@ -47,8 +45,6 @@
 """Time between reports of one engine to its zone with 94 engines, 22 nodes and 2 kB/s a home."""
 
 LOAD_S = 60.0
-MEASURED_S = 120.0
-SETTLE_S = 20.0
 MODEL = ModelName("paddock-lm")
 KEYS = KeyRing((PeerKey(1, b"0123456789abcdef"),))
 HTTP_HEADER_BYTES = 250
@@ -280,44 +276,3 @@
             for engine in self.engines.values():
                 engine.finish_due()
             await anyio.sleep(1.0)
-
-
-async def measure(num_zones: int, num_nodes: int, num_engines: int, is_rolling: bool) -> str:
-    """Return the traffic of a planner and of the nodes asked, at rest or while it rolls."""
-    async with anyio.create_task_group() as tasks:
-        fleet = StatesFleet(tasks, num_zones, num_nodes, num_engines, max_concurrent_loads=4)
-        planner = fleet.nodes[0]
-        planner.held = True
-        await anyio.sleep(SETTLE_S)
-        num_heard = len(planner.states.heard()) + len(fleet.engines_in(planner.peer.zone))
-        before = {node.self_id: node.num_bytes() for node in fleet.nodes}
-        if is_rolling:
-            fleet.declare_version("v2")
-        probes_before = sum(engine.num_probes for engine in fleet.engines.values())
-        await anyio.sleep(MEASURED_S)
-        rates = {
-            node.self_id: (node.num_bytes() - before[node.self_id]).total() / MEASURED_S
-            for node in fleet.nodes
-        }
-        num_probes = sum(each.num_probes for each in fleet.engines.values()) - probes_before
-        others = [rate for node, rate in rates.items() if node != planner.self_id]
-        tasks.cancel_scope.cancel()
-    return (
-        f"{num_nodes} nodes, {num_zones} zones, {num_engines} engines, "
-        f"{'rolling' if is_rolling else 'at rest'}: "
-        f"engines known after {SETTLE_S:g} s {num_heard}; "
-        f"planner {rates[planner.self_id] / 1e3:.2f} kB/s, "
-        f"busiest other node {max(others) / 1e3:.2f} kB/s; "
-        f"{num_probes / MEASURED_S:.2f} engine probes/s"
-    )
-
-
-def main() -> None:
-    """Print every figure."""
-    for sizes in ((4, 16, 68), (9, 100, 425), (18, 400, 1700)):
-        for is_rolling in (False, True):
-            print(run_in_virtual_time(partial(measure, *sizes, is_rolling)))
-
-
-if __name__ == "__main__":
-    main()
