--- a/features/engine_behaviour.feature
+++ b/features/engine_behaviour.feature
@@ -49,17 +49,15 @@
     When 3 engines are ordered to load version "v2" 0 s after one another
     Then the reads begin 0, 5 and 10 s after the orders
 
-  Scenario Outline: The stores answer the same over HTTP as in process
-    Given a kept-KV store and a weight store behind "<port>" with the fault "<fault>"
+  Scenario Outline: The stores answer, and every call fails at once at dead ones
+    Given a kept-KV store and a weight store with the fault "<fault>"
     When a chain is exported and imported and weights are read
     Then the stores answer "<blocks>" blocks and weights "<weights>"
 
     Examples:
-      | port       | fault   | blocks | weights |
-      | in-process | none    | 5      | read    |
-      | HTTP       | none    | 5      | read    |
-      | in-process | is_dead | failed | failed  |
-      | HTTP       | is_dead | failed | failed  |
+      | fault   | blocks | weights |
+      | none    | 5      | read    |
+      | is_dead | failed | failed  |
 
   Scenario: Blocks of prompts that are prefilled in one step keep their own parents
     Given a stand-in engine for prompts, with room for two prompts
--- a/features/experiment_files.feature
+++ b/features/experiment_files.feature
@@ -23,17 +23,6 @@
       | at_s: 5          | at_s: 60           | 10   | faults[0].at_s           | write 0 or more and less than 60.0           |
       | lasts_s: 3       | lasts_s: -1        | 11   | faults[0].lasts_s        | write a finite number, more than 0           |
 
-  Scenario Outline: Real mode takes only what it can bring about
-    Given an experiment file in real mode with <targets> and the fault "<fault>"
-    When the experiment file is checked
-    Then the experiment file's errors are for "<fields>"
-
-    Examples:
-      | targets    | fault        | fields          |
-      | targets    | engine_crash | none            |
-      | targets    | zone_cut     | faults[0].kind  |
-      | no targets | event_loss   | mode            |
-
   Scenario Outline: A caller reads an answer over HTTP as over memory
     Given a server that answers "<answer>"
     When a caller reads it over HTTP
--- a/features/operator_commands.feature
+++ b/features/operator_commands.feature
@@ -10,9 +10,6 @@
       | node --colour=red              | see `weirscale --help` |
       | node --zone=bole-hall          | peer_keys              |
       | node --settings=no-such.yaml   | check the path         |
-      | stand_in teapot --settings=x   | use one of             |
-      | stand_in engine --settings=x   | settings file          |
-      | stand_in kept-kv --settings=x  | settings file          |
       | experiment run experiments/tsehay.yaml --policy=coin | use default, random |
       | experiment run experiments/tsehay.yaml --faults=rain | unknown fault |
       | experiment run no-such.yaml | no-such.yaml |
--- a/features/steps/engine_behaviour_steps.py
+++ b/features/steps/engine_behaviour_steps.py
@@ -14,9 +14,7 @@
 from weirscale.standins.engine.in_process import InProcessEngine
 from weirscale.standins.engine.settings import EngineSettings
 from weirscale.standins.faults import StoreFaults
-from weirscale.standins.kept_kv.http_app import HttpKeptKvStore, serve_kept_kv
 from weirscale.standins.kept_kv.in_process import InProcessKeptKvStore, KeptKvSettings
-from weirscale.standins.weight_store.http_app import HttpWeightStore, serve_weight_store
 from weirscale.standins.weight_store.in_process import InProcessWeightStore, WeightStoreSettings
 
 PROMPT = b"twenty bytes of text" * 1000
@@ -150,39 +148,25 @@
     assert starts == [0, 5, 10], starts
 
 
-@given('a kept-KV store and a weight store behind "{port}" with the fault "{fault}"')
-def step_both_stores(context, port, fault):
-    context.kind = port
+@given('a kept-KV store and a weight store with the fault "{fault}"')
+def step_both_stores(context, fault):
     context.faults = StoreFaults() if fault == "none" else StoreFaults(**{fault: True})
 
 
-async def use_stores(kind, faults):
+async def use_stores(faults):
     kept = InProcessKeptKvStore(KeptKvSettings(name="mezgeb"))
     weights = InProcessWeightStore(WeightStoreSettings())
-    async with anyio.create_task_group() as tasks:
-        if kind == "HTTP":
-            kept_server = await tasks.start(serve_kept_kv, kept)
-            weight_server = await tasks.start(serve_weight_store, weights)
-            kept_port = HttpKeptKvStore(kept_server.address)
-            weight_port = HttpWeightStore(weight_server.address)
-        else:
-            kept_port, weight_port = kept, weights
-        await kept_port.export_blocks([1, 2, 3, 4, 5])
-        kept.faults.set(faults)
-        weights.faults.set(faults)
-        blocks = await kept_port.import_blocks([1, 2, 3, 4, 5, 6, 7])
-        read = await weight_port.fetch("runner-1", LoadModel("qalam", "v2"), 1000)
-        if kind == "HTTP":
-            await kept_port.aclose()
-            await weight_port.aclose()
-        tasks.cancel_scope.cancel()
+    await kept.export_blocks([1, 2, 3, 4, 5])
+    kept.faults.set(faults)
+    weights.faults.set(faults)
+    blocks = await kept.import_blocks([1, 2, 3, 4, 5, 6, 7])
+    read = await weights.fetch("runner-1", LoadModel("qalam", "v2"), 1000)
     return blocks, read
 
 
 @when("a chain is exported and imported and weights are read")
 def step_use_stores(context):
-    run = anyio.run if context.kind == "HTTP" else run_in_virtual_time
-    context.blocks, context.read = run(use_stores, context.kind, context.faults)
+    context.blocks, context.read = run_in_virtual_time(use_stores, context.faults)
 
 
 @then('the stores answer "{blocks}" blocks and weights "{weights}"')
--- a/features/steps/experiment_files_steps.py
+++ b/features/steps/experiment_files_steps.py
@@ -66,23 +66,6 @@
     context.experiment_text = FILE.replace(before, after)
 
 
-@given('an experiment file in real mode with {targets} and the fault "{fault}"')
-def step_real_file(context, targets, fault):
-    real = """mode: real
-real:
-  nodes: [{zone: bole-hall, address: 127.0.0.1:8001}]
-  stand_ins: [{admin_address: 127.0.0.1:22001, is_engine: true}]
-"""
-    text = FILE.replace("store_down", fault)
-    context.experiment_text = text + (real if targets == "targets" else "mode: real\n")
-
-
-@then('the experiment file\'s errors are for "{fields}"')
-def step_error_fields(context, fields):
-    errors = context.checked.err_value if isinstance(context.checked, Err) else ()
-    assert [error.path for error in errors] == ([] if fields == "none" else fields.split()), errors
-
-
 class CutStream(httpx.AsyncByteStream):
     async def __aiter__(self):
         yield FIRST_EVENT
--- a/features/steps/machines_contract_steps.py
+++ b/features/steps/machines_contract_steps.py
@@ -5,10 +5,10 @@
 
 from features.support.http_exchange import broken_exchange
 from features.support.loopback import served
+from features.support.machine_list_app import MachineListApp
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.ports.machines import Machine
 from weirscale.ports.machines_http import HttpMachineList
-from weirscale.standins.machines.app import MachineListApp
 from weirscale.standins.machines.in_process import InProcessMachineList
 from weirscale.standins.machines.model import MachineListModel
 
--- a/src/weirscale/cli/main.py
+++ b/src/weirscale/cli/main.py
@@ -141,12 +141,6 @@
 
         return Command(lambda: operators.drain(str(node)))
 
-    def stand_in(self, kind: str, settings: str) -> Command:
-        """Run a stand-in: engine, service, kept-kv, weight-store, key-value or machines."""
-        from weirscale.cli import stand_in
-
-        return Command(lambda: stand_in.run(str(kind), Path(settings)))
-
     def soak(self, seeds: int = 200, first_seed: int = 1) -> Command:
         """Run many seeds of random faults in virtual time; prints how to repeat a failing one."""
         from weirscale.experiments.soak import main as soak_main
--- a/src/weirscale/experiments/run/experiment.py
+++ b/src/weirscale/experiments/run/experiment.py
@@ -1,67 +1,13 @@
 """Experiment files: what is run, on which deployment, under which faults."""
 
-import enum
-
 from weirscale.domain.configuration.model import Declared
-from weirscale.domain.identifiers import ZoneName
-from weirscale.experiments.faults.kinds import FaultKind, PlannedFault
+from weirscale.experiments.faults.kinds import PlannedFault
 from weirscale.experiments.run.policies import DEFAULT_POLICY
 from weirscale.experiments.workload.shape import Burst
 
 FILE_FORMAT = 1
 
 
-class Mode(enum.Enum):
-    """How an experiment is run."""
-
-    VIRTUAL = "virtual"
-    """A whole fleet in one process, in virtual time."""
-    REAL = "real"
-    """Against processes that run already, in real time."""
-
-
-REAL_FAULTS = frozenset(
-    {
-        FaultKind.ENGINE_CRASH,
-        FaultKind.EVENT_LOSS,
-        FaultKind.CROSSED_ANSWERS,
-        FaultKind.HOT_SHIFT,
-    }
-)
-"""Faults that can be brought about from outside: over admin ports, or by the callers."""
-
-
-class RealNode(Declared, frozen=True):
-    """A running node.
-
-    Attributes:
-        zone: Its zone.
-        address: host:port that callers reach.
-    """
-
-    zone: ZoneName
-    address: str
-
-
-class RealStandIn(Declared, frozen=True):
-    """A running stand-in.
-
-    Attributes:
-        admin_address: host:port of its admin port.
-        is_engine: Whether it is an engine; else a service back end.
-    """
-
-    admin_address: str
-    is_engine: bool
-
-
-class RealTargets(Declared, frozen=True):
-    """What an experiment in real mode runs against."""
-
-    nodes: tuple[RealNode, ...] = ()
-    stand_ins: tuple[RealStandIn, ...] = ()
-
-
 class WorkloadChoice(Declared, frozen=True):
     """A preset of the workload and what is changed in it.
 
@@ -110,9 +56,7 @@
         nodes_per_zone: Nodes in each zone.
         duration_s: Time in which callers send.
         seed: Determines workload, faults' targets and all chance.
-        mode: How it is run.
-        real: What it runs against in real mode.
-        engines: What the stand-in engines do differently; in virtual mode.
+        engines: What the stand-in engines do differently.
         faults: Faults on the timeline.
     """
 
@@ -124,7 +68,5 @@
     nodes_per_zone: int = 1
     duration_s: float = 60.0
     seed: int = 1
-    mode: Mode = Mode.VIRTUAL
-    real: RealTargets = RealTargets()
     engines: EngineChanges = EngineChanges()
     faults: tuple[PlannedFault, ...] = ()
--- a/src/weirscale/experiments/run/load.py
+++ b/src/weirscale/experiments/run/load.py
@@ -14,12 +14,7 @@
     parse_declared,
 )
 from weirscale.experiments.faults.kinds import FaultKind
-from weirscale.experiments.run.experiment import (
-    FILE_FORMAT,
-    REAL_FAULTS,
-    Experiment,
-    Mode,
-)
+from weirscale.experiments.run.experiment import FILE_FORMAT, Experiment
 from weirscale.experiments.run.policies import POLICIES
 from weirscale.experiments.workload.shape import PRESETS, Burst, WorkloadShape
 
@@ -87,7 +82,6 @@
     problems = [
         *_identity_problems(experiment),
         *_number_problems(experiment),
-        *_mode_problems(experiment),
         *_fault_problems(experiment),
     ]
     return [
@@ -120,19 +114,6 @@
             yield path, f"{value} is out of range", "write a finite number, more than 0"
 
 
-def _mode_problems(experiment: Experiment) -> Iterator[Problem]:
-    if experiment.mode is not Mode.REAL:
-        return
-    if not (experiment.real.nodes and experiment.real.stand_ins):
-        remedy = "list `nodes:` and `stand_ins:` under `real:`"
-        yield "mode", "real mode needs running nodes and stand-ins", remedy
-    for index, fault in enumerate(experiment.faults):
-        if fault.kind not in REAL_FAULTS:
-            names = ", ".join(sorted(kind.value for kind in REAL_FAULTS))
-            message = f"{fault.kind.value} cannot be brought about in real mode"
-            yield f"faults[{index}].kind", message, f"use one of: {names}"
-
-
 def _fault_problems(experiment: Experiment) -> Iterator[Problem]:
     # A duration that is itself wrong says nothing about the faults' times.
     end_s = experiment.duration_s if experiment.duration_s > 0 else float("inf")
--- a/src/weirscale/experiments/run/main.py
+++ b/src/weirscale/experiments/run/main.py
@@ -11,10 +11,8 @@
 from weirscale.experiments.faults.kinds import FaultKind
 from weirscale.experiments.faults.schedule import overlapping
 from weirscale.experiments.report.files import write_report
-from weirscale.experiments.run.experiment import Mode
 from weirscale.experiments.run.load import LoadedExperiment, load_experiment, with_shape
 from weirscale.experiments.run.policies import POLICIES
-from weirscale.experiments.run.real import RealRun, run_against_processes
 from weirscale.experiments.run.virtual import Progress, RunOutcome, VirtualRun, run_experiment
 
 EXIT_OK = 0
@@ -71,11 +69,8 @@
     with_policy = _with_policy(chosen.ok_value, policy)
     experiment = with_policy.experiment
     used_seed = experiment.seed if seed is None else seed
-    if experiment.mode is Mode.REAL:
-        outcome = run_against_processes(RealRun(with_policy, used_seed))
-    else:
-        ensure_fixed_hash_seed()
-        outcome = run_with_progress(with_policy, used_seed)
+    ensure_fixed_hash_seed()
+    outcome = run_with_progress(with_policy, used_seed)
     print_outcome(outcome)
     if report is not None:
         write_report(Path(report), outcome.figures)
--- a/src/weirscale/standins/engine/server.py
+++ b/src/weirscale/standins/engine/server.py
@@ -1,4 +1,4 @@
-"""Serves stand-in engines over HTTP in this process, each with an admin port for faults."""
+"""Serves stand-in engines over HTTP in this process."""
 
 from random import Random
 
@@ -6,12 +6,10 @@
 import msgspec
 from anyio.abc import TaskStatus
 
-from weirscale.standins.admin import AdminApp
 from weirscale.standins.asgi_server import OutageServer
 from weirscale.standins.engine.http_app import EngineApp
 from weirscale.standins.engine.in_process import InProcessEngine
 from weirscale.standins.engine.settings import EngineSettings
-from weirscale.standins.faults import EngineFaults
 
 RESTART_POLL_S = 0.05
 """How often a crashed engine's server looks whether its run has begun."""
@@ -23,19 +21,16 @@
     Attributes:
         engine: The engine, for faults and records.
         address: host:port of its HTTP interface.
-        admin_address: host:port of its admin port.
     """
 
     engine: InProcessEngine
     address: str
-    admin_address: str
 
 
 async def serve_engine(
     engine: InProcessEngine | EngineSettings,
     *,
     port: int = 0,
-    admin_port: int = 0,
     task_status: TaskStatus[EngineServer] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
     """Run an engine and serve it on loopback until cancelled.
@@ -43,25 +38,16 @@
     Args:
         engine: The engine, or the settings of one.
         port: Port of the HTTP interface, 0 for any.
-        admin_port: Port of the admin app, 0 for any.
-        task_status: Told the `EngineServer` once the ports listen.
+        task_status: Told the `EngineServer` once the port listens.
     """
     if isinstance(engine, EngineSettings):
         engine = InProcessEngine(engine, Random(engine.name))
     server = OutageServer(EngineApp(engine), lambda: engine.is_reachable, port)
-    admin = AdminApp(
-        engine.faults,
-        EngineFaults,
-        records=engine.model.ledger.records,
-        actions={"crash": engine.crash, "leave": engine.leave},
-    )
-    admin_server = OutageServer(admin, lambda: True, admin_port)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(engine.run)
         tasks.start_soon(server.run)
-        tasks.start_soon(admin_server.run)
         tasks.start_soon(_follow_reachability, engine, server)
-        task_status.started(EngineServer(engine, server.address, admin_server.address))
+        task_status.started(EngineServer(engine, server.address))
 
 
 async def _follow_reachability(engine: InProcessEngine, server: OutageServer) -> None:
--- a/src/weirscale/standins/faults.py
+++ b/src/weirscale/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults of stand-ins as typed settings, switched on over an admin port or by an experiment."""
+"""Faults of stand-ins as typed settings, switched on by an experiment or a test."""
 
 from collections.abc import Callable
 from typing import Generic, TypeVar
--- a/src/weirscale/standins/service/http_app.py
+++ b/src/weirscale/standins/service/http_app.py
@@ -1,4 +1,4 @@
-"""HTTP interface of the stand-in service, and its server with an admin port."""
+"""HTTP interface of the stand-in service, and its server."""
 
 import anyio
 import msgspec
@@ -14,9 +14,7 @@
     send_part,
     start_response,
 )
-from weirscale.standins.admin import AdminApp
 from weirscale.standins.asgi_server import MAX_BODY_BYTES, OutageServer
-from weirscale.standins.faults import ServiceFaults
 from weirscale.standins.service.in_process import InProcessService
 from weirscale.standins.service.model import OK, ServiceSettings
 
@@ -63,32 +61,26 @@
     Attributes:
         service: The back end, for faults and records.
         address: host:port of its HTTP interface.
-        admin_address: host:port of its admin port.
     """
 
     service: InProcessService
     address: str
-    admin_address: str
 
 
 async def serve_service(
     service: InProcessService | ServiceSettings,
     *,
     port: int = 0,
-    admin_port: int = 0,
     task_status: TaskStatus[ServiceServer] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
     """Serve a back end on loopback until cancelled; arguments as of `serve_engine`."""
     if isinstance(service, ServiceSettings):
         service = InProcessService(service)
     server = OutageServer(ServiceApp(service), lambda: service.is_reachable, port)
-    admin = AdminApp(service.faults, ServiceFaults, records=service.model.runs, actions={})
-    admin_server = OutageServer(admin, lambda: True, admin_port)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(server.run)
-        tasks.start_soon(admin_server.run)
         tasks.start_soon(_follow_faults, service, server)
-        task_status.started(ServiceServer(service, server.address, admin_server.address))
+        task_status.started(ServiceServer(service, server.address))
 
 
 async def _follow_faults(service: InProcessService, server: OutageServer) -> None:
