--- a/features/operator_commands.feature
+++ b/features/operator_commands.feature
@@ -10,7 +10,6 @@
       | node --colour=red              | see `weirscale --help` |
       | node --zone=bole-hall          | peer_keys              |
       | node --settings=no-such.yaml   | check the path         |
-      | experiment run experiments/tsehay.yaml --policy=coin | use default, random |
       | experiment run experiments/tsehay.yaml --faults=rain | unknown fault |
       | experiment run no-such.yaml | no-such.yaml |
 
--- a/features/steps/choice_baselines_steps.py
+++ b/features/steps/choice_eligible_steps.py
@@ -2,26 +2,14 @@
 
 from behave import given, then, when
 
-from weirscale.domain.choice.approximate_tree import ApproximateTree
-from weirscale.domain.choice.least_outstanding import LeastOutstanding
 from weirscale.domain.choice.policy import ChoiceRequest, EngineCandidate
 from weirscale.domain.choice.prefix_aware import PrefixAware
-from weirscale.domain.choice.random_choice import RandomChoice
-from weirscale.domain.choice.rendezvous_bounded import RendezvousBounded
 from weirscale.domain.configuration.model import EngineRole, RoutingObjective
 from weirscale.domain.prefix.cache_view import CacheView
-from weirscale.domain.rendezvous import rendezvous_score
 
 NUM_BLOCKS = 20
 TOKENS_PER_BLOCK = 16.0
 NOW_S = 100.0
-POLICIES = {
-    "random": RandomChoice,
-    "least_outstanding": LeastOutstanding,
-    "rendezvous_bounded": RendezvousBounded,
-    "approximate_tree": ApproximateTree,
-    "prefix_aware": lambda: PrefixAware(CacheView(), RoutingObjective()),
-}
 
 
 def make_candidate(engine, outstanding=0, most=64, **changes):
@@ -55,9 +43,9 @@
     )
 
 
-@given('choice policy "{policy}" and engines')
-def step_policy_and_engines(context, policy):
-    context.policy = POLICIES[policy]()
+@given("a policy without beliefs and engines")
+def step_policy_and_engines(context):
+    context.policy = PrefixAware(CacheView(), RoutingObjective())
     context.random = Random(7)
     context.candidates = [
         make_candidate(row["engine"], int(row["outstanding"]), int(row["most"]))
@@ -65,12 +53,6 @@
     ]
 
 
-@given('one prompt was sent to "{engine}"')
-def step_sent_before(context, engine):
-    context.request = make_request(1)
-    context.policy.note_sent(context.request, engine, NOW_S)
-
-
 def choose(context, request):
     choice = context.policy.choose(request, context.candidates, NOW_S, context.random)
     return "nothing" if choice is None else choice.engine
@@ -82,23 +64,6 @@
     context.chosen = [choose(context, request) for request in requests]
 
 
-@when('one prompt is chosen for whose first rank is "{engine}"')
-def step_choose_ranked(context, engine):
-    names = [each.engine for each in context.candidates]
-    requests = (make_request(seed) for seed in range(1000))
-    request = next(
-        each
-        for each in requests
-        if max(names, key=lambda name: rendezvous_score(each.block_hashes[0], name)) == engine
-    )
-    context.chosen = [choose(context, request)]
-
-
-@when("the same prompt is chosen for again")
-def step_choose_again(context):
-    context.chosen = [choose(context, context.request) for _ in range(5)]
-
-
 @then('every choice is "{engine}"')
 def step_every_choice(context, engine):
     assert context.chosen and set(context.chosen) == {engine}, context.chosen
--- a/features/steps/choice_kept_kv_steps.py
+++ b/features/steps/choice_kept_kv_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from features.steps.choice_baselines_steps import (
+from features.steps.choice_eligible_steps import (
     NOW_S,
     TOKENS_PER_BLOCK,
     make_candidate,
--- a/features/steps/choice_prefix_aware_steps.py
+++ b/features/steps/choice_prefix_aware_steps.py
@@ -4,7 +4,7 @@
 import msgspec
 from behave import given, then, when
 
-from features.steps.choice_baselines_steps import NOW_S, make_candidate, make_request
+from features.steps.choice_eligible_steps import NOW_S, make_candidate, make_request
 from weirscale.domain.choice.beliefs import PrefixMatch
 from weirscale.domain.choice.noted_sends import NotedSends
 from weirscale.domain.choice.prefix_aware import PrefixAware
--- a/features/steps/experiment_files_steps.py
+++ b/features/steps/experiment_files_steps.py
@@ -36,7 +36,7 @@
     at_s: 5
     lasts_s: 3
 """
-IDENTITY = RunIdentity("run", "tsehay", "default", 1, 60.0)
+IDENTITY = RunIdentity("run", "tsehay", 1, 60.0)
 TOLERANCE = 0.01
 EVENT_STREAM = {"content-type": "text/event-stream"}
 FIRST_EVENT = b'data: {"id": "a", "choices": [{"delta": {"content": "abcd"}}]}\n\n'
--- a/features/steps/home_notes_steps.py
+++ b/features/steps/home_notes_steps.py
@@ -4,7 +4,7 @@
 import msgspec
 from behave import given, then, when
 
-from features.steps.choice_baselines_steps import make_request
+from features.steps.choice_eligible_steps import make_request
 from features.support.home_fleet import MemoryLink, Random
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.domain.identifiers import NodeAddress
--- a/features/support/backend_fleet.py
+++ b/features/support/backend_fleet.py
@@ -6,7 +6,7 @@
 import anyio
 from result import Err, Ok
 
-from weirscale.domain.choice.least_outstanding import LeastOutstanding
+from features.support.least_outstanding import LeastOutstanding
 from weirscale.domain.configuration.model import (
     Deployment,
     Engine,
--- a/src/weirscale/cli/main.py
+++ b/src/weirscale/cli/main.py
@@ -37,12 +37,11 @@
         seed: int | None = None,
         report: str | None = None,
         faults: str | Sequence[str] | None = None,
-        policy: str | None = None,
     ) -> Command:
         """Run an experiment file; writes report.json into the REPORT folder."""
         from weirscale.experiments.run import main as run_main
 
-        return Command(lambda: run_main.run(str(file), seed, report, faults, policy))
+        return Command(lambda: run_main.run(str(file), seed, report, faults))
 
 
 class Commands:
--- a/src/weirscale/node/assembly.py
+++ b/src/weirscale/node/assembly.py
@@ -13,7 +13,6 @@
 from result import Result
 
 from weirscale.domain.choice.kept_kv import KeptKvBeliefs
-from weirscale.domain.choice.policy import ChoicePolicy
 from weirscale.domain.choice.prefix_aware import PrefixAware
 from weirscale.domain.configuration.model import (
     RetryRules,
@@ -76,7 +75,6 @@
         keys: Shared keys between nodes.
         random: Source of randomness of all its tasks.
         event_log: Where events go.
-        baseline: Chooses engines in place of the prefix-aware policy, for comparisons.
     """
 
     def __init__(
@@ -86,7 +84,6 @@
         keys: KeyRing,
         random: Random,
         event_log: EventLog,
-        baseline: ChoicePolicy | None = None,
     ) -> None:
         self.identity = identity
         self._event_log = event_log
@@ -134,7 +131,7 @@
             random,
         )
         self._build_homes(ports, random)
-        self._build_routing(random, baseline)
+        self._build_routing(random)
         self._build_placement(ports, random)
         self._build_execution(anyio.current_time())
         self._build_planned_stop()
@@ -183,7 +180,7 @@
     def _note_receivers(self) -> Sequence[NodeAddress]:
         return receivers_in_scope(self.identity.zone, self.membership, self.configuration)
 
-    def _build_routing(self, random: Random, baseline: ChoicePolicy | None) -> None:
+    def _build_routing(self, random: Random) -> None:
         """Tasks that choose back ends."""
         zone = self.identity.zone
         self._kept_kv = KeptKvBeliefs()
@@ -196,7 +193,7 @@
         )
         self.engine_router = EngineRouter(
             self.directory,
-            baseline or self._policy,
+            self._policy,
             self.decisions,
             LinkDelays(self.configuration, zone).delay_s,
             random,
