--- a/features/duties_lease.feature
+++ b/features/duties_lease.feature
@@ -60,14 +60,6 @@
       | a crash    |
       | a join     |
 
-  Scenario Outline: Holders are spread over zones
-    Given candidates "<candidates>"
-    Then the <count> holders across zones lie in <zones> zones
-    And no leaving node holds anything
-
-    Examples:
-      | candidates             | count | zones |
-      | a:x b:x c:y d:y e:z    | 3     | 3     |
-      | a:x b:x c:x d:y        | 3     | 2     |
-      | a:x b:x                | 3     | 1     |
-      | a:x b:y c:y:leaving    | 2     | 2     |
+  Scenario: A leaving node holds nothing while others can
+    Given candidates "a:x b:y c:y:leaving"
+    Then 2 nodes hold a duty and none of them is leaving
--- a/features/steps/duties_lease_steps.py
+++ b/features/steps/duties_lease_steps.py
@@ -13,7 +13,6 @@
     DutyKind,
     engine_home,
     holders,
-    holders_across_zones,
 )
 from weirscale.domain.identifiers import NodeAddress, NodeId
 from weirscale.leases.lease_task import DutyLeaseTask
@@ -322,18 +321,8 @@
         context.candidates.append(DutyCandidate(NodeId(name, 1), zone, bool(leaving)))
 
 
-@then("the {count:d} holders across zones lie in {zones:d} zones")
-def step_across_zones(context, count, zones):
-    context.count = count
-    chosen = holders_across_zones(PLANNER, context.candidates, count)
-    by_node = {candidate.node: candidate.zone for candidate in context.candidates}
-    assert len(chosen) == len(set(chosen)) == min(count, len(context.candidates)), chosen
-    assert len({by_node[node] for node in chosen}) == zones, chosen
-
-
-@then("no leaving node holds anything")
-def step_no_leaving(context):
+@then("{count:d} nodes hold a duty and none of them is leaving")
+def step_no_leaving(context, count):
     leaving = {candidate.node for candidate in context.candidates if candidate.is_leaving}
-    chosen = holders(PLANNER, context.candidates, context.count)
-    chosen += holders_across_zones(PLANNER, context.candidates, context.count)
-    assert not leaving & set(chosen), chosen
+    chosen = holders(PLANNER, context.candidates, count)
+    assert len(set(chosen)) == count and not leaving & set(chosen), chosen
--- a/features/support/path_node.py
+++ b/features/support/path_node.py
@@ -168,7 +168,7 @@
             return Err(self.refusal)
         self.num_held += 1
         self.num_admitted += 1
-        return Ok(Permit(tenant.name, request_id, num_prompt_tokens, 0.0))
+        return Ok(Permit(tenant.name, request_id, num_prompt_tokens))
 
     def release(self, permit):
         self.num_held -= 1
--- a/src/weirscale/domain/duties/assignment.py
+++ b/src/weirscale/domain/duties/assignment.py
@@ -18,10 +18,6 @@
 
     ENGINE_HOME = "engine_home"
     """Follows an engine's cache events and load, for the nodes of its zone."""
-    ZONE_READER = "zone_reader"
-    """Watches the configuration in the key-value service, for its zone."""
-    CLAIM_HOLDER = "claim_holder"
-    """Holds at-most-once claims."""
     PLACEMENT_PLANNER = "placement_planner"
     """Gives orders to engines; fenced by a lease."""
 
@@ -79,21 +75,6 @@
     return tuple(each.node for each in rank_candidates(duty, candidates, zone)[:count])
 
 
-def holders_across_zones(
-    duty: Duty, candidates: Iterable[DutyCandidate], count: int
-) -> tuple[NodeId, ...]:
-    """Return the best nodes in distinct zones; more of one zone only when zones run out."""
-    ranked = rank_candidates(duty, candidates)
-    chosen: list[NodeId] = []
-    seconds: list[NodeId] = []
-    zones: set[ZoneName] = set()
-    for each in ranked:
-        group = seconds if each.zone in zones else chosen
-        group.append(each.node)
-        zones.add(each.zone)
-    return tuple((chosen + seconds)[:count])
-
-
 def engine_home(
     engine: EngineName, zone: ZoneName, candidates: Iterable[DutyCandidate]
 ) -> NodeId | None:
--- a/src/weirscale/domain/limits/token_bucket.py
+++ b/src/weirscale/domain/limits/token_bucket.py
@@ -36,9 +36,3 @@
     def add(self, amount: float, now_s: float) -> None:
         """Add tokens received from elsewhere, up to the depth."""
         self._num_tokens = min(self.depth, self.available(now_s) + amount)
-
-    def reshape(self, rate_per_s: float, depth: float, now_s: float) -> None:
-        """Change rate and depth; tokens above the new depth are lost, none are added."""
-        self._num_tokens = min(self.available(now_s), depth)
-        self.rate_per_s = rate_per_s
-        self.depth = depth
--- a/src/weirscale/node/assembly.py
+++ b/src/weirscale/node/assembly.py
@@ -4,13 +4,11 @@
 in-memory network.
 """
 
-from collections.abc import AsyncIterator, Callable, Sequence
-from contextlib import AbstractAsyncContextManager
+from collections.abc import Callable, Sequence
 from random import Random
 
 import anyio
 from anyio.abc import TaskStatus
-from result import Result
 
 from weirscale.domain.choice.kept_kv import KeptKvBeliefs
 from weirscale.domain.choice.prefix_aware import PrefixAware
@@ -21,13 +19,6 @@
 from weirscale.domain.duties.assignment import Duty, DutyKind
 from weirscale.domain.identifiers import ConfigurationRevision, NodeAddress
 from weirscale.domain.prefix.chain_cache import ChainCache
-from weirscale.domain.request.model import (
-    GenerationRequest,
-    ServiceRequest,
-    ServiceResponse,
-    TokenChunk,
-)
-from weirscale.domain.request.refusal import Refusal
 from weirscale.domain.request.retry_budget import RetryBudget
 from weirscale.leases.lease_task import DutyLeaseTask
 from weirscale.messages.envelope import KeyRing
@@ -248,16 +239,6 @@
             self._event_log,
         )
 
-    def generate(
-        self, request: GenerationRequest
-    ) -> AbstractAsyncContextManager[AsyncIterator[Result[TokenChunk, Refusal]]]:
-        """Run a generation request without a caller-side protocol or admission."""
-        return self.generation.run(request)
-
-    async def call_service(self, request: ServiceRequest) -> Result[ServiceResponse, Refusal]:
-        """Run a service request without a caller-side protocol or admission."""
-        return await self.services.run(request)
-
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
         """Run all tasks until cancelled."""
         async with anyio.create_task_group() as tasks:
--- a/src/weirscale/node/claims/change.py
+++ b/src/weirscale/node/claims/change.py
@@ -95,7 +95,6 @@
 class _Collected(msgspec.Struct, frozen=True):
     """What the sealed holders of an epoch handed over."""
 
-    num_sealed: int
     claims: tuple[CopiedClaim, ...]
     uncertain_wait_s: float
 
@@ -167,7 +166,7 @@
         before = self._stored.record
         if before is None:  # no epoch before this one, so no claim either
             await self._carry_log_on((), 0.0)
-            return _Collected(0, (), 0.0)
+            return _Collected((), 0.0)
         copies: list[tuple[CopiedClaim, ...]] = []
         waits_s: list[float] = []
         sealed_nodes: set[NodeId] = set()
@@ -192,7 +191,7 @@
         claims = merge_claims(copies)
         uncertain_wait_s = max(waits_s, default=0.0)
         await self._carry_log_on(claims, uncertain_wait_s)
-        return _Collected(len(copies), claims, uncertain_wait_s)
+        return _Collected(claims, uncertain_wait_s)
 
     async def _carry_log_on(self, claims: tuple[CopiedClaim, ...], uncertain_wait_s: float) -> None:
         """Put the claims of the epoch to come into its log, and note in its record that they are.
@@ -227,7 +226,7 @@
         )
         claims = merge_claims([*copies, logged or ()])
         wait_s = 0.0 if is_logged else self._retention_s + AMNESIA_MARGIN_S
-        return _Collected(len(copies), claims, wait_s)
+        return _Collected(claims, wait_s)
 
     async def _seal(self, holder: Holder, before: GroupEpoch) -> ClaimSealed | None:
         message = ClaimSeal(before.group, before.epoch)
--- a/src/weirscale/node/duties/view.py
+++ b/src/weirscale/node/duties/view.py
@@ -5,7 +5,6 @@
     DutyCandidate,
     engine_home,
     holders,
-    holders_across_zones,
 )
 from weirscale.domain.identifiers import EngineName, NodeId, ZoneName
 from weirscale.node.interfaces import MembershipView, PeerState
@@ -30,18 +29,10 @@
             self._version = version
         return self._candidates
 
-    def holders(self, duty: Duty, count: int, zone: ZoneName | None = None) -> tuple[NodeId, ...]:
-        """Return the best nodes for a duty."""
-        return holders(duty, self.candidates(), count, zone)
-
-    def holders_across_zones(self, duty: Duty, count: int) -> tuple[NodeId, ...]:
-        """Return the best nodes for a duty in distinct zones."""
-        return holders_across_zones(duty, self.candidates(), count)
-
     def engine_home(self, engine: EngineName, zone: ZoneName) -> NodeId | None:
         """Return the home node of an engine."""
         return engine_home(engine, zone, self.candidates())
 
     def is_own(self, duty: Duty, count: int, zone: ZoneName | None = None) -> bool:
         """Whether this node is among the best for a duty."""
-        return self._membership.self_id in self.holders(duty, count, zone)
+        return self._membership.self_id in holders(duty, self.candidates(), count, zone)
--- a/src/weirscale/node/interfaces.py
+++ b/src/weirscale/node/interfaces.py
@@ -233,7 +233,6 @@
     tenant: TenantName
     request_id: RequestId
     num_prompt_tokens: int
-    admitted_at_s: float
 
 
 class Admission(Protocol):
--- a/src/weirscale/node/limits/task.py
+++ b/src/weirscale/node/limits/task.py
@@ -55,10 +55,6 @@
     ticket: int
 
 
-class _Reshape(msgspec.Struct, frozen=True):
-    max_running: int
-
-
 def node_capacity(deployment: Deployment, num_nodes: int) -> int:
     """Permits that one of `num_nodes` nodes may give at once."""
     num_engine_requests = sum(engine.max_concurrent_requests for engine in deployment.engines)
@@ -108,10 +104,6 @@
         if isinstance(permit, NodePermit):
             self.mailbox.post(_Release(permit.ticket))
 
-    def reshape(self, max_running: int) -> None:
-        """Change the number of permits; those that are out stay out."""
-        self.mailbox.post(_Reshape(max_running))
-
     async def run(self) -> None:
         """Serve until cancelled."""
         while True:
@@ -146,8 +138,6 @@
                 self.queue.finish(ticket, now_s)
             case _Withdraw(ticket=ticket):
                 self._withdraw(ticket, now_s)
-            case _Reshape(max_running=max_running):
-                self.queue.max_running = max_running
 
     def note_arrival(self, request: WaitingRequest, now_s: float) -> None:
         """Learn that a request came; a process that stands alone has no use for it."""
@@ -175,7 +165,6 @@
                 request.tenant.name,
                 admitted.request_id,
                 request.num_prompt_tokens,
-                now_s,
                 request.ticket,
             )
             admitted.reply.set(Ok(permit))
