--- a/src/weirscale/experiments/demo/embedded.py
+++ b/src/weirscale/experiments/demo/embedded.py
@@ -11,7 +11,6 @@
 from weirscale.domain.configuration.model import (
     Deployment,
     Engine,
-    KeptKvStore,
     Model,
     Service,
     ServiceBackend,
@@ -148,7 +147,7 @@
     engines: list[EngineServer],
     services: dict[BackendName, ServiceServer],
 ) -> Deployment:
-    """Return the deployment with the addresses that were taken."""
+    """Return the deployment with the addresses that were taken and without kept-KV stores."""
     replace = msgspec.structs.replace
     return replace(
         declared,
@@ -166,15 +165,10 @@
             )
             for service in declared.services
         ),
-        kept_kv_stores=_no_stores(declared.kept_kv_stores),
+        kept_kv_stores=(),
     )
 
 
-def _no_stores(_stores: tuple[KeptKvStore, ...]) -> tuple[KeptKvStore, ...]:
-    """The demonstration runs without kept-KV stores."""
-    return ()
-
-
 async def _apply(deployment: Deployment, key_value_address: str, random: Random) -> None:
     store = EtcdKeyValue((key_value_address,))
     outcome = await Applier(store, deployment, None, APPLY_ID, random).run()
--- a/src/weirscale/experiments/report/figures.py
+++ b/src/weirscale/experiments/report/figures.py
@@ -116,14 +116,14 @@
     return Percentiles(p50 / MICROSECONDS, p95 / MICROSECONDS, p99 / MICROSECONDS)
 
 
-def first_token_times_s(history: History) -> list[tuple[float, float]]:
-    """Return, for each stream, its intended send time and its time to first token from then."""
-    times: list[tuple[float, float]] = []
+def first_token_times_s(history: History) -> list[float]:
+    """Return the time to first token of each stream, from the intended send time."""
+    times_s: list[float] = []
     for request_id, chunks in history.chunks.items():
         sent = history.sent.get(request_id)
         if isinstance(sent, GenerationSent):
-            times.append((sent.intended_at_s, chunks[0].at_s - sent.intended_at_s))
-    return times
+            times_s.append(chunks[0].at_s - sent.intended_at_s)
+    return times_s
 
 
 def inter_token_times_s(chunks: Sequence[ChunkReceived]) -> list[float]:
@@ -213,7 +213,7 @@
         requests=verdict.counts,
         refusals=dict(Counter(one.code.value for one in history.of_type(RefusalReceived))),
         prefix_hit_rate=prefix_hit_rate(history),
-        ttft_seconds=percentiles(time_s for _, time_s in first_token_times_s(history)),
+        ttft_seconds=percentiles(first_token_times_s(history)),
         service_seconds=percentiles(service_times_s(history)),
         inter_token_seconds=percentiles(inter_token_s),
         recomputed_tokens_ratio=recomputed_tokens_ratio(history),
--- a/src/weirscale/node/home/engine_home.py
+++ b/src/weirscale/node/home/engine_home.py
@@ -90,7 +90,6 @@
         self._publisher = DigestPublisher(self.index, stream, digest_bytes_per_s, max_digest_keys)
         self._lost_since_s: float | None = None
         self._dump_backoff_s = 0.0
-        self.num_dumps = 0
 
     def set_budgets(self, digest_bytes_per_s: float, load_bytes_per_s: float) -> None:
         """Change the budgets, over all receivers together."""
@@ -154,7 +153,6 @@
         jitter_s = self._random.random() * self._rules.dump_jitter_s
         await anyio.sleep(jitter_s + self._dump_backoff_s)
         await self._dumps.pass_through()
-        self.num_dumps += 1
         with anyio.move_on_after(self._rules.dump_timeout_s):
             answer = await self._port.cache_dump()
             if isinstance(answer, Ok):
--- a/src/weirscale/node/routing/refusals.py
+++ b/src/weirscale/node/routing/refusals.py
@@ -22,35 +22,33 @@
 
 def no_backend(what: str, retry_after_s: float | None) -> Refusal:
     """Every back end is down, leaving, excluded or not ready."""
-    return Refusal(
-        code=RefusalCode.NO_BACKEND,
-        http_status=503,
-        run_status=RunStatus.NOT_RUN,
-        message=f"no back end of {what} is ready",
-        remedy="try again after the time given",
-        retry_after_s=bounded_retry_after_s(retry_after_s),
+    return _refusal(
+        RefusalCode.NO_BACKEND,
+        f"no back end of {what} is ready",
+        "try again after the time given",
+        bounded_retry_after_s(retry_after_s),
     )
 
 
 def all_full(what: str, retry_after_s: float | None) -> Refusal:
     """Every back end that is up has as many requests as it may."""
-    return Refusal(
-        code=RefusalCode.OVERLOADED,
-        http_status=503,
-        run_status=RunStatus.NOT_RUN,
-        message=f"every back end of {what} is full",
-        remedy="try again after the time given",
-        retry_after_s=bounded_retry_after_s(retry_after_s),
+    return _refusal(
+        RefusalCode.OVERLOADED,
+        f"every back end of {what} is full",
+        "try again after the time given",
+        bounded_retry_after_s(retry_after_s),
     )
 
 
 def router_overloaded() -> Refusal:
     """The routing task lags behind its mailbox."""
-    return Refusal(
-        code=RefusalCode.OVERLOADED,
-        http_status=503,
-        run_status=RunStatus.NOT_RUN,
-        message="this node has too many requests to route",
-        remedy="try again, or another node",
-        retry_after_s=DEFAULT_RETRY_AFTER_S,
+    return _refusal(
+        RefusalCode.OVERLOADED,
+        "this node has too many requests to route",
+        "try again, or another node",
+        DEFAULT_RETRY_AFTER_S,
     )
+
+
+def _refusal(code: RefusalCode, message: str, remedy: str, retry_after_s: float) -> Refusal:
+    return Refusal(code, 503, RunStatus.NOT_RUN, message, remedy, retry_after_s)
--- a/src/weirscale/standins/asgi_server.py
+++ b/src/weirscale/standins/asgi_server.py
@@ -72,10 +72,10 @@
     and opened again, on the same port, when it is True.
     """
 
-    def __init__(self, app: AsgiApp, is_reachable: Callable[[], bool], port: int = 0) -> None:
+    def __init__(self, app: AsgiApp, is_reachable: Callable[[], bool]) -> None:
         self._app = app
         self._is_reachable = is_reachable
-        self._listener: socket.socket | None = open_listener(LOOPBACK, port)
+        self._listener: socket.socket | None = open_listener(LOOPBACK, 0)
         self.port = port_of(self._listener)
         self._changed = anyio.Event()
 
--- a/src/weirscale/standins/engine/chunk_faults.py
+++ b/src/weirscale/standins/engine/chunk_faults.py
@@ -54,8 +54,6 @@
         return EngineFailure(EngineFailureKind.BROKEN, "the stream broke; resume it")
 
     def _change(self, chunk: TokenChunk, number: int) -> TokenChunk:
-        if self._faults.wrong_text:
-            chunk = msgspec.structs.replace(chunk, text=OTHER_TEXT)
         if self._faults.wrong_request_id:
             return msgspec.structs.replace(chunk, request_id=OTHER_REQUEST_ID)
         if number == self._faults.cross_chunk:
--- a/src/weirscale/standins/engine/in_process.py
+++ b/src/weirscale/standins/engine/in_process.py
@@ -112,12 +112,12 @@
 
     async def _load(self, load: LoadModel, scope: anyio.CancelScope) -> None:
         """Read weights until another load or a crash stops the reading."""
-        succeeded = not self.faults.current.fail_weight_loads
+        succeeded = True
         with scope:
             if self._weight_source is not None:
                 size = self.settings.weight_bytes
                 fetched = await self._weight_source.fetch(self.settings.name, load, size)
-                succeeded = succeeded and isinstance(fetched, Ok)
+                succeeded = isinstance(fetched, Ok)
         if scope.cancelled_caught:
             return
         self.model.finish_load(load, succeeded, anyio.current_time())
--- a/src/weirscale/standins/engine/model.py
+++ b/src/weirscale/standins/engine/model.py
@@ -328,9 +328,6 @@
         if attempt.record is not None:
             attempt.record.finished_at_s = now_s
             attempt.record.outcome = outcome
-            attempt.record.num_generated_tokens = (
-                attempt.num_generated - attempt.call.continue_num_tokens
-            )
         attempt.notify()
 
     def _forget_old(self, now_s: float) -> None:
--- a/src/weirscale/standins/engine/server.py
+++ b/src/weirscale/standins/engine/server.py
@@ -30,19 +30,17 @@
 async def serve_engine(
     engine: InProcessEngine | EngineSettings,
     *,
-    port: int = 0,
     task_status: TaskStatus[EngineServer] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
     """Run an engine and serve it on loopback until cancelled.
 
     Args:
         engine: The engine, or the settings of one.
-        port: Port of the HTTP interface, 0 for any.
         task_status: Told the `EngineServer` once the port listens.
     """
     if isinstance(engine, EngineSettings):
         engine = InProcessEngine(engine, Random(engine.name))
-    server = OutageServer(EngineApp(engine), lambda: engine.is_reachable, port)
+    server = OutageServer(EngineApp(engine), lambda: engine.is_reachable)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(engine.run)
         tasks.start_soon(server.run)
--- a/src/weirscale/standins/faults.py
+++ b/src/weirscale/standins/faults.py
@@ -33,12 +33,10 @@
         swap_chunk: This chunk and the next one change places.
         cross_chunk: This chunk is replaced by one of another request.
         wrong_request_id: Every chunk carries another request's id.
-        wrong_text: Every chunk carries another text.
         end_before_chunk: The stream ends normally, without a finish reason, before this chunk.
         drop_event_probability: Share of event batches that a follower never receives.
         event_delay_s: Event batches come this much later.
         load_report_delay_s: Calls for the load report take this much longer.
-        fail_weight_loads: Loads of new weights fail.
     """
 
     refuse_connections: bool = False
@@ -54,12 +52,10 @@
     swap_chunk: int | None = None
     cross_chunk: int | None = None
     wrong_request_id: bool = False
-    wrong_text: bool = False
     end_before_chunk: int | None = None
     drop_event_probability: float = 0.0
     event_delay_s: float = 0.0
     load_report_delay_s: float = 0.0
-    fail_weight_loads: bool = False
 
 
 class ServiceFaults(Faults, frozen=True, kw_only=True):
--- a/src/weirscale/standins/kept_kv/in_process.py
+++ b/src/weirscale/standins/kept_kv/in_process.py
@@ -41,7 +41,6 @@
         self.faults: FaultSwitch[StoreFaults] = FaultSwitch(NO_FAULTS)
         self._blocks: OrderedDict[BlockHash, None] = OrderedDict()
         self.num_imported_blocks = 0
-        self.num_exported_blocks = 0
 
     @property
     def num_blocks(self) -> int:
@@ -72,7 +71,6 @@
             self._blocks.move_to_end(block_hash)
         while len(self._blocks) > self.settings.num_total_blocks:
             self._blocks.popitem(last=False)
-        self.num_exported_blocks += len(missing)
         return Ok(None)
 
     def _num_leading(self, block_hashes: Sequence[BlockHash]) -> int:
--- a/src/weirscale/standins/service/http_app.py
+++ b/src/weirscale/standins/service/http_app.py
@@ -70,13 +70,12 @@
 async def serve_service(
     service: InProcessService | ServiceSettings,
     *,
-    port: int = 0,
     task_status: TaskStatus[ServiceServer] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
     """Serve a back end on loopback until cancelled; arguments as of `serve_engine`."""
     if isinstance(service, ServiceSettings):
         service = InProcessService(service)
-    server = OutageServer(ServiceApp(service), lambda: service.is_reachable, port)
+    server = OutageServer(ServiceApp(service), lambda: service.is_reachable)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(server.run)
         tasks.start_soon(_follow_faults, service, server)
--- a/src/weirscale/standins/service/model.py
+++ b/src/weirscale/standins/service/model.py
@@ -36,7 +36,6 @@
         idempotency_key: The caller's key, or None.
         method: HTTP method.
         path: Path and query below the service's root.
-        body_digest: 64-bit digest of the body, hexadecimal.
         ran_at_s: When it ran.
     """
 
@@ -45,7 +44,6 @@
     idempotency_key: str | None
     method: str
     path: str
-    body_digest: str
     ran_at_s: float
 
 
@@ -66,7 +64,7 @@
 
 
 def body_digest(body: bytes) -> str:
-    """Return the digest that runs and answers carry."""
+    """Return the 64-bit digest that answers carry, hexadecimal."""
     return xxhash.xxh3_64_hexdigest(body)
 
 
@@ -83,7 +81,6 @@
     ) -> ServiceAnswer:
         """Run one request."""
         request_id = RequestId(headers.get(REQUEST_ID_HEADER, ""))
-        digest = body_digest(body)
         self._num_runs += 1
         self._runs.append(
             ServiceRun(
@@ -92,11 +89,10 @@
                 idempotency_key=headers.get(IDEMPOTENCY_KEY_HEADER),
                 method=method,
                 path=path,
-                body_digest=digest,
                 ran_at_s=now_s,
             )
         )
-        return ServiceAnswer(self.settings.name, request_id, digest, self._num_runs)
+        return ServiceAnswer(self.settings.name, request_id, body_digest(body), self._num_runs)
 
     def runs(self) -> list[ServiceRun]:
         """Return every run, oldest first."""
