--- a/src/weirscale/experiments/report/figures.py
+++ b/src/weirscale/experiments/report/figures.py
@@ -20,7 +20,6 @@
     ServiceAnswered,
 )
 from weirscale.experiments.history.verdict import RequestCounts, Verdict
-from weirscale.experiments.report.effects import Effects, effects_of
 
 LOWEST_MICROSECONDS = 1
 HIGHEST_MICROSECONDS = 3_600_000_000
@@ -68,7 +67,6 @@
             cache without limit would have to compute.
         control: What control costs a node, on average.
         configuration_in_force_seconds: From a configuration's acceptance to each node's taking it.
-        effects: What faults visibly did.
         violations: Rules broken, with the request ids.
         num_internal_errors: Exceptions raised in nodes.
         internal_errors: The first few of them, one line each.
@@ -87,7 +85,6 @@
     recomputed_tokens_ratio: float | None
     control: ControlCost
     configuration_in_force_seconds: Percentiles
-    effects: Effects
     violations: tuple[Violation, ...]
     num_internal_errors: int = 0
     internal_errors: tuple[str, ...] = ()
@@ -219,7 +216,6 @@
         recomputed_tokens_ratio=recomputed_tokens_ratio(history),
         control=control,
         configuration_in_force_seconds=percentiles(configuration_delays_s(history)),
-        effects=effects_of(history),
         violations=verdict.violations,
         num_internal_errors=len(internal_errors),
         internal_errors=tuple(repr(error) for error in internal_errors[:MAX_LISTED_ERRORS]),
