--- a/src/weirscale/cli/main.py
+++ b/src/weirscale/cli/main.py
@@ -8,7 +8,7 @@
 
 from result import Err
 
-from weirscale.cli.exit_codes import EXIT_DONE, EXIT_FAILED, EXIT_USAGE
+from weirscale.cli.exit_codes import EXIT_FAILED, EXIT_USAGE
 
 Run = Callable[[], int]
 
@@ -29,7 +29,7 @@
 
 
 class ExperimentCommands:
-    """Experiments: run one, compare reports, the fault matrix."""
+    """Experiments in virtual time."""
 
     def run(
         self,
@@ -37,28 +37,11 @@
         seed: int | None = None,
         report: str | None = None,
         faults: str | Sequence[str] | None = None,
-        policy: str | None = None,
     ) -> Command:
-        """Run an experiment file; writes report.json and a page into the REPORT folder."""
+        """Run an experiment file; writes report.json into the REPORT folder."""
         from weirscale.experiments.run import main as run_main
 
-        return Command(lambda: run_main.run(str(file), seed, report, faults, policy))
-
-    def compare(self, *directories: str) -> Command:
-        """Print reports side by side, as ratios to the first."""
-        from weirscale.experiments.report import compare as compare_reports
-
-        return Command(lambda: compare_reports.compare(*directories))
-
-    def matrix(self, results: str, pairs: bool = False, seed: int = 1) -> Command:
-        """Run every fault (with PAIRS: every pair) on both deployments into a results file."""
-        from weirscale.experiments.soak import matrix as fault_matrix
-
-        return Command(lambda: fault_matrix.run(results, pairs, seed=seed))
-
-    def choice(self, deployment: str = "tsehay", seed: int = 1) -> Command:
-        """Compare the policies of engine choice on one deployment, in virtual time."""
-        return Command(lambda: _compare_choices(deployment, seed))
+        return Command(lambda: run_main.run(str(file), seed, report, faults))
 
 
 class Commands:
@@ -157,12 +140,6 @@
 
         return Command(lambda: operators.drain(str(node)))
 
-    def stand_in(self, kind: str, settings: str) -> Command:
-        """Run a stand-in: engine, service, kept-kv, weight-store, key-value or machines."""
-        from weirscale.cli import stand_in
-
-        return Command(lambda: stand_in.run(str(kind), Path(settings)))
-
     def soak(self, seeds: int = 200, first_seed: int = 1) -> Command:
         """Run many seeds of random faults in virtual time; prints how to repeat a failing one."""
         from weirscale.experiments.soak import main as soak_main
@@ -192,17 +169,6 @@
     return tuple(str(part) for part in given)
 
 
-def _compare_choices(deployment: str, seed: int) -> int:
-    from weirscale.experiments.choice.main import format_results, run
-    from weirscale.experiments.choice.shape import SHAPES
-
-    if deployment not in SHAPES:
-        _print_error(f"no deployment {deployment!r}; use one of {', '.join(SHAPES)}")
-        return EXIT_USAGE
-    print(format_results(deployment, run(deployment, seed)))
-    return EXIT_DONE
-
-
 def _run_node(settings_file: str | None, overrides: dict[str, object]) -> int:
     from weirscale.node.program import run_node
     from weirscale.node.settings import load_settings
--- a/src/weirscale/node/assembly.py
+++ b/src/weirscale/node/assembly.py
@@ -4,16 +4,13 @@
 in-memory network.
 """
 
-from collections.abc import AsyncIterator, Callable, Sequence
-from contextlib import AbstractAsyncContextManager
+from collections.abc import Callable, Sequence
 from random import Random
 
 import anyio
 from anyio.abc import TaskStatus
-from result import Result
 
 from weirscale.domain.choice.kept_kv import KeptKvBeliefs
-from weirscale.domain.choice.policy import ChoicePolicy
 from weirscale.domain.choice.prefix_aware import PrefixAware
 from weirscale.domain.configuration.model import (
     RetryRules,
@@ -22,13 +19,6 @@
 from weirscale.domain.duties.assignment import Duty, DutyKind
 from weirscale.domain.identifiers import ConfigurationRevision, NodeAddress
 from weirscale.domain.prefix.chain_cache import ChainCache
-from weirscale.domain.request.model import (
-    GenerationRequest,
-    ServiceRequest,
-    ServiceResponse,
-    TokenChunk,
-)
-from weirscale.domain.request.refusal import Refusal
 from weirscale.domain.request.retry_budget import RetryBudget
 from weirscale.leases.lease_task import DutyLeaseTask
 from weirscale.messages.envelope import KeyRing
@@ -76,7 +66,6 @@
         keys: Shared keys between nodes.
         random: Source of randomness of all its tasks.
         event_log: Where events go.
-        baseline: Chooses engines in place of the prefix-aware policy, for comparisons.
     """
 
     def __init__(
@@ -86,7 +75,6 @@
         keys: KeyRing,
         random: Random,
         event_log: EventLog,
-        baseline: ChoicePolicy | None = None,
     ) -> None:
         self.identity = identity
         self._event_log = event_log
@@ -134,7 +122,7 @@
             random,
         )
         self._build_homes(ports, random)
-        self._build_routing(random, baseline)
+        self._build_routing(random)
         self._build_placement(ports, random)
         self._build_execution(anyio.current_time())
         self._build_planned_stop()
@@ -183,7 +171,7 @@
     def _note_receivers(self) -> Sequence[NodeAddress]:
         return receivers_in_scope(self.identity.zone, self.membership, self.configuration)
 
-    def _build_routing(self, random: Random, baseline: ChoicePolicy | None) -> None:
+    def _build_routing(self, random: Random) -> None:
         """Tasks that choose back ends."""
         zone = self.identity.zone
         self._kept_kv = KeptKvBeliefs()
@@ -196,7 +184,7 @@
         )
         self.engine_router = EngineRouter(
             self.directory,
-            baseline or self._policy,
+            self._policy,
             self.decisions,
             LinkDelays(self.configuration, zone).delay_s,
             random,
@@ -251,16 +239,6 @@
             self._event_log,
         )
 
-    def generate(
-        self, request: GenerationRequest
-    ) -> AbstractAsyncContextManager[AsyncIterator[Result[TokenChunk, Refusal]]]:
-        """Run a generation request without a caller-side protocol or admission."""
-        return self.generation.run(request)
-
-    async def call_service(self, request: ServiceRequest) -> Result[ServiceResponse, Refusal]:
-        """Run a service request without a caller-side protocol or admission."""
-        return await self.services.run(request)
-
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
         """Run all tasks until cancelled."""
         async with anyio.create_task_group() as tasks:
