--- a/bench/gateway_cost.py
+++ b/bench/gateway_cost.py
@@ -39,7 +39,7 @@
 
 
 def make_prompts(random: Random) -> list[Prompt]:
-    """Make prompts of nested shared parts and one part of their own."""
+    """Make prompts of nested shared blocks and one block of their own."""
     prompts = []
     for number in range(NUM_PROMPTS):
         shared = tuple(
@@ -58,7 +58,7 @@
     for number in range(NUM_RUNNERS):
         cache = CacheBelief(CAPACITY_TOKENS)
         for prompt in random.sample(prompts, 12):
-            cache.note(SCOPE, prompt.parts, is_ready=True)
+            cache.note(SCOPE, prompt.blocks, is_ready=True)
         back_end = BackEnd(
             InstanceId(f"i-{number}"),
             ServiceName("lm"),
@@ -112,7 +112,7 @@
         LoadGossip(InstanceId(f"i-{number:08x}"), 12, 3456, 45_678) for number in range(NUM_RUNNERS)
     )
     sends = (
-        SendGossip(InstanceId("i-0000000a"), SCOPE, False, prompts[0].parts),
+        SendGossip(InstanceId("i-0000000a"), SCOPE, False, prompts[0].blocks),
     ) * NUM_SENDS_A_DATAGRAM
     gossip = Gossip("edge-hall-1", loads, sends)
     datagram = encode_message(gossip)
--- a/features/steps/gateway_choice_steps.py
+++ b/features/steps/gateway_choice_steps.py
@@ -54,12 +54,12 @@
 TRIALS = 300
 
 
-def parse_parts(text):
-    parts = []
+def parse_blocks(text):
+    blocks = []
     for one in text.split(","):
         block_id, _, tokens = one.partition(":")
-        parts.append(PromptBlock(block_id, int(tokens)))
-    return tuple(parts)
+        blocks.append(PromptBlock(block_id, int(tokens)))
+    return tuple(blocks)
 
 
 def make_candidate(name, traits):
@@ -182,19 +182,19 @@
 
 @when('the parts "{first}" and then "{second}" are noted there')
 def step_noted(context, first, second):
-    context.cache.note(SCOPE, parse_parts(first), is_ready=True)
-    context.cache.note(SCOPE, parse_parts(second), is_ready=True)
+    context.cache.note(SCOPE, parse_blocks(first), is_ready=True)
+    context.cache.note(SCOPE, parse_blocks(second), is_ready=True)
 
 
 @when('the parts "{parts}" are sent there and not read')
 def step_unread(context, parts):
-    context.cache.note(SCOPE, parse_parts(parts), is_ready=False)
-    context.cache.forget(SCOPE, parse_parts(parts))
+    context.cache.note(SCOPE, parse_blocks(parts), is_ready=False)
+    context.cache.forget(SCOPE, parse_blocks(parts))
 
 
 @then('"{parts}" matches {tokens:d} tokens')
 def step_matches(context, parts, tokens):
-    assert context.cache.matched_tokens(SCOPE, parse_parts(parts)) == tokens
+    assert context.cache.matched_tokens(SCOPE, parse_blocks(parts)) == tokens
 
 
 class CacheFleet:
--- a/features/steps/gateway_groups_steps.py
+++ b/features/steps/gateway_groups_steps.py
@@ -225,7 +225,7 @@
 
     async def body():
         first = next(iter(context.fleet.nodes.values()))
-        first.dispatcher.note_parts(RUNNER.instance, SCOPE, (*SHARED, OWN), True)
+        first.dispatcher.note_blocks(RUNNER.instance, SCOPE, (*SHARED, OWN), True)
         first.outbox.add_send(context.send)
         await anyio.sleep(seconds)
         for name, node in context.fleet.nodes.items():
--- a/features/steps/gateway_places_steps.py
+++ b/features/steps/gateway_places_steps.py
@@ -29,8 +29,8 @@
 from weirscale.gateway.routing.load import FleetLoad, Load
 from weirscale.gateway.state.cluster_state import ClusterState
 
-PARTS = (PromptBlock("a", 4000), PromptBlock("b", 2300), PromptBlock("own", 2890))
-PROMPT = Prompt("m", PARTS, 9190, 9)
+BLOCKS = (PromptBlock("a", 4000), PromptBlock("b", 2300), PromptBlock("own", 2890))
+PROMPT = Prompt("m", BLOCKS, 9190, 9)
 SCOPE = CacheScope("m", 1).text()
 CAPACITY = 90_000
 REGIONS = Topology({"z1": "one", "z2": "two"})
@@ -69,7 +69,7 @@
 @when('a runner in region "{region}" keeps a prompt\'s parts and the near runner keeps none')
 def step_keeps(context, region):
     cache = CacheBelief(CAPACITY)
-    cache.note(SCOPE, PARTS[:-1], is_ready=True)
+    cache.note(SCOPE, BLOCKS[:-1], is_ready=True)
     zone = "z1" if region == "one" else "z2"
     context.sources = [FetchSource("10.0.0.9:80", zone, cache, 1, "r-other", region)]
 
@@ -108,7 +108,7 @@
         address = f"10.9.0.{1 if region == 'one' else 2}:80"
         choice = SimpleNamespace(candidate=candidate, scope=SCOPE)
         assert context.dispatcher.save_address(choice, PROMPT) == address
-        context.dispatcher.note_parts(candidate.back_end.instance, SCOPE, PARTS, True)
+        context.dispatcher.note_blocks(candidate.back_end.instance, SCOPE, BLOCKS, True)
         assert context.dispatcher.save_address(choice, PROMPT) is None
         sources = context.dispatcher._store_sources()
         found = choose([candidate], context.need, sources, "z1", ChoiceRules(), Random(1))
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -159,7 +159,7 @@
     if num == 0:
         assert context.prompt is None
     else:
-        assert (len(context.prompt.parts), context.prompt.num_tokens) == (num, tokens)
+        assert (len(context.prompt.blocks), context.prompt.num_tokens) == (num, tokens)
 
 
 class RecordedTransport(httpx.AsyncBaseTransport):
--- a/src/weirscale/gateway/gossip/group_relay.py
+++ b/src/weirscale/gateway/gossip/group_relay.py
@@ -41,7 +41,7 @@
 """As many of a group's first members are told its news until one of them has spoken for it."""
 
 REMIND_S = 4.0
-"""A part of a prompt is told to other groups again after this: caches drop what is not used."""
+"""A block of a prompt is told to other groups again after this: caches drop what is not used."""
 
 MAX_REMEMBERED_SENDS = 20_000
 
@@ -241,7 +241,7 @@
 
     def _add_shared(self, send: SendGossip) -> None:
         """Tell of a prompt's shared blocks once they have been read; the last is its own alone."""
-        shared = send.parts[:-1]
+        shared = send.blocks[:-1]
         if not send.is_ready or not shared:
             return
         now_s = self._clock()
--- a/src/weirscale/gateway/model/prompt.py
+++ b/src/weirscale/gateway/model/prompt.py
@@ -1,4 +1,4 @@
-"""A prompt given as parts: identifiers with token counts, in order, most shared first."""
+"""A prompt given as blocks: identifiers with token counts, in order, most shared first."""
 
 import msgspec
 
@@ -6,11 +6,11 @@
 
 
 class PromptBlock(msgspec.Struct, frozen=True, array_like=True):
-    """One part of a prompt.
+    """One block of a prompt.
 
     Attributes:
-        part_id: Identifies the part's content and all parts before it.
-        num_tokens: Tokens of this part alone.
+        block_id: Identifies the block's content and all blocks before it.
+        num_tokens: Tokens of this block alone.
     """
 
     block_id: str
@@ -22,22 +22,22 @@
 
     Attributes:
         model: Model asked for.
-        parts: Parts in order; the last one belongs to this request or its session alone.
+        blocks: Blocks in order; the last one belongs to this request or its session alone.
         num_tokens: Tokens of the whole prompt.
         max_output_tokens: Most tokens to generate.
     """
 
     model: str
-    parts: tuple[PromptBlock, ...]
+    blocks: tuple[PromptBlock, ...]
     num_tokens: int
     max_output_tokens: int
 
 
 class CacheScope(msgspec.Struct, frozen=True):
-    """Within what a cached part may be reused.
+    """Within what a cached block may be reused.
 
-    Parts of different scopes never match, so memory of other weights or of an isolated tenant
-    cannot be used by mistake, not even by a store that keeps the first copy of a part for good.
+    Blocks of different scopes never match, so memory of other weights or of an isolated tenant
+    cannot be used by mistake, not even by a store that keeps the first copy of a block for good.
 
     Attributes:
         model: Name of the model.
--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -382,9 +382,9 @@
                 self.rollout_reporter.receive(source, gossip)
         for send in gossip.sends:
             if gossip.group:
-                self.dispatcher.note_shared_parts(send.instance, send.scope, send.parts)
+                self.dispatcher.note_shared_blocks(send.instance, send.scope, send.blocks)
             else:
-                self.dispatcher.note_parts(send.instance, send.scope, send.parts, send.is_ready)
+                self.dispatcher.note_blocks(send.instance, send.scope, send.blocks, send.is_ready)
         for loading in gossip.loading:
             self._receive_loading(loading)
         self.quarantine.receive(gossip)
--- a/src/weirscale/gateway/peers/messages.py
+++ b/src/weirscale/gateway/peers/messages.py
@@ -32,7 +32,7 @@
     instance: InstanceId
     scope: str
     is_ready: bool
-    parts: tuple[PromptBlock, ...]
+    blocks: tuple[PromptBlock, ...]
 
 
 class LoadingGossip(msgspec.Struct, frozen=True, array_like=True):
--- a/src/weirscale/gateway/requests/exchange_context.py
+++ b/src/weirscale/gateway/requests/exchange_context.py
@@ -283,7 +283,7 @@
     def _tell_send(self, choice: Choice, prompt: Prompt, is_ready: bool) -> None:
         assert choice.scope is not None
         instance = choice.candidate.back_end.instance
-        self._outbox.add_send(SendGossip(instance, choice.scope, is_ready, prompt.parts))
+        self._outbox.add_send(SendGossip(instance, choice.scope, is_ready, prompt.blocks))
 
     def tell_end(self, summary: ExchangeSummary) -> None:
         """Log and count a request that has ended."""
--- a/src/weirscale/gateway/routing/cache_belief.py
+++ b/src/weirscale/gateway/routing/cache_belief.py
@@ -1,7 +1,7 @@
 """What a node believes an engine or a store keeps of prompts.
 
 Beliefs come from sends, the node's own and those that other nodes tell of. They are hints: the
-engine reads what it lacks, and finds a part only within the scope that it was made in.
+engine reads what it lacks, and finds a block only within the scope that it was made in.
 """
 
 from collections import OrderedDict
@@ -12,8 +12,8 @@
 from weirscale.gateway.model.prompt import PromptBlock
 
 
-class KeptPart(msgspec.Struct):
-    """A part believed to be kept.
+class KeptBlock(msgspec.Struct):
+    """A block believed to be kept.
 
     Attributes:
         num_tokens: Its size.
@@ -25,7 +25,7 @@
 
 
 class CacheBelief:
-    """The parts believed to be kept at one place; the least recently used give way.
+    """The blocks believed to be kept at one place; the least recently used give way.
 
     Args:
         capacity_tokens: Tokens that fit.
@@ -34,47 +34,47 @@
     def __init__(self, capacity_tokens: int) -> None:
         self._capacity_tokens = capacity_tokens
         self._num_tokens = 0
-        self._parts: OrderedDict[tuple[str, str], KeptPart] = OrderedDict()
-
-    def note(self, scope: str, parts: Sequence[PromptBlock], is_ready: bool) -> None:
-        """Note that a request with these parts goes there, or that it has been read there."""
-        # The first part is touched last, so that a chain loses its end before its beginning.
-        for part in reversed(parts):
-            self._note_part((scope, part.block_id), part.num_tokens, is_ready)
-        while self._num_tokens > self._capacity_tokens and self._parts:
-            _, dropped = self._parts.popitem(last=False)
+        self._blocks: OrderedDict[tuple[str, str], KeptBlock] = OrderedDict()
+
+    def note(self, scope: str, blocks: Sequence[PromptBlock], is_ready: bool) -> None:
+        """Note that a request with these blocks goes there, or that it has been read there."""
+        # The first block is touched last, so that a chain loses its end before its beginning.
+        for block in reversed(blocks):
+            self._note_block((scope, block.block_id), block.num_tokens, is_ready)
+        while self._num_tokens > self._capacity_tokens and self._blocks:
+            _, dropped = self._blocks.popitem(last=False)
             self._num_tokens -= dropped.num_tokens
 
-    def _note_part(self, key: tuple[str, str], num_tokens: int, is_ready: bool) -> None:
-        kept = self._parts.get(key)
+    def _note_block(self, key: tuple[str, str], num_tokens: int, is_ready: bool) -> None:
+        kept = self._blocks.get(key)
         if kept is None:
-            self._parts[key] = KeptPart(num_tokens, is_ready)
+            self._blocks[key] = KeptBlock(num_tokens, is_ready)
             self._num_tokens += num_tokens
             return
         kept.is_ready = kept.is_ready or is_ready
-        self._parts.move_to_end(key)
+        self._blocks.move_to_end(key)
 
     def matched_tokens(
-        self, scope: str, parts: Sequence[PromptBlock], only_ready: bool = False
+        self, scope: str, blocks: Sequence[PromptBlock], only_ready: bool = False
     ) -> int:
-        """Return the tokens of the leading parts that are kept."""
+        """Return the tokens of the leading blocks that are kept."""
         num_tokens = 0
-        for part in parts:
-            kept = self._parts.get((scope, part.block_id))
+        for block in blocks:
+            kept = self._blocks.get((scope, block.block_id))
             if kept is None or (only_ready and not kept.is_ready):
                 break
-            num_tokens += part.num_tokens
+            num_tokens += block.num_tokens
         return num_tokens
 
-    def forget(self, scope: str, parts: Sequence[PromptBlock]) -> None:
-        """Forget parts that were expected and not read there."""
-        for part in parts:
-            kept = self._parts.get((scope, part.block_id))
+    def forget(self, scope: str, blocks: Sequence[PromptBlock]) -> None:
+        """Forget blocks that were expected and not read there."""
+        for block in blocks:
+            kept = self._blocks.get((scope, block.block_id))
             if kept is not None and not kept.is_ready:
-                del self._parts[(scope, part.block_id)]
+                del self._blocks[(scope, block.block_id)]
                 self._num_tokens -= kept.num_tokens
 
     def clear(self) -> None:
         """Forget everything: the place restarted or took new weights."""
-        self._parts.clear()
+        self._blocks.clear()
         self._num_tokens = 0
--- a/src/weirscale/gateway/routing/choice.py
+++ b/src/weirscale/gateway/routing/choice.py
@@ -1,7 +1,7 @@
 """Choice of the back end that answers a request first with the least prompt read again.
 
 Estimates are in seconds. What must be read again is weighed beyond the time that it takes, because
-reading it costs the whole engine; fetching a part from another engine costs little.
+reading it costs the whole engine; fetching a block from another engine costs little.
 """
 
 import math
@@ -63,7 +63,7 @@
             of loads is late: what they send it meanwhile is not known.
         foreign_s: That cost now.
         memory_share: Share of an engine's memory that may be filled by running requests.
-        min_fetch_tokens: Smaller parts are read, not fetched.
+        min_fetch_tokens: Smaller pieces are read, not fetched.
         affinity_s: Advantage of the engine that a prompt nobody keeps belongs to by its hash, so
             that nodes that have not heard of each other's sends choose the same.
     """
@@ -135,7 +135,7 @@
         address: IP:PORT.
         zone: Where it stands.
         cache: What it is believed to keep.
-        weight_version: Version that its parts are of; None for a store, which keeps all.
+        weight_version: Version that its blocks are of; None for a store, which keeps all.
         instance: The engine, or None for a store.
         region: Where it stands: moves between regions take longer than reading again.
     """
@@ -177,7 +177,7 @@
 
 
 class PromptNeed(msgspec.Struct, frozen=True):
-    """A prompt and the scope of its parts for each version of the weights.
+    """A prompt and the scope of its blocks for each version of the weights.
 
     Attributes:
         prompt: The prompt.
@@ -230,7 +230,7 @@
 
         A store is named as the source even if nothing is believed to be there: a miss costs a
         millisecond, and beliefs are lost with each restart. Among equals an engine that has
-        certainly read its parts goes first, then an engine before a store, then the nearer one: a
+        certainly read its blocks goes first, then an engine before a store, then the nearer one: a
         source that does not answer delays the request.
         """
         best: _Match | None = None
@@ -270,10 +270,10 @@
     def _match(self, source: FetchSource, version: int) -> _Match:
         if source.weight_version not in (None, version):
             return _Match(0, False, False, source)
-        scope, parts = self._need.scopes[version], self._need.prompt.parts
-        matched = source.cache.matched_tokens(scope, parts)
+        scope, blocks = self._need.scopes[version], self._need.prompt.blocks
+        matched = source.cache.matched_tokens(scope, blocks)
         is_ready = matched > 0 and (
-            source.cache.matched_tokens(scope, parts, only_ready=True) == matched
+            source.cache.matched_tokens(scope, blocks, only_ready=True) == matched
         )
         return _Match(matched, is_ready, source.instance is not None, source)
 
@@ -357,7 +357,7 @@
     assert candidate.weight_version is not None
     prompt = need.prompt
     scope = need.scopes[candidate.weight_version]
-    cached = min(candidate.cache.matched_tokens(scope, prompt.parts), prompt.num_tokens)
+    cached = min(candidate.cache.matched_tokens(scope, prompt.blocks), prompt.num_tokens)
     source, fetched = finder.best(candidate, cached)
     read = prompt.num_tokens - cached - fetched
     fetching_s = fetch_s(fetched, rules)
@@ -393,7 +393,7 @@
 
 def _affinity(scope: str, prompt: Prompt, candidate: Candidate) -> float:
     """Return from 0 to 1 how much a prompt's shared blocks belong to an engine, by their hash."""
-    shared = prompt.parts[-2] if len(prompt.parts) > 1 else prompt.parts[-1]
+    shared = prompt.blocks[-2] if len(prompt.blocks) > 1 else prompt.blocks[-1]
     text = f"{scope}|{shared.block_id}|{candidate.back_end.instance}"
     share = xxhash.xxh32_intdigest(text.encode()) / HASH_RANGE
     return float(share**AFFINITY_SHARPNESS)
--- a/src/weirscale/gateway/routing/dispatcher.py
+++ b/src/weirscale/gateway/routing/dispatcher.py
@@ -48,7 +48,7 @@
 """How long a suspect store is not fetched from."""
 
 CACHE_SHARE = 0.8
-"""Share of an engine's memory that is believed to keep parts; running requests take the rest."""
+"""Share of an engine's memory that is believed to keep blocks; running requests take the rest."""
 
 
 class DispatchQuery(msgspec.Struct, frozen=True):
@@ -186,9 +186,9 @@
     def save_address(self, choice: Choice, prompt: Prompt) -> Address | None:
         """Return the address of the store that gets what this engine reads, if it lacks it.
 
-        The last part of a prompt is its own; saving it alone is not worth the move.
+        The last block of a prompt is its own; saving it alone is not worth the move.
         """
-        shared = prompt.parts[:-1]
+        shared = prompt.blocks[:-1]
         store = self._store_near(choice.candidate.back_end.zone)
         if store is None or not shared or choice.scope is None:
             return None
@@ -374,7 +374,7 @@
     def note_sent(self, choice: Choice, prompt: Prompt) -> None:
         """Note that a prompt goes to an engine."""
         self._overdue.begin(choice, self._clock())
-        self.note_parts(choice.candidate.back_end.instance, choice.scope, prompt.parts, False)
+        self.note_blocks(choice.candidate.back_end.instance, choice.scope, prompt.blocks, False)
 
     def note_waits_no_more(self, choice: Choice) -> None:
         """Note that an attempt has had its first event, or has ended."""
@@ -382,27 +382,27 @@
 
     def note_read(self, choice: Choice, prompt: Prompt) -> None:
         """Note that an engine has read a prompt."""
-        self.note_parts(choice.candidate.back_end.instance, choice.scope, prompt.parts, True)
+        self.note_blocks(choice.candidate.back_end.instance, choice.scope, prompt.blocks, True)
 
-    def note_parts(
+    def note_blocks(
         self,
         instance: InstanceId,
         scope: str | None,
-        parts: tuple[PromptBlock, ...],
+        blocks: tuple[PromptBlock, ...],
         is_ready: bool,
     ) -> None:
-        """Note parts at an engine, from this node's own sends or a peer's."""
+        """Note blocks at an engine, from this node's own sends or a peer's."""
         cache = self._cache_of(instance)
         if cache is None or scope is None:
             return
-        cache.note(scope, parts, is_ready)
+        cache.note(scope, blocks, is_ready)
         if is_ready:
-            self._note_saved(instance, scope, parts[:-1])
+            self._note_saved(instance, scope, blocks[:-1])
 
-    def note_shared_parts(
+    def note_shared_blocks(
         self, instance: InstanceId, scope: str, shared: tuple[PromptBlock, ...]
     ) -> None:
-        """Note the parts of a prompt but its own, which an engine has read for another group."""
+        """Note the blocks of a prompt but its own, which an engine has read for another group."""
         cache = self._cache_of(instance)
         if cache is not None:
             cache.note(scope, shared, is_ready=True)
@@ -433,7 +433,7 @@
         """Note that an engine did not read a prompt after all."""
         cache = self._caches.get(choice.candidate.back_end.instance)
         if cache is not None and choice.scope is not None:
-            cache.forget(choice.scope, prompt.parts)
+            cache.forget(choice.scope, prompt.blocks)
 
     def mark_loading(self, instance: InstanceId, is_done: bool) -> None:
         """Mark that an engine is about to load weights, or has done so."""
--- a/src/weirscale/gateway/telemetry/metrics.py
+++ b/src/weirscale/gateway/telemetry/metrics.py
@@ -174,6 +174,6 @@
 def _shared_read_tokens(summary: ExchangeSummary) -> int:
     """Return the tokens of shared blocks that an engine was expected to read (again)."""
     prompt, choice = summary.request.prompt, summary.choice
-    if prompt is None or choice is None or not prompt.parts:
+    if prompt is None or choice is None or not prompt.blocks:
         return 0
-    return max(0, choice.read_tokens - prompt.parts[-1].num_tokens)
+    return max(0, choice.read_tokens - prompt.blocks[-1].num_tokens)
