--- a/bench/gateway_cost.py
+++ b/bench/gateway_cost.py
@@ -21,7 +21,9 @@
     encode_message,
 )
 from weirscale.gateway.routing.cache_belief import CacheBelief
-from weirscale.gateway.routing.choice import Candidate, ChoiceRules, FetchSource, PromptNeed, choose
+from weirscale.gateway.routing.candidate import Candidate, FetchSource, PromptNeed
+from weirscale.gateway.routing.choice import choose
+from weirscale.gateway.routing.choice_rules import ChoiceRules
 from weirscale.gateway.routing.load import Load
 
 NUM_RUNNERS = 59
@@ -58,7 +60,7 @@
     for number in range(NUM_RUNNERS):
         cache = CacheBelief(CAPACITY_TOKENS)
         for prompt in random.sample(prompts, 12):
-            cache.note(SCOPE, prompt.blocks, is_ready=True)
+            cache.record(SCOPE, prompt.blocks, is_ready=True)
         back_end = BackEnd(
             InstanceId(f"i-{number}"),
             ServiceName("lm"),
--- a/features/steps/gateway_choice_steps.py
+++ b/features/steps/gateway_choice_steps.py
@@ -21,9 +21,12 @@
 from weirscale.gateway.limits.retry_budget import SharedRetryBudget
 from weirscale.gateway.model.back_ends import BackEnd, BackEndState
 from weirscale.gateway.model.prompt import CacheScope, Prompt, PromptBlock
+from weirscale.gateway.model.topology import Location
 from weirscale.gateway.routing.cache_belief import CacheBelief
-from weirscale.gateway.routing.choice import Candidate, ChoiceRules, FetchSource, PromptNeed, choose
-from weirscale.gateway.routing.dispatcher import Dispatcher
+from weirscale.gateway.routing.candidate import Candidate, FetchSource, PromptNeed
+from weirscale.gateway.routing.choice import choose
+from weirscale.gateway.routing.choice_rules import ChoiceRules
+from weirscale.gateway.routing.dispatcher import Dispatcher, PeerView
 from weirscale.gateway.routing.first_event_model import (
     LEAST_RATES,
     MOST_RATES,
@@ -65,13 +68,13 @@
 def make_candidate(name, traits):
     cache = CacheBelief(CAPACITY)
     if "keeps it" in traits:
-        cache.note(SCOPE, (SHARED,), is_ready=True)
+        cache.record(SCOPE, (SHARED,), is_ready=True)
     if "keeps it unread" in traits:
-        cache.note(SCOPE, (SHARED,), is_ready=False)
+        cache.record(SCOPE, (SHARED,), is_ready=False)
     if "keeps it for another" in traits:
-        cache.note(CacheScope("m", VERSION, "t9").text(), (SHARED,), is_ready=True)
+        cache.record(CacheScope("m", VERSION, "t9").text(), (SHARED,), is_ready=True)
     if "keeps it of old weights" in traits:
-        cache.note(CacheScope("m", VERSION - 1).text(), (SHARED,), is_ready=True)
+        cache.record(CacheScope("m", VERSION - 1).text(), (SHARED,), is_ready=True)
     load = next((LOADS[trait] for trait in traits if trait in LOADS), Load())
     zone = "there" if "elsewhere" in traits else "here"
     end = BackEnd(name, "lm", f"10.0.0.1:{len(name)}", zone, BackEndState.READY, SLOTS)
@@ -149,7 +152,7 @@
     context.candidates = []
     for number in range(count):
         cache = CacheBelief(CAPACITY)
-        cache.note(SCOPE, (SHARED,), is_ready=True)
+        cache.record(SCOPE, (SHARED,), is_ready=True)
         waiting = int(most_ms * number / count / 1000.0 / START_RATES.waiting_token_s)
         end = BackEnd(f"r-{number}", "lm", f"10.0.1.{number}:1", "here", BackEndState.READY, SLOTS)
         load = Load(0, waiting, 0)
@@ -159,7 +162,14 @@
 @when("{nodes:d} nodes place a prompt each while news is {delay:g} seconds late")
 def step_late_news(context, nodes, delay):
     dispatcher = Dispatcher(
-        "here", None, None, None, 0.0, Random(1), lambda: 0.0, gossip_delay_s=lambda: delay
+        Location("here"),
+        None,
+        None,
+        None,
+        0.0,
+        Random(1),
+        lambda: 0.0,
+        peers=PeerView(gossip_delay_s=lambda: delay),
     )
     need = PromptNeed(PROMPT, {VERSION: SCOPE})
     rules = dispatcher.rules("lm")
@@ -182,13 +192,13 @@
 
 @when('the parts "{first}" and then "{second}" are noted there')
 def step_noted(context, first, second):
-    context.cache.note(SCOPE, parse_blocks(first), is_ready=True)
-    context.cache.note(SCOPE, parse_blocks(second), is_ready=True)
+    context.cache.record(SCOPE, parse_blocks(first), is_ready=True)
+    context.cache.record(SCOPE, parse_blocks(second), is_ready=True)
 
 
 @when('the parts "{parts}" are sent there and not read')
 def step_unread(context, parts):
-    context.cache.note(SCOPE, parse_blocks(parts), is_ready=False)
+    context.cache.record(SCOPE, parse_blocks(parts), is_ready=False)
     context.cache.forget(SCOPE, parse_blocks(parts))
 
 
@@ -346,7 +356,7 @@
 def step_seen(context, start, requests):
     context.budget = SharedRetryBudget(context.rules, 100.0, start == "starts anew")
     for _ in range(requests):
-        context.budget.note_request("lm", 105.0)
+        context.budget.request_sent("lm", 105.0)
 
 
 @then("it may repeat at most {most:d} and at least {least:d}")
--- a/features/steps/gateway_groups_steps.py
+++ b/features/steps/gateway_groups_steps.py
@@ -163,13 +163,13 @@
     async def body():
         for node in context.fleet.nodes.values():
             for _ in range(context.count):
-                node.load.begin(RUNNER.instance, 100, 500)
+                node.load.request_sent(RUNNER.instance, 100, 500)
         await anyio.sleep(seconds)
         found.update(counts(context.fleet))
         for node in context.fleet.nodes.values():
             for _ in range(context.count):
-                node.load.first_event(RUNNER.instance, 100)
-                node.load.end(RUNNER.instance, 500)
+                node.load.first_event_received(RUNNER.instance, 100)
+                node.load.request_ended(RUNNER.instance, 500)
         await anyio.sleep(seconds)
         context.after = counts(context.fleet)
 
@@ -205,7 +205,7 @@
                 fleet.mute.add(name)
         others = [name for name in fleet.nodes if name not in heads]
         for name in others:
-            fleet.nodes[name].load.begin(RUNNER.instance, 100, 500)
+            fleet.nodes[name].load.request_sent(RUNNER.instance, 100, 500)
         await anyio.sleep(seconds)
         found.update(counts(fleet, others))
 
@@ -225,11 +225,11 @@
 
     async def body():
         first = next(iter(context.fleet.nodes.values()))
-        first.dispatcher.note_blocks(RUNNER.instance, SCOPE, (*SHARED, OWN), True)
+        first.dispatcher.record_blocks(RUNNER.instance, SCOPE, (*SHARED, OWN), True)
         first.outbox.add_send(context.send)
         await anyio.sleep(seconds)
         for name, node in context.fleet.nodes.items():
-            cache = node.dispatcher._caches.get(RUNNER.instance)
+            cache = node.dispatcher.beliefs.at_known_engine(RUNNER.instance)
             found[name] = cache.matched_tokens(SCOPE, SHARED, only_ready=True) if cache else 0
 
     play(context, body)
@@ -252,7 +252,7 @@
         await anyio.sleep(seconds)
         now_s = anyio.current_time()
         for name, node in context.fleet.nodes.items():
-            found[name] = node.dispatcher._is_loading(RUNNER.instance, now_s)
+            found[name] = node.dispatcher.candidates.is_loading(RUNNER.instance, now_s)
 
     play(context, body)
     assert len(found) == context.num_nodes
--- a/features/steps/gateway_overload_steps.py
+++ b/features/steps/gateway_overload_steps.py
@@ -22,7 +22,7 @@
 from weirscale.gateway.model.back_ends import BackEnd, BackEndState
 from weirscale.gateway.model.configuration import RequestKind, Route
 from weirscale.gateway.requests.overload import QueueLimit, should_come_back
-from weirscale.gateway.routing.choice import Candidate, Choice
+from weirscale.gateway.routing.candidate import Candidate, Choice
 from weirscale.gateway.routing.load import Load
 from weirscale.gateway.routing.overdue import OverdueAttempts
 
@@ -235,10 +235,10 @@
     context.overdue = OverdueAttempts()
     candidate = Candidate(RUNNER, Load(), False)
     context.choice = Choice(candidate, scope="m@1", estimate_s=expected)
-    context.overdue.note_alive(RUNNER.instance, 9.9)
-    context.overdue.begin(context.choice, 10.0)
+    context.overdue.engine_alive(RUNNER.instance, 9.9)
+    context.overdue.attempt_sent(context.choice, 10.0)
     if lives == "makes other events":
-        context.overdue.note_alive(RUNNER.instance, 10.01)
+        context.overdue.engine_alive(RUNNER.instance, 10.01)
 
 
 @when("{waited:g} seconds have passed")
@@ -256,7 +256,7 @@
         return
     assert not context.overdue.take_due(10.0 + context.waited_s + 0.001)
     assert context.overdue.take_due(10.0 + float(again))
-    context.overdue.end(context.choice)
+    context.overdue.wait_ended(context.choice)
     assert not context.overdue.take_due(100.0)
 
 
--- a/features/steps/gateway_places_steps.py
+++ b/features/steps/gateway_places_steps.py
@@ -12,7 +12,7 @@
     Service,
 )
 from weirscale.gateway.model.prompt import CacheScope, Prompt, PromptBlock
-from weirscale.gateway.model.topology import ONE_REGION, Topology
+from weirscale.gateway.model.topology import ONE_REGION, Location, Topology
 from weirscale.gateway.peers.groups import Member
 from weirscale.gateway.ports.state_feed import (
     BackEndRegistered,
@@ -23,7 +23,9 @@
 from weirscale.gateway.replication.readers import choose_readers
 from weirscale.gateway.replication.subscription import StateSubscription
 from weirscale.gateway.routing.cache_belief import CacheBelief
-from weirscale.gateway.routing.choice import Candidate, ChoiceRules, FetchSource, PromptNeed, choose
+from weirscale.gateway.routing.candidate import Candidate, FetchSource, PromptNeed
+from weirscale.gateway.routing.choice import choose
+from weirscale.gateway.routing.choice_rules import ChoiceRules
 from weirscale.gateway.routing.dispatcher import Dispatcher
 from weirscale.gateway.routing.health import BackEndHealth
 from weirscale.gateway.routing.load import FleetLoad, Load
@@ -69,7 +71,7 @@
 @when('a runner in region "{region}" keeps a prompt\'s parts and the near runner keeps none')
 def step_keeps(context, region):
     cache = CacheBelief(CAPACITY)
-    cache.note(SCOPE, BLOCKS[:-1], is_ready=True)
+    cache.record(SCOPE, BLOCKS[:-1], is_ready=True)
     zone = "z1" if region == "one" else "z2"
     context.sources = [FetchSource("10.0.0.9:80", zone, cache, 1, "r-other", region)]
 
@@ -97,8 +99,8 @@
         changes.append(VersionedChange(instance, 2, BackEndRegistered(one.back_end)))
     cluster.replace_all(StateBatch(2, tuple(changes)), 100.0)
     context.dispatcher = Dispatcher(
-        "z1", cluster, FleetLoad(), BackEndHealth(log, Random(1)), 8.0, Random(1),
-        lambda: 100.0, topology=REGIONS,
+        Location("z1", REGIONS), cluster, FleetLoad(), BackEndHealth(log, Random(1)), 8.0,
+        Random(1), lambda: 100.0,
     )  # fmt: skip
 
 
@@ -108,9 +110,9 @@
         address = f"10.9.0.{1 if region == 'one' else 2}:80"
         choice = SimpleNamespace(candidate=candidate, scope=SCOPE)
         assert context.dispatcher.save_address(choice, PROMPT) == address
-        context.dispatcher.note_blocks(candidate.back_end.instance, SCOPE, BLOCKS, True)
+        context.dispatcher.record_blocks(candidate.back_end.instance, SCOPE, BLOCKS, True)
         assert context.dispatcher.save_address(choice, PROMPT) is None
-        sources = context.dispatcher._store_sources()
+        sources = context.dispatcher._store_sources(100.0)
         found = choose([candidate], context.need, sources, "z1", ChoiceRules(), Random(1))
         assert found.fetch_from == address and found.fetched_tokens > 0
 
--- a/features/steps/gateway_requests_steps.py
+++ b/features/steps/gateway_requests_steps.py
@@ -94,7 +94,7 @@
             add_back_ends(context, fleet)
             node = await fleet.start_node()
             for runner in fleet.runners:
-                node.load.begin(runner.instance, context.waiting_tokens, 0)
+                node.load.request_sent(runner.instance, context.waiting_tokens, 0)
             await script(node)
             await anyio.sleep(0.3)
             context.metrics_text = node.metrics_text().decode()
--- a/features/steps/gateway_runner_shares_steps.py
+++ b/features/steps/gateway_runner_shares_steps.py
@@ -18,7 +18,9 @@
 from weirscale.gateway.peers.groups import divide
 from weirscale.gateway.peers.registrations import PeerDirectory
 from weirscale.gateway.routing.cache_belief import CacheBelief
-from weirscale.gateway.routing.choice import Candidate, ChoiceRules, PromptNeed, choose
+from weirscale.gateway.routing.candidate import Candidate, PromptNeed
+from weirscale.gateway.routing.choice import choose
+from weirscale.gateway.routing.choice_rules import ChoiceRules
 from weirscale.gateway.routing.engine_shares import EngineShares, share_out
 from weirscale.gateway.routing.load import Load
 
@@ -84,11 +86,15 @@
 
 @when("its group's runner has {waiting:d} tokens waiting")
 def step_waiting(context, waiting):
-    rules = ChoiceRules(foreign_s=ChoiceRules().foreign_share * (news_interval_s(12) - 0.05))
+    rules = ChoiceRules(
+        other_group_s=ChoiceRules().other_group_share * (news_interval_s(12) - 0.05)
+    )
     own, foreign = context.ends
     candidates = [
         Candidate(own, Load(1, waiting, waiting), False, CacheBelief(80_000), 86_000, 1),
-        Candidate(foreign, Load(), False, CacheBelief(80_000), 86_000, 1, is_foreign=True),
+        Candidate(
+            foreign, Load(), False, CacheBelief(80_000), 86_000, 1, belongs_to_other_group=True
+        ),
     ]
     prompt = Prompt("m", (*SHARED, OWN), 1300, 20)
     need = PromptNeed(prompt, {1: SCOPE})
@@ -130,5 +136,5 @@
     owners = share_out(context.ends.all(), division)
     own_group = division.group_of[context.name]
     foreign = {one for one, owner in owners.items() if owner != own_group}
-    assert set(context.shares.foreign()) == foreign
+    assert set(context.shares.of_other_groups()) == foreign
     assert 0 < len(foreign) < 45, len(foreign)
--- a/features/steps/gateway_settings_steps.py
+++ b/features/steps/gateway_settings_steps.py
@@ -45,7 +45,7 @@
     return {
         "retry_extra": node.budget._rules.extra,
         "revoke_ms": node.context._key_removal_s,
-        "version_ms": node.dispatcher._weights_grace_s,
+        "version_ms": node.dispatcher.candidates.weights_grace_s,
         "lease_ms": node._turn._life_s,
     }[field]
 
--- a/src/weirscale/gateway/limits/retry_budget.py
+++ b/src/weirscale/gateway/limits/retry_budget.py
@@ -47,7 +47,7 @@
         """Take over changed rules."""
         self._rules = rules
 
-    def note_request(self, service: ServiceName, now_s: float) -> None:
+    def request_sent(self, service: ServiceName, now_s: float) -> None:
         """A caller's request was sent on for the first time."""
         self._requests.setdefault(service, _Window()).add(now_s)
 
--- a/src/weirscale/gateway/model/topology.py
+++ b/src/weirscale/gateway/model/topology.py
@@ -6,6 +6,8 @@
 
 from collections.abc import Mapping
 
+import msgspec
+
 from weirscale.domain.identifiers import RegionName, ZoneName
 
 NO_REGION = RegionName("")
@@ -38,3 +40,19 @@
 
 ONE_REGION = Topology({})
 """A deployment that names no regions."""
+
+
+class Location(msgspec.Struct, frozen=True):
+    """Where a node stands.
+
+    Attributes:
+        zone: Its zone.
+        topology: Which zones are far from one another.
+    """
+
+    zone: ZoneName
+    topology: Topology = ONE_REGION
+
+    def is_cross_region(self, zone: ZoneName) -> bool:
+        """Whether a zone is known to be in another region."""
+        return self.topology.is_cross_region(self.zone, zone)
--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -17,7 +17,7 @@
 from weirscale.gateway.limits.usage_reporter import UsageReporter, read_usage
 from weirscale.gateway.model.back_ends import BackEnd
 from weirscale.gateway.model.identifiers import InstanceId
-from weirscale.gateway.model.topology import Topology
+from weirscale.gateway.model.topology import Location, Topology
 from weirscale.gateway.peers.messages import (
     AgesQuery,
     AgesReply,
@@ -45,8 +45,8 @@
 from weirscale.gateway.rollouts.holder_task import RolloutHolderTask
 from weirscale.gateway.rollouts.reporter import RolloutReporter
 from weirscale.gateway.rollouts.tallies import Tallies
-from weirscale.gateway.routing.choice import START_MARGIN_S
-from weirscale.gateway.routing.dispatcher import Dispatcher
+from weirscale.gateway.routing.choice_rules import START_MARGIN_S
+from weirscale.gateway.routing.dispatcher import Dispatcher, PeerView
 from weirscale.gateway.routing.engine_shares import EngineShares
 from weirscale.gateway.routing.health import BackEndHealth
 from weirscale.gateway.routing.load import NO_LOAD, FleetLoad, Load
@@ -178,12 +178,12 @@
             lambda: self.isolation.is_isolated(), lambda: self._exposure.share,
         )  # fmt: skip
         self.dispatcher = Dispatcher(
-            settings.zone, self.cluster, self.load, self.health,
-            bounds.weights_s - START_MARGIN_S, random, clock,
-            gossip_delay_s=lambda: self.relay.delay_s(),
-            foreign=lambda: self.engine_shares.foreign(),
+            Location(settings.zone, Topology(settings.regions)), self.cluster, self.load,
+            self.health, bounds.weights_s - START_MARGIN_S, random, clock,
             versions=self.version_gate,
-            topology=Topology(settings.regions),
+            peers=PeerView(
+                lambda: self.relay.delay_s(), lambda: self.engine_shares.of_other_groups()
+            ),
         )  # fmt: skip
         self.budget = SharedRetryBudget(
             settings.retry_budget, clock(), skips_first_window=not settings.is_first_start
@@ -382,9 +382,9 @@
                 self.rollout_reporter.receive(source, gossip)
         for send in gossip.sends:
             if gossip.group:
-                self.dispatcher.note_shared_blocks(send.instance, send.scope, send.blocks)
+                self.dispatcher.record_shared_blocks(send.instance, send.scope, send.blocks)
             else:
-                self.dispatcher.note_blocks(send.instance, send.scope, send.blocks, send.is_ready)
+                self.dispatcher.record_blocks(send.instance, send.scope, send.blocks, send.is_ready)
         for loading in gossip.loading:
             self._receive_loading(loading)
         self.quarantine.receive(gossip)
--- a/src/weirscale/gateway/requests/exchange.py
+++ b/src/weirscale/gateway/requests/exchange.py
@@ -34,8 +34,8 @@
 from weirscale.gateway.requests.responder import Responder
 from weirscale.gateway.rollouts.gate import Track
 from weirscale.gateway.rollouts.pace import AttemptTimes
-from weirscale.gateway.routing.choice import Choice
-from weirscale.gateway.routing.dispatcher import DispatchQuery
+from weirscale.gateway.routing.candidate import Choice
+from weirscale.gateway.routing.candidates import DispatchQuery
 from weirscale.gateway.telemetry.request_summary import (
     NEVER_IN_QUOTA,
     OVER_QUOTA,
@@ -464,7 +464,7 @@
             events = cutter.feed(chunk)
             if not events:
                 continue
-            self._context.dispatcher.note_event(choice.candidate.back_end.instance)
+            self._context.dispatcher.event_received(choice.candidate.back_end.instance)
             if is_first:
                 is_first = False
                 took_s = self._clock() - self._attempt_began_s
--- a/src/weirscale/gateway/requests/exchange_context.py
+++ b/src/weirscale/gateway/requests/exchange_context.py
@@ -23,7 +23,7 @@
 from weirscale.gateway.requests.overload import QueueLimit
 from weirscale.gateway.rollouts.canary_traffic import CanaryTraffic, Ending
 from weirscale.gateway.rollouts.pace import AttemptTimes
-from weirscale.gateway.routing.choice import Choice
+from weirscale.gateway.routing.candidate import Choice
 from weirscale.gateway.routing.dispatcher import Dispatcher
 from weirscale.gateway.routing.health import BackEndHealth
 from weirscale.gateway.routing.load import FleetLoad
@@ -189,35 +189,35 @@
         """An attempt begins."""
         back_end = choice.candidate.back_end
         held = prompt.num_tokens if prompt else 0
-        self._load.begin(back_end.instance, choice.read_tokens, held)
+        self._load.request_sent(back_end.instance, choice.read_tokens, held)
         self._waiting[id(choice)] = choice.read_tokens
         if is_first:
-            self._budget.note_request(back_end.service, self.clock())
+            self._budget.request_sent(back_end.service, self.clock())
         if prompt is not None and choice.scope is not None:
-            self.dispatcher.note_sent(choice, prompt)
+            self.dispatcher.prompt_sent(choice, prompt)
             self._tell_send(choice, prompt, is_ready=False)
         if choice.read_tokens >= LONG_READ_TOKENS:
             self._tell_now()
 
     def first_event(self, choice: Choice, prompt: Prompt | None, took_s: float) -> None:
         """The first event of an attempt arrived: its prompt has been read."""
-        self.dispatcher.note_waits_no_more(choice)
-        self.dispatcher.note_first_event(choice, took_s)
+        self.dispatcher.wait_ended(choice)
+        self.dispatcher.first_event_received(choice, took_s)
         instance = choice.candidate.back_end.instance
-        self._load.first_event(instance, self._waiting.pop(id(choice), 0))
+        self._load.first_event_received(instance, self._waiting.pop(id(choice), 0))
         if prompt is not None and choice.scope is not None:
-            self.dispatcher.note_read(choice, prompt)
+            self.dispatcher.prompt_read(choice, prompt)
             self._tell_send(choice, prompt, is_ready=True)
 
     def end(self, choice: Choice, prompt: Prompt | None, verdict: Verdict) -> None:
         """An attempt has ended."""
-        self.dispatcher.note_waits_no_more(choice)
+        self.dispatcher.wait_ended(choice)
         instance = choice.candidate.back_end.instance
         was_unread = id(choice) in self._waiting
-        self._load.first_event(instance, self._waiting.pop(id(choice), 0))
-        self._load.end(instance, prompt.num_tokens if prompt else 0)
+        self._load.first_event_received(instance, self._waiting.pop(id(choice), 0))
+        self._load.request_ended(instance, prompt.num_tokens if prompt else 0)
         if was_unread and prompt is not None:
-            self.dispatcher.note_unread(choice, prompt)
+            self.dispatcher.prompt_not_read(choice, prompt)
         self._judge_health(instance, verdict)
 
     def _judge_health(self, instance: InstanceId, verdict: Verdict) -> None:
@@ -225,7 +225,7 @@
         if verdict.end is AttemptEnd.ANSWERED:
             self._health.succeeded(instance, now_s)
         elif verdict.end is AttemptEnd.UNRUN:
-            self.dispatcher.note_refused(instance)
+            self.dispatcher.request_refused(instance)
             if is_about_weights(verdict):
                 self._version_check.request(instance)
         elif verdict.end is AttemptEnd.NEVER_SENT:
@@ -348,5 +348,5 @@
     }
     if choice.candidate.has_old_weights:
         fields["newest"] = choice.candidate.newest_version
-        fields["owed_ms"] = age_ms(choice.candidate.owed_s)
+        fields["owed_ms"] = age_ms(choice.candidate.weights_behind_s)
     return fields
--- a/src/weirscale/gateway/requests/overload.py
+++ b/src/weirscale/gateway/requests/overload.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from weirscale.gateway.model.configuration import Route
-from weirscale.gateway.routing.choice import Choice
+from weirscale.gateway.routing.candidate import Choice
 
 OVERLOAD_FACTOR = 0.8
 """A first event estimated later than this multiple of the objective is not waited for."""
--- a/src/weirscale/gateway/routing/cache_belief.py
+++ b/src/weirscale/gateway/routing/cache_belief.py
@@ -36,16 +36,16 @@
         self._num_tokens = 0
         self._blocks: OrderedDict[tuple[str, str], KeptBlock] = OrderedDict()
 
-    def note(self, scope: str, blocks: Sequence[PromptBlock], is_ready: bool) -> None:
-        """Note that a request with these blocks goes there, or that it has been read there."""
+    def record(self, scope: str, blocks: Sequence[PromptBlock], is_ready: bool) -> None:
+        """Record that a request with these blocks goes there, or that it has been read there."""
         # The first block is touched last, so that a chain loses its end before its beginning.
         for block in reversed(blocks):
-            self._note_block((scope, block.block_id), block.num_tokens, is_ready)
+            self._record_block((scope, block.block_id), block.num_tokens, is_ready)
         while self._num_tokens > self._capacity_tokens and self._blocks:
             _, dropped = self._blocks.popitem(last=False)
             self._num_tokens -= dropped.num_tokens
 
-    def _note_block(self, key: tuple[str, str], num_tokens: int, is_ready: bool) -> None:
+    def _record_block(self, key: tuple[str, str], num_tokens: int, is_ready: bool) -> None:
         kept = self._blocks.get(key)
         if kept is None:
             self._blocks[key] = KeptBlock(num_tokens, is_ready)
--- a/src/weirscale/gateway/routing/dispatcher.py
+++ b/src/weirscale/gateway/routing/dispatcher.py
@@ -1,111 +1,69 @@
-"""Chooses back ends for requests and keeps what the choice rests on: load, caches, health."""
+"""Chooses back ends for requests, and takes in what their attempts and other nodes tell.
+
+The decision has one place for each of its questions: who may get the request (`candidates`), what
+is cached where (`cache_beliefs`), what was learnt of waits (`attempt_learning`), what a candidate
+costs (`candidate_cost`, with the weights of `choice_rules`), where cached blocks are fetched from
+(`fetch_source`), and which candidate is taken (`choice`).
+"""
 
-import math
 from collections.abc import Callable, Collection
 from random import Random
-from typing import Protocol
 
 import msgspec
 
-from weirscale.domain.identifiers import ServiceName, ZoneName
-from weirscale.gateway.model.back_ends import BackEnd
-from weirscale.gateway.model.configuration import KeptKvStore, Service, Tenant
+from weirscale.domain.identifiers import ServiceName
+from weirscale.gateway.model.configuration import Tenant
 from weirscale.gateway.model.identifiers import Address, InstanceId
 from weirscale.gateway.model.prompt import CacheScope, Prompt, PromptBlock
-from weirscale.gateway.model.topology import ONE_REGION, Topology
+from weirscale.gateway.model.topology import Location
 from weirscale.gateway.rollouts.gate import Track
-from weirscale.gateway.routing.cache_belief import CacheBelief
-from weirscale.gateway.routing.choice import (
-    START_MARGIN_S,
-    Candidate,
-    Choice,
-    ChoiceRules,
-    FetchSource,
-    PromptNeed,
-    choose,
-    fetch_s,
-    reading_work,
-)
-from weirscale.gateway.routing.first_event_model import FirstEventModel
+from weirscale.gateway.routing.attempt_learning import AttemptLearning
+from weirscale.gateway.routing.cache_beliefs import CacheBeliefs
+from weirscale.gateway.routing.candidate import Candidate, Choice, FetchSource, PromptNeed
+from weirscale.gateway.routing.candidates import Candidates, DispatchQuery
+from weirscale.gateway.routing.choice import choose
+from weirscale.gateway.routing.choice_rules import ChoiceRules
 from weirscale.gateway.routing.health import BackEndHealth
 from weirscale.gateway.routing.load import FleetLoad
-from weirscale.gateway.routing.overdue import OverdueAttempts
-from weirscale.gateway.routing.recent_waits import RecentWaits
+from weirscale.gateway.routing.version_rules import AllVersions, VersionRules
 from weirscale.gateway.state.cluster_state import ClusterState
-from weirscale.gateway.state.target_versions import TargetVersion
-
-LOADING_MARK_LIFE_S = 7.0
-"""An engine that was announced to load is used again after this, should the end go untold."""
-
-REFUSAL_PAUSE_S = 0.15
-"""A back end that refused a request unrun is left alone for this long, unless nothing else serves:
-it may be full, about to leave, or loading weights, and looks idle meanwhile."""
-
-SLOW_SOURCE_S = 0.25
-"""A first event this much later than estimated, with a fetch from a store, makes it suspect."""
 
-SLOW_SOURCE_PAUSE_S = 2.0
-"""How long a suspect store is not fetched from."""
 
-CACHE_SHARE = 0.8
-"""Share of an engine's memory that is believed to keep blocks; running requests take the rest."""
-
-
-class DispatchQuery(msgspec.Struct, frozen=True):
-    """What a choice is asked for.
+class PeerView(msgspec.Struct, frozen=True):
+    """What a choice has to know of the other nodes.
 
     Attributes:
-        service: The service.
-        prompt: The prompt, for generations.
-        tenant: The tenant, if the route is keyed.
-        excluded: Instances that may not be chosen.
-        lane: Which versions of the service's program may be chosen.
+        gossip_delay_s: Returns how many seconds late other nodes' loads are known.
+        engines_of_other_groups: Returns the engines that other groups of nodes prefer.
     """
 
-    service: ServiceName
-    prompt: Prompt | None
-    tenant: Tenant | None
-    excluded: Collection[InstanceId]
-    track: Track = Track.STABLE
-
-
-class VersionRules(Protocol):
-    """Tells which versions of a service's program may be chosen."""
+    gossip_delay_s: Callable[[], float] = lambda: 0.0
+    engines_of_other_groups: Callable[[], Collection[InstanceId]] = tuple
 
-    def usable(self, service: ServiceName, back_ends: list[BackEnd], track: Track) -> list[BackEnd]:
-        """Return those of some back ends that a request of a lane may go to."""
-        ...
 
-
-class AllVersions:
-    """Lets every version be chosen."""
-
-    def usable(self, service: ServiceName, back_ends: list[BackEnd], track: Track) -> list[BackEnd]:
-        """Return all back ends."""
-        return back_ends
+NO_PEERS = PeerView()
+"""A node alone."""
 
 
 class Dispatcher:
     """Chooses back ends.
 
     Args:
-        zone: The node's zone.
-        knowledge: Back ends, configuration, versions.
+        location: Where the node stands.
+        cluster: Back ends, configuration, versions.
         load: Work at each back end.
         health: Circuits.
         weights_grace_s: How long older weights may be sent requests.
-        random: Breaks ties and spreads trials.
+        random: Breaks ties.
         clock: Monotonic seconds.
         rules: Weights of the choice.
-        news_delay_s: Returns how much later than at once news of other nodes' loads comes.
-        foreign: Returns the engines that other groups of nodes prefer.
         versions: Which versions of a service's program may be chosen.
-        places: Which zones are far from one another.
+        peers: What has to be known of the other nodes.
     """
 
     def __init__(
         self,
-        zone: ZoneName,
+        location: Location,
         cluster: ClusterState,
         load: FleetLoad,
         health: BackEndHealth,
@@ -113,74 +71,56 @@
         random: Random,
         clock: Callable[[], float],
         rules: ChoiceRules | None = None,
-        gossip_delay_s: Callable[[], float] = lambda: 0.0,
-        foreign: Callable[[], Collection[InstanceId]] = tuple,
         versions: VersionRules | None = None,
-        topology: Topology = ONE_REGION,
+        peers: PeerView = NO_PEERS,
     ) -> None:
-        self._topology = topology
-        self._versions = versions or AllVersions()
-        self._zone = zone
+        self._location = location
         self._cluster = cluster
         self._load = load
         self._health = health
-        self._weights_grace_s = weights_grace_s
         self._random = random
         self._clock = clock
         self._start_rules = rules or ChoiceRules()
-        self._gossip_delay_s = gossip_delay_s
-        self._foreign = foreign
-        self._models: dict[ServiceName, FirstEventModel] = {}
-        self._caches: dict[InstanceId, CacheBelief] = {}
-        self._kept_caches: dict[Address, CacheBelief] = {}
-        self._loading_until_s: dict[InstanceId, float] = {}
-        self._refused_until_s: dict[InstanceId, float] = {}
-        self._slow_until_s: dict[Address, float] = {}
-        self._overdue = OverdueAttempts()
-        self._waits: dict[ServiceName, RecentWaits] = {}
-
-    def set_weights_grace(self, weights_grace_s: float) -> None:
-        """Change how long older weights may be sent requests."""
-        self._weights_grace_s = weights_grace_s
+        self._peers = peers
+        self.beliefs = CacheBeliefs(cluster, location.topology)
+        self.learning = AttemptLearning(self._start_rules, self.beliefs)
+        self.candidates = Candidates(
+            location, cluster, load, health, self.beliefs, self.learning, weights_grace_s,
+            versions or AllVersions(), peers.engines_of_other_groups,
+        )  # fmt: skip
 
     def choose(self, query: DispatchQuery) -> Choice | None:
         """Return the best back end, or None if none may serve."""
-        for overdue, waited_s in self._overdue.take_due(self._clock()):
-            self._learn_rates(overdue, waited_s)
+        now_s = self._clock()
+        self.learning.learn_from_overdue(now_s)
         table = self._cluster.table
         service = table.service(query.service) if table else None
-        candidates = self._candidates(query, service)
+        candidates = self.candidates.find(query, service, now_s)
         if not candidates:
             return None
         need = None
         sources: list[FetchSource] = []
         if query.prompt is not None and service is not None and service.engine is not None:
             need = _need(query.prompt, query.tenant, candidates)
-            sources = self._sources([*candidates, *self._passed_over(query, service)])
-        choice = choose(
-            candidates, need, sources, self._zone, self.rules(query.service), self._random
-        )
-        return None if choice is None else self._with_age(choice, query.track)
-
-    def _with_age(self, choice: Choice, track: Track) -> Choice:
-        """Note the age of what the choice rests on; only the chosen back end's is asked for."""
-        age_s = self._load.age_s(choice.candidate.back_end.instance, self._clock())
-        candidate = msgspec.structs.replace(choice.candidate, load_age_s=age_s)
-        return msgspec.structs.replace(choice, candidate=candidate, is_canary=track is Track.CANARY)
+            others = self.candidates.of_other_versions(query, service, now_s)
+            sources = self._store_sources(now_s) + self._engine_sources(candidates + others, now_s)
+        rules = self.rules(query.service)
+        choice = choose(candidates, need, sources, self._location.zone, rules, self._random)
+        return None if choice is None else self._with_load_age(choice, query.track, now_s)
 
     def rules(self, service: ServiceName) -> ChoiceRules:
         """Return the weights of the choice as they are now.
 
-        The rates are those learnt of the service's engines, and the older the news of loads is, the
-        more estimates count as equal.
+        The rates are those learnt of the service's engines; ties and the cost of engines of other
+        groups grow with the gossip delay.
         """
-        rules = self._start_rules
-        model = self._models.get(service)
+        start = self._start_rules
+        delay_s = self._peers.gossip_delay_s()
         return msgspec.structs.replace(
-            rules,
-            rates=rules.rates if model is None else model.rates,
-            tie_s=rules.tie_s + rules.tie_share * self._gossip_delay_s(),
-            foreign_s=rules.foreign_share * self._gossip_delay_s(),
+            start,
+            rates=self.learning.rates(service),
+            tie_s=start.tie_s + start.tie_share * delay_s,
+            other_group_s=start.other_group_share * delay_s,
         )
 
     def save_address(self, choice: Choice, prompt: Prompt) -> Address | None:
@@ -189,282 +129,115 @@
         The last block of a prompt is its own; saving it alone is not worth the move.
         """
         shared = prompt.blocks[:-1]
-        store = self._store_near(choice.candidate.back_end.zone)
+        store = self.beliefs.store_near(choice.candidate.back_end.zone)
         if store is None or not shared or choice.scope is None:
             return None
-        kept = self._kept_cache(store)
-        lacks = kept.matched_tokens(choice.scope, shared) < sum(p.num_tokens for p in shared)
-        return store.address if lacks else None
+        kept_tokens = self.beliefs.at_store(store).matched_tokens(choice.scope, shared)
+        return store.address if kept_tokens < sum(one.num_tokens for one in shared) else None
 
-    def _store_near(self, zone: ZoneName) -> KeptKvStore | None:
-        """Return the store that the engines of a zone's region use: the same on all nodes."""
-        near = (one for one in self._stores() if not self._topology.is_cross_region(zone, one.zone))
-        return next(near, None)
+    def _with_load_age(self, choice: Choice, track: Track, now_s: float) -> Choice:
+        """Add the age of the gossip in the load; only the chosen back end's is worked out."""
+        age_s = self._load.age_s(choice.candidate.back_end.instance, now_s)
+        candidate = msgspec.structs.replace(choice.candidate, load_age_s=age_s)
+        return msgspec.structs.replace(choice, candidate=candidate, is_canary=track is Track.CANARY)
 
-    def _candidates(self, query: DispatchQuery, service: Service | None) -> list[Candidate]:
-        now_s = self._clock()
-        ready = self._cluster.ready_back_ends(query.service)
-        lowest = 0 if query.prompt is None else self._lowest_version(query.prompt.model, now_s)
-        usable = [
-            back_end
-            for back_end in self._versions.usable(query.service, ready, query.track)
-            if back_end.instance not in query.excluded
-            and self._has_usable_weights(back_end, query.prompt, lowest)
-        ]
-        settled = [one for one in usable if not self._is_loading(one.instance, now_s)]
-        calm = [one for one in settled if not self._has_refused(one.instance, now_s)]
-        admitted = [one for one in calm if self._health.admits(one.instance, now_s)]
-        # With every circuit open, a bad network is likelier than so many bad back ends.
-        chosen = admitted or calm or settled
-        foreign = self._foreign()
-        return [self._candidate(one, query.prompt, service, foreign, now_s) for one in chosen]
-
-    def _passed_over(self, query: DispatchQuery, service: Service) -> list[Candidate]:
-        """Return the engines whose version is not chosen now; they may keep what is wanted."""
-        ready = self._cluster.ready_back_ends(query.service)
-        usable = self._versions.usable(query.service, ready, query.track)
-        if len(usable) == len(ready):
-            return []
-        chosen = {one.instance for one in usable}
-        now_s = self._clock()
+    def _engine_sources(self, engines: list[Candidate], now_s: float) -> list[FetchSource]:
         return [
-            self._candidate(one, query.prompt, service, (), now_s)
-            for one in ready
-            if one.instance not in chosen
-        ]
-
-    def _has_usable_weights(self, back_end: BackEnd, prompt: Prompt | None, lowest: int) -> bool:
-        if prompt is None or not back_end.models:
-            return True
-        version = self._cluster.version_of(back_end.instance, prompt.model)
-        if version is None:
-            return False
-        return version >= lowest
-
-    def _lowest_version(self, model: str, now_s: float) -> int:
-        """Return the oldest weights that may be used."""
-        return self._cluster.weights.lowest_allowed(
-            model, now_s, self._weights_grace_s, self._cluster.outage_ended_s()
-        )
-
-    def _candidate(
-        self,
-        back_end: BackEnd,
-        prompt: Prompt | None,
-        service: Service | None,
-        foreign: Collection[InstanceId],
-        now_s: float,
-    ) -> Candidate:
-        load = self._load.total(back_end.instance, now_s)
-        is_suspect = self._health.is_suspect(back_end.instance, now_s)
-        is_cross_region = self._topology.is_cross_region(self._zone, back_end.zone)
-        if prompt is None or service is None or service.engine is None:
-            return Candidate(back_end, load, is_suspect, is_cross_region=is_cross_region)
-        capacity = service.engine.cache_tokens
-        version = self._cluster.version_of(back_end.instance, prompt.model)
-        owed = self._owed(prompt.model, version)
-        return Candidate(
-            back_end,
-            load,
-            is_suspect,
-            self._cache(back_end.instance, capacity),
-            capacity,
-            version,
-            newest_version=None if owed is None else self._cluster.weights.newest(prompt.model),
-            owed_s=0.0 if owed is None else now_s - owed.named_after_s,
-            begins_within_s=math.inf if owed is None else self._begins_within_s(owed, now_s),
-            recent_wait_s=0.0 if owed is None else self._longest_wait_s(back_end.service, now_s),
-            is_foreign=back_end.instance in foreign,
-            region=self._topology.region_of(back_end.zone),
-            is_cross_region=is_cross_region,
-        )
-
-    def _begins_within_s(self, owed: TargetVersion, now_s: float) -> float:
-        """Return the time until requests may not begin any more on weights older than a version."""
-        began_s = self._cluster.grace_began_s(owed)
-        return began_s + self._weights_grace_s + START_MARGIN_S - now_s
-
-    def _owed(self, model: str, version: int | None) -> TargetVersion | None:
-        """Return the first version newer than an engine's, or None."""
-        return None if version is None else self._cluster.weights.first_newer(model, version)
-
-    def _cache(self, instance: InstanceId, capacity_tokens: int) -> CacheBelief:
-        cache = self._caches.get(instance)
-        if cache is None:
-            cache = self._caches[instance] = CacheBelief(int(capacity_tokens * CACHE_SHARE))
-        return cache
-
-    def _sources(self, candidates: list[Candidate]) -> list[FetchSource]:
-        now_s = self._clock()
-        sources = self._store_sources()
-        for candidate in candidates:
-            back_end = candidate.back_end
-            if candidate.cache is None or self._health.is_suspect(back_end.instance, now_s):
-                continue
-            sources.append(
-                FetchSource(
-                    back_end.address,
-                    back_end.zone,
-                    candidate.cache,
-                    candidate.weight_version,
-                    back_end.instance,
-                    candidate.region,
-                )
+            FetchSource(
+                one.back_end.address,
+                one.back_end.zone,
+                one.cache,
+                one.weight_version,
+                one.back_end.instance,
+                one.region,
             )
-        return sources
+            for one in engines
+            if one.cache is not None and not self._health.is_suspect(one.back_end.instance, now_s)
+        ]
 
-    def _store_sources(self) -> list[FetchSource]:
-        now_s = self._clock()
+    def _store_sources(self, now_s: float) -> list[FetchSource]:
         return [
             FetchSource(
                 store.address,
                 store.zone,
-                self._kept_cache(store),
-                region=self._topology.region_of(store.zone),
+                self.beliefs.at_store(store),
+                region=self._location.topology.region_of(store.zone),
             )
-            for store in self._stores()
-            if self._slow_until_s.get(store.address, 0.0) <= now_s
+            for store in self.beliefs.stores()
+            if not self.learning.is_slow(store.address, now_s)
         ]
 
-    def note_event(self, instance: InstanceId) -> None:
-        """An engine has made an event, so it lives."""
-        self._overdue.note_alive(instance, self._clock())
-
-    def note_first_event(self, choice: Choice, took_s: float) -> None:
-        """Learn how long a first event took: a source that is dead delays what it should speed."""
-        self._learn_rates(choice, took_s)
-        address = choice.fetch_from
-        if address is None or took_s < choice.estimate_s + SLOW_SOURCE_S:
-            return
-        if any(store.address == address for store in self._stores()):
-            self._slow_until_s[address] = self._clock() + SLOW_SOURCE_PAUSE_S
-
-    def _learn_rates(self, choice: Choice, took_s: float) -> None:
-        # What a version takes that may be bad says nothing of the others.
-        if choice.scope is None or choice.is_canary:
-            return
-        candidate = choice.candidate
-        self._waits_at(candidate.back_end.service).note(took_s, self._clock())
-        model = self._models.setdefault(
-            candidate.back_end.service, FirstEventModel(self._start_rules.rates)
-        )
-        reading_s = took_s - fetch_s(choice.fetched_tokens, self._start_rules)
-        model.observe(reading_work(candidate, choice.read_tokens), reading_s)
-
-    def _longest_wait_s(self, service: ServiceName, now_s: float) -> float:
-        return self._waits_at(service).longest_s(now_s)
-
-    def _waits_at(self, service: ServiceName) -> RecentWaits:
-        waits = self._waits.get(service)
-        if waits is None:
-            waits = self._waits[service] = RecentWaits(self._clock())
-        return waits
-
-    def _stores(self) -> list[KeptKvStore]:
-        table = self._cluster.table
-        services = table.kept_caches() if table else []
-        return [service.kept_cache for service in services if service.kept_cache is not None]
-
-    def _kept_cache(self, store: KeptKvStore) -> CacheBelief:
-        cache = self._kept_caches.get(store.address)
-        if cache is None:
-            cache = self._kept_caches[store.address] = CacheBelief(store.capacity_tokens)
-        return cache
-
-    def note_sent(self, choice: Choice, prompt: Prompt) -> None:
-        """Note that a prompt goes to an engine."""
-        self._overdue.begin(choice, self._clock())
-        self.note_blocks(choice.candidate.back_end.instance, choice.scope, prompt.blocks, False)
-
-    def note_waits_no_more(self, choice: Choice) -> None:
-        """Note that an attempt has had its first event, or has ended."""
-        self._overdue.end(choice)
-
-    def note_read(self, choice: Choice, prompt: Prompt) -> None:
-        """Note that an engine has read a prompt."""
-        self.note_blocks(choice.candidate.back_end.instance, choice.scope, prompt.blocks, True)
-
-    def note_blocks(
+    def set_weights_grace(self, weights_grace_s: float) -> None:
+        """Change how long older weights may be sent requests."""
+        self.candidates.weights_grace_s = weights_grace_s
+
+    def prompt_sent(self, choice: Choice, prompt: Prompt) -> None:
+        """A prompt goes to an engine."""
+        self.learning.attempt_sent(choice, self._clock())
+        instance = choice.candidate.back_end.instance
+        self.record_blocks(instance, choice.scope, prompt.blocks, False)
+
+    def prompt_read(self, choice: Choice, prompt: Prompt) -> None:
+        """An engine has read a prompt."""
+        instance = choice.candidate.back_end.instance
+        self.record_blocks(instance, choice.scope, prompt.blocks, True)
+
+    def prompt_not_read(self, choice: Choice, prompt: Prompt) -> None:
+        """An engine did not read a prompt after all."""
+        if choice.scope is not None:
+            instance = choice.candidate.back_end.instance
+            self.beliefs.forget_unread(instance, choice.scope, prompt.blocks)
+
+    def record_blocks(
         self,
         instance: InstanceId,
         scope: str | None,
         blocks: tuple[PromptBlock, ...],
         is_ready: bool,
     ) -> None:
-        """Note blocks at an engine, from this node's own sends or a peer's."""
-        cache = self._cache_of(instance)
-        if cache is None or scope is None:
-            return
-        cache.note(scope, blocks, is_ready)
-        if is_ready:
-            self._note_saved(instance, scope, blocks[:-1])
-
-    def note_shared_blocks(
-        self, instance: InstanceId, scope: str, shared: tuple[PromptBlock, ...]
-    ) -> None:
-        """Note the blocks of a prompt but its own, which an engine has read for another group."""
-        cache = self._cache_of(instance)
-        if cache is not None:
-            cache.note(scope, shared, is_ready=True)
-            self._note_saved(instance, scope, shared)
-
-    def _cache_of(self, instance: InstanceId) -> CacheBelief | None:
-        """Return what is believed of an engine, or None if it is no engine that is known."""
-        cache = self._caches.get(instance)
-        if cache is not None:
-            return cache
-        back_end = self._cluster.directory.get(instance)
-        table = self._cluster.table
-        service = table.service(back_end.service) if table and back_end else None
-        if service is None or service.engine is None:
-            return None
-        return self._cache(instance, service.engine.cache_tokens)
+        """Record blocks at an engine, from this node's own sends or a peer's."""
+        if scope is not None:
+            self.beliefs.record(instance, scope, blocks, is_ready)
 
-    def _note_saved(
+    def record_shared_blocks(
         self, instance: InstanceId, scope: str, shared: tuple[PromptBlock, ...]
     ) -> None:
-        """Every node has engines save what they read, so what was read is in the store."""
-        back_end = self._cluster.directory.get(instance)
-        store = None if back_end is None else self._store_near(back_end.zone)
-        if store is not None:
-            self._kept_cache(store).note(scope, shared, is_ready=True)
-
-    def note_unread(self, choice: Choice, prompt: Prompt) -> None:
-        """Note that an engine did not read a prompt after all."""
-        cache = self._caches.get(choice.candidate.back_end.instance)
-        if cache is not None and choice.scope is not None:
-            cache.forget(choice.scope, prompt.blocks)
+        """Record the shared blocks of a prompt that an engine has read for another group."""
+        self.beliefs.record_shared(instance, scope, shared)
 
-    def mark_loading(self, instance: InstanceId, is_done: bool) -> None:
-        """Mark that an engine is about to load weights, or has done so."""
-        if is_done:
-            self._loading_until_s.pop(instance, None)
-        else:
-            self._loading_until_s[instance] = self._clock() + LOADING_MARK_LIFE_S
+    def event_received(self, instance: InstanceId) -> None:
+        """An engine has made an event, so it lives."""
+        self.learning.event_received(instance, self._clock())
+
+    def first_event_received(self, choice: Choice, took_s: float) -> None:
+        """Learn how long a first event took."""
+        self.learning.first_event_received(choice, took_s, self._clock())
 
-    def _is_loading(self, instance: InstanceId, now_s: float) -> bool:
-        return self._loading_until_s.get(instance, 0.0) > now_s
+    def wait_ended(self, choice: Choice) -> None:
+        """An attempt has had its first event, or has ended without one."""
+        self.learning.wait_ended(choice)
 
-    def note_refused(self, instance: InstanceId) -> None:
+    def request_refused(self, instance: InstanceId) -> None:
         """A back end refused a request without running it."""
-        self._refused_until_s[instance] = self._clock() + REFUSAL_PAUSE_S
+        self.candidates.request_refused(instance, self._clock())
 
-    def _has_refused(self, instance: InstanceId, now_s: float) -> bool:
-        return self._refused_until_s.get(instance, 0.0) > now_s
+    def mark_loading(self, instance: InstanceId, is_done: bool) -> None:
+        """Mark that an engine is about to load weights, or has done so."""
+        if is_done:
+            self.candidates.unmark_loading(instance)
+        else:
+            self.candidates.mark_loading(instance, self._clock())
 
     def weights_changed(self, instance: InstanceId) -> None:
         """An engine has new weights: what it kept is gone."""
-        cache = self._caches.get(instance)
-        if cache is not None:
-            cache.clear()
-        self._loading_until_s.pop(instance, None)
+        self.beliefs.clear_engine(instance)
+        self.candidates.unmark_loading(instance)
 
     def forget(self, instance: InstanceId) -> None:
         """Forget a back end that is gone."""
-        self._caches.pop(instance, None)
-        self._loading_until_s.pop(instance, None)
-        self._refused_until_s.pop(instance, None)
-        self._overdue.forget_engine(instance)
+        self.beliefs.forget_engine(instance)
+        self.candidates.forget(instance)
+        self.learning.forget_engine(instance)
         self._load.forget(instance)
         self._health.forget(instance)
 
--- a/src/weirscale/gateway/routing/engine_shares.py
+++ b/src/weirscale/gateway/routing/engine_shares.py
@@ -29,9 +29,9 @@
         self._directory = directory
         self._division: Division | None = None
         self._num_changes = -1
-        self._foreign: frozenset[InstanceId] = frozenset()
+        self._of_other_groups: frozenset[InstanceId] = frozenset()
 
-    def foreign(self) -> Collection[InstanceId]:
+    def of_other_groups(self) -> Collection[InstanceId]:
         """Return the engines that other groups of nodes prefer."""
         division = self._peers.division()
         if division is not self._division or self._directory.num_changes != self._num_changes:
@@ -40,8 +40,8 @@
             engines = [one for one in self._directory.all() if one.models]
             owners = share_out(engines, division)
             own_group = division.group_of.get(self._name)
-            self._foreign = frozenset(one for one in owners if owners[one] != own_group)
-        return self._foreign
+            self._of_other_groups = frozenset(one for one in owners if owners[one] != own_group)
+        return self._of_other_groups
 
 
 def share_out(back_ends: Iterable[BackEnd], division: Division) -> dict[InstanceId, str]:
--- a/src/weirscale/gateway/routing/load.py
+++ b/src/weirscale/gateway/routing/load.py
@@ -62,16 +62,16 @@
         self._swept_at_s = 0.0
         self._changed: set[InstanceId] = set()
 
-    def begin(self, instance: InstanceId, waiting_tokens: int, held_tokens: int) -> None:
+    def request_sent(self, instance: InstanceId, waiting_tokens: int, held_tokens: int) -> None:
         """A request goes out."""
         self._add(instance, Load(1, waiting_tokens, held_tokens))
 
-    def first_event(self, instance: InstanceId, waiting_tokens: int) -> None:
-        """Its prompt has been read."""
+    def first_event_received(self, instance: InstanceId, waiting_tokens: int) -> None:
+        """A request's prompt has been read."""
         self._add(instance, Load(0, -waiting_tokens, 0))
 
-    def end(self, instance: InstanceId, held_tokens: int) -> None:
-        """It has ended."""
+    def request_ended(self, instance: InstanceId, held_tokens: int) -> None:
+        """A request has ended."""
         self._add(instance, Load(-1, 0, -held_tokens))
 
     def _add(self, instance: InstanceId, change: Load) -> None:
--- a/src/weirscale/gateway/routing/overdue.py
+++ b/src/weirscale/gateway/routing/overdue.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from weirscale.gateway.model.identifiers import InstanceId
-from weirscale.gateway.routing.choice import Choice
+from weirscale.gateway.routing.candidate import Choice
 
 OVERDUE_FACTOR = 1.5
 """An attempt tells of itself once it has waited for this multiple of what was expected, and again
@@ -32,16 +32,16 @@
         self._alive_at_s: dict[InstanceId, float] = {}
         """When an engine last made an event for this node."""
 
-    def begin(self, choice: Choice, now_s: float) -> None:
+    def attempt_sent(self, choice: Choice, now_s: float) -> None:
         """An attempt goes out."""
         due_s = now_s + max(LEAST_OVERDUE_S, OVERDUE_FACTOR * choice.estimate_s)
         self._open[id(choice)] = _OpenAttempt(choice, now_s, due_s)
 
-    def end(self, choice: Choice) -> None:
-        """An attempt has had its first event, or has ended."""
+    def wait_ended(self, choice: Choice) -> None:
+        """An attempt has had its first event, or has ended without one."""
         self._open.pop(id(choice), None)
 
-    def note_alive(self, instance: InstanceId, now_s: float) -> None:
+    def engine_alive(self, instance: InstanceId, now_s: float) -> None:
         """An engine has made an event."""
         self._alive_at_s[instance] = now_s
 
--- a/src/weirscale/gateway/routing/recent_waits.py
+++ b/src/weirscale/gateway/routing/recent_waits.py
@@ -20,8 +20,8 @@
         self._longest_s = 0.0
         self._longest_before_s = 0.0
 
-    def note(self, waited_s: float, now_s: float) -> None:
-        """Note a wait that has ended, or that lasts for so long already."""
+    def add(self, waited_s: float, now_s: float) -> None:
+        """Add a wait that has ended, or that lasts for so long already."""
         self._turn(now_s)
         self._longest_s = max(self._longest_s, waited_s)
 
--- a/src/weirscale/gateway/telemetry/request_summary.py
+++ b/src/weirscale/gateway/telemetry/request_summary.py
@@ -9,7 +9,7 @@
 from weirscale.gateway.model.configuration import Route
 from weirscale.gateway.ports.callers import CallerRequest
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint
-from weirscale.gateway.routing.choice import Choice
+from weirscale.gateway.routing.candidate import Choice
 
 OVERLOADED = "overloaded"
 """Cause of a refusal because of the queues."""
