--- a/features/steps/gateway_quota_steps.py
+++ b/features/steps/gateway_quota_steps.py
@@ -24,7 +24,8 @@
     worst_window,
 )
 from features.support.virtual_time import run_in_virtual_time
-from weirscale.gateway.limits.quota import QuotaLedger, cost_of
+from weirscale.gateway.limits.quota import QuotaLedger
+from weirscale.gateway.limits.quota_rules import cost_of
 from weirscale.gateway.model.configuration import Quota, QuotaUnit, Tenant
 from weirscale_platform.callers import Callers
 from weirscale_platform.configuration import read_configuration
--- a/src/weirscale/gateway/gossip/group_relay.py
+++ b/src/weirscale/gateway/gossip/group_relay.py
@@ -267,7 +267,7 @@
 
     def _gather_usage(self, must_refresh: bool) -> None:
         fleet = self._quotas.fleet
-        since_s = self._quotas.heard_since_s()
+        since_s = self._quotas.contact_since_s()
         num_members, own = fleet.sum_of(is_member, since_s)
         num_others, rest = fleet.sum_of(is_group, since_s)
         for tenant, usage in self._quotas.own_usage():
--- a/src/weirscale/gateway/limits/__init__.py
+++ b/src/weirscale/gateway/limits/__init__.py
@@ -1,1 +1,1 @@
-"""What all nodes share and is bounded: quotas, the retry budget; whether this node is cut off."""
+"""Limits that all nodes share, quotas and the retry budget, and whether this node is isolated."""
--- a/src/weirscale/gateway/limits/isolation.py
+++ b/src/weirscale/gateway/limits/isolation.py
@@ -1,8 +1,9 @@
-"""Whether this node is cut off from the rest of the fleet, as far as it can tell by itself.
+"""Tells whether this node is isolated: it reaches neither the store nor half of the other nodes.
 
 Without a proof that its configuration is current a node refuses requests with keys. If it still
-hears the other nodes, they lack the proof as well: the store is away, and callers are no better off
-elsewhere. If it does not, the others most likely serve on: callers should go to them.
+hears from the other nodes, they lack the proof as well: the store is down, and callers are no
+better off elsewhere. If it does not, the others most likely serve on, so an isolated node is not
+ready and sends its callers to them.
 """
 
 from collections.abc import Callable
@@ -12,22 +13,25 @@
 from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.ports.event_log import EventLog
 
-CUT_OFF_AGE_S = 2.0
-"""A configuration that was proved later than this is no sign of a cut: a lost reader is replaced
-after 1.1 s. The platform takes two seconds more to send new connections elsewhere, and keys are
-refused from some 4.6 s on."""
+ISOLATION_AGE_S = 2.0
+"""Seconds. A proof of the configuration that is younger than this shows that the store is
+reachable: a lost reader is replaced after 1.1 s. Later is too late, as the platform takes two more
+seconds to send new connections elsewhere and keys are refused from some 4.6 s on. Not measured
+apart: without the rule six of 16 nodes refused 294 requests in 12 s of a cut (`docs/DECISIONS.md`,
+T2)."""
 
-CUT_OFF_SHARE = 0.5
-"""A node that hears fewer of the others than this is on the smaller side of a cut."""
+ISOLATION_SHARE = 0.5
+"""Share of the nodes, this one included. A node in contact with fewer is on the smaller side of a
+partition. Not measured."""
 
 
 class IsolationDetector:
-    """Judges this node's contact with the fleet.
+    """Judges this node's contact with the fleet, and logs when it is lost and regained.
 
     Args:
-        knowledge: How old the proof of the configuration is.
-        quotas: Which nodes were heard.
-        event_log: Where losses and returns are told.
+        cluster: How old the proof of the configuration is.
+        quotas: Which nodes were heard from.
+        event_log: Where changes are logged.
         clock: Monotonic seconds.
     """
 
@@ -45,10 +49,10 @@
         self._was_isolated = False
 
     def is_isolated(self) -> bool:
-        """Whether neither the store nor half of the other nodes have been heard of late."""
+        """Whether neither the store nor half of the nodes have been heard from recently."""
         age_s = self._cluster.age_s()
         share = self._quotas.received_share(self._clock() - PEER_SILENCE_S)
-        is_isolated = age_s > CUT_OFF_AGE_S and share < CUT_OFF_SHARE
+        is_isolated = age_s > ISOLATION_AGE_S and share < ISOLATION_SHARE
         if is_isolated != self._was_isolated:
             self._was_isolated = is_isolated
             name = "cut_off" if is_isolated else "contact_regained"
--- a/src/weirscale/gateway/limits/retry_budget.py
+++ b/src/weirscale/gateway/limits/retry_budget.py
@@ -1,8 +1,10 @@
-"""The retry budget that all nodes share without talking.
+"""The retry budget that all nodes share without talking to each other.
 
-All nodes together may repeat, in any window, a share of the requests plus a fixed extra. Each node
-spends its own requests' share and its part of the extra, so the sum holds whatever the others do.
-A node that starts cannot know what its last run spent: it leaves the extra alone for one window.
+**What is shared.** In any window all nodes together may retry, for each service, a share of its
+requests plus a fixed extra; the figures are the deployment's. **The rule.** Each node spends the
+share of its own requests and its equal part of the extra, so the sum holds whatever the others do,
+and a node that is cut off goes on as before. A node that starts cannot know what its last run
+spent, so it does not use the extra for one window.
 """
 
 from collections import deque
@@ -27,11 +29,11 @@
 
 
 class SharedRetryBudget:
-    """What one node may spend.
+    """What one node may spend on retries.
 
     Args:
         rules: The fleet's budget.
-        started_at_s: Start of this run.
+        started_at_s: Start of this run, in monotonic seconds.
         skips_first_window: Whether an earlier run may have spent from the same window.
     """
 
@@ -41,7 +43,7 @@
         self._rules = rules
         self._extra_from_s = started_at_s + (rules.window_s if skips_first_window else 0.0)
         self._requests: dict[ServiceName, _Window] = {}
-        self._repeats: dict[ServiceName, _Window] = {}
+        self._retries: dict[ServiceName, _Window] = {}
 
     def set_rules(self, rules: RetryBudgetRules) -> None:
         """Take over changed rules."""
@@ -52,22 +54,22 @@
         self._requests.setdefault(service, _Window()).add(now_s)
 
     def try_take(self, service: ServiceName, num_nodes: int, now_s: float) -> bool:
-        """Spend one repeat; False if the budget does not allow it.
+        """Spend one retry; False if the budget does not allow it.
 
         Args:
-            service: Service that gets the repeat.
-            num_nodes: Nodes that share the extra, as many as may run.
-            now_s: Time.
+            service: Service that gets the retry.
+            num_nodes: Nodes that share the extra, all that may run.
+            now_s: Monotonic seconds.
         """
         if self.left(service, num_nodes, now_s) < 1.0:
             return False
-        self._repeats.setdefault(service, _Window()).add(now_s)
+        self._retries.setdefault(service, _Window()).add(now_s)
         return True
 
     def left(self, service: ServiceName, num_nodes: int, now_s: float) -> float:
-        """Return the repeats that may be spent now."""
+        """Return how many retries may be spent now; below 0 if more were spent."""
         since_s = now_s - self._rules.window_s
         requests = self._requests.setdefault(service, _Window()).count(since_s)
-        repeats = self._repeats.setdefault(service, _Window()).count(since_s)
+        retries = self._retries.setdefault(service, _Window()).count(since_s)
         extra = self._rules.extra / max(1, num_nodes) if now_s >= self._extra_from_s else 0.0
-        return self._rules.safety * (self._rules.share * requests + extra) - repeats
+        return self._rules.safety * (self._rules.share * requests + extra) - retries
--- a/src/weirscale/gateway/limits/usage.py
+++ b/src/weirscale/gateway/limits/usage.py
@@ -1,9 +1,8 @@
-"""What tenants ask for and spend, at this node and, as told, at the others.
+"""What tenants ask for and spend, at this node and at the others.
 
-Everything is told as a rate over the last moment, not as a count: a later message replaces an
-earlier one, so loss, doubling, a new head of a group or a restart leave no lasting error. Like the
-loads (`load`), what others tell is kept by its source: a node of this node's group, or the sum of a
-group (`groups`).
+Nodes exchange rates over a short span, not counts: a later message replaces an earlier one, so
+loss, duplicates, a new head of a group or a restart leave no lasting error. What others send is
+kept by its source, as loads are: a node of this node's group, or the sum of another group.
 """
 
 from collections import deque
@@ -15,14 +14,17 @@
 from weirscale.gateway.peers.heartbeat import PEER_SILENCE_S
 
 NUM_PRIORITIES = 3
-"""Priorities of routes that are told apart; all beyond count as the last."""
+"""Priorities of routes that are told apart; all beyond count as the last. The configuration's
+routes use no more."""
 
 SPENT_SPAN_S = 0.6
-"""Span of the rate that is told as spent: two messages in a large fleet. A longer one makes news
-older, a shorter one is missed more often when a message is lost."""
+"""Seconds over which the rate of what was spent is taken: two messages in a large fleet. A longer
+span makes the rate older, a shorter one is missed more often when a message is lost. Not measured
+against other figures; the schedules of quotas hold with it (`docs/design/0016-quotas.md`)."""
 
 ASKED_SPAN_S = 1.5
-"""Span of the rate that is told as asked for; it only divides what is left among priorities."""
+"""Seconds over which the rate of what was asked for is taken; it only divides what is left among
+the priorities. Not measured."""
 
 
 AskedRates = tuple[float, float, float]
@@ -57,10 +59,10 @@
 
 
 class RateMeter:
-    """A rate over the last moment.
+    """A rate over the last seconds.
 
     Args:
-        span_s: Length of that moment.
+        span_s: How many seconds.
     """
 
     def __init__(self, span_s: float) -> None:
@@ -104,31 +106,31 @@
         return TenantUsage(self._spent.per_s(now_s), asked)
 
 
-class _HeardUsage(msgspec.Struct, frozen=True):
+class _ReceivedUsage(msgspec.Struct, frozen=True):
     usage: TenantUsage
     received_at_s: float
 
 
 class _Source(msgspec.Struct):
-    """What a source last told.
+    """What a source last sent.
 
     Attributes:
         num_nodes: Nodes whose usage is in it.
-        heard_at_s: When it was last heard.
-        tenants: Usage that it told of.
+        received_at_s: When it was last heard from.
+        tenants: Usage that it sent, by tenant.
     """
 
     num_nodes: int
     received_at_s: float
-    tenants: dict[TenantName, _HeardUsage]
+    tenants: dict[TenantName, _ReceivedUsage]
 
 
 class FleetUsage:
     """Sums what the other nodes spend.
 
     Args:
-        on_change: Called before a tenant's sum changes, and with the time: what was spent until
-            then is to be reckoned by the old sum.
+        on_change: Called with a tenant and the time before the tenant's sum changes: what was spent
+            until then follows from the old sum.
     """
 
     def __init__(self, on_change: Callable[[TenantName, float], None]) -> None:
@@ -143,39 +145,39 @@
         usage: Iterable[tuple[TenantName, TenantUsage]],
         now_s: float,
     ) -> None:
-        """Take over what a source tells, in place of what it told of these tenants before."""
+        """Take over what a source sends, in place of what it sent of these tenants before."""
         known = self._sources.setdefault(source, _Source(num_nodes, now_s, {}))
         known.num_nodes = num_nodes
         known.received_at_s = now_s
-        for tenant, told in usage:
+        for tenant, sent in usage:
             before = known.tenants.pop(tenant, None)
-            if before is not None and before.usage == told:
-                known.tenants[tenant] = _HeardUsage(told, now_s)
+            if before is not None and before.usage == sent:
+                known.tenants[tenant] = _ReceivedUsage(sent, now_s)
                 continue
-            if told != NO_USAGE:
-                known.tenants[tenant] = _HeardUsage(told, now_s)
-            self._change(tenant, told.minus(before.usage if before else NO_USAGE), now_s)
+            if sent != NO_USAGE:
+                known.tenants[tenant] = _ReceivedUsage(sent, now_s)
+            self._change(tenant, sent.minus(before.usage if before else NO_USAGE), now_s)
 
     def _change(self, tenant: TenantName, change: TenantUsage, now_s: float) -> None:
         self._on_change(tenant, now_s)
         self._sums[tenant] = self._sums.get(tenant, NO_USAGE).plus(change)
 
     def sum(self, tenant: TenantName) -> TenantUsage:
-        """Return what the other nodes spend, as far as it was told."""
+        """Return what the other nodes spend, as far as it was received."""
         return self._sums.get(tenant, NO_USAGE)
 
-    def num_heard(self, since_s: float) -> int:
-        """Return of how many other nodes the usage was told since a time."""
+    def num_nodes_since(self, since_s: float) -> int:
+        """Return of how many other nodes the usage was received since a time."""
         return sum(one.num_nodes for one in self._sources.values() if one.received_at_s >= since_s)
 
     def age_s(self, now_s: float) -> float:
-        """Return the age of the oldest news that counts."""
+        """Return for how long the most silent source that counts has been silent."""
         return max((now_s - one.received_at_s for one in self._sources.values()), default=0.0)
 
     def sum_of(
         self, is_wanted: Callable[[str], bool], since_s: float
     ) -> tuple[int, dict[TenantName, TenantUsage]]:
-        """Return the sum over some sources, and how many nodes were heard since a time."""
+        """Return how many nodes some sources stand for since a time, and the sum of their usage."""
         num_nodes = 0
         sums: dict[TenantName, TenantUsage] = {}
         for name, source in self._sources.items():
@@ -191,14 +193,14 @@
         return tuple(self._sources)
 
     def forget_source(self, source: str, now_s: float) -> None:
-        """Forget what a source told."""
+        """Forget what a source sent."""
         known = self._sources.pop(source, None)
         if known is not None:
             for tenant, received in known.tenants.items():
                 self._change(tenant, NO_USAGE.minus(received.usage), now_s)
 
     def sweep(self, now_s: float) -> None:
-        """Drop sources, and what they told of single tenants, once that is too old."""
+        """Drop sources, and what they sent of single tenants, once that is too old."""
         for name, source in list(self._sources.items()):
             if now_s - source.received_at_s > PEER_SILENCE_S:
                 self.forget_source(name, now_s)
--- a/src/weirscale/gateway/limits/usage_reporter.py
+++ b/src/weirscale/gateway/limits/usage_reporter.py
@@ -1,4 +1,4 @@
-"""Which tenants' usage goes into a message: what has changed, and all of it now and then."""
+"""Puts tenants' usage into gossip: what has changed, and all of it at each refresh."""
 
 from collections.abc import Mapping
 
@@ -9,38 +9,38 @@
 
 
 class UsageReporter:
-    """Remembers what was told last."""
+    """Remembers what was sent last."""
 
     def __init__(self) -> None:
-        self._told: dict[TenantName, UsageGossip] = {}
+        self._sent: dict[TenantName, UsageGossip] = {}
 
     def add_to(
         self, outbox: GossipOutbox, usage: Mapping[TenantName, TenantUsage], must_refresh: bool
     ) -> None:
-        """Put into an outbox what is to be told.
+        """Put into an outbox what is to be sent.
 
         Args:
             outbox: Where it goes.
             usage: What each tenant spends and asks for now; who is not in it does neither.
-            must_refresh: Whether to tell also what was told before and has not changed.
+            must_refresh: Whether to send also what has not changed.
         """
-        told: dict[TenantName, UsageGossip] = {}
+        sent: dict[TenantName, UsageGossip] = {}
         for tenant, one in usage.items():
-            gossip = _news(tenant, one)
-            told[tenant] = gossip
-            if must_refresh or gossip != self._told.get(tenant):
+            gossip = _to_gossip(tenant, one)
+            sent[tenant] = gossip
+            if must_refresh or gossip != self._sent.get(tenant):
                 outbox.add_usage(gossip)
-        for tenant in self._told.keys() - told.keys():
-            outbox.add_usage(_news(tenant, NO_USAGE))
-        self._told = told
+        for tenant in self._sent.keys() - sent.keys():
+            outbox.add_usage(_to_gossip(tenant, NO_USAGE))
+        self._sent = sent
 
 
-def _news(tenant: TenantName, usage: TenantUsage) -> UsageGossip:
+def _to_gossip(tenant: TenantName, usage: TenantUsage) -> UsageGossip:
     first, second, third = usage.asked_per_s
     asked = (round(first), round(second), round(third))
     return UsageGossip(tenant, round(usage.spent_per_s), asked)
 
 
 def read_usage(gossip: UsageGossip) -> tuple[TenantName, TenantUsage]:
-    """Read what another node told."""
+    """Read what another node sent."""
     return TenantName(gossip.tenant), TenantUsage(gossip.spent_per_s, gossip.asked_per_s)
--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -291,7 +291,7 @@
         """Put changed bounds and a changed retry budget in force."""
         bounds = settings.bounds
         self.budget.set_rules(settings.retry_budget)
-        self.quotas.set_bounds(bounds.quota)
+        self.quotas.set_precision(bounds.quota)
         self.context.set_bounds(bounds)
         self.dispatcher.set_weights_grace(bounds.weights_s - START_MARGIN_S)
         self._exposure = bounds.exposure
