--- a/src/weirscale/gateway/routing/traffic_split.py
+++ b/src/weirscale/gateway/routing/traffic_split.py
@@ -1,22 +1,27 @@
-"""Shares a route's requests among its services by weight, evenly over short spans."""
+"""Shares a route's requests among its services by weight."""
 
 from weirscale.domain.identifiers import ServiceName
 from weirscale.gateway.model.configuration import Route, WeightedService
 
 
 class TrafficSplit:
-    """Smooth weighted turns: each part's share is exact over any run of requests, not by chance."""
+    """Smooth weighted round robin over the services of each route.
+
+    Each service's share holds over any series of this node's requests, not by chance. Each request
+    adds every service's weight to its credit; the one with most credit gets the request and pays
+    the sum of the weights.
+    """
 
     def __init__(self) -> None:
         self._credits: dict[str, dict[ServiceName, float]] = {}
-        self._parts: dict[str, tuple[WeightedService, ...]] = {}
+        self._known: dict[str, tuple[WeightedService, ...]] = {}
 
     def next_service(self, route: Route) -> ServiceName:
         """Return the service whose turn it is."""
         if len(route.parts) == 1:
             return route.parts[0].service
-        if self._parts.get(route.name) != route.parts:
-            self._parts[route.name] = route.parts
+        if self._known.get(route.name) != route.parts:
+            self._known[route.name] = route.parts
             self._credits[route.name] = {part.service: 0.0 for part in route.parts}
         credits = self._credits[route.name]
         total = 0.0
@@ -26,8 +31,3 @@
         chosen = max(credits, key=lambda service: credits[service])
         credits[chosen] -= total
         return chosen
-
-    def forget_others(self, names: frozenset[str]) -> None:
-        """Drop the state of routes that are gone."""
-        for name in [name for name in self._parts if name not in names]:
-            del self._parts[name], self._credits[name]
