--- a/src/weirscale/gateway/limits/usage.py
+++ b/src/weirscale/gateway/limits/usage.py
@@ -14,8 +14,8 @@
 from weirscale.gateway.peers.heartbeat import PEER_SILENCE_S
 
 NUM_PRIORITIES = 3
-"""Priorities of routes that are told apart; all beyond count as the last. The configuration's
-routes use no more."""
+"""Priorities of routes that are told apart; all beyond count as the last. Messages carry as many
+rates for each tenant."""
 
 SPENT_SPAN_S = 0.6
 """Seconds over which the rate of what was spent is taken: two messages in a large fleet. A longer
--- a/src/weirscale/gateway/routing/cache_beliefs.py
+++ b/src/weirscale/gateway/routing/cache_beliefs.py
@@ -77,7 +77,7 @@
 
         The last block of a prompt is its own alone: it is not saved in a store.
         """
-        belief = self._of(instance)
+        belief = self._at_declared_engine(instance)
         if belief is None:
             return
         belief.record(scope, blocks, is_ready)
@@ -88,7 +88,7 @@
         self, instance: InstanceId, scope: str, shared: tuple[PromptBlock, ...]
     ) -> None:
         """Record the shared blocks of a prompt that an engine has read for another group."""
-        belief = self._of(instance)
+        belief = self._at_declared_engine(instance)
         if belief is not None:
             belief.record(scope, shared, is_ready=True)
             self._record_saved(instance, scope, shared)
@@ -97,13 +97,13 @@
         self, instance: InstanceId, scope: str, blocks: tuple[PromptBlock, ...]
     ) -> None:
         """Forget blocks that were sent to an engine and not read there."""
-        belief = self._engines.get(instance)
+        belief = self.at_known_engine(instance)
         if belief is not None:
             belief.forget(scope, blocks)
 
     def clear_engine(self, instance: InstanceId) -> None:
         """Forget all blocks of an engine that has taken new weights."""
-        belief = self._engines.get(instance)
+        belief = self.at_known_engine(instance)
         if belief is not None:
             belief.clear()
 
@@ -111,9 +111,9 @@
         """Forget an engine that is gone."""
         self._engines.pop(instance, None)
 
-    def _of(self, instance: InstanceId) -> CacheBelief | None:
-        """Return what is believed of an engine, or None if it is no engine that is known."""
-        belief = self._engines.get(instance)
+    def _at_declared_engine(self, instance: InstanceId) -> CacheBelief | None:
+        """Return what is believed of an engine; None if the platform lists no such engine."""
+        belief = self.at_known_engine(instance)
         if belief is not None:
             return belief
         back_end = self._cluster.directory.get(instance)
