--- a/src/weirscale/gateway/gossip/group_relay.py
+++ b/src/weirscale/gateway/gossip/group_relay.py
@@ -41,7 +41,7 @@
 """As many of a group's first members are told its news until one of them has spoken for it."""
 
 REMIND_S = 4.0
-"""A part of a prompt is told to other groups again after this: caches drop what is not used."""
+"""A block of a prompt is told to other groups again after this: caches drop what is not used."""
 
 MAX_REMEMBERED_SENDS = 20_000
 
@@ -241,7 +241,7 @@
 
     def _add_shared(self, send: SendGossip) -> None:
         """Tell of a prompt's shared blocks once they have been read; the last is its own alone."""
-        shared = send.parts[:-1]
+        shared = send.blocks[:-1]
         if not send.is_ready or not shared:
             return
         now_s = self._clock()
@@ -267,7 +267,7 @@
 
     def _gather_usage(self, must_refresh: bool) -> None:
         fleet = self._quotas.fleet
-        since_s = self._quotas.heard_since_s()
+        since_s = self._quotas.contact_since_s()
         num_members, own = fleet.sum_of(is_member, since_s)
         num_others, rest = fleet.sum_of(is_group, since_s)
         for tenant, usage in self._quotas.own_usage():
--- a/src/weirscale/gateway/routing/engine_shares.py
+++ b/src/weirscale/gateway/routing/engine_shares.py
@@ -1,9 +1,9 @@
-"""Shares the model engines out among the groups of nodes.
+"""Assigns each engine to one group of nodes, which prefers it.
 
-News of loads is fresh within a group and some tenths of a second old beyond it (`groups`):
-meanwhile nodes of several groups see the same engine idle and send it their long prompts together.
-So each group prefers engines of its own, which usually only its own nodes use, and these hear each
-other at once. It is a preference: what is busy there goes elsewhere.
+Gossip about loads is fresh within a group and some tenths of a second old beyond it
+(`peers.groups`): meanwhile nodes of several groups would see the same engine idle and send it their
+long prompts together. So each group prefers engines of its own, and its nodes know each other's
+sends at once. It is only a preference, with the cost `ChoiceRules.other_group_share`.
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -15,7 +15,7 @@
 
 
 class EngineShares:
-    """Keeps up by change which back ends other groups prefer.
+    """Keeps the engines that other groups prefer, worked out anew when groups or engines change.
 
     Args:
         name: This node.
@@ -29,9 +29,9 @@
         self._directory = directory
         self._division: Division | None = None
         self._num_changes = -1
-        self._foreign: frozenset[InstanceId] = frozenset()
+        self._of_other_groups: frozenset[InstanceId] = frozenset()
 
-    def foreign(self) -> Collection[InstanceId]:
+    def of_other_groups(self) -> Collection[InstanceId]:
         """Return the engines that other groups of nodes prefer."""
         division = self._peers.division()
         if division is not self._division or self._directory.num_changes != self._num_changes:
@@ -40,8 +40,8 @@
             engines = [one for one in self._directory.all() if one.models]
             owners = share_out(engines, division)
             own_group = division.group_of.get(self._name)
-            self._foreign = frozenset(one for one in owners if owners[one] != own_group)
-        return self._foreign
+            self._of_other_groups = frozenset(one for one in owners if owners[one] != own_group)
+        return self._of_other_groups
 
 
 def share_out(back_ends: Iterable[BackEnd], division: Division) -> dict[InstanceId, str]:
