--- a/features/steps/gateway_weights_rollout_steps.py
+++ b/features/steps/gateway_weights_rollout_steps.py
@@ -20,7 +20,7 @@
 from features.support.platform_runner import RunnerStandIn
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.gateway.node import rank_delay_s
-from weirscale.gateway.weights.order_turn import TURN_KEY
+from weirscale.gateway.weights.order_fence import TURN_KEY
 from weirscale.gateway.weights.schedule import (
     LaggingEngine,
     LoadedEngines,
--- a/features/support/recorded_forms.py
+++ b/features/support/recorded_forms.py
@@ -92,7 +92,7 @@
 from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.gateway.state.weights_age_marker import WeightsAgeMarker, read_weights_age_marker
 from weirscale.gateway.telemetry.metrics import GatewayMetrics
-from weirscale.gateway.weights.order_turn import OrderTurn
+from weirscale.gateway.weights.order_fence import OrderTurn
 from weirscale.leases.lease_task import DutyLeaseTask
 from weirscale.ports.key_value import KeyValue, ReadAnswer, SwapAnswer
 from weirscale_platform.back_end_client import RunnerClient
--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -56,7 +56,7 @@
 from weirscale.gateway.telemetry.node_metrics import NodeFigures
 from weirscale.gateway.telemetry.store_calls import CountedFeed, CountedStore
 from weirscale.gateway.ticks import sleep_to_tick
-from weirscale.gateway.weights.order_turn import OrderTurn
+from weirscale.gateway.weights.order_fence import OrderTurn
 from weirscale.gateway.weights.rollout_task import WeightsRolloutTask
 from weirscale.gateway.weights.schedule import WeightsRolloutRules
 from weirscale.gateway.weights.version_check import VersionCheck
--- a/src/weirscale/gateway/weights/rollout_task.py
+++ b/src/weirscale/gateway/weights/rollout_task.py
@@ -18,7 +18,7 @@
 from weirscale.gateway.state.expiring_record import write_timed_record
 from weirscale.gateway.state.weights_age_marker import WeightsAgeMarker
 from weirscale.gateway.ticks import sleep_to_tick
-from weirscale.gateway.weights.order_turn import OrderTurn
+from weirscale.gateway.weights.order_fence import OrderTurn
 from weirscale.gateway.weights.schedule import (
     LaggingEngine,
     LoadedEngines,
