--- a/features/steps/gateway_old_weights_steps.py
+++ b/features/steps/gateway_old_weights_steps.py
@@ -133,7 +133,9 @@
 def step_late_lease(context, late_s):
     async def action(play):
         for node in play.fleet.nodes.values():
-            node._rollout._store = LateLeases(node._rollout._store, late_s)
+            node._weights_rollout._age_markers._store = LateLeases(
+                node._weights_rollout._age_markers._store, late_s
+            )
 
     context.play.actions.append(action)
 
--- a/features/steps/gateway_weights_rollout_steps.py
+++ b/features/steps/gateway_weights_rollout_steps.py
@@ -20,11 +20,11 @@
 from features.support.platform_runner import RunnerStandIn
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.gateway.node import rank_delay_s
-from weirscale.gateway.weights.order_fence import TURN_KEY
+from weirscale.gateway.weights.order_fence import FENCE_KEY
 from weirscale.gateway.weights.schedule import (
     LaggingEngine,
     LoadedEngines,
-    WeightsRolloutRules,
+    LoadRules,
     engines_to_load,
 )
 
@@ -46,7 +46,7 @@
     "urgency from {urgent_s:g} s"
 )
 def step_rules(context, load_s, target_s, urgent_s):
-    context.rules = WeightsRolloutRules(load_s, 0.34, target_s, urgent_s)
+    context.rules = LoadRules(load_s, 0.34, target_s, urgent_s)
 
 
 @given("{runners:d} runners of which {loading:d} load")
@@ -431,7 +431,7 @@
         name_version(play, version)
         for _ in range(MAX_WAITS):
             ordered = {runner.instance for runner in fleet.runners if runner.orders}
-            waiting = holder._rollout._loading - ordered
+            waiting = holder._weights_rollout._loading - ordered
             if ordered and waiting:
                 break
             if ordered:
@@ -471,7 +471,7 @@
         node = await fleet.start_node()
 
         async def ask_turn():
-            context.taken.append(await node._turn.take())
+            context.taken.append(await node._order_fence.acquire())
 
         for _ in range(seconds):
             async with anyio.create_task_group() as tasks:
@@ -480,7 +480,7 @@
             await anyio.sleep(1.0)
         await anyio.sleep(APART_S - 1.0 - SLACK_S)
         fleet.store._expire()
-        context.has_record.append(TURN_KEY in fleet.store.items)
+        context.has_record.append(FENCE_KEY in fleet.store.items)
 
     run_in_virtual_time(lambda: with_fleet(fleet, body))
 
--- a/features/support/recorded_forms.py
+++ b/features/support/recorded_forms.py
@@ -92,7 +92,7 @@
 from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.gateway.state.weights_age_marker import WeightsAgeMarker, read_weights_age_marker
 from weirscale.gateway.telemetry.metrics import GatewayMetrics
-from weirscale.gateway.weights.order_fence import OrderTurn
+from weirscale.gateway.weights.order_fence import OrderFence
 from weirscale.leases.lease_task import DutyLeaseTask
 from weirscale.ports.key_value import KeyValue, ReadAnswer, SwapAnswer
 from weirscale_platform.back_end_client import RunnerClient
@@ -309,11 +309,11 @@
     return _written_by(start)
 
 
-def _order_turn():
+def _order_fence():
     async def start(store, tasks):
         clock = anyio.current_time
-        turn = OrderTurn("node-1", store, ClusterState(EventRecorder(), clock), 3.0, clock)
-        assert await turn.take()
+        fence = OrderFence("node-1", store, ClusterState(EventRecorder(), clock), 3.0, clock)
+        assert await fence.acquire()
 
     return _written_by(start)
 
@@ -363,7 +363,7 @@
     makers = {
         "registration": _registration,
         "duty": _duty,
-        "order_turn": _order_turn,
+        "order_turn": _order_fence,
         "quarantine": _quarantine,
         "rollout_status": _rollout_status,
     }
--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -7,7 +7,6 @@
 from anyio.abc import TaskGroup
 
 from weirscale.domain.duties.assignment import Duty, DutyKind
-from weirscale.domain.duties.lease import LeaseRules
 from weirscale.domain.identifiers import Incarnation, NodeId, NodeName
 from weirscale.gateway.gossip.gossip_task import GossipTask, MessageReceiver
 from weirscale.gateway.gossip.group_relay import GroupRelay, is_group, is_member
@@ -50,15 +49,20 @@
 from weirscale.gateway.routing.engine_shares import EngineShares
 from weirscale.gateway.routing.health import BackEndHealth
 from weirscale.gateway.routing.load import NO_LOAD, FleetLoad, Load
-from weirscale.gateway.settings import GatewaySettings, Guarantees, ListenAddress
+from weirscale.gateway.settings import GatewaySettings, ListenAddress
 from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.gateway.telemetry.metrics_choice import new_metrics
 from weirscale.gateway.telemetry.node_metrics import NodeFigures
 from weirscale.gateway.telemetry.store_calls import CountedFeed, CountedStore
 from weirscale.gateway.ticks import sleep_to_tick
-from weirscale.gateway.weights.order_fence import OrderTurn
+from weirscale.gateway.weights.age_markers import AgeMarkerWriter
+from weirscale.gateway.weights.engine_load import EngineLoader
+from weirscale.gateway.weights.holder_lease import LEASE_CALL_TIMEOUT_S, holder_lease_rules
+from weirscale.gateway.weights.holder_term import HolderTerm
+from weirscale.gateway.weights.order_fence import OrderFence
+from weirscale.gateway.weights.order_sender import OrderSender
 from weirscale.gateway.weights.rollout_task import WeightsRolloutTask
-from weirscale.gateway.weights.schedule import WeightsRolloutRules
+from weirscale.gateway.weights.schedule import load_rules
 from weirscale.gateway.weights.version_check import VersionCheck
 from weirscale.leases.lease_task import KEY_PREFIX, DutyLeaseTask
 from weirscale.ports.event_log import EventLog
@@ -67,18 +71,6 @@
 RUN_BITS = 32
 """Of the number that tells one run of a process from the next."""
 
-ROLLOUT_TARGET_SHARE = 0.8
-"""Share of the bound on weights by which every load should have begun."""
-
-ROLLOUT_LEASE_S = 3.0
-"""How long a holder that was killed keeps others from giving orders; four renewals may be lost."""
-
-LEASE_RENEWAL_S = 0.5
-LEASE_CALL_TIMEOUT_S = 0.6
-"""A slow store takes some 0.4 s to answer."""
-
-LOAD_S = 1.3
-SHARE_LOADING_AT_ONCE = 0.34
 RANK_DELAY_S = 0.25
 """Each node waits this much longer than the one before it, so that few race for a free duty."""
 
@@ -99,15 +91,6 @@
     return RANK_DELAY_S * num_first + LATER_RANK_DELAY_S * (rank - num_first)
 
 
-def _weights_rollout_rules(bounds: Guarantees) -> WeightsRolloutRules:
-    return WeightsRolloutRules(
-        load_s=LOAD_S,
-        share_at_once=SHARE_LOADING_AT_ONCE,
-        target_s=ROLLOUT_TARGET_SHARE * bounds.weights_s,
-        urgent_s=bounds.weights_s - START_MARGIN_S,
-    )
-
-
 class HolderEligibility:
     """Lets a node try for the duty once its key is gone, later by rank."""
 
@@ -252,12 +235,16 @@
             self.metrics_text,
         )  # fmt: skip
         self._lease = self._make_lease(store, random)
-        self._turn = OrderTurn(settings.name, store, self.cluster, bounds.lease_s, clock)
-        self._rollout = WeightsRolloutTask(
-            settings.name, self._lease, self.cluster, self.port_of, self._announce_loading,
-            lambda instance: self.load.total(instance, clock()).num_requests, self.health,
-            event_log, _weights_rollout_rules(bounds), self._turn, store, self.version_gate.serves,
-            clock,
+        self._order_fence = OrderFence(settings.name, store, self.cluster, bounds.lease_s, clock)
+        term = HolderTerm(settings.name, self._lease, event_log)
+        loader = EngineLoader(
+            OrderSender(term, self._order_fence, event_log), self.cluster, self.port_of,
+            self._announce_loading, self._num_requests, self.health, clock,
+        )  # fmt: skip
+        self._weights_rollout = WeightsRolloutTask(
+            term, self.cluster, loader, AgeMarkerWriter(self.cluster, store, clock),
+            self._num_requests, self.health, self.version_gate.serves, event_log,
+            load_rules(bounds.weights_s), clock,
         )  # fmt: skip
         self._rollout_holder = RolloutHolderTask(
             self._lease, self.cluster, self._records, store, feed, self._rollout_sums,
@@ -266,20 +253,17 @@
                 service, epoch, self.relay.counts
             ),
             lambda: self.peers.num_nodes(0.0),
-            lambda instance: self.load.total(instance, clock()).num_requests,
+            self._num_requests,
             lambda: self._exposure.return_s, event_log, clock,
         )  # fmt: skip
 
+    def _num_requests(self, instance: InstanceId) -> int:
+        """Return how many requests of all nodes are at work at an instance."""
+        return self.load.total(instance, self._clock()).num_requests
+
     def _make_lease(self, store: KeyValuePort, random: Random) -> DutyLeaseTask:
         duty = Duty(DutyKind.PLACEMENT_PLANNER)
-        life_s = max(self.settings.bounds.min_lease_s, ROLLOUT_LEASE_S)
-        rules = LeaseRules(
-            time_to_live_s=life_s,
-            margin_s=0.2,
-            renew_interval_s=LEASE_RENEWAL_S,
-            retry_interval_s=0.1,
-            standby_interval_s=0.5,
-        )
+        rules = holder_lease_rules(self.settings.bounds.min_lease_s)
         eligibility = HolderEligibility(self.cluster, self.peers, duty, self._clock)
         node_id = NodeId(NodeName(self.settings.name), Incarnation(0))
         return DutyLeaseTask(
@@ -296,8 +280,8 @@
         self.dispatcher.set_weights_grace(bounds.weights_s - START_MARGIN_S)
         self._exposure = bounds.exposure
         self.trials.set_bounds(bounds.exposure)
-        self._rollout.set_rules(_weights_rollout_rules(bounds))
-        self._turn.set_apart(bounds.lease_s)
+        self._weights_rollout.set_rules(load_rules(bounds.weights_s))
+        self._order_fence.set_least_gap(bounds.lease_s)
 
     def is_ready(self) -> bool:
         """Whether new connections are welcome: a configuration is known and others know no more."""
@@ -317,7 +301,7 @@
             tasks.start_soon(self.gossip_task.run)
             tasks.start_soon(self.relay.run)
             tasks.start_soon(self._lease.run)
-            tasks.start_soon(self._rollout.run)
+            tasks.start_soon(self._weights_rollout.run)
             tasks.start_soon(self._rollout_holder.run)
             tasks.start_soon(self.version_check.run)
             tasks.start_soon(self.context.crash_check.run)
--- a/src/weirscale/gateway/weights/__init__.py
+++ b/src/weirscale/gateway/weights/__init__.py
@@ -1,1 +1,5 @@
-"""Rollout of model weights: when engines load a version, and the fenced orders that make them."""
+"""Rollout of model weights: which engines load a target version, when, and by whose orders.
+
+Rollouts of a service's software versions are another matter (`gateway.rollouts`). Both are carried
+out by the holder of one lease (`holder_lease`).
+"""
--- a/src/weirscale/gateway/weights/order_fence.py
+++ b/src/weirscale/gateway/weights/order_fence.py
@@ -1,4 +1,9 @@
-"""Keeps the orders of two holders apart by a record that outlives the last order of the first."""
+"""The order fence: a record in the store that keeps the weight orders of two holders apart.
+
+A holder renews the record before it sends orders, and the record outlives its last order by the
+least time between the orders of two holders. The next holder waits until the record is gone. Owns
+the record and its lease; relies on the store's leases and on `ClusterState` to see the record.
+"""
 
 from collections.abc import Callable
 
@@ -9,22 +14,20 @@
 from weirscale.ports.key_value import KeyValueFailureKind, KeyValuePort
 
 RENEWAL_LIFE_S = 0.4
-"""How long a renewal counts before the next one is needed."""
-
-TURN_KEY = "weirscale/orders"
+"""Seconds for which one renewal permits orders: one renewal serves all loads of a wave. Not
+measured."""
 
+FENCE_KEY = "weirscale/orders"
 
-class OrderTurn:
-    """Keeps two holders' orders apart.
 
-    A holder renews a record before it gives orders; the record outlives its last order by the
-    least time between two holders' orders. Another holder waits until the record is gone.
+class OrderFence:
+    """Permits this node's orders while no other holder's can be under way.
 
     Args:
         holder: Name of this node.
         store: The key-value service.
-        knowledge: Where the record is seen.
-        apart_s: Least time between orders of two holders.
+        cluster: Where the record is seen.
+        least_gap_s: Least seconds between orders of two holders, from the deployment's settings.
         clock: Monotonic seconds.
     """
 
@@ -33,44 +36,47 @@
         holder: str,
         store: KeyValuePort,
         cluster: ClusterState,
-        apart_s: float,
+        least_gap_s: float,
         clock: Callable[[], float],
     ) -> None:
         self._holder = holder
         self._store = store
         self._cluster = cluster
         self._life_s = 0.0
-        self.set_apart(apart_s)
+        self.set_least_gap(least_gap_s)
         self._clock = clock
         self._lease_id = 0
         self._is_written = False
         self._renewed_at_s = float("-inf")
-        self._taking = anyio.Lock()
+        self._renewing = anyio.Lock()
 
-    def set_apart(self, apart_s: float) -> None:
-        """Change the least time between two holders' orders; counts from the next record on."""
-        self._life_s = apart_s + 2 * RENEWAL_LIFE_S
+    def set_least_gap(self, least_gap_s: float) -> None:
+        """Change the least seconds between two holders' orders, from the next record on."""
+        # An order may be sent one renewal's life after the renewal, and be a call under way then.
+        self._life_s = least_gap_s + 2 * RENEWAL_LIFE_S
 
-    async def take(self) -> bool:
-        """Whether an order may be given within the next `RENEWAL_LIFE_S`.
+    async def acquire(self) -> bool:
+        """Whether an order may be sent within the next `RENEWAL_LIFE_S`.
 
-        Loads that begin together ask together: one of them writes the record for all.
+        Loads that begin together ask together; one of them renews the record for all. Without the
+        lock each would make a lease, and the record would belong to another lease than the one
+        that is renewed.
         """
-        async with self._taking:
-            return self._is_renewed() or await self._take_anew()
+        async with self._renewing:
+            return self._is_renewed() or await self._renew()
 
-    async def _take_anew(self) -> bool:
+    async def _renew(self) -> bool:
         sent_at_s = self._clock()
         if self._lease_id:
-            is_taken = await self._renew() and await self._write()
+            is_held = await self._keep_lease() and await self._write()
         else:
-            is_taken = await self._begin()
-        if is_taken:
+            is_held = await self._create()
+        if is_held:
             self._renewed_at_s = sent_at_s
         return self._is_renewed()
 
-    async def _begin(self) -> bool:
-        if TURN_KEY in self._cluster.records:
+    async def _create(self) -> bool:
+        if FENCE_KEY in self._cluster.records:
             return False
         granted = await self._store.grant_lease(self._life_s)
         if isinstance(granted, Err):
@@ -79,7 +85,7 @@
         self._is_written = False
         return await self._write()
 
-    async def _renew(self) -> bool:
+    async def _keep_lease(self) -> bool:
         renewed = await self._store.keep_lease_alive(self._lease_id)
         if not isinstance(renewed, Err):
             return True
@@ -88,14 +94,18 @@
         return False
 
     async def _write(self) -> bool:
-        """Write the record under the lease; an answer that was lost shows as our own record."""
+        """Write the record under the lease.
+
+        The value names the lease, so that a write whose answer was lost is recognised as this
+        node's own; taken for another holder's, it kept the holder out until it expired.
+        """
         if self._is_written:
             return True
         value = f"{self._holder}/{self._lease_id}".encode()
-        if self._cluster.records.get(TURN_KEY) == value:
+        if self._cluster.records.get(FENCE_KEY) == value:
             self._is_written = True
             return True
-        swapped = await self._store.compare_and_swap(TURN_KEY, 0, value, self._lease_id)
+        swapped = await self._store.compare_and_swap(FENCE_KEY, 0, value, self._lease_id)
         if isinstance(swapped, Err):
             return False
         current = swapped.ok_value.current
--- a/src/weirscale/gateway/weights/version_check.py
+++ b/src/weirscale/gateway/weights/version_check.py
@@ -1,7 +1,7 @@
-"""Asks engines for their weights when they refuse a request for having others than believed.
+"""Asks an engine for its weights when it refuses a request because it has another version.
 
-After an outage of the store many nodes believe old weights. One report mends the belief, and peers
-are told, so that one refusal is enough for all.
+After an outage of the store many nodes know older versions than the engines have. One report
+corrects that, and it is sent on to the peers, so that one refusal is enough for all nodes.
 """
 
 from collections.abc import Callable
@@ -16,19 +16,24 @@
 from weirscale.gateway.state.cluster_state import ClusterState
 
 REPORT_TIMEOUT_S = 0.5
+"""Seconds to wait for a report. Not measured."""
+
 MIN_INTERVAL_S = 0.4
-"""An engine's report lags by some hundred milliseconds: asking sooner teaches nothing."""
+"""Seconds between two questions to one engine. Its report lags by some hundred milliseconds, so
+asking sooner brings nothing new. Not measured by itself."""
 
 MAX_WAITING = 64
+"""Engines that may wait for a question; the next refusal asks again for those beyond. Not
+measured."""
 
 
 class VersionCheck:
     """Asks for reports; `run` must be running.
 
     Args:
-        knowledge: Where versions are learnt.
+        cluster: Where versions are learnt.
         port_of: Returns the port of a back end.
-        tell: Tells peers of a version.
+        send: Sends peers a version.
         clock: Monotonic seconds.
     """
 
@@ -36,15 +41,15 @@
         self,
         cluster: ClusterState,
         port_of: Callable[[BackEnd], BackEndPort],
-        tell: Callable[[LoadingGossip], None],
+        send: Callable[[LoadingGossip], None],
         clock: Callable[[], float],
     ) -> None:
         self._cluster = cluster
         self._port_of = port_of
-        self._tell = tell
+        self._send_version = send
         self._clock = clock
         self._asked_at_s: dict[InstanceId, float] = {}
-        self._send, self._receive = anyio.create_memory_object_stream[InstanceId](MAX_WAITING)
+        self._asked, self._to_ask = anyio.create_memory_object_stream[InstanceId](MAX_WAITING)
 
     def request(self, instance: InstanceId) -> None:
         """Ask an engine soon, unless it was asked just now."""
@@ -52,9 +57,9 @@
         if now_s - self._asked_at_s.get(instance, float("-inf")) < MIN_INTERVAL_S:
             return
         try:
-            self._send.send_nowait(instance)
+            self._asked.send_nowait(instance)
         except anyio.WouldBlock:
-            return
+            return  # Too many wait; the engine's next refusal asks again.
         self._asked_at_s[instance] = now_s
 
     def forget(self, instance: InstanceId) -> None:
@@ -64,7 +69,7 @@
     async def run(self) -> None:
         """Ask until cancelled."""
         async with anyio.create_task_group() as tasks:
-            async for instance in self._receive:
+            async for instance in self._to_ask:
                 self._ask_in(tasks, instance)
 
     def _ask_in(self, tasks: TaskGroup, instance: InstanceId) -> None:
@@ -81,4 +86,4 @@
             known = self._cluster.version_of(instance, served.name) or 0
             self._cluster.learn_version(instance, served.name, served.version, "refusal")
             if served.version > known:
-                self._tell(LoadingGossip(instance, served.name, served.version, True))
+                self._send_version(LoadingGossip(instance, served.name, served.version, True))
