--- a/features/steps/rollout_rules_steps.py
+++ b/features/steps/rollout_rules_steps.py
@@ -14,11 +14,12 @@
     VersionedChange,
 )
 from weirscale.gateway.rollouts.allowance import Allowance, start_credit
-from weirscale.gateway.rollouts.gate import RecordReader, Track, VersionGate
+from weirscale.gateway.rollouts.gate import Track, VersionGate
 from weirscale.gateway.rollouts.plan import RolloutFacts, next_step
 from weirscale.gateway.rollouts.record import RolloutRecord, Stage, encode_record, record_key
 from weirscale.gateway.rollouts.tallies import Counts, FleetTallies, RouteEvidence, TallyKey
 from weirscale.gateway.rollouts.verdict import AlarmTest, Judgement, Verdict, judge_end
+from weirscale.gateway.rollouts.view import RecordReader
 from weirscale.gateway.settings import CanaryLimits
 from weirscale.gateway.state.cluster_state import ClusterState
 
--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -40,10 +40,11 @@
 from weirscale.gateway.requests.caller_app import CallerApp
 from weirscale.gateway.requests.exchange_context import ExchangeContext
 from weirscale.gateway.rollouts.canary_traffic import CanaryTraffic
-from weirscale.gateway.rollouts.gate import RecordReader, VersionGate
+from weirscale.gateway.rollouts.gate import VersionGate
 from weirscale.gateway.rollouts.holder_task import RolloutHolderTask
 from weirscale.gateway.rollouts.reporter import RolloutReporter
 from weirscale.gateway.rollouts.tallies import Tallies
+from weirscale.gateway.rollouts.view import RecordReader
 from weirscale.gateway.routing.choice import START_MARGIN_S
 from weirscale.gateway.routing.dispatcher import Dispatcher
 from weirscale.gateway.routing.engine_shares import EngineShares
--- a/src/weirscale/gateway/rollouts/canary_traffic.py
+++ b/src/weirscale/gateway/rollouts/canary_traffic.py
@@ -10,7 +10,7 @@
 from weirscale.gateway.model.configuration import Route
 from weirscale.gateway.model.rollout_order import Epoch
 from weirscale.gateway.rollouts.allowance import Allowance, start_credit
-from weirscale.gateway.rollouts.gate import RecordReader, RolloutView, Track, VersionGate
+from weirscale.gateway.rollouts.gate import Track, VersionGate
 from weirscale.gateway.rollouts.pace import AnswerTimes, UsualPace
 from weirscale.gateway.rollouts.record import Stage
 from weirscale.gateway.rollouts.tallies import (
@@ -24,6 +24,7 @@
     evidence_of,
 )
 from weirscale.gateway.rollouts.verdict import MAIN_ROUTE_SHARE, AlarmTest, Verdict
+from weirscale.gateway.rollouts.view import RecordReader, RolloutView
 from weirscale.gateway.settings import CanaryLimits
 from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.ports.event_log import EventLog
--- a/src/weirscale/gateway/rollouts/holder_task.py
+++ b/src/weirscale/gateway/rollouts/holder_task.py
@@ -16,7 +16,6 @@
 from weirscale.gateway.model.rollout_order import Epoch, RolloutOrder, RolloutStatus
 from weirscale.gateway.ports.state_feed import StateFeed
 from weirscale.gateway.rollouts.canary_traffic import verdict_fields
-from weirscale.gateway.rollouts.gate import RecordReader
 from weirscale.gateway.rollouts.plan import RolloutFacts, Step, next_record, next_step, status_of
 from weirscale.gateway.rollouts.record import RolloutRecord, Stage, encode_record, record_key
 from weirscale.gateway.rollouts.tallies import (
@@ -27,6 +26,7 @@
     evidence_of,
 )
 from weirscale.gateway.rollouts.verdict import Judgement, Verdict, judge_end
+from weirscale.gateway.rollouts.view import RecordReader
 from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.gateway.ticks import sleep_to_tick
 from weirscale.leases.lease_task import DutyLeaseTask
--- a/src/weirscale/gateway/rollouts/plan.py
+++ b/src/weirscale/gateway/rollouts/plan.py
@@ -4,10 +4,10 @@
 
 from weirscale.domain.identifiers import SoftwareVersion
 from weirscale.gateway.model.rollout_order import RolloutOrder, RolloutState
-from weirscale.gateway.rollouts.gate import unusable_after
 from weirscale.gateway.rollouts.record import RolloutRecord, Stage
 from weirscale.gateway.rollouts.tallies import Evidence
 from weirscale.gateway.rollouts.verdict import Judgement, Verdict
+from weirscale.gateway.rollouts.view import unusable_after
 
 VERDICT_SHARE = 0.5
 """Share of the time after which a good version may be moved to, ..."""
--- a/src/weirscale/gateway/rollouts/reporter.py
+++ b/src/weirscale/gateway/rollouts/reporter.py
@@ -12,7 +12,6 @@
 from weirscale.gateway.peers.messages import CanaryGossip, Gossip, MovedGossip
 from weirscale.gateway.peers.outbox import GossipOutbox
 from weirscale.gateway.rollouts.barrier import MoveBarrier, MovedKey
-from weirscale.gateway.rollouts.gate import RecordReader
 from weirscale.gateway.rollouts.record import Stage
 from weirscale.gateway.rollouts.tallies import (
     NO_COUNTS,
@@ -21,6 +20,7 @@
     Tallies,
     TallyKey,
 )
+from weirscale.gateway.rollouts.view import RecordReader
 from weirscale.gateway.state.cluster_state import ClusterState
 
 TELL_INTERVAL_S = 0.25
