--- a/features/steps/gateway_rollouts_steps.py
+++ b/features/steps/gateway_rollouts_steps.py
@@ -340,7 +340,7 @@
         world.fleet.store.put(RECORD_KEY, encode_record(later))
         node.cluster._revisions[RECORD_KEY] = known
         moved = RolloutRecord("orders", Epoch(5), "v2", Stage.MOVING, 2.0, 1)
-        context.is_written = await holder._write(moved)
+        context.is_written = await holder._writer.write_record(moved)
         context.value = world.fleet.store.items[RECORD_KEY]["value"]
         context.expected = base64.b64encode(encode_record(later)).decode()
 
--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -40,8 +40,10 @@
 from weirscale.gateway.requests.caller_app import CallerApp
 from weirscale.gateway.requests.exchange_context import ExchangeContext
 from weirscale.gateway.rollouts.canary_traffic import CanaryTraffic
+from weirscale.gateway.rollouts.facts import FactsReader, FleetSources, RolloutClock
 from weirscale.gateway.rollouts.gate import VersionGate
 from weirscale.gateway.rollouts.holder_task import RolloutHolderTask
+from weirscale.gateway.rollouts.record_writer import RolloutWriter
 from weirscale.gateway.rollouts.reporter import RolloutReporter
 from weirscale.gateway.rollouts.tallies import Tallies
 from weirscale.gateway.rollouts.view import RecordReader
@@ -247,16 +249,23 @@
             self._num_requests, self.health, self.version_gate.serves, event_log,
             load_rules(bounds.weights_s), clock,
         )  # fmt: skip
+        facts = FactsReader(self.cluster, self._records, self._fleet_sources(), RolloutClock(clock))
         self._rollout_holder = RolloutHolderTask(
-            self._lease, self.cluster, self._records, store, feed, self._rollout_sums,
-            self.trials.alarm,
-            lambda service, epoch: self.rollout_reporter.num_moved(
+            self._lease, self.cluster, self._records, facts,
+            RolloutWriter(self.cluster, store, feed, event_log, clock), event_log,
+        )  # fmt: skip
+
+    def _fleet_sources(self) -> FleetSources:
+        return FleetSources(
+            tallies=self._rollout_sums,
+            alarm_of=self.trials.alarm,
+            num_moved=lambda service, epoch: self.rollout_reporter.num_moved(
                 service, epoch, self.relay.counts
             ),
-            lambda: self.peers.num_nodes(0.0),
-            self._num_requests,
-            lambda: self._exposure.return_s, event_log, clock,
-        )  # fmt: skip
+            num_nodes=lambda: self.peers.num_nodes(0.0),
+            num_requests=self._num_requests,
+            return_s=lambda: self._exposure.return_s,
+        )
 
     def _num_requests(self, instance: InstanceId) -> int:
         """Return how many requests of all nodes are at work at an instance."""
--- a/src/weirscale/gateway/rollouts/plan.py
+++ b/src/weirscale/gateway/rollouts/plan.py
@@ -1,4 +1,10 @@
-"""What the holder of the duty does next about a rollout: pure rules."""
+"""The rule of which stage a rollout enters next, and the record of it; pure.
+
+Inputs: the order, its record and what the holder knows (`RolloutFacts`, times in seconds). Stages:
+canary, then moving once the verdict is good and the target has the capacity, then completed once no
+node uses the older versions. A bad or undecided verdict returns the rollout. An end is never left.
+Reasons and figures: docs/design/0019-version-rollouts.md.
+"""
 
 import msgspec
 
@@ -10,39 +16,41 @@
 from weirscale.gateway.rollouts.view import unusable_after
 
 VERDICT_SHARE = 0.5
-"""Share of the time after which a good version may be moved to, ..."""
+"""Share of an order's deadline from which on a good version may be moved to. Not measured."""
 
 MOVE_S = 6.0
-"""... or so long before the deadline, whichever is later: streams take seconds to end where they
-run, and until the verdict a bad version gets no more than its share."""
+"""Seconds before the deadline until which the verdict may wait, if that is later: streams take
+seconds to end where they run, and until the verdict a bad version gets no more than its share. Not
+measured; docs/design/0019-version-rollouts.md, "Moving"."""
 
 LAST_VERDICT_S = 2.0
-"""A version that is undecided so long before the deadline is returned."""
+"""Seconds before the deadline at which an undecided version is returned. Not measured."""
 
 LEAST_CAPACITY_SHARE = 0.5
-"""The target's engines must have at least this share of the slots that the older ones have."""
+"""Share of the older engines' slots that the target's engines must have at least. Not measured."""
 
 HOLD_S = 1.5
-"""The conditions of the end must hold for so long: news of loads and moves may be as old."""
+"""Seconds for which the conditions of the end must hold: gossip of loads and moves may be as old.
+Not measured."""
 
 SILENCE_MARGIN_S = 0.5
-"""Beyond the time after which a silent node has lost its proof."""
+"""Seconds added to the time after which a silent node has lost its proof. Not measured."""
 
 
 class RolloutFacts(msgspec.Struct, frozen=True):
     """What the holder knows of a rollout now.
 
     Attributes:
-        elapsed_s: Time since the order, at least.
+        elapsed_s: Seconds since the order, at least.
         verdict: What is known of the target.
-        evidence: Counts that it rests on.
+        evidence: Counts to write into the record.
         target_slots: Slots of the target's engines that take work.
         old_slots: Slots of the older engines that take work.
         old_versions: Versions of the older back ends, leaving ones included.
-        has_moved_s: For how long every node has been known to have moved and nothing to run at
+        has_moved_s: Seconds for which every node has been known to have moved and nothing to run at
             older versions; 0 if that is not so.
-        in_stage_s: Time since this node first saw the record at its stage.
-        return_s: A node that is silent for longer has lost its proof.
+        in_stage_s: Seconds since this node first saw the record at its stage.
+        return_s: Seconds of silence after which a node has lost its proof.
         old_requests: Requests known to run at older versions.
         target_serves: Whether the target served before its order.
     """
@@ -161,6 +169,22 @@
     )
 
 
+def withdrawn_record(record: RolloutRecord, token: int) -> RolloutRecord:
+    """Return the record of a rollout whose order was withdrawn.
+
+    Args:
+        record: The latest record.
+        token: Fencing token of the holder.
+    """
+    return msgspec.structs.replace(
+        record,
+        stage=Stage.RETURNED,
+        token=token,
+        unusable=(*record.unusable, record.target),
+        reason="withdrawn",
+    )
+
+
 def status_of(record: RolloutRecord) -> RolloutState:
     """Return what operators are to read."""
     if record.stage is Stage.COMPLETED:
