--- a/src/weirscale/gateway/peers/messages.py
+++ b/src/weirscale/gateway/peers/messages.py
@@ -114,12 +114,12 @@
     Attributes:
         request: The request's fingerprint.
         run: The back end's run.
-        came_again: Whether it was sent there when an earlier crash under it was known.
+        was_sent_after_crash: Whether an earlier crash under it was known when it was sent there.
     """
 
     request: str
     run: str
-    came_again: bool
+    was_sent_after_crash: bool
 
 
 class AnsweredGossip(msgspec.Struct, frozen=True, array_like=True):
--- a/src/weirscale/gateway/quarantine/crash_check.py
+++ b/src/weirscale/gateway/quarantine/crash_check.py
@@ -18,12 +18,15 @@
 from weirscale.gateway.state.cluster_state import ClusterState
 
 CHECK_PAUSES_S = (0.0, 0.1, 0.2, 0.4, 0.8, 0.8)
-"""Before each look: a process that has just ended may take a moment to let go of its address. What
-cannot be told after all of them is not held against the requests."""
+"""Seconds before each look: a process that has just ended may take a moment to free its address. An
+end that stays unclear after all of them counts for nothing. Not measured."""
 
 CHECK_TIMEOUT_S = 0.3
+"""Seconds to wait for an answer to a look. Not measured."""
+
 MAX_WAITING = 256
-"""Back ends to look at; more than that are gone at once only where a whole region is."""
+"""Back ends that may wait for a look; more are gone at once only where a whole region is, and the
+crashes of those beyond are not counted. Not measured."""
 
 
 class LostRequest(msgspec.Struct, frozen=True):
@@ -31,11 +34,11 @@
 
     Attributes:
         fingerprint: The request.
-        came_again: Whether an earlier crash under it was known when it was sent.
+        was_sent_after_crash: Whether an earlier crash under it was known when it was sent.
     """
 
     fingerprint: RequestFingerprint
-    came_again: bool
+    was_sent_after_crash: bool
 
 
 Crashed = Callable[[BackEnd, tuple[LostRequest, ...]], None]
@@ -46,9 +49,9 @@
     """Looks at back ends; `run` must be running.
 
     Args:
-        knowledge: Registrations.
+        cluster: Registrations.
         port_of: Returns the port of a back end.
-        on_crash: Told of each crash.
+        on_crash: Called for each crash.
     """
 
     def __init__(
@@ -58,27 +61,27 @@
         self._port_of = port_of
         self._on_crash = on_crash
         self._lost: dict[RunId, list[LostRequest]] = {}
-        self._send, self._receive = anyio.create_memory_object_stream[BackEnd](MAX_WAITING)
+        self._enqueue, self._queue = anyio.create_memory_object_stream[BackEnd](MAX_WAITING)
 
     def request(self, back_end: BackEnd, lost: LostRequest) -> None:
         """Look at a back end whose connection ended under a request."""
         known = self._cluster.directory.get(back_end.instance)
         if known is None or known.state not in TAKES_WORK:
-            # Its end was told before the connection's.
+            # It left, or its registration ended, before the connection did.
             return
         if back_end.run_id in self._lost:
             self._lost[back_end.run_id].append(lost)
             return
         try:
-            self._send.send_nowait(back_end)
+            self._enqueue.send_nowait(back_end)
         except anyio.WouldBlock:
-            return
+            return  # Too many wait (`MAX_WAITING`): this end counts for nothing.
         self._lost[back_end.run_id] = [lost]
 
     async def run(self) -> None:
         """Look until cancelled."""
         async with anyio.create_task_group() as tasks:
-            async for back_end in self._receive:
+            async for back_end in self._queue:
                 self._check_in(tasks, back_end)
 
     def _check_in(self, tasks: TaskGroup, back_end: BackEnd) -> None:
@@ -98,7 +101,7 @@
     async def _look(self, back_end: BackEnd) -> RunState:
         known = self._cluster.directory.get(back_end.instance)
         if known is None or known.run_id != back_end.run_id:
-            # It was to take work when its connection ended, so it did not leave as planned.
+            # It took work when its connection ended, so it did not leave as planned.
             return RunState.ENDED
         if known.state is BackEndState.LEAVING:
             return RunState.LIVES
--- a/src/weirscale/gateway/quarantine/fingerprint.py
+++ b/src/weirscale/gateway/quarantine/fingerprint.py
@@ -1,4 +1,7 @@
-"""Recognises a request that comes again, at whichever node and under whatever id."""
+"""The digest by which a request is recognised at any node, whatever its id.
+
+Costs 6 us for 200 B and 67 us for 20 kB of body (docs/design/0022-quarantine.md).
+"""
 
 from hashlib import blake2b
 from typing import NewType
@@ -7,10 +10,13 @@
 from weirscale.gateway.ports.callers import CallerRequest
 
 RequestFingerprint = NewType("RequestFingerprint", str)
-"""Digest of what a caller asks: alike for all its tries, on all nodes."""
+"""Digest of what a caller asks, in hexadecimal: the same for all its retries, on all nodes."""
 
 FINGERPRINT_BYTES = 16
+"""Size of the digest: collisions cannot be made for 128 bits of blake2b."""
+
 LENGTH_BYTES = 8
+"""Size of the length before each part of the digested text."""
 
 
 def fingerprint_of(
--- a/src/weirscale/gateway/quarantine/keeper.py
+++ b/src/weirscale/gateway/quarantine/keeper.py
@@ -1,47 +1,34 @@
-"""Keeps requests that crash back ends from them, on all nodes.
+"""Which requests are refused now because back ends crash under them, alike on all nodes.
 
-Each node tells the others the crashes that it sees, so that all count the same; a quarantine is
-written to the store besides, where nodes that start find it. Every node may count to the end, so it
-does not matter who is lost or cut off meanwhile.
+Owns the suspects and the quarantines in force. Each node sends the others the crashes that it sees,
+so that all count the same; a quarantine is written to the store besides, where nodes that start
+find it. Every node may count to the end, so it does not matter which ones are lost meanwhile.
 """
 
-from collections.abc import Callable, Iterable
-
-from result import Err
+from collections.abc import Callable
 
 from weirscale.gateway.model.identifiers import RunId
 from weirscale.gateway.peers.messages import AnsweredGossip, CrashGossip, Gossip
 from weirscale.gateway.peers.outbox import GossipOutbox
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint, read_fingerprint
-from weirscale.gateway.quarantine.record import (
-    QUARANTINE_PREFIX,
-    quarantine_key,
-    read_quarantine_key,
-)
+from weirscale.gateway.quarantine.gossip import QuarantineGossip
+from weirscale.gateway.quarantine.record import QUARANTINE_S, QuarantineRecords
 from weirscale.gateway.quarantine.suspects import SuspectBook
 from weirscale.gateway.state.cluster_state import ClusterState
-from weirscale.gateway.state.expiring_record import write_timed_record
 from weirscale.gateway.ticks import sleep_to_tick
 from weirscale.ports.event_log import EventLog
 from weirscale.ports.key_value import KeyValuePort
 
-QUARANTINE_S = 600.0
-"""How long a request is refused; then it is tried again, and one more crash begins the next
-quarantine. The longest life that the store gives a lease."""
-
 RECORD_MARGIN_S = 5.0
-"""The record's end counts; a node's own reckoning ends later, for where none could be written."""
-
-TELL_FOR_S = 3.0
-"""A crash is told again each second for this long: single datagrams are lost."""
+"""Seconds by which a node's own end of a quarantine is later than its record's, which counts; for
+quarantines whose record could not be written. Not measured."""
 
 WRITE_INTERVAL_S = 0.2
-WRITE_WITHIN_S = 2.0
-WRITE_AGAIN_S = 1.0
+"""Seconds between two looks at what must be written. Not measured."""
 
 LEAVE_TO_FINDER_S = 1.0
-"""The node that saw the last crash writes the record; the others only if it is missing after this
-and their rank's delay."""
+"""Seconds that the other nodes leave the write of a record to the node that saw the last crash; the
+delay of their rank comes on top. Not measured."""
 
 
 class Quarantine:
@@ -49,10 +36,11 @@
 
     Args:
         name: This node.
-        knowledge: Where the records are seen.
+        cluster: Where the records are seen.
         store: Where they are written.
-        delay_s: Returns how long this node leaves a write that any node can do to the others.
-        event_log: Decisions.
+        delay_s: Returns the seconds for which this node leaves a write that any node can do to
+            the others.
+        event_log: Logs crashes, quarantines and their ends.
         clock: Monotonic seconds.
     """
 
@@ -65,30 +53,23 @@
         event_log: EventLog,
         clock: Callable[[], float],
     ) -> None:
-        self._name = name
-        self._cluster = cluster
-        self._store = store
         self._delay_s = delay_s
         self._event_log = event_log
         self._clock = clock
         self._book = SuspectBook()
         self._until_s: dict[RequestFingerprint, float] = {}
         """The requests that are refused."""
-        self._recorded: frozenset[RequestFingerprint] = frozenset()
-        self._num_record_changes = -1
-        self._write_at_s: dict[RequestFingerprint, float] = {}
-        self._delete_at_s: dict[RequestFingerprint, float] = {}
-        self._untold: list[CrashGossip | AnsweredGossip] = []
-        self._told: list[tuple[CrashGossip | AnsweredGossip, float]] = []
+        self._records = QuarantineRecords(name, cluster, store, clock)
+        self._gossip = QuarantineGossip()
 
     def is_watching(self) -> bool:
         """Whether any request needs to be recognised."""
-        self._look_at_records()
+        self._take_over_records()
         return bool(self._until_s) or len(self._book) > 0
 
     def remaining_s(self, fingerprint: RequestFingerprint) -> float | None:
-        """Return for how long a request is still refused, or None if it may be sent on."""
-        self._look_at_records()
+        """Return for how many seconds a request is still refused; None if it may be sent on."""
+        self._take_over_records()
         until_s = self._until_s.get(fingerprint)
         if until_s is None:
             return None
@@ -110,66 +91,58 @@
         """Return how many requests are refused."""
         return len(self._until_s)
 
-    def note_crash(self, fingerprint: RequestFingerprint, run: RunId, came_again: bool) -> None:
+    def note_crash(
+        self, fingerprint: RequestFingerprint, run: RunId, was_sent_after_crash: bool
+    ) -> None:
         """This node has seen a back end crash under a request."""
-        if self._take_crash(fingerprint, run, came_again, source="own"):
-            self._untold.append(CrashGossip(fingerprint, run, came_again))
+        if self._take_crash(fingerprint, run, was_sent_after_crash, source="own"):
+            self._gossip.add(CrashGossip(fingerprint, run, was_sent_after_crash))
 
     def note_answered(self, fingerprint: RequestFingerprint) -> None:
         """A back end has answered a request to its end: it is not what crashes them."""
         if self._take_answered(fingerprint):
-            self._untold.append(AnsweredGossip(fingerprint))
-            self._delete_at_s[fingerprint] = self._clock()
+            self._gossip.add(AnsweredGossip(fingerprint))
+            self._records.delete(fingerprint)
 
     def receive(self, gossip: Gossip) -> None:
         """Take over what another node has seen."""
         for crash in gossip.crashes:
             fingerprint = read_fingerprint(crash.request)
             if fingerprint is not None:
-                self._take_crash(fingerprint, RunId(crash.run), crash.came_again, source="peer")
+                run = RunId(crash.run)
+                self._take_crash(fingerprint, run, crash.was_sent_after_crash, source="peer")
         for answered in gossip.answered:
             fingerprint = read_fingerprint(answered.request)
             if fingerprint is not None:
                 self._take_answered(fingerprint)
 
     def add_to(self, outbox: GossipOutbox, must_refresh: bool) -> None:
-        """Put into an outbox what is new, or again what was told of late."""
-        if not (self._untold or self._told):
-            return
-        now_s = self._clock()
-        untold, self._untold = self._untold, []
-        self._told = [(gossip, until_s) for gossip, until_s in self._told if until_s > now_s]
-        again = [gossip for gossip, _ in self._told] if must_refresh else []
-        self._told.extend((gossip, now_s + TELL_FOR_S) for gossip in untold)
-        _add_all(outbox, [*untold, *again])
+        """Put into an outbox what is new, or again what was sent a moment ago."""
+        self._gossip.add_to(outbox, must_refresh, self._clock())
 
     async def run(self) -> None:
         """Write and delete records until cancelled."""
         while True:
             await sleep_to_tick(WRITE_INTERVAL_S)
-            self._look_at_records()
+            self._take_over_records()
             self._book.forget_old(self._clock())
-            for fingerprint in self._due(self._write_at_s):
-                await self._write(fingerprint)
-            for fingerprint in self._due(self._delete_at_s):
-                await self._delete(fingerprint)
+            await self._records.carry_out(self._book.crashes)
 
     def _take_crash(
-        self, fingerprint: RequestFingerprint, run: RunId, came_again: bool, source: str
+        self, fingerprint: RequestFingerprint, run: RunId, was_sent_after_crash: bool, source: str
     ) -> bool:
-        now_s = self._clock()
-        if not self._book.note_crash(fingerprint, run, came_again, now_s):
+        if not self._book.note_crash(fingerprint, run, was_sent_after_crash, self._clock()):
             return False
         num_crashes = len(self._book.crashes(fingerprint))
         if source == "own" or num_crashes > 1:
             self._event_log.event(
                 "crash_under_request", request=fingerprint, run=run, source=source,
-                came_again=int(came_again), crashes=num_crashes,
+                came_again=int(was_sent_after_crash), crashes=num_crashes,
             )  # fmt: skip
         if fingerprint not in self._until_s and self._book.is_cause(fingerprint):
             self._begin(fingerprint, source)
             wait_s = 0.0 if source == "own" else LEAVE_TO_FINDER_S + self._delay_s()
-            self._write_at_s[fingerprint] = now_s + wait_s
+            self._records.write_after(fingerprint, wait_s)
         return True
 
     def _begin(self, fingerprint: RequestFingerprint, source: str) -> None:
@@ -182,72 +155,27 @@
     def _take_answered(self, fingerprint: RequestFingerprint) -> bool:
         if fingerprint not in self._book and fingerprint not in self._until_s:
             return False
-        was_held = self._until_s.pop(fingerprint, None) is not None
-        self._write_at_s.pop(fingerprint, None)
-        if was_held:
-            self._tell_end(fingerprint, "answered")
-        return self._book.note_answered(fingerprint) or was_held
+        was_refused = self._until_s.pop(fingerprint, None) is not None
+        self._records.cancel_write(fingerprint)
+        if was_refused:
+            self._log_end(fingerprint, "answered")
+        return self._book.note_answered(fingerprint) or was_refused
 
     def _end(self, fingerprint: RequestFingerprint, reason: str) -> None:
         del self._until_s[fingerprint]
-        self._write_at_s.pop(fingerprint, None)
+        self._records.cancel_write(fingerprint)
         self._book.note_quarantine_over(fingerprint, self._clock())
-        self._tell_end(fingerprint, reason)
+        self._log_end(fingerprint, reason)
 
-    def _tell_end(self, fingerprint: RequestFingerprint, reason: str) -> None:
+    def _log_end(self, fingerprint: RequestFingerprint, reason: str) -> None:
         self._event_log.event("request_released", request=fingerprint, reason=reason)
 
-    def _look_at_records(self) -> None:
-        """Take over what has come into the store or gone from it since the last look."""
-        if self._num_record_changes == self._cluster.num_record_changes:
-            return
-        self._num_record_changes = self._cluster.num_record_changes
-        keys = (
-            read_quarantine_key(key) for key, _ in self._cluster.records_under(QUARANTINE_PREFIX)
-        )
-        recorded = frozenset(one for one in keys if one is not None)
-        for fingerprint in recorded - self._recorded:
-            self._write_at_s.pop(fingerprint, None)
+    def _take_over_records(self) -> None:
+        """Begin and end quarantines by what has come into the store or gone from it."""
+        changes = self._records.take_changes()
+        for fingerprint in changes.added:
             if fingerprint not in self._until_s:
                 self._begin(fingerprint, "record")
-        for fingerprint in self._recorded - recorded:
-            # Its time is over, or an operator has deleted it.
+        for fingerprint in changes.gone:
             if fingerprint in self._until_s:
                 self._end(fingerprint, "record_gone")
-        self._recorded = recorded
-
-    def _due(self, at_s: dict[RequestFingerprint, float]) -> Iterable[RequestFingerprint]:
-        now_s = self._clock()
-        return [one for one, due_s in at_s.items() if due_s <= now_s]
-
-    async def _write(self, fingerprint: RequestFingerprint) -> None:
-        self._write_at_s[fingerprint] = self._clock() + WRITE_AGAIN_S
-        crashes = ",".join(self._book.crashes(fingerprint))
-        value = f"{self._name} {crashes}".encode()
-        await write_timed_record(
-            self._store,
-            quarantine_key(fingerprint),
-            value,
-            QUARANTINE_S,
-            WRITE_WITHIN_S,
-            self._clock,
-        )
-
-    async def _delete(self, fingerprint: RequestFingerprint) -> None:
-        key = quarantine_key(fingerprint)
-        self._delete_at_s[fingerprint] = self._clock() + WRITE_AGAIN_S
-        if key not in self._cluster.records:
-            del self._delete_at_s[fingerprint]
-            return
-        revision = self._cluster.revision_of(key)
-        deleted = await self._store.compare_and_swap(key, revision, None)
-        if not isinstance(deleted, Err):
-            self._delete_at_s.pop(fingerprint, None)
-
-
-def _add_all(outbox: GossipOutbox, gossip: Iterable[CrashGossip | AnsweredGossip]) -> None:
-    for one in gossip:
-        if isinstance(one, CrashGossip):
-            outbox.add_crash(one)
-        else:
-            outbox.add_answered(one)
--- a/src/weirscale/gateway/quarantine/suspects.py
+++ b/src/weirscale/gateway/quarantine/suspects.py
@@ -1,8 +1,8 @@
-"""Which requests back ends crashed under: the rule of what is kept from them.
+"""The rule of which request is the cause of crashes, and the memory of suspects.
 
-A crash ends everything that ran beside its cause, so one proves little. A request is taken for the
-cause once several back ends have crashed under it, none has answered it since the first, and not
-all at one stroke: what is asked often is in many places when a zone loses power.
+A crash ends everything that ran beside its cause, so one proves little. A request is the cause once
+`NUM_CRASHES` runs of back ends have ended under it since it was last answered, one of them at least
+after another crash was known: a frequent request runs in many places when a zone loses power.
 """
 
 from collections import OrderedDict
@@ -14,15 +14,15 @@
 
 NUM_CRASHES = 3
 """Back ends that crash under a request before it is taken for the cause. With two, each request
-that was repeated after a crash and met a second one would be refused."""
+that was retried after a crash and met a second one would be refused. Not measured."""
 
 SUSPECT_LIFE_S = 900.0
-"""A request that no back end has crashed under for this long is forgotten. Longer than a
-quarantine, after which one more crash is enough."""
+"""Seconds after its last crash at which a request is forgotten. Longer than a quarantine, after
+which one more crash is enough. Not measured."""
 
 MAX_SUSPECTS = 4096
-"""Bound on the memory, some 2 MB: all that ran on 85 back ends of 48 slots. Beyond it the request
-whose last crash is the oldest is forgotten."""
+"""Requests that are remembered: all that ran on 85 back ends of 48 slots; 2.9 MB at 720 bytes each
+(docs/design/0022-quarantine.md). Beyond it the one with the oldest last crash is forgotten."""
 
 
 class Suspect(msgspec.Struct):
@@ -30,15 +30,15 @@
 
     Attributes:
         crashed: Runs of back ends that ended under it, since it was last answered.
-        forgiven: Runs that ended under it before that: news of them may come again.
-        came_again: Whether one of them began it when another was known to have ended.
+        forgiven: Runs that ended under it before that: gossip of them may still arrive.
+        was_sent_after_crash: Whether one of them got it when another was known to have ended.
         was_quarantined: Whether it was taken for the cause before.
         crashed_at_s: Last crash.
     """
 
     crashed: set[RunId]
     forgiven: set[RunId]
-    came_again: bool
+    was_sent_after_crash: bool
     was_quarantined: bool
     crashed_at_s: float
 
@@ -66,14 +66,14 @@
         return [] if suspect is None else sorted(suspect.crashed)
 
     def note_crash(
-        self, fingerprint: RequestFingerprint, run: RunId, came_again: bool, now_s: float
+        self, fingerprint: RequestFingerprint, run: RunId, was_sent_after_crash: bool, now_s: float
     ) -> bool:
-        """Note a crash under a request; whether this tells anything new.
+        """Note a crash under a request; whether this is anything new.
 
         Args:
             fingerprint: The request.
             run: The run of the back end.
-            came_again: Whether it began the request when an earlier crash under it was known.
+            was_sent_after_crash: Whether an earlier crash under it was known when it was sent.
             now_s: Time.
         """
         suspect = self._suspects.get(fingerprint)
@@ -82,11 +82,11 @@
             self._forget_beyond_bound()
         if run in suspect.forgiven:
             return False
-        if run in suspect.crashed and suspect.came_again >= came_again:
+        if run in suspect.crashed and suspect.was_sent_after_crash >= was_sent_after_crash:
             return False
         # Several nodes may have had the request at one run, some before they knew of another crash.
         suspect.crashed.add(run)
-        suspect.came_again |= came_again
+        suspect.was_sent_after_crash |= was_sent_after_crash
         suspect.crashed_at_s = now_s
         self._suspects.move_to_end(fingerprint)
         return True
@@ -98,7 +98,7 @@
             return False
         if suspect.was_quarantined:
             return True
-        return len(suspect.crashed) >= NUM_CRASHES and suspect.came_again
+        return len(suspect.crashed) >= NUM_CRASHES and suspect.was_sent_after_crash
 
     def note_answered(self, fingerprint: RequestFingerprint) -> bool:
         """A back end has answered a request; whether anything was held against it."""
@@ -107,7 +107,7 @@
             return False
         suspect.forgiven |= suspect.crashed
         suspect.crashed.clear()
-        suspect.came_again = suspect.was_quarantined = False
+        suspect.was_sent_after_crash = suspect.was_quarantined = False
         return True
 
     def note_quarantine_over(self, fingerprint: RequestFingerprint, now_s: float) -> None:
--- a/src/weirscale/gateway/requests/exchange_context.py
+++ b/src/weirscale/gateway/requests/exchange_context.py
@@ -247,7 +247,7 @@
         self._health.unreachable(back_end.instance, "crashed", self.clock())
         self._outbox.add_suspect(SuspectGossip(back_end.instance))
         for one in lost:
-            self.quarantine.note_crash(one.fingerprint, back_end.run_id, one.came_again)
+            self.quarantine.note_crash(one.fingerprint, back_end.run_id, one.was_sent_after_crash)
         self._tell_now()
 
     def note_version(
