--- a/features/steps/gateway_instances_steps.py
+++ b/features/steps/gateway_instances_steps.py
@@ -28,7 +28,7 @@
     WeightsNamed,
 )
 from weirscale.gateway.state.cluster_state import ClusterState
-from weirscale_platform.back_end_client import RunnerConnector
+from weirscale_platform.back_end_client import BackEndClientConnector
 
 KEYS = {"configuration": "c", "weights": "w", "the": "b"}
 
@@ -153,7 +153,7 @@
 
     async def main():
         end = BackEnd("earlier", "lm", "10.3.0.1:8080", "z", BackEndState.READY, 4)
-        port = RunnerConnector(transport)(end, 4)
+        port = BackEndClientConnector(transport)(end, 4)
         order = WeightOrder(MODEL, 2, "n", 7, 0, "earlier")
         context.outcome = await port.order(order, 1.0)
 
--- a/features/steps/gateway_quota_steps.py
+++ b/features/steps/gateway_quota_steps.py
@@ -26,8 +26,8 @@
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.gateway.limits.quota import QuotaLedger, cost_of
 from weirscale.gateway.model.configuration import Quota, QuotaUnit, Tenant
-from weirscale_platform.callers import Callers
 from weirscale_platform.configuration import read_configuration
+from weirscale_platform.request_codec import HeaderCodec
 
 USUAL_SHARE = 0.55
 """Share of its limit that a tenant usually sends."""
@@ -352,7 +352,7 @@
 def step_cost(context, named, cost):
     headers = [] if named == "nothing" else [(b"x-token-usage", named.encode())]
     scope = {"headers": headers, "raw_path": b"/a/", "query_string": b"", "method": "POST"}
-    assert cost_of(context.quota, Callers().parse(scope).num_tokens) == cost
+    assert cost_of(context.quota, HeaderCodec().parse(scope).num_tokens) == cost
 
 
 @given("a tenant that operators write with {fields}")
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -14,9 +14,9 @@
 from weirscale.gateway.model.back_ends import BackEnd, BackEndState
 from weirscale.gateway.ports.back_end import OutboundRequest
 from weirscale.gateway.ports.callers import CallerRequest
-from weirscale_platform.back_end_client import RunnerConnector
-from weirscale_platform.callers import Callers
+from weirscale_platform.back_end_client import BackEndClientConnector
 from weirscale_platform.items import StoreItem, read_item
+from weirscale_platform.request_codec import HeaderCodec
 from weirscale_platform.settings import SettingsUnreadableError, gateway_settings, read_node_file
 
 ROOT = ADAPTER.parent
@@ -121,7 +121,7 @@
 @when('the item "{key}" with "{value}" is read')
 def step_item(context, key, value):
     if value == "gone":
-        item = StoreItem(key, 3, gone=True)
+        item = StoreItem(key, 3, is_deleted=True)
     else:
         item = StoreItem(key, 3, base64.b64encode(value.encode()).decode())
     context.change = read_item(item)
@@ -151,7 +151,7 @@
         (name, value.encode()) for name, value in zip(PROMPT_HEADERS, values, strict=True) if value
     ]
     scope = {"method": "POST", "raw_path": b"/a/", "query_string": b"", "headers": headers}
-    context.prompt = Callers().parse(scope).prompt
+    context.prompt = HeaderCodec().parse(scope).prompt
 
 
 @then("its prompt has {num:d} parts and {tokens:d} tokens")
@@ -217,7 +217,7 @@
 
     async def body():
         end = BackEnd("o-1", "orders", "10.2.0.1:8080", "hall-a", BackEndState.READY, 4)
-        port = RunnerConnector(make)(end, 4)
+        port = BackEndClientConnector(make)(end, 4)
         async with port.send(outbound_request(1)), port.send(outbound_request(2)):
             assert not context.transports[0].is_closed
         context.was_closed = [one.is_closed for one in context.transports]
@@ -237,7 +237,7 @@
 
     async def body():
         end = BackEnd("o-1", "orders", "10.2.0.1:8080", "hall-a", BackEndState.READY, 4)
-        port = RunnerConnector(make)(end, 4)
+        port = BackEndClientConnector(make)(end, 4)
         for number in range(count):
             async with port.send(outbound_request(number)) as sent:
                 assert sent.is_err()
--- a/features/support/platform_fleet.py
+++ b/features/support/platform_fleet.py
@@ -23,9 +23,11 @@
     ListenAddress,
     RetryBudgetRules,
 )
-from weirscale_platform.back_end_client import RunnerConnector  # noqa: E402
-from weirscale_platform.callers import Callers  # noqa: E402
-from weirscale_platform.store import StoreClient  # noqa: E402
+from weirscale_platform.back_end_client import BackEndClientConnector  # noqa: E402
+from weirscale_platform.key_value import KeyValueAdapter  # noqa: E402
+from weirscale_platform.request_codec import HeaderCodec  # noqa: E402
+from weirscale_platform.state_feed import StateFeedAdapter  # noqa: E402
+from weirscale_platform.store_client import StoreClient  # noqa: E402
 
 STORE_ADDRESS = "10.0.0.1:7000"
 CALLER_PORT = 8000
@@ -184,11 +186,11 @@
         def transport(_connections, _keepalive_s):
             return Transport(self, name)
 
-        store = StoreClient(STORE_ADDRESS, transport)
+        client = StoreClient(STORE_ADDRESS, transport)
         log = EventRecorder()
         node = GatewayNode(
-            settings, store, store, RunnerConnector(transport), Callers(), log,
-            Random(self.seed + number),
+            settings, StateFeedAdapter(client), KeyValueAdapter(client),
+            BackEndClientConnector(transport), HeaderCodec(), log, Random(self.seed + number),
             lambda: anyio.current_time() + self.suspended_s.get(name, 0.0),
         )  # fmt: skip
         node.gossip_task = InMemoryPeers(self, node)
--- a/features/support/recorded_forms.py
+++ b/features/support/recorded_forms.py
@@ -95,8 +95,10 @@
 from weirscale.gateway.weights.order_fence import OrderFence
 from weirscale.leases.lease_task import DutyLeaseTask
 from weirscale.ports.key_value import KeyValue, ReadAnswer, SwapAnswer
-from weirscale_platform.back_end_client import RunnerClient
-from weirscale_platform.store import StoreClient
+from weirscale_platform.back_end_client import BackEndClient
+from weirscale_platform.key_value import KeyValueAdapter
+from weirscale_platform.state_feed import StateFeedAdapter
+from weirscale_platform.store_client import StoreClient
 
 ROOT = Path(__file__).resolve().parents[2]
 RECORDINGS = ROOT / "features" / "recorded_forms"
@@ -429,16 +431,18 @@
     "report": lambda runner: runner.report(0.5),
     "health": lambda runner: runner.is_healthy("/up", 0.5),
 }
+_FEED_CALLS = {
+    "store_read_all": lambda feed: feed.read_all(),
+    "store_follow": lambda feed: feed.follow(99, 2.5),
+    "store_revision": lambda feed: feed.current_revision(),
+    "store_status": lambda feed: feed.write_rollout_status(_STATUS, 3),
+}
 _STORE_CALLS = {
-    "store_read_all": lambda store: store.read_all(),
-    "store_follow": lambda store: store.follow(99, 2.5),
-    "store_revision": lambda store: store.current_revision(),
     "store_write": lambda store: store.compare_and_swap("weirscale/a", 3, b"\x00\xff", 7),
     "store_delete": lambda store: store.compare_and_swap("weirscale/a", 3, None),
     "store_lease": lambda store: store.grant_lease(6.25),
     "store_renewal": lambda store: store.keep_lease_alive(7),
     "store_lease_end": lambda store: store.revoke_lease(7),
-    "store_status": lambda store: store.write_rollout_status(_STATUS, 3),
 }
 
 
@@ -446,10 +450,13 @@
     transport = RecordingTransport()
     if name in _RUNNER_CALLS:
         made = _RUNNER_CALLS[name]
-        client = RunnerClient(_back_ends()[0], 5, lambda *_: transport)
+        client = BackEndClient(_back_ends()[0], 5, lambda *_: transport)
+    elif name in _FEED_CALLS:
+        made = _FEED_CALLS[name]
+        client = StateFeedAdapter(StoreClient("10.0.0.1:7000", lambda *_: transport))
     else:
         made = _STORE_CALLS[name]
-        client = StoreClient("10.0.0.1:7000", lambda *_: transport)
+        client = KeyValueAdapter(StoreClient("10.0.0.1:7000", lambda *_: transport))
 
     async def body():
         await made(client)
