--- a/features/platform_adapter.feature
+++ b/features/platform_adapter.feature
@@ -59,17 +59,17 @@
     Then it is "<change>"
 
     Examples:
-      | key          | value                                                              | change             |
-      | op/config    | {"version":3}                                                      | ConfigurationNamed |
-      | op/config    | {"version":"x"}                                                    | Unreadable         |
-      | op/config    | {                                                                  | Unreadable         |
-      | op/version/m | {"model":"m","version":2}                                          | WeightsNamed       |
-      | op/version/m | {"model":"m"}                                                      | Unreadable         |
-      | servers/i-1  | {"service":"s","address":"10.0.0.1:1","zone":"z","state":"ready"}  | BackEndRegistered  |
-      | servers/i-1  | {"service":"s"}                                                    | Unreadable         |
-      | servers/i-1  | gone                                                               | BackEndGone        |
-      | weirscale/x  | anything                                                           | RecordChanged      |
-      | other/x      | anything                                                           | nothing            |
+      | key          | value                                                              | change               |
+      | op/config    | {"version":3}                                                      | ConfigurationChanged |
+      | op/config    | {"version":"x"}                                                    | Unreadable           |
+      | op/config    | {                                                                  | Unreadable           |
+      | op/version/m | {"model":"m","version":2}                                          | TargetVersionChanged |
+      | op/version/m | {"model":"m"}                                                      | Unreadable           |
+      | servers/i-1  | {"service":"s","address":"10.0.0.1:1","zone":"z","state":"ready"}  | BackEndRegistered    |
+      | servers/i-1  | {"service":"s"}                                                    | Unreadable           |
+      | servers/i-1  | gone                                                               | BackEndGone          |
+      | weirscale/x  | anything                                                           | RecordChanged        |
+      | other/x      | anything                                                           | nothing              |
 
   Scenario Outline: The outline of a prompt
     When a request has the prompt headers "<model>", "<parts>", "<usage>"
--- a/features/steps/gateway_instances_steps.py
+++ b/features/steps/gateway_instances_steps.py
@@ -22,10 +22,10 @@
 from weirscale.gateway.ports.state_feed import (
     BackEndGone,
     BackEndRegistered,
-    ConfigurationNamed,
+    ConfigurationChanged,
     StateBatch,
+    TargetVersionChanged,
     VersionedChange,
-    WeightsNamed,
 )
 from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale_platform.back_end_client import RunnerConnector
@@ -177,8 +177,8 @@
 def step_knowledge(context, version, weights):
     context.cluster = ClusterState(EventRecorder(), lambda: 100.0)
     changes = (
-        VersionedChange("c", 5, ConfigurationNamed(GatewayConfiguration(version))),
-        VersionedChange("w", 6, WeightsNamed(MODEL, weights)),
+        VersionedChange("c", 5, ConfigurationChanged(GatewayConfiguration(version))),
+        VersionedChange("w", 6, TargetVersionChanged(MODEL, weights)),
         VersionedChange("b", 10, BackEndRegistered(back_end(BackEndState.LEAVING))),
     )
     context.cluster.replace_all(StateBatch(10, changes), 99.0)
@@ -188,9 +188,9 @@
 def step_arrives(context, change, revision):
     words = change.split()
     if words[0] == "configuration":
-        told = ConfigurationNamed(GatewayConfiguration(int(words[1])))
+        told = ConfigurationChanged(GatewayConfiguration(int(words[1])))
     elif words[0] == "weights":
-        told = WeightsNamed(MODEL, int(words[1]))
+        told = TargetVersionChanged(MODEL, int(words[1]))
     elif words[-1] == "gone":
         told = BackEndGone("i-1")
     else:
--- a/features/steps/gateway_places_steps.py
+++ b/features/steps/gateway_places_steps.py
@@ -16,7 +16,7 @@
 from weirscale.gateway.peers.groups import Member
 from weirscale.gateway.ports.state_feed import (
     BackEndRegistered,
-    ConfigurationNamed,
+    ConfigurationChanged,
     StateBatch,
     VersionedChange,
 )
@@ -84,13 +84,13 @@
 @when("kept stores stand in region two and region one, in this order")
 def step_stores(context):
     stores = [
-        Service("k2", kept_cache=KeptKvStore("10.9.0.2:80", "z2", 1_000_000)),
-        Service("k1", kept_cache=KeptKvStore("10.9.0.1:80", "z1", 1_000_000)),
+        Service("k2", kept_kv=KeptKvStore("10.9.0.2:80", "z2", 1_000_000)),
+        Service("k1", kept_kv=KeptKvStore("10.9.0.1:80", "z1", 1_000_000)),
     ]
     engine = Service("lm", engine=EngineProfile(12, CAPACITY, ("m",)))
     log = EventRecorder()
     cluster = ClusterState(log, lambda: 100.0)
-    named = ConfigurationNamed(GatewayConfiguration(1, services=(engine, *stores)))
+    named = ConfigurationChanged(GatewayConfiguration(1, services=(engine, *stores)))
     changes = [VersionedChange("c", 1, named)]
     for one in (context.near, context.far):
         instance = one.back_end.instance
--- a/features/support/recorded_forms.py
+++ b/features/support/recorded_forms.py
@@ -69,14 +69,14 @@
 from weirscale.gateway.ports.state_feed import (
     BackEndGone,
     BackEndRegistered,
-    ConfigurationNamed,
+    ConfigurationChanged,
     RecordChanged,
     RolloutOrdered,
     RolloutStatusSeen,
     RolloutWithdrawn,
+    TargetVersionChanged,
     Unreadable,
     VersionedChange,
-    WeightsNamed,
 )
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint
 from weirscale.gateway.quarantine.keeper import Quarantine
@@ -144,7 +144,7 @@
             Service(ServiceName("app")),
             Service(
                 ServiceName("kept"),
-                kept_cache=KeptKvStore("10.0.0.9:8080", ZoneName("z"), 5_000_000),
+                kept_kv=KeptKvStore("10.0.0.9:8080", ZoneName("z"), 5_000_000),
             ),
         ),
         CallerLimits(1000, 2000, 1.5, 2.5),
@@ -176,7 +176,7 @@
     service = ServiceName("lm")
     return (
         BackEndGone("i-9"),
-        WeightsNamed("m", 4),
+        TargetVersionChanged("m", 4),
         RolloutOrdered(service, target, 60.0),
         RolloutWithdrawn("op/rollout/lm"),
         *(RolloutStatusSeen(RolloutStatus(service, target, state)) for state in RolloutState),
@@ -224,7 +224,7 @@
         ),
         "query": StateQuery("node-2", 5, 99),
         "reply_empty": StateReply("node-1", 5, 99, 99, 12, True),
-        "reply_configuration": _reply([ConfigurationNamed(_configuration())]),
+        "reply_configuration": _reply([ConfigurationChanged(_configuration())]),
         "reply_back_ends": _reply([BackEndRegistered(one) for one in _back_ends()]),
         "reply_other_changes": _reply(_other_changes()),
         "ages_query": AgesQuery("node-2", 6),
--- a/src/weirscale/gateway/model/configuration.py
+++ b/src/weirscale/gateway/model/configuration.py
@@ -1,4 +1,8 @@
-"""The gateway's configuration: an immutable value that is replaced as a whole."""
+"""The gateway's configuration: an immutable value that is replaced as a whole.
+
+It travels between nodes: its field names and enumeration values are names of the wire
+(`ports.state_feed` says how one is renamed).
+"""
 
 import enum
 
@@ -95,18 +99,34 @@
     capacity_tokens: int
 
 
-class Service(msgspec.Struct, frozen=True):
-    """A service that routes may name, or a store of cached prompt blocks."""
+class Service(msgspec.Struct, frozen=True, rename={"kept_kv": "kept_cache"}):
+    """A service that routes may name, or a store of cached prompt blocks.
+
+    Attributes:
+        name: Unique name.
+        health_path: Path of its back ends' health check.
+        max_connections: Connections that one of its back ends accepts from all nodes together.
+        engine: What its engines have; None for a service without a model.
+        kept_kv: The store, if it is one; `kept_cache` between nodes.
+    """
 
     name: ServiceName
     health_path: str = DEFAULT_HEALTH_PATH
     max_connections: int = 100
     engine: EngineProfile | None = None
-    kept_cache: KeptKvStore | None = None
+    kept_kv: KeptKvStore | None = None
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """Guarantees on what callers may send and how long connections may rest."""
+    """Limits on what callers may send and how long their connections may be unused.
+
+    Attributes:
+        max_header_bytes: Size of a request's head.
+        max_body_bytes: Size of a request's body; a larger one is refused.
+        header_timeout_s: Time for a whole request head. Not in force: the server's limits are fixed
+            (`ports.http_server`).
+        idle_timeout_s: Time without a request on an open connection. Not in force either.
+    """
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
--- a/src/weirscale/gateway/model/routes.py
+++ b/src/weirscale/gateway/model/routes.py
@@ -1,7 +1,13 @@
 """The route table of one configuration: host and longest path prefix, keys, services."""
 
 from weirscale.domain.identifiers import ServiceName
-from weirscale.gateway.model.configuration import GatewayConfiguration, Route, Service, Tenant
+from weirscale.gateway.model.configuration import (
+    GatewayConfiguration,
+    KeptKvStore,
+    Route,
+    Service,
+    Tenant,
+)
 
 
 class RouteTable:
@@ -54,6 +60,6 @@
         """Return a declared service."""
         return self._services.get(name)
 
-    def kept_caches(self) -> list[Service]:
+    def kept_kv_stores(self) -> list[KeptKvStore]:
         """Return the stores of cached prompt blocks."""
-        return [service for service in self._services.values() if service.kept_cache]
+        return [one.kept_kv for one in self._services.values() if one.kept_kv is not None]
--- a/src/weirscale/gateway/ports/state_feed.py
+++ b/src/weirscale/gateway/ports/state_feed.py
@@ -1,4 +1,12 @@
-"""What the platform's state tells, change by change, and the feed that tells it."""
+"""Changes of the platform's state, and the interface of the feed that reads them from the store.
+
+The changes also travel between nodes (`peers.messages.StateReply`) as maps. The names of their
+fields and tags are names of the wire, and so are the fields of all that they hold (`BackEnd`,
+`GatewayConfiguration`, `RolloutStatus` and what is in those) and the values of their enumerations.
+Nodes of two releases exchange them during a rolling restart: a class is renamed by keeping its old
+name as its `tag`, a field by naming the old one in the class's `rename`, and a new field needs a
+default.
+"""
 
 from typing import Protocol
 
@@ -13,32 +21,32 @@
 from weirscale.ports.key_value import KeyValueFailure, SwapAnswer
 
 
-class ConfigurationNamed(msgspec.Struct, frozen=True, tag=True):
-    """The operators' configuration as it stands."""
+class ConfigurationChanged(msgspec.Struct, frozen=True, tag="ConfigurationNamed"):
+    """The operators' configuration in its newest form."""
 
     configuration: GatewayConfiguration
 
 
-class BackEndRegistered(msgspec.Struct, frozen=True, tag=True):
+class BackEndRegistered(msgspec.Struct, frozen=True, tag="BackEndRegistered"):
     """A back end registered or changed its registration."""
 
     back_end: BackEnd
 
 
-class BackEndGone(msgspec.Struct, frozen=True, tag=True):
+class BackEndGone(msgspec.Struct, frozen=True, tag="BackEndGone"):
     """A registration ended."""
 
     instance: InstanceId
 
 
-class WeightsNamed(msgspec.Struct, frozen=True, tag=True):
+class TargetVersionChanged(msgspec.Struct, frozen=True, tag="WeightsNamed"):
     """Operators want a version of a model's weights on all engines."""
 
     model: str
     version: int
 
 
-class RolloutOrdered(msgspec.Struct, frozen=True, tag=True):
+class RolloutOrdered(msgspec.Struct, frozen=True, tag="RolloutOrdered"):
     """Operators want a service's traffic on engines of a version of its program."""
 
     service: ServiceName
@@ -46,26 +54,26 @@
     deadline_s: float
 
 
-class RolloutWithdrawn(msgspec.Struct, frozen=True, tag=True):
+class RolloutWithdrawn(msgspec.Struct, frozen=True, tag="RolloutWithdrawn"):
     """Operators took an order back."""
 
     key: str
 
 
-class RolloutStatusSeen(msgspec.Struct, frozen=True, tag=True):
+class RolloutStatusSeen(msgspec.Struct, frozen=True, tag="RolloutStatusSeen"):
     """The status of a rollout, as operators read it."""
 
     status: RolloutStatus
 
 
-class RecordChanged(msgspec.Struct, frozen=True, tag=True):
+class RecordChanged(msgspec.Struct, frozen=True, tag="RecordChanged"):
     """One of the gateway's own records; `value` is None once it is gone."""
 
     key: str
     value: bytes | None
 
 
-class Unreadable(msgspec.Struct, frozen=True, tag=True):
+class Unreadable(msgspec.Struct, frozen=True, tag="Unreadable"):
     """An entry that could not be parsed; the last good state stays."""
 
     key: str
@@ -73,10 +81,10 @@
 
 
 StateChange = (
-    ConfigurationNamed
+    ConfigurationChanged
     | BackEndRegistered
     | BackEndGone
-    | WeightsNamed
+    | TargetVersionChanged
     | RolloutOrdered
     | RolloutWithdrawn
     | RolloutStatusSeen
--- a/src/weirscale/gateway/routing/dispatcher.py
+++ b/src/weirscale/gateway/routing/dispatcher.py
@@ -362,8 +362,7 @@
 
     def _stores(self) -> list[KeptKvStore]:
         table = self._cluster.table
-        services = table.kept_caches() if table else []
-        return [service.kept_cache for service in services if service.kept_cache is not None]
+        return table.kept_kv_stores() if table else []
 
     def _kept_cache(self, store: KeptKvStore) -> CacheBelief:
         cache = self._kept_caches.get(store.address)
--- a/src/weirscale/gateway/state/cluster_state.py
+++ b/src/weirscale/gateway/state/cluster_state.py
@@ -18,15 +18,15 @@
 from weirscale.gateway.ports.state_feed import (
     BackEndGone,
     BackEndRegistered,
-    ConfigurationNamed,
+    ConfigurationChanged,
     RecordChanged,
     RolloutOrdered,
     RolloutStatusSeen,
     RolloutWithdrawn,
     StateBatch,
+    TargetVersionChanged,
     Unreadable,
     VersionedChange,
-    WeightsNamed,
 )
 from weirscale.gateway.state.change_log import ChangeLog
 from weirscale.gateway.state.rollout_orders import RolloutBook
@@ -140,13 +140,13 @@
 
     def _apply_one(self, versioned: VersionedChange) -> None:
         change = versioned.change
-        if isinstance(change, ConfigurationNamed):
+        if isinstance(change, ConfigurationChanged):
             self._take_configuration(change, versioned.revision)
         elif isinstance(change, BackEndRegistered):
             self._put_back_end(versioned.key, change.back_end)
         elif isinstance(change, BackEndGone):
             self._remove_back_end(change.instance)
-        elif isinstance(change, WeightsNamed):
+        elif isinstance(change, TargetVersionChanged):
             self._name_weights(change)
         elif isinstance(change, RolloutOrdered):
             self._order_rollout(versioned.key, change, versioned.revision)
@@ -164,7 +164,7 @@
                 remedy="mend the entry in the store; the last good state stays in force",
             )
 
-    def _take_configuration(self, named: ConfigurationNamed, revision: int) -> None:
+    def _take_configuration(self, named: ConfigurationChanged, revision: int) -> None:
         version = named.configuration.version
         known = self.table.version if self.table else None
         if known is not None and version <= known:
@@ -254,7 +254,7 @@
             self._event_log.event("back_end_gone", instance=instance, address=known.address)
             self.on_gone(known)
 
-    def _name_weights(self, change: WeightsNamed) -> None:
+    def _name_weights(self, change: TargetVersionChanged) -> None:
         previous = self.weights.newest(change.model)
         # It was not named yet at the last proof. Counted from the hearing, older weights would
         # serve beyond their grace at a node that heard late: 3 s after a standstill of 4 s.
