--- a/features/steps/gateway_group_places_steps.py
+++ b/features/steps/gateway_group_places_steps.py
@@ -97,7 +97,7 @@
     def is_heartbeat_due(self, timer):
         return False
 
-    async def tell_own(self, gossip):
+    async def forward_own(self, gossip):
         """There is one group only."""
 
 
--- a/features/steps/gateway_groups_steps.py
+++ b/features/steps/gateway_groups_steps.py
@@ -10,7 +10,8 @@
 from features.support.platform_fleet import EventRecorder, Fleet, configuration, with_fleet
 from features.support.platform_runner import RunnerStandIn
 from features.support.virtual_time import run_in_virtual_time
-from weirscale.gateway.gossip.group_relay import GroupRelay, news_interval_s
+from weirscale.gateway.gossip.group_relay import GroupRelay
+from weirscale.gateway.gossip.intervals import gossip_interval_s
 from weirscale.gateway.limits.quota import QuotaLedger
 from weirscale.gateway.model.prompt import CacheScope, PromptBlock
 from weirscale.gateway.peers.groups import Member, divide
@@ -99,7 +100,7 @@
 @when("each node tells its news as often as it may")
 def step_often(context):
     groups = context.division.groups
-    per_s = 1.0 / news_interval_s(len(groups))
+    per_s = 1.0 / gossip_interval_s(len(groups))
     context.received = [(len(group) - 1) * per_s for group in groups.values()]
     context.head_heard = [one + (len(groups) - 1) * per_s for one in context.received]
     if len(groups) > 1:
--- a/features/steps/gateway_runner_shares_steps.py
+++ b/features/steps/gateway_runner_shares_steps.py
@@ -12,7 +12,7 @@
     RegisteredNodes,
     make_members,
 )
-from weirscale.gateway.gossip.group_relay import news_interval_s
+from weirscale.gateway.gossip.intervals import gossip_interval_s
 from weirscale.gateway.model.back_ends import BackEnd, BackEndDirectory, BackEndState, ServedModel
 from weirscale.gateway.model.prompt import Prompt
 from weirscale.gateway.peers.groups import divide
@@ -84,7 +84,7 @@
 
 @when("its group's runner has {waiting:d} tokens waiting")
 def step_waiting(context, waiting):
-    rules = ChoiceRules(foreign_s=ChoiceRules().foreign_share * (news_interval_s(12) - 0.05))
+    rules = ChoiceRules(foreign_s=ChoiceRules().foreign_share * (gossip_interval_s(12) - 0.05))
     own, foreign = context.ends
     candidates = [
         Candidate(own, Load(1, waiting, waiting), False, CacheBelief(80_000), 86_000, 1),
--- a/features/support/platform_fleet.py
+++ b/features/support/platform_fleet.py
@@ -228,7 +228,7 @@
         thawed, self.thawed = self.thawed, anyio.Event()
         thawed.set()
         for message, sender in backlog:
-            await self.nodes[name].receive(message, sender)
+            await self.nodes[name].inbox.receive(message, sender)
 
     async def wait_while_frozen(self, name):
         while name in self.frozen:
@@ -240,7 +240,7 @@
         if name in self.frozen:
             self.frozen[name].append((message, sender))
         else:
-            await node.receive(message, sender)
+            await node.inbox.receive(message, sender)
 
     async def tick(self):
         """Let time pass for runners: loads end and registrations follow."""
@@ -264,7 +264,7 @@
     async def run(self):
         while True:
             await self._fleet.wait_while_frozen(self._node.settings.name)
-            self._node._gather_gossip(True)
+            self._node.gatherer.gather(True)
             await self.flush()
             with anyio.move_on_after(0.1):
                 await self._hurried.wait()
@@ -283,7 +283,7 @@
             is_lost = {name, self._node.settings.name} & self._fleet.mute
             if node is not self._node and is_peer and not is_lost:
                 await self._fleet.deliver(node, gossip, self._node.settings.peers)
-        await self._node.relay.tell_own(gossip)
+        await self._node.relay.forward_own(gossip)
 
     async def send(self, message, addresses):
         decoded = decode_message(encode_message(message))
--- a/features/support/quota_fleet.py
+++ b/features/support/quota_fleet.py
@@ -12,7 +12,8 @@
 import msgspec
 
 from features.support.platform_fleet import EventRecorder
-from weirscale.gateway.gossip.group_relay import GroupRelay, RefreshTimer
+from weirscale.gateway.gossip.group_relay import GroupRelay
+from weirscale.gateway.gossip.intervals import RefreshTimer
 from weirscale.gateway.limits.quota import QuotaLedger
 from weirscale.gateway.limits.usage_reporter import UsageReporter, read_usage
 from weirscale.gateway.peers.heartbeat import HEARTBEAT_INTERVAL_S
@@ -98,10 +99,10 @@
         gossip = self.outbox.take(with_empty=is_heartbeat)
         if gossip is not None:
             self.fleet.deliver(self, gossip, self.relay.group_peers())
-            run(self.relay.tell_own(gossip))
+            run(self.relay.forward_own(gossip))
         if self.relay.is_head():
             must_refresh = self.head_refresh.is_due(self.clock())
-            self.relay._gather(must_refresh)
+            self.relay.gather(must_refresh)
             is_heartbeat = must_refresh or self.relay.is_heartbeat_due(self.head_life)
             run(self.relay.flush(is_heartbeat=is_heartbeat))
 
--- a/features/support/recorded_forms.py
+++ b/features/support/recorded_forms.py
@@ -202,17 +202,17 @@
         loads=(LoadGossip("i-1", 3, 9190, 18000), LoadGossip("i-2", 0, 0, 0)),
         sends=(SendGossip("i-1", "m@3/t", False, parts), SendGossip("i-1", "m@3", True, parts[:1])),
         loading=(LoadingGossip("i-1", "m", 4, False), LoadingGossip("i-2", "m", 4, True)),
-        named=(TargetVersionGossip("m", 4, 350),),
+        target_versions=(TargetVersionGossip("m", 4, 350),),
         suspects=(SuspectGossip("i-9"),),
         group="",
         usage=(UsageGossip("t", 1200, (300, 1000, 0)),),
         num_nodes=1,
-        trials=(
+        canary_counts=(
             CanaryGossip("lm", 77, "a", "i-1", 20, 2, 1),
             CanaryGossip("lm", 77, "a", "", 90, 1, 0),
         ),
-        moved=(MovedGossip("lm", 77, 1),),
-        run=3_735_928_559,
+        moved_nodes=(MovedGossip("lm", 77, 1),),
+        sender_run=3_735_928_559,
         crashes=(CrashGossip(FINGERPRINT, RUNS[0], True), CrashGossip(FINGERPRINT, RUNS[1], False)),
         answered=(AnsweredGossip(FINGERPRINT),),
     )
--- /dev/null
+++ b/src/weirscale/gateway/gossip/gatherer.py
@@ -0,0 +1,55 @@
+"""Collects what a node sends with its next gossip message from the parts that know it."""
+
+from weirscale.gateway.limits.quota import QuotaLedger
+from weirscale.gateway.limits.usage_reporter import UsageReporter
+from weirscale.gateway.peers.messages import LoadGossip
+from weirscale.gateway.peers.outbox import GossipOutbox
+from weirscale.gateway.quarantine.keeper import Quarantine
+from weirscale.gateway.rollouts.canary_traffic import CanaryTraffic
+from weirscale.gateway.rollouts.reporter import RolloutReporter
+from weirscale.gateway.routing.load import FleetLoad
+
+
+class GossipGatherer:
+    """Fills a node's outbox before each message.
+
+    Args:
+        outbox: What is sent to this node's group.
+        load: Work at back ends.
+        quotas: What tenants spend.
+        canaries: Requests under rollouts.
+        rollouts: Counts of rollouts.
+        quarantine: Requests under which back ends crashed.
+    """
+
+    def __init__(
+        self,
+        outbox: GossipOutbox,
+        load: FleetLoad,
+        quotas: QuotaLedger,
+        canaries: CanaryTraffic,
+        rollouts: RolloutReporter,
+        quarantine: Quarantine,
+    ) -> None:
+        self._outbox = outbox
+        self._load = load
+        self._quotas = quotas
+        self._canaries = canaries
+        self._rollouts = rollouts
+        self._quarantine = quarantine
+        self._usage = UsageReporter()
+
+    def gather(self, must_refresh: bool) -> None:
+        """Add what has changed since the last message, or all if `must_refresh`."""
+        self._canaries.tick()
+        self._rollouts.add_own(self._outbox, must_refresh)
+        changed = self._load.take_changed()
+        if must_refresh:
+            changed.update({one: self._load.own(one) for one in self._load.own_instances()})
+        self._quarantine.add_to(self._outbox, must_refresh)
+        self._quotas.tick()
+        self._usage.add_to(self._outbox, dict(self._quotas.own_usage()), must_refresh)
+        for instance, load in changed.items():
+            self._outbox.add_load(
+                LoadGossip(instance, load.num_requests, load.waiting_tokens, load.held_tokens)
+            )
--- /dev/null
+++ b/src/weirscale/gateway/gossip/inbox.py
@@ -0,0 +1,151 @@
+"""What a node does with a message that it received from another node."""
+
+from collections.abc import Callable
+from typing import Protocol
+
+from weirscale.gateway.gossip.group_relay import GroupRelay
+from weirscale.gateway.limits.quota import QuotaLedger
+from weirscale.gateway.limits.usage_reporter import read_usage
+from weirscale.gateway.peers.messages import (
+    AgesQuery,
+    AgesReply,
+    Gossip,
+    LoadingGossip,
+    PeerMessage,
+    SendGossip,
+    StateQuery,
+    StateReply,
+)
+from weirscale.gateway.quarantine.keeper import Quarantine
+from weirscale.gateway.replication.age_exchange import AgeExchange
+from weirscale.gateway.replication.publisher import ChangePublisher
+from weirscale.gateway.replication.subscription import StateSubscription
+from weirscale.gateway.rollouts.reporter import RolloutReporter
+from weirscale.gateway.routing.dispatcher import Dispatcher
+from weirscale.gateway.routing.health import BackEndHealth
+from weirscale.gateway.routing.load import FleetLoad, Load
+from weirscale.gateway.settings import ListenAddress
+from weirscale.gateway.state.cluster_state import ClusterState
+
+
+class MessageReceiver(Protocol):
+    """Takes the messages of other nodes."""
+
+    async def receive(self, message: PeerMessage, address: ListenAddress) -> None:
+        """Take over, or answer, one message that came from an address."""
+        ...
+
+
+class GossipReceiver:
+    """Hands the contents of a gossip message to the parts that use them.
+
+    Args:
+        cluster: Learns which weights engines have.
+        relay: Tells whose loads and counts a message holds.
+        load: Takes loads.
+        quotas: Takes tenants' usage.
+        dispatcher: Takes prompts at engines, and engines that load weights.
+        health: Takes back ends that others cannot reach.
+        rollouts: Takes counts of rollouts.
+        quarantine: Takes crashes under requests.
+        clock: Monotonic seconds.
+    """
+
+    def __init__(
+        self,
+        cluster: ClusterState,
+        relay: GroupRelay,
+        load: FleetLoad,
+        quotas: QuotaLedger,
+        dispatcher: Dispatcher,
+        health: BackEndHealth,
+        rollouts: RolloutReporter,
+        quarantine: Quarantine,
+        clock: Callable[[], float],
+    ) -> None:
+        self._cluster = cluster
+        self._relay = relay
+        self._load = load
+        self._quotas = quotas
+        self._dispatcher = dispatcher
+        self._health = health
+        self._rollouts = rollouts
+        self._quarantine = quarantine
+        self._clock = clock
+
+    def receive(self, gossip: Gossip) -> None:
+        """Take over one message."""
+        now_s = self._clock()
+        source = self._relay.source_of(gossip)
+        if source is not None:
+            self._receive_counts(source, gossip, now_s)
+        for send in gossip.sends:
+            self._receive_send(send, is_sum=bool(gossip.group))
+        for loading in gossip.loading:
+            self._receive_loading(loading)
+        self._quarantine.receive(gossip)
+        for suspect in gossip.suspects:
+            if self._cluster.directory.get(suspect.instance) is not None:
+                self._health.unreachable(suspect.instance, "told_by_peer", now_s)
+
+    def _receive_counts(self, source: str, gossip: Gossip, now_s: float) -> None:
+        """Take over loads and counts, which hold for the sender or for groups of nodes."""
+        for load in gossip.loads:
+            received = Load(load.num_requests, load.waiting_tokens, load.held_tokens)
+            self._load.receive(source, load.instance, received, now_s)
+        usage = [read_usage(one) for one in gossip.usage]
+        self._quotas.fleet.receive(source, gossip.num_nodes, usage, now_s)
+        if gossip.canary_counts or gossip.moved_nodes:
+            self._rollouts.receive(source, gossip)
+
+    def _receive_send(self, send: SendGossip, is_sum: bool) -> None:
+        if is_sum:
+            self._dispatcher.note_shared_parts(send.instance, send.scope, send.blocks)
+        else:
+            self._dispatcher.note_parts(send.instance, send.scope, send.blocks, send.is_ready)
+
+    def _receive_loading(self, loading: LoadingGossip) -> None:
+        self._dispatcher.mark_loading(loading.instance, loading.is_done)
+        if loading.is_done and loading.version:
+            self._cluster.learn_version(loading.instance, loading.model, loading.version, "peer")
+
+
+class PeerInbox:
+    """Takes the messages of other nodes, each by its type.
+
+    Args:
+        gossip: Takes gossip.
+        relay: Passes gossip on to other groups.
+        publisher: Answers nodes that ask for changes.
+        subscription: Takes changes that this node asked for.
+        ages: Asks and answers for ages of target versions and of the store's answers.
+    """
+
+    def __init__(
+        self,
+        gossip: GossipReceiver,
+        relay: GroupRelay,
+        publisher: ChangePublisher,
+        subscription: StateSubscription,
+        ages: AgeExchange,
+    ) -> None:
+        self._gossip = gossip
+        self._relay = relay
+        self._publisher = publisher
+        self._subscription = subscription
+        self._ages = ages
+
+    async def receive(self, message: PeerMessage, address: ListenAddress) -> None:
+        """Take over, or answer, one message that came from an address."""
+        match message:
+            case StateQuery():
+                await self._publisher.answer(message, address)
+            case StateReply():
+                self._subscription.receive(message)
+            case AgesQuery():
+                await self._ages.answer(message, address)
+            case AgesReply():
+                self._ages.receive(message)
+            case Gossip():
+                self._gossip.receive(message)
+                await self._relay.receive(message)
--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -9,25 +9,18 @@
 from weirscale.domain.duties.assignment import Duty, DutyKind
 from weirscale.domain.duties.lease import LeaseRules
 from weirscale.domain.identifiers import Incarnation, NodeId, NodeName
-from weirscale.gateway.gossip.gossip_task import GossipTask, MessageReceiver
-from weirscale.gateway.gossip.group_relay import GroupRelay, is_group, is_member
+from weirscale.gateway.gossip.gatherer import GossipGatherer
+from weirscale.gateway.gossip.gossip_task import GossipTask
+from weirscale.gateway.gossip.group_relay import GroupRelay
+from weirscale.gateway.gossip.inbox import GossipReceiver, PeerInbox
+from weirscale.gateway.gossip.sources import is_group, is_member
 from weirscale.gateway.limits.isolation import IsolationDetector
 from weirscale.gateway.limits.quota import GONE_MEMORY_S, QuotaLedger
 from weirscale.gateway.limits.retry_budget import SharedRetryBudget
-from weirscale.gateway.limits.usage_reporter import UsageReporter, read_usage
 from weirscale.gateway.model.back_ends import BackEnd
 from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.model.topology import Topology
-from weirscale.gateway.peers.messages import (
-    AgesQuery,
-    AgesReply,
-    Gossip,
-    LoadGossip,
-    LoadingGossip,
-    PeerMessage,
-    StateQuery,
-    StateReply,
-)
+from weirscale.gateway.peers.messages import LoadingGossip, PeerMessage
 from weirscale.gateway.peers.outbox import GossipOutbox
 from weirscale.gateway.peers.registrations import PeerDirectory, Registration, RegistrationTask
 from weirscale.gateway.ports.back_end import BackEndConnector, BackEndPort
@@ -49,7 +42,7 @@
 from weirscale.gateway.routing.dispatcher import Dispatcher
 from weirscale.gateway.routing.engine_shares import EngineShares
 from weirscale.gateway.routing.health import BackEndHealth
-from weirscale.gateway.routing.load import NO_LOAD, FleetLoad, Load
+from weirscale.gateway.routing.load import NO_LOAD, FleetLoad
 from weirscale.gateway.settings import GatewaySettings, Guarantees, ListenAddress
 from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.gateway.telemetry.metrics_choice import new_metrics
@@ -130,7 +123,7 @@
         return self._clock() >= self._free_since_s + rank_delay_s(self._peers.rank())
 
 
-class GatewayNode(MessageReceiver):
+class GatewayNode:
     """One gateway.
 
     Args:
@@ -192,16 +185,14 @@
         self.peers = PeerDirectory(settings.name, self.cluster, clock, settings.zone, capacity)
         self.cluster.store_outages.num_others = lambda: len(self.peers.addresses())
         self.engine_shares = EngineShares(settings.name, self.peers, self.cluster.directory)
-        self.outbox = GossipOutbox(settings.name)
         self.quotas = QuotaLedger(
             bounds.quota, lambda: self.peers.num_nodes(GONE_MEMORY_S),
             lambda: self.relay.interval_s(), random, clock,
         )  # fmt: skip
         self.cluster.on_table = lambda table: self.quotas.set_tenants(table.configuration.tenants)
-        self._usage_reporter = UsageReporter()
         self.relay = GroupRelay(
             settings.name, self.peers, self.load, self.quotas, self._send, clock,
-            self._tell_rollout_sums,
+            self._add_rollout_sums,
         )  # fmt: skip
         self.trials = CanaryTraffic(
             bounds.exposure, self.cluster, self._records, self.version_gate,
@@ -212,10 +203,7 @@
             self.cluster, self._records, self.trials.tallies,
             lambda instance: self.load.own(instance).num_requests, clock,
         )  # fmt: skip
-        self.outbox.run = random.getrandbits(RUN_BITS)
-        self.gossip_task = GossipTask(
-            settings.peers, self.peers, self.relay, self.outbox, self, self._gather_gossip
-        )
+        self.outbox = GossipOutbox(settings.name, sender_run=random.getrandbits(RUN_BITS))
         self.publisher = ChangePublisher(settings.name, self.cluster, self._send, clock)
         self.subscription = StateSubscription(
             settings.name, self.cluster, self.peers, self._send, event_log, random, clock,
@@ -241,6 +229,19 @@
             settings.name, self.cluster, store, lambda: rank_delay_s(self.peers.rank()),
             event_log, clock,
         )  # fmt: skip
+        self.gatherer = GossipGatherer(
+            self.outbox, self.load, self.quotas, self.trials, self.rollout_reporter,
+            self.quarantine,
+        )  # fmt: skip
+        received = GossipReceiver(
+            self.cluster, self.relay, self.load, self.quotas, self.dispatcher, self.health,
+            self.rollout_reporter, self.quarantine, clock,
+        )  # fmt: skip
+        self.inbox = PeerInbox(received, self.relay, self.publisher, self.subscription, self.ages)
+        self.gossip_task = GossipTask(
+            settings.peers, self.peers, self.relay, self.outbox, self.inbox,
+            self.gatherer.gather,
+        )  # fmt: skip
         self.context = ExchangeContext(
             settings.bounds, self.cluster, self.dispatcher, self.load, self.health, self.budget,
             self.quotas, self.peers, self.outbox, lambda: self.gossip_task.hurry(), self.isolation,
@@ -355,48 +356,6 @@
     async def _send(self, message: PeerMessage, addresses: Iterable[ListenAddress]) -> None:
         await self.gossip_task.send(message, addresses)
 
-    async def receive(self, message: PeerMessage, sender: ListenAddress) -> None:
-        """Take over what a peer tells, or answer it."""
-        if isinstance(message, StateQuery):
-            await self.publisher.answer(message, sender)
-        elif isinstance(message, StateReply):
-            self.subscription.receive(message)
-        elif isinstance(message, AgesQuery):
-            await self.ages.answer(message, sender)
-        elif isinstance(message, AgesReply):
-            self.ages.receive(message)
-        else:
-            self._receive_gossip(message)
-            await self.relay.receive(message)
-
-    def _receive_gossip(self, gossip: Gossip) -> None:
-        now_s = self._clock()
-        source = self.relay.source_of(gossip)
-        for load in gossip.loads if source is not None else ():
-            received = Load(load.num_requests, load.waiting_tokens, load.held_tokens)
-            self.load.receive(source or "", load.instance, received, now_s)
-        if source is not None:
-            usage = [read_usage(one) for one in gossip.usage]
-            self.quotas.fleet.receive(source, gossip.num_nodes, usage, now_s)
-            if gossip.trials or gossip.moved:
-                self.rollout_reporter.receive(source, gossip)
-        for send in gossip.sends:
-            if gossip.group:
-                self.dispatcher.note_shared_parts(send.instance, send.scope, send.parts)
-            else:
-                self.dispatcher.note_parts(send.instance, send.scope, send.parts, send.is_ready)
-        for loading in gossip.loading:
-            self._receive_loading(loading)
-        self.quarantine.receive(gossip)
-        for suspect in gossip.suspects:
-            if self.cluster.directory.get(suspect.instance) is not None:
-                self.health.unreachable(suspect.instance, "told_by_peer", now_s)
-
-    def _receive_loading(self, loading: LoadingGossip) -> None:
-        self.dispatcher.mark_loading(loading.instance, loading.is_done)
-        if loading.is_done and loading.version:
-            self.cluster.learn_version(loading.instance, loading.model, loading.version, "peer")
-
     async def _announce_loading(
         self, instance: InstanceId, model: str, version: int, is_done: bool
     ) -> None:
@@ -407,25 +366,11 @@
     def _rollout_sums(self) -> Tallies:
         return self.rollout_reporter.sums(self.relay.counts)
 
-    def _tell_rollout_sums(
+    def _add_rollout_sums(
         self, to_heads: GossipOutbox, to_group: GossipOutbox, must_refresh: bool
     ) -> None:
         self.rollout_reporter.add_sums(to_heads, to_group, is_member, is_group, must_refresh)
 
-    def _gather_gossip(self, must_refresh: bool) -> None:
-        self.trials.tick()
-        self.rollout_reporter.add_own(self.outbox, must_refresh)
-        changed = self.load.take_changed()
-        if must_refresh:
-            changed.update({one: self.load.own(one) for one in self.load.own_instances()})
-        self.quarantine.add_to(self.outbox, must_refresh)
-        self.quotas.tick()
-        self._usage_reporter.add_to(self.outbox, dict(self.quotas.own_usage()), must_refresh)
-        for instance, load in changed.items():
-            self.outbox.add_load(
-                LoadGossip(instance, load.num_requests, load.waiting_tokens, load.held_tokens)
-            )
-
     async def _probe_regularly(self, tasks: TaskGroup) -> None:
         while True:
             await sleep_to_tick(PROBE_INTERVAL_S)
--- a/src/weirscale/gateway/peers/messages.py
+++ b/src/weirscale/gateway/peers/messages.py
@@ -6,12 +6,15 @@
 and `AgesReply` tell since when something holds (`age_exchange`).
 """
 
+from collections.abc import Awaitable, Callable, Iterable
+
 import cbor2
 import msgspec
 
 from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.model.prompt import PromptBlock
 from weirscale.gateway.ports.state_feed import VersionedChange
+from weirscale.gateway.settings import ListenAddress
 
 MAX_REPLY_BYTES = 24_000
 """Larger replies do not go out: datagrams of many fragments are lost too often."""
@@ -32,7 +35,7 @@
     instance: InstanceId
     scope: str
     is_ready: bool
-    parts: tuple[PromptBlock, ...]
+    blocks: tuple[PromptBlock, ...]
 
 
 class LoadingGossip(msgspec.Struct, frozen=True, array_like=True):
@@ -144,15 +147,16 @@
         loads: Loads on back ends.
         sends: Prompts at engines.
         loading: Engines that load weights.
-        named: Not told any more (`AgesReply` is): the place of a field of earlier releases.
+        target_versions: Always empty (`AgesReply` carries them): keeps the place of a field of
+            earlier releases.
         suspects: Unreachable back ends.
         group: Empty for the sender's own doings; else the loads are the sum of this group's
             members, or with `REST_OF_FLEET` of all groups but the receiver's.
         usage: What tenants with a quota spend, of the same nodes as the loads.
         num_nodes: How many nodes that is.
-        trials: How requests under rollouts ended, of the same nodes.
-        moved: How many of these nodes have moved.
-        run: Drawn at the sender's start: its counts begin anew with each.
+        canary_counts: How requests under rollouts ended, at the same nodes.
+        moved_nodes: How many of these nodes have moved to the target of a rollout.
+        sender_run: Drawn at random when the sender's process starts; counts begin at 0 in each run.
         crashes: Crashes of back ends and what they were at work on.
         answered: Requests that crash nothing after all.
     """
@@ -161,14 +165,14 @@
     loads: tuple[LoadGossip, ...] = ()
     sends: tuple[SendGossip, ...] = ()
     loading: tuple[LoadingGossip, ...] = ()
-    named: tuple[TargetVersionGossip, ...] = ()
+    target_versions: tuple[TargetVersionGossip, ...] = ()
     suspects: tuple[SuspectGossip, ...] = ()
     group: str = ""
     usage: tuple[UsageGossip, ...] = ()
     num_nodes: int = 1
-    trials: tuple[CanaryGossip, ...] = ()
-    moved: tuple[MovedGossip, ...] = ()
-    run: int = 0
+    canary_counts: tuple[CanaryGossip, ...] = ()
+    moved_nodes: tuple[MovedGossip, ...] = ()
+    sender_run: int = 0
     crashes: tuple[CrashGossip, ...] = ()
     answered: tuple[AnsweredGossip, ...] = ()
 
@@ -231,7 +235,7 @@
         proof_age_ms: ... and last so long ago.
         silent_age_ms: Age of the answer before that time, where the sender was awake and heard
             nothing for long in between; None otherwise.
-        named: For how long versions have been named at most.
+        target_versions: Upper bounds on the age of target versions.
     """
 
     sender: str
@@ -239,11 +243,14 @@
     span_age_ms: int
     proof_age_ms: int
     silent_age_ms: int | None = None
-    named: tuple[TargetVersionGossip, ...] = ()
+    target_versions: tuple[TargetVersionGossip, ...] = ()
 
 
 PeerMessage = Gossip | StateQuery | StateReply | AgesQuery | AgesReply
 
+SendMessage = Callable[[PeerMessage, Iterable[ListenAddress]], Awaitable[None]]
+"""Sends a message to several nodes; any of them may miss it."""
+
 
 def encode_message(message: PeerMessage) -> bytes:
     """Encode a message."""
--- a/src/weirscale/gateway/peers/outbox.py
+++ b/src/weirscale/gateway/peers/outbox.py
@@ -1,5 +1,6 @@
-"""Gathers what a node is to tell others, until the next message."""
+"""Collects the gossip that a node is to send with its next message."""
 
+from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.peers.messages import (
     AnsweredGossip,
     CanaryGossip,
@@ -13,129 +14,128 @@
     UsageGossip,
 )
 
-MAX_SENDS_A_MESSAGE = 64
-MAX_CRASHES_A_MESSAGE = 64
-"""The others wait for the next message."""
+MAX_SENDS_PER_MESSAGE = 64
+"""Sent prompts in one message; the oldest are dropped. Bounds the datagram; not measured."""
+
+MAX_CRASHES_PER_MESSAGE = 64
+"""Crashes in one message; the others wait for the next. Bounds the datagram; not measured."""
 
 MAX_WAITING_CRASHES = 4096
-"""Beyond it the oldest are dropped: more crash at once only where a region is lost."""
+"""Crashes that wait; beyond it the oldest are dropped. So many come at once only where a whole
+region is lost. Not measured."""
 
 
 class GossipOutbox:
-    """Gathers what is to be told, until the next message.
+    """Collects what is to be sent, until the next message takes it.
 
     Args:
         sender: This node.
-        group: Whose news it is, as `Gossip.group` tells.
+        group: Whose loads and counts it sends, as in `Gossip.group`.
+        sender_run: As in `Gossip.sender_run`.
     """
 
-    def __init__(self, sender: str, group: str = "") -> None:
+    def __init__(self, sender: str, group: str = "", sender_run: int = 0) -> None:
         self._sender = sender
         self._group = group
-        self._loads: dict[str, LoadGossip] = {}
+        self._sender_run = sender_run
+        self._num_nodes = 1
+        self._crashes: dict[tuple[str, str], CrashGossip] = {}
+        self._clear()
+
+    def _clear(self) -> None:
+        """Start the next message; crashes that did not fit into the last one stay."""
+        self._loads: dict[InstanceId, LoadGossip] = {}
         self._sends: list[SendGossip] = []
         self._loading: list[LoadingGossip] = []
-        self._suspects: dict[str, SuspectGossip] = {}
+        self._suspects: dict[InstanceId, SuspectGossip] = {}
         self._usage: dict[str, UsageGossip] = {}
-        self._num_nodes = 1
-        self._trials: dict[tuple[int, str, str], CanaryGossip] = {}
-        self._moved: dict[int, MovedGossip] = {}
-        self._crashes: dict[tuple[str, str], CrashGossip] = {}
+        self._canary_counts: dict[tuple[int, str, InstanceId], CanaryGossip] = {}
+        self._moved_nodes: dict[int, MovedGossip] = {}
         self._answered: dict[str, AnsweredGossip] = {}
-        self.run = 0
-        """Told along: counts of one run of a process begin anew with the next."""
 
     def add_usage(self, gossip: UsageGossip) -> None:
-        """Tell what a tenant spends; replaces what was to be told of it."""
+        """Add what a tenant spends; replaces what waits for this tenant."""
         self._usage[gossip.tenant] = gossip
 
     def set_num_nodes(self, num_nodes: int) -> None:
         """Set of how many nodes the usage is."""
         self._num_nodes = num_nodes
 
-    def add_trials(self, gossip: CanaryGossip) -> None:
-        """Tell counts of a rollout; replaces what was to be told of them."""
-        self._trials[(gossip.epoch, gossip.route, gossip.instance)] = gossip
+    def add_canary_counts(self, gossip: CanaryGossip) -> None:
+        """Add counts of a rollout; replaces those that wait for the same back ends and route."""
+        self._canary_counts[(gossip.epoch, gossip.route, gossip.instance)] = gossip
 
-    def add_moved(self, gossip: MovedGossip) -> None:
-        """Tell how many nodes have moved; replaces what was to be told."""
-        self._moved[gossip.epoch] = gossip
+    def add_moved_nodes(self, gossip: MovedGossip) -> None:
+        """Add how many nodes have moved; replaces what waits for this rollout."""
+        self._moved_nodes[gossip.epoch] = gossip
 
     def add_load(self, gossip: LoadGossip) -> None:
-        """Tell a load; replaces an earlier one."""
+        """Add a load; replaces one that waits for this back end."""
         self._loads[gossip.instance] = gossip
 
     def add_send(self, gossip: SendGossip) -> None:
-        """Tell a send; the oldest are dropped when there are too many."""
+        """Add a prompt that was sent or read; the oldest are dropped when there are too many."""
         self._sends.append(gossip)
-        del self._sends[:-MAX_SENDS_A_MESSAGE]
+        del self._sends[:-MAX_SENDS_PER_MESSAGE]
 
     def add_loading(self, gossip: LoadingGossip) -> None:
-        """Tell of an engine that loads weights."""
+        """Add that an engine loads weights, or has loaded them."""
         self._loading.append(gossip)
 
     def add_suspect(self, gossip: SuspectGossip) -> None:
-        """Tell of an unreachable back end."""
+        """Add an unreachable back end."""
         self._suspects[gossip.instance] = gossip
 
     def add_crash(self, gossip: CrashGossip) -> None:
-        """Tell of a crash under a request."""
+        """Add a crash under a request; the oldest are dropped when there are too many."""
         self._crashes[(gossip.request, gossip.run)] = gossip
         if len(self._crashes) > MAX_WAITING_CRASHES:
             del self._crashes[next(iter(self._crashes))]
 
     def add_answered(self, gossip: AnsweredGossip) -> None:
-        """Tell of a request that crashes nothing after all."""
+        """Add a request that was answered after crashes under it."""
         self._answered[gossip.request] = gossip
 
     def _take_crashes(self) -> tuple[CrashGossip, ...]:
-        taken = list(self._crashes)[:MAX_CRASHES_A_MESSAGE]
+        taken = list(self._crashes)[:MAX_CRASHES_PER_MESSAGE]
         return tuple(self._crashes.pop(key) for key in taken)
 
     def take(self, group: str | None = None, with_empty: bool = False) -> Gossip | None:
-        """Return the message and begin the next; None if there is nothing to tell.
+        """Return the message and start the next; None if it would be empty.
 
         Args:
-            group: Whose news it is, if not the outbox's own group.
-            with_empty: Whether to return a message that tells nothing but that the node lives.
+            group: Whose loads and counts it sends, if not those of the outbox's own group.
+            with_empty: Whether to return an empty message too, as a heartbeat.
         """
-        if not with_empty and not self._tells_anything():
+        if not with_empty and self._is_empty():
             return None
         gossip = Gossip(
-            self._sender,
-            tuple(self._loads.values()),
-            tuple(self._sends),
-            tuple(self._loading),
-            (),
-            tuple(self._suspects.values()),
-            self._group if group is None else group,
-            tuple(self._usage.values()),
-            self._num_nodes,
-            tuple(self._trials.values()),
-            tuple(self._moved.values()),
-            self.run,
-            self._take_crashes(),
-            tuple(self._answered.values()),
+            sender=self._sender,
+            loads=tuple(self._loads.values()),
+            sends=tuple(self._sends),
+            loading=tuple(self._loading),
+            suspects=tuple(self._suspects.values()),
+            group=self._group if group is None else group,
+            usage=tuple(self._usage.values()),
+            num_nodes=self._num_nodes,
+            canary_counts=tuple(self._canary_counts.values()),
+            moved_nodes=tuple(self._moved_nodes.values()),
+            sender_run=self._sender_run,
+            crashes=self._take_crashes(),
+            answered=tuple(self._answered.values()),
         )
-        self._loads = {}
-        self._sends = []
-        self._loading = []
-        self._suspects = {}
-        self._usage = {}
-        self._trials = {}
-        self._moved = {}
-        self._answered = {}
+        self._clear()
         return gossip
 
-    def _tells_anything(self) -> bool:
-        return bool(
+    def _is_empty(self) -> bool:
+        return not (
             self._loads
             or self._sends
             or self._loading
             or self._suspects
             or self._usage
-            or self._trials
-            or self._moved
+            or self._canary_counts
+            or self._moved_nodes
             or self._crashes
             or self._answered
         )
--- a/src/weirscale/gateway/replication/age_exchange.py
+++ b/src/weirscale/gateway/replication/age_exchange.py
@@ -6,11 +6,11 @@
 way, or waited at a node that stood still, what is made of it is never too young.
 """
 
-from collections.abc import Awaitable, Callable, Iterable
+from collections.abc import Callable, Iterable
 from random import Random
 
 from weirscale.gateway.durations import MILLISECONDS_PER_S, age_ms
-from weirscale.gateway.peers.messages import AgesQuery, AgesReply, PeerMessage, TargetVersionGossip
+from weirscale.gateway.peers.messages import AgesQuery, AgesReply, SendMessage, TargetVersionGossip
 from weirscale.gateway.peers.open_queries import OpenQueries
 from weirscale.gateway.peers.registrations import PeerDirectory
 from weirscale.gateway.settings import ListenAddress
@@ -33,8 +33,6 @@
 MAX_TOLD_AGE_S = 30.0
 """Versions named longer ago are not told of: a node that does not know them takes them for old."""
 
-Send = Callable[[PeerMessage, Iterable[ListenAddress]], Awaitable[None]]
-
 
 class AgeExchange:
     """Asks and answers; `run` must be running.
@@ -54,7 +52,7 @@
         name: str,
         cluster: ClusterState,
         peers: PeerDirectory,
-        send: Send,
+        send: SendMessage,
         event_log: EventLog,
         random: Random,
         clock: Callable[[], float],
@@ -142,7 +140,7 @@
             None if silent_age_ms is None else asked_at_s - silent_age_ms / MILLISECONDS_PER_S,
         )
         self._cluster.store_outages.receive(reply.sender, span, asked_at_s, self._clock())
-        for named in reply.named:
+        for named in reply.target_versions:
             named_after_s = asked_at_s - named.age_ms / MILLISECONDS_PER_S
             self._cluster.weights.narrow(named.model, named.version, named_after_s)
 
--- a/src/weirscale/gateway/replication/publisher.py
+++ b/src/weirscale/gateway/replication/publisher.py
@@ -1,13 +1,13 @@
 """A reader's side: answers the queries of other nodes and tells them changes as they come."""
 
-from collections.abc import Awaitable, Callable, Iterable
+from collections.abc import Callable
 
 import msgspec
 
 from weirscale.gateway.durations import MILLISECONDS_PER_S
 from weirscale.gateway.peers.messages import (
     MAX_REPLY_BYTES,
-    PeerMessage,
+    SendMessage,
     StateQuery,
     StateReply,
     encode_message,
@@ -20,9 +20,6 @@
 
 MAX_TOLD_AGE_MS = 1_000_000_000
 
-Send = Callable[[PeerMessage, Iterable[ListenAddress]], Awaitable[None]]
-"""Sends a message to several nodes; any may miss it."""
-
 
 class _Subscriber(msgspec.Struct):
     address: ListenAddress
@@ -40,7 +37,7 @@
     """
 
     def __init__(
-        self, name: str, cluster: ClusterState, send: Send, clock: Callable[[], float]
+        self, name: str, cluster: ClusterState, send: SendMessage, clock: Callable[[], float]
     ) -> None:
         self._name = name
         self._cluster = cluster
--- a/src/weirscale/gateway/replication/subscription.py
+++ b/src/weirscale/gateway/replication/subscription.py
@@ -20,13 +20,13 @@
 from weirscale.gateway.model.topology import ONE_REGION, Topology
 from weirscale.gateway.peers.groups import Member
 from weirscale.gateway.peers.messages import (
+    SendMessage,
     StateQuery,
     StateReply,
 )
 from weirscale.gateway.peers.open_queries import OpenQueries
 from weirscale.gateway.peers.registrations import PeerDirectory
 from weirscale.gateway.ports.state_feed import StateBatch
-from weirscale.gateway.replication.publisher import Send
 from weirscale.gateway.replication.readers import choose_readers
 from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.gateway.state.store_outages import NEVER_S
@@ -61,7 +61,7 @@
         name: str,
         cluster: ClusterState,
         peers: PeerDirectory,
-        send: Send,
+        send: SendMessage,
         event_log: EventLog,
         random: Random,
         clock: Callable[[], float],
--- a/src/weirscale/gateway/rollouts/reporter.py
+++ b/src/weirscale/gateway/rollouts/reporter.py
@@ -46,7 +46,7 @@
         self._told_at_s = now_s
         for key, counts in tallies.items():
             if must_refresh or self._told.get(key, NO_COUNTS) != counts:
-                outbox.add_trials(_news(key, counts))
+                outbox.add_canary_counts(_news(key, counts))
         self._told = tallies
 
 
@@ -103,11 +103,11 @@
     def receive(self, source: str, gossip: Gossip) -> None:
         """Take over what a source tells; `source` is as for the loads."""
         known = {order.epoch for order in self._cluster.rollouts.orders.values()}
-        told = [_read(one) for one in gossip.trials if one.epoch in known]
+        told = [_read(one) for one in gossip.canary_counts if one.epoch in known]
         if told:
-            name = source if gossip.group else f"{source}#{gossip.run}"
+            name = source if gossip.group else f"{source}#{gossip.sender_run}"
             self._tallies.receive(name, told)
-        for moved in gossip.moved:
+        for moved in gossip.moved_nodes:
             if moved.epoch in known:
                 key = (ServiceName(moved.service), Epoch(moved.epoch))
                 self._barrier.receive(source, key, moved.num_nodes, self._clock())
@@ -119,7 +119,7 @@
         self._to_own.add_to(outbox, dict(self._tallies.own), must_refresh, self._clock())
         for key in self._moves():
             if self.has_moved(key[0]):
-                outbox.add_moved(MovedGossip(key[0], key[1], 1))
+                outbox.add_moved_nodes(MovedGossip(key[0], key[1], 1))
 
     def add_sums(
         self,
@@ -140,8 +140,8 @@
         for key in self._moves():
             num_own = self._barrier.num_moved(key, is_member, now_s) + self.has_moved(key[0])
             num_rest = self._barrier.num_moved(key, is_group, now_s)
-            to_heads.add_moved(MovedGossip(key[0], key[1], num_own))
-            to_group.add_moved(MovedGossip(key[0], key[1], num_rest))
+            to_heads.add_moved_nodes(MovedGossip(key[0], key[1], num_own))
+            to_group.add_moved_nodes(MovedGossip(key[0], key[1], num_rest))
 
     def sums(self, counts: SourceTest) -> Tallies:
         """Return what all nodes have seen, by the sources that count at this node."""
