--- a/features/steps/gateway_instances_steps.py
+++ b/features/steps/gateway_instances_steps.py
@@ -204,5 +204,5 @@
     cluster = context.cluster
     known = cluster.directory.get("i-1")
     assert cluster.table.version == version
-    assert cluster.weights.newest(MODEL) == weights
+    assert cluster.target_versions.newest(MODEL) == weights
     assert (known.state.value if known else "gone") == state
--- a/features/steps/gateway_old_weights_steps.py
+++ b/features/steps/gateway_old_weights_steps.py
@@ -192,7 +192,7 @@
         ages.receive = hear_late
         name_version(play, version)
         await anyio.sleep(delay_s + 3.0)
-        play.named_after_s = fleet.nodes["node-1"].cluster.weights.newest_named(MODEL)
+        play.named_after_s = fleet.nodes["node-1"].cluster.target_versions.newest_named(MODEL)
 
     context.play.actions.append(action)
 
@@ -330,7 +330,7 @@
             name_version(play, version)
             await anyio.sleep(seconds)
             for name, node in play.fleet.nodes.items():
-                named = node.cluster.weights.newest_named(MODEL)
+                named = node.cluster.target_versions.newest_named(MODEL)
                 assert named.version == version
                 play.early_s[name].append(play.named_s - named.named_after_s)
 
--- a/src/weirscale/gateway/gossip/inbox.py
+++ b/src/weirscale/gateway/gossip/inbox.py
@@ -107,7 +107,9 @@
     def _receive_loading(self, loading: LoadingGossip) -> None:
         self._dispatcher.mark_loading(loading.instance, loading.is_done)
         if loading.is_done and loading.version:
-            self._cluster.learn_version(loading.instance, loading.model, loading.version, "peer")
+            self._cluster.engine_versions.learn(
+                loading.instance, loading.model, loading.version, "peer"
+            )
 
 
 class PeerInbox:
--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -159,8 +159,8 @@
         feed = CountedFeed(feed, self.metrics.count_store_call)
         store = CountedStore(store, self.metrics.count_store_call)
         self.cluster = ClusterState(event_log, clock)
-        self.cluster.on_gone = self._forget_back_end
-        self.cluster.on_version = self._take_version
+        self.cluster.back_ends.observe_gone(self._forget_back_end)
+        self.cluster.engine_versions.observe(self._take_version)
         self.load = FleetLoad()
         self.health = BackEndHealth(event_log, random)
         bounds = settings.bounds
@@ -189,7 +189,9 @@
             bounds.quota, lambda: self.peers.num_nodes(GONE_MEMORY_S),
             lambda: self.relay.interval_s(), random, clock,
         )  # fmt: skip
-        self.cluster.on_table = lambda table: self.quotas.set_tenants(table.configuration.tenants)
+        self.cluster.observe_table(
+            lambda table: self.quotas.set_tenants(table.configuration.tenants)
+        )
         self.relay = GroupRelay(
             settings.name, self.peers, self.load, self.quotas, self._send, clock,
             self._add_rollout_sums,
@@ -374,7 +376,7 @@
     async def _probe_regularly(self, tasks: TaskGroup) -> None:
         while True:
             await sleep_to_tick(PROBE_INTERVAL_S)
-            self.cluster.forget_lapsed()
+            self.cluster.back_ends.forget_lapsed()
             self._close_unused(tasks)
             for instance in self.health.to_probe(self._clock()):
                 tasks.start_soon(self._probe, instance)
--- a/src/weirscale/gateway/peers/registrations.py
+++ b/src/weirscale/gateway/peers/registrations.py
@@ -96,12 +96,12 @@
 
     def _read_changes(self) -> None:
         """Read the registrations anew if any record has changed."""
-        if self._cluster.num_record_changes == self._read_at_change:
+        if self._cluster.records.num_changes == self._read_at_change:
             self._forget_departed()
             return
-        self._read_at_change = self._cluster.num_record_changes
+        self._read_at_change = self._cluster.records.num_changes
         found: dict[str, Registration] = {}
-        for key, value in self._cluster.records_under(NODE_PREFIX):
+        for key, value in self._cluster.records.under(NODE_PREFIX):
             registration = _read_registration(value)
             if registration is not None:
                 found[key.removeprefix(NODE_PREFIX)] = registration
--- a/src/weirscale/gateway/quarantine/keeper.py
+++ b/src/weirscale/gateway/quarantine/keeper.py
@@ -199,11 +199,11 @@
 
     def _look_at_records(self) -> None:
         """Take over what has come into the store or gone from it since the last look."""
-        if self._num_record_changes == self._cluster.num_record_changes:
+        if self._num_record_changes == self._cluster.records.num_changes:
             return
-        self._num_record_changes = self._cluster.num_record_changes
+        self._num_record_changes = self._cluster.records.num_changes
         keys = (
-            read_quarantine_key(key) for key, _ in self._cluster.records_under(QUARANTINE_PREFIX)
+            read_quarantine_key(key) for key, _ in self._cluster.records.under(QUARANTINE_PREFIX)
         )
         recorded = frozenset(one for one in keys if one is not None)
         for fingerprint in recorded - self._recorded:
--- a/src/weirscale/gateway/replication/age_exchange.py
+++ b/src/weirscale/gateway/replication/age_exchange.py
@@ -83,7 +83,7 @@
             await sleep_to_tick(ASK_INTERVAL_S)
 
     def _is_doubtful(self, now_s: float) -> bool:
-        has_new_name = now_s <= self._cluster.named_at_s + NAMING_DOUBT_S
+        has_new_name = now_s <= self._cluster.target_changed_at_s + NAMING_DOUBT_S
         return has_new_name or self._cluster.store_outages.is_doubtful(now_s)
 
     def _tell_silence(self, now_s: float) -> None:
@@ -123,7 +123,7 @@
         await self._send(reply, (address,))
 
     def _named_lately(self, now_s: float) -> Iterable[TargetVersionGossip]:
-        for model, named in self._cluster.weights.all():
+        for model, named in self._cluster.target_versions.all():
             age_s = now_s - named.named_after_s
             if age_s <= MAX_TOLD_AGE_S:
                 yield TargetVersionGossip(model, named.version, _whole_ms(age_s))
@@ -142,7 +142,7 @@
         self._cluster.store_outages.receive(reply.sender, span, asked_at_s, self._clock())
         for named in reply.target_versions:
             named_after_s = asked_at_s - named.age_ms / MILLISECONDS_PER_S
-            self._cluster.weights.narrow(named.model, named.version, named_after_s)
+            self._cluster.target_versions.narrow(named.model, named.version, named_after_s)
 
 
 def _whole_ms(age_s: float) -> int:
--- a/src/weirscale/gateway/requests/exchange_context.py
+++ b/src/weirscale/gateway/requests/exchange_context.py
@@ -278,7 +278,7 @@
         if prompt is None or answer.weight_version is None or choice.scope is None:
             return
         instance = choice.candidate.back_end.instance
-        self.cluster.learn_version(instance, prompt.model, answer.weight_version, "answer")
+        self.cluster.engine_versions.learn(instance, prompt.model, answer.weight_version, "answer")
 
     def _tell_send(self, choice: Choice, prompt: Prompt, is_ready: bool) -> None:
         assert choice.scope is not None
--- a/src/weirscale/gateway/routing/dispatcher.py
+++ b/src/weirscale/gateway/routing/dispatcher.py
@@ -203,7 +203,7 @@
 
     def _candidates(self, query: DispatchQuery, service: Service | None) -> list[Candidate]:
         now_s = self._clock()
-        ready = self._cluster.ready_back_ends(query.service)
+        ready = self._cluster.back_ends.ready(query.service)
         lowest = 0 if query.prompt is None else self._lowest_version(query.prompt.model, now_s)
         usable = [
             back_end
@@ -221,7 +221,7 @@
 
     def _passed_over(self, query: DispatchQuery, service: Service) -> list[Candidate]:
         """Return the engines whose version is not chosen now; they may keep what is wanted."""
-        ready = self._cluster.ready_back_ends(query.service)
+        ready = self._cluster.back_ends.ready(query.service)
         usable = self._versions.usable(query.service, ready, query.track)
         if len(usable) == len(ready):
             return []
@@ -236,14 +236,14 @@
     def _has_usable_weights(self, back_end: BackEnd, prompt: Prompt | None, lowest: int) -> bool:
         if prompt is None or not back_end.models:
             return True
-        version = self._cluster.version_of(back_end.instance, prompt.model)
+        version = self._cluster.engine_versions.version_of(back_end.instance, prompt.model)
         if version is None:
             return False
         return version >= lowest
 
     def _lowest_version(self, model: str, now_s: float) -> int:
         """Return the oldest weights that may be used."""
-        return self._cluster.weights.lowest_allowed(
+        return self._cluster.target_versions.lowest_allowed(
             model, now_s, self._weights_grace_s, self._cluster.outage_ended_s()
         )
 
@@ -261,7 +261,7 @@
         if prompt is None or service is None or service.engine is None:
             return Candidate(back_end, load, is_suspect, is_cross_region=is_cross_region)
         capacity = service.engine.cache_tokens
-        version = self._cluster.version_of(back_end.instance, prompt.model)
+        version = self._cluster.engine_versions.version_of(back_end.instance, prompt.model)
         owed = self._owed(prompt.model, version)
         return Candidate(
             back_end,
@@ -270,7 +270,9 @@
             self._cache(back_end.instance, capacity),
             capacity,
             version,
-            newest_version=None if owed is None else self._cluster.weights.newest(prompt.model),
+            newest_version=None
+            if owed is None
+            else self._cluster.target_versions.newest(prompt.model),
             owed_s=0.0 if owed is None else now_s - owed.named_after_s,
             begins_within_s=math.inf if owed is None else self._begins_within_s(owed, now_s),
             recent_wait_s=0.0 if owed is None else self._longest_wait_s(back_end.service, now_s),
@@ -286,7 +288,9 @@
 
     def _owed(self, model: str, version: int | None) -> TargetVersion | None:
         """Return the first version newer than an engine's, or None."""
-        return None if version is None else self._cluster.weights.first_newer(model, version)
+        return (
+            None if version is None else self._cluster.target_versions.first_newer(model, version)
+        )
 
     def _cache(self, instance: InstanceId, capacity_tokens: int) -> CacheBelief:
         cache = self._caches.get(instance)
--- a/src/weirscale/gateway/state/cluster_state.py
+++ b/src/weirscale/gateway/state/cluster_state.py
@@ -1,18 +1,20 @@
-"""What a node knows of the platform's state: one owner, everything else reads.
+"""What a node knows of the platform's state: one owner, which all other parts read.
 
-Nothing here ever goes back: a key's older revision and a lower configuration version are dropped,
-whichever way they arrive.
+`ClusterState` takes over the changes that the store's readers bring and hands each to the part that
+owns it: registrations to `BackEndRegistry`, weights of engines to `EngineVersions`, the gateway's
+records to `StoredRecords`, rollouts to `RolloutBook`, target versions to `TargetVersions`.
+
+Nothing here ever goes back: an older revision of a key and a lower version of the configuration are
+dropped, whichever way they arrive.
 """
 
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
+from functools import singledispatchmethod
 
 import anyio
-import msgspec
 
-from weirscale.domain.identifiers import ServiceName, SoftwareVersion
 from weirscale.gateway.durations import age_ms
-from weirscale.gateway.model.back_ends import TAKES_WORK, BackEnd, BackEndDirectory, BackEndState
-from weirscale.gateway.model.identifiers import InstanceId
+from weirscale.gateway.model.back_ends import BackEndDirectory
 from weirscale.gateway.model.rollout_order import Epoch, RolloutOrder
 from weirscale.gateway.model.routes import RouteTable
 from weirscale.gateway.ports.state_feed import (
@@ -24,92 +26,100 @@
     RolloutStatusSeen,
     RolloutWithdrawn,
     StateBatch,
+    StateChange,
     TargetVersionChanged,
     Unreadable,
     VersionedChange,
 )
+from weirscale.gateway.state.back_end_registry import BackEndRegistry
 from weirscale.gateway.state.change_log import ChangeLog
+from weirscale.gateway.state.engine_versions import EngineVersions
 from weirscale.gateway.state.rollout_orders import RolloutBook
 from weirscale.gateway.state.store_outages import NEVER_S, StoreOutageDetector
+from weirscale.gateway.state.stored_records import StoredRecords
 from weirscale.gateway.state.target_versions import TargetVersion, TargetVersions
-from weirscale.gateway.state.weights_age_marker import WeightsAgeMarker, read_weights_age_marker
 from weirscale.ports.event_log import EventLog
 
-ESTABLISHED_S = 20.0
-"""A version of a service's program that registered longer ago needs no trial to be ordered."""
-
-LAPSE_S = 2.0
-"""A registration that ends within this time after an outage of the store may have lapsed so."""
-
-LAPSED_KEPT_S = 1.7
-"""How long such a back end is still used: those that live register again within some two seconds of
-the store's return, and one that is gone gets no new work two seconds after that was told."""
-
 
 class ClusterState:
     """The platform's state as this node knows it.
 
     Args:
-        event_log: Where changes are told.
+        event_log: Where changes are logged.
         clock: Monotonic seconds.
+
+    Attributes:
+        table: Routes, services, tenants and limits; None until a configuration was read.
+        directory: The back ends.
+        back_ends: Their registrations.
+        engine_versions: Which weights engines have.
+        target_versions: Which weights operators want.
+        rollouts: Orders and statuses of rollouts of service versions.
+        records: The gateway's own records.
+        log: The latest change of each key, for other nodes.
+        revision: Highest revision of the store that is known.
+        confirmed_at_s: Everything that the store acknowledged before this time is known.
+        store_outages: When the store was away for all nodes.
+        has_read_all: Whether everything has been read once.
+        target_changed_at_s: When this node last learnt of a new target version.
     """
 
     def __init__(self, event_log: EventLog, clock: Callable[[], float]) -> None:
         self._event_log = event_log
         self._clock = clock
+        self._made_at_s = clock()
+        self._first_read = anyio.Event()
         self._revisions: dict[str, int] = {}
-        self._instance_keys: dict[InstanceId, str] = {}
-        self._lapsed_until_s: dict[InstanceId, float] = {}
-        self._record_keys: dict[str, str] = {}
-        self._versions: dict[tuple[InstanceId, str], int] = {}
-        self._versions_since_s: dict[tuple[ServiceName, SoftwareVersion], float] = {}
-        """When a version of a service's program was first seen. A node that starts does not know
-        for how long those that it finds have been there."""
+        self._table_observers: list[Callable[[RouteTable], None]] = []
         self.table: RouteTable | None = None
+        self.store_outages = StoreOutageDetector()
         self.directory = BackEndDirectory()
-        self.weights = TargetVersions()
+        self.engine_versions = EngineVersions(self.directory, event_log)
+        self.back_ends = BackEndRegistry(
+            self.directory, self.engine_versions, self.store_outages, event_log, clock
+        )
+        self.target_versions = TargetVersions()
         self.rollouts = RolloutBook()
+        self.records = StoredRecords()
         self.log = ChangeLog()
-        self.records: dict[str, bytes] = {}
-        self.num_record_changes = 0
-        """Rises with each change of the records, for those who read them by change."""
         self.revision = 0
         self.confirmed_at_s = NEVER_S
-        """Everything acknowledged before this time is known."""
-        self.store_outages = StoreOutageDetector()
-        self.named_at_s = NEVER_S
-        """When this node last heard of newly named weights."""
-        self._weights_age_markers: dict[str, WeightsAgeMarker] = {}
+        self.target_changed_at_s = NEVER_S
         self.has_read_all = False
-        self._first_read = anyio.Event()
-        self._made_at_s = clock()
-        self.on_gone: Callable[[BackEnd], None] = _ignore
-        self.on_table: Callable[[RouteTable], None] = _ignore
-        self.on_version: Callable[[InstanceId, str, int], None] = _ignore_version
+
+    def observe_table(self, observer: Callable[[RouteTable], None]) -> None:
+        """Have a function called with the routes of each new configuration."""
+        self._table_observers.append(observer)
+
+    async def wait_until_read(self) -> None:
+        """Wait until everything has been read once."""
+        await self._first_read.wait()
+
+    async def wait_for_first_read(self, timeout_s: float) -> None:
+        """Wait until everything has been read once, at most until a time after the start."""
+        if self.has_read_all:
+            return
+        left_s = self._made_at_s + timeout_s - self._clock()
+        with anyio.move_on_after(max(0.0, left_s)):
+            await self._first_read.wait()
 
     def replace_all(self, batch: StateBatch, asked_at_s: float) -> None:
-        """Take over a reading of everything; what it lacks is gone."""
+        """Take over a reading of everything; what it lacks is gone.
+
+        Args:
+            batch: Everything.
+            asked_at_s: When the store was asked.
+        """
         present = {change.key for change in batch.changes}
-        for instance, key in list(self._instance_keys.items()):
-            if key not in present:
-                self._remove_back_end(instance)
+        self.back_ends.end_missing(present)
         for key in [key for key in self.rollouts.order_keys() if key not in present]:
             self._withdraw_rollout(key)
-        for key in [key for key in self.records if key not in present]:
-            self._change_record(RecordChanged(key, None))
+        self.records.remove_missing(present)
         self.log.begin(batch.revision)
         self.apply(batch, asked_at_s)
         self.has_read_all = True
         self._first_read.set()
 
-    async def wait_for_first_read(self, patience_s: float) -> None:
-        """Wait until everything has been read once, until `patience_s` after the start at most."""
-        if self.has_read_all:
-            return
-        left_s = self._made_at_s + patience_s - self._clock()
-        with anyio.move_on_after(max(0.0, left_s)):
-            await self._first_read.wait()
-
     def apply(self, batch: StateBatch, asked_at_s: float) -> None:
         """Take over changes.
 
@@ -121,178 +131,105 @@
             if change.revision > self._revisions.get(change.key, 0):
                 self._revisions[change.key] = change.revision
                 self.log.add(change)
-                self._apply_one(change)
+                self._take(change.change, change)
         self.revision = max(self.revision, batch.revision)
         self.confirm(asked_at_s)
 
-    async def wait_until_read(self) -> None:
-        """Wait until everything has been read once."""
-        await self._first_read.wait()
-
     def confirm(self, proved_at_s: float) -> None:
-        """Learn that everything acknowledged before a time is known."""
+        """Learn that everything is known that the store acknowledged before a time."""
         if proved_at_s <= self.confirmed_at_s:
             return
         self.confirmed_at_s = proved_at_s
         self.store_outages.prove(proved_at_s, self._clock())
-        for young in self._weights_age_markers.values():
-            self.weights.narrow(young.model, young.version, proved_at_s - young.max_age_s)
-
-    def _apply_one(self, versioned: VersionedChange) -> None:
-        change = versioned.change
-        if isinstance(change, ConfigurationChanged):
-            self._take_configuration(change, versioned.revision)
-        elif isinstance(change, BackEndRegistered):
-            self._put_back_end(versioned.key, change.back_end)
-        elif isinstance(change, BackEndGone):
-            self._remove_back_end(change.instance)
-        elif isinstance(change, TargetVersionChanged):
-            self._name_weights(change)
-        elif isinstance(change, RolloutOrdered):
-            self._order_rollout(versioned.key, change, versioned.revision)
-        elif isinstance(change, RolloutWithdrawn):
-            self._withdraw_rollout(change.key)
-        elif isinstance(change, RolloutStatusSeen):
-            self.rollouts.put_status(change.status, versioned.revision)
-        elif isinstance(change, RecordChanged):
-            self._change_record(change)
-        elif isinstance(change, Unreadable):
-            self._event_log.event(
-                "state_unreadable",
-                key=change.key,
-                problem=change.problem,
-                remedy="mend the entry in the store; the last good state stays in force",
-            )
-
-    def _take_configuration(self, named: ConfigurationChanged, revision: int) -> None:
-        version = named.configuration.version
-        known = self.table.version if self.table else None
-        if known is not None and version <= known:
-            return
-        self.table = RouteTable(named.configuration)
-        self._event_log.event(
-            "configuration_taken",
-            version=version,
-            previous=known,
-            revision=revision,
-            routes=len(named.configuration.routes),
-        )
-        self.on_table(self.table)
+        for marker in self.records.weights_age_markers():
+            named_after_s = proved_at_s - marker.max_age_s
+            self.target_versions.narrow(marker.model, marker.version, named_after_s)
 
-    def _put_back_end(self, key: str, back_end: BackEnd) -> None:
-        known = self.directory.get(back_end.instance)
-        self._lapsed_until_s.pop(back_end.instance, None)
-        for displaced in self.directory.put(back_end):
-            self._event_log.event(
-                "back_end_displaced", instance=displaced, by=back_end.instance,
-                address=back_end.address,
-            )  # fmt: skip
-            self._instance_keys.pop(displaced, None)
-            self._lapsed_until_s.pop(displaced, None)
-        self._instance_keys[back_end.instance] = key
-        self._versions_since_s.setdefault((back_end.service, back_end.software), self._clock())
-        for served in back_end.models:
-            self.learn_version(back_end.instance, served.name, served.version, "registration")
-        if known is None or known.state is not back_end.state:
-            self._event_log.event(
-                "back_end_seen" if back_end.state is BackEndState.READY else "back_end_leaving",
-                instance=back_end.instance,
-                service=back_end.service,
-                address=back_end.address,
-                zone=back_end.zone,
-                software=back_end.software,
-            )
-
-    def _remove_back_end(self, instance: InstanceId) -> None:
-        self._instance_keys.pop(instance, None)
-        known = self.directory.get(instance)
-        if known is not None and self._may_have_lapsed(known):
-            self._keep_lapsed(known)
-        else:
-            self._forget_back_end(instance)
-
-    def _may_have_lapsed(self, back_end: BackEnd) -> bool:
-        return back_end.state is BackEndState.READY and self._outage_age_s() <= LAPSE_S
+    def age_s(self) -> float:
+        """Return the proof age: how long ago this state was last proved current."""
+        return self._clock() - self.confirmed_at_s
 
-    def _outage_age_s(self) -> float:
-        return self._clock() - self.outage_ended_s()
+    def revision_of(self, key: str) -> int:
+        """Return the revision of a key's last change, 0 if it is not known."""
+        return self._revisions.get(key, 0)
 
     def outage_ended_s(self) -> float:
         """Return when the last outage of the store for all nodes ended; now, while there is one."""
         return self.store_outages.outage_ended_s(self._clock())
 
-    def grace_began_s(self, named: TargetVersion) -> float:
-        """Return from when engines with older weights count the time to take a version.
+    def grace_began_s(self, target: TargetVersion) -> float:
+        """Return the time from which engines with older weights have their grace to load these.
 
-        Nobody can bring new weights to the engines while the store answers no node, so it begins
-        anew after that, and not after what befell this node alone.
+        Nobody can bring new weights to engines while the store answers no node, so the grace starts
+        anew when an outage ends. A loss of the store by this node alone does not prolong it.
         """
-        return max(named.named_after_s, self.outage_ended_s())
+        return max(target.named_after_s, self.outage_ended_s())
 
-    def _keep_lapsed(self, back_end: BackEnd) -> None:
-        lapsed = msgspec.structs.replace(back_end, state=BackEndState.LAPSED)
-        self.directory.put(lapsed)
-        self._lapsed_until_s[back_end.instance] = self._clock() + LAPSED_KEPT_S
-        self._event_log.event(
-            "back_end_lapsed", instance=back_end.instance, address=back_end.address,
-            outage_age_s=self._outage_age_s(), kept_s=LAPSED_KEPT_S,
-        )  # fmt: skip
+    @singledispatchmethod
+    def _take(self, change: StateChange, versioned: VersionedChange) -> None:
+        """Take over one change; there is one function for each kind."""
+        raise TypeError(f"no function takes {type(change).__name__}; add one to ClusterState")
 
-    def forget_lapsed(self) -> None:
-        """Forget the back ends that lapsed with the store and have not come back in time."""
-        now_s = self._clock()
-        for instance, until_s in list(self._lapsed_until_s.items()):
-            if until_s <= now_s:
-                self._forget_back_end(instance)
-
-    def _forget_back_end(self, instance: InstanceId) -> None:
-        self._lapsed_until_s.pop(instance, None)
-        known = self.directory.remove(instance)
-        for key in [key for key in self._versions if key[0] == instance]:
-            del self._versions[key]
-        if known is not None:
-            self._event_log.event("back_end_gone", instance=instance, address=known.address)
-            self.on_gone(known)
-
-    def _name_weights(self, change: TargetVersionChanged) -> None:
-        previous = self.weights.newest(change.model)
-        # It was not named yet at the last proof. Counted from the hearing, older weights would
-        # serve beyond their grace at a node that heard late: 3 s after a standstill of 4 s.
-        if self.weights.name(change.model, change.version, self.confirmed_at_s):
-            self.named_at_s = self._clock()
+    @_take.register
+    def _take_configuration(self, change: ConfigurationChanged, versioned: VersionedChange) -> None:
+        version = change.configuration.version
+        known = self.table.version if self.table else None
+        if known is not None and version <= known:
+            return
+        self.table = RouteTable(change.configuration)
+        self._event_log.event(
+            "configuration_taken",
+            version=version,
+            previous=known,
+            revision=versioned.revision,
+            routes=len(change.configuration.routes),
+        )
+        for observer in self._table_observers:
+            observer(self.table)
+
+    @_take.register
+    def _take_registration(self, change: BackEndRegistered, versioned: VersionedChange) -> None:
+        self.back_ends.register(versioned.key, change.back_end)
+
+    @_take.register
+    def _take_end(self, change: BackEndGone, _: VersionedChange) -> None:
+        self.back_ends.end(change.instance)
+
+    @_take.register
+    def _take_target_version(self, change: TargetVersionChanged, _: VersionedChange) -> None:
+        previous = self.target_versions.newest(change.model)
+        # The last proof shows that it was not named then. With the time of its arrival as the
+        # bound, a node that receives it late would let older weights serve beyond their grace: 3 s
+        # in a run in which a node stood still for 4 s.
+        if self.target_versions.name(change.model, change.version, self.confirmed_at_s):
+            self.target_changed_at_s = self._clock()
             self._event_log.event(
                 "weights_named", model=change.model, version=change.version, previous=previous,
                 unproved_ms=age_ms(self.age_s()),
             )  # fmt: skip
 
-    def _order_rollout(self, key: str, change: RolloutOrdered, revision: int) -> None:
+    @_take.register
+    def _take_rollout(self, change: RolloutOrdered, versioned: VersionedChange) -> None:
         is_live = self.has_read_all
         order = RolloutOrder(
             change.service,
             change.target,
             change.deadline_s,
-            Epoch(revision),
+            Epoch(versioned.revision),
             self.confirmed_at_s if is_live else self._clock(),
             was_there=not is_live,
-            served_before=is_live and self._is_established(change.service, change.target),
+            served_before=is_live and self.back_ends.is_established(change.service, change.target),
         )
-        self.rollouts.put_order(key, order)
+        self.rollouts.put_order(versioned.key, order)
         self._event_log.event(
             "rollout_ordered", service=order.service, target=order.target, epoch=order.epoch,
             deadline_s=order.deadline_s, was_there=order.was_there,
             served_before=order.served_before,
         )  # fmt: skip
 
-    def _is_established(self, service: ServiceName, version: SoftwareVersion) -> bool:
-        """Whether a version of a service's program has served for some time, or alone.
-
-        Engines that an operator starts just before ordering their version are not, nor are those
-        that a node found at its own start just before.
-        """
-        if {one.software for one in self.directory.of_service(service)} == {version}:
-            return True
-        since_s = self._versions_since_s.get((service, version))
-        return since_s is not None and self._clock() - since_s >= ESTABLISHED_S
+    @_take.register
+    def _take_withdrawal(self, change: RolloutWithdrawn, _: VersionedChange) -> None:
+        self._withdraw_rollout(change.key)
 
     def _withdraw_rollout(self, key: str) -> None:
         order = self.rollouts.withdraw(key)
@@ -301,60 +238,19 @@
                 "rollout_withdrawn", service=order.service, target=order.target, epoch=order.epoch
             )
 
-    def _change_record(self, change: RecordChanged) -> None:
-        self.num_record_changes += 1
-        if change.value is None:
-            self.records.pop(change.key, None)
-            self._weights_age_markers.pop(change.key, None)
-            return
-        self.records[change.key] = change.value
-        young = read_weights_age_marker(change.key, change.value)
-        if young is not None:
-            self._weights_age_markers[change.key] = young
-
-    def learn_version(self, instance: InstanceId, model: str, version: int, source: str) -> None:
-        """Learn which weights an engine has; an incarnation's version only rises."""
-        known = self._versions.get((instance, model), 0)
-        if version <= known or self.directory.get(instance) is None:
-            return
-        self._versions[(instance, model)] = version
-        self.on_version(instance, model, version)
-        if known:
-            self._event_log.event(
-                "version_believed", instance=instance, model=model, version=version,
-                previous=known, source=source,
-            )  # fmt: skip
+    @_take.register
+    def _take_rollout_status(self, change: RolloutStatusSeen, versioned: VersionedChange) -> None:
+        self.rollouts.put_status(change.status, versioned.revision)
 
-    def version_of(self, instance: InstanceId, model: str) -> int | None:
-        """Return the version that an engine is believed to have."""
-        return self._versions.get((instance, model))
+    @_take.register
+    def _take_record(self, change: RecordChanged, _: VersionedChange) -> None:
+        self.records.put(change.key, change.value)
 
-    def age_s(self) -> float:
-        """Return for how long nothing has proved that this knowledge is current."""
-        return self._clock() - self.confirmed_at_s
-
-    def revision_of(self, key: str) -> int:
-        """Return the revision of a key's last change, 0 if it is not known."""
-        return self._revisions.get(key, 0)
-
-    def records_under(self, prefix: str) -> Iterator[tuple[str, bytes]]:
-        """Return the gateway's own records with a prefix."""
-        return ((key, value) for key, value in self.records.items() if key.startswith(prefix))
-
-    def ready_back_ends(self, service: ServiceName) -> list[BackEnd]:
-        """Return the back ends of a service that take new work."""
-        if self._lapsed_until_s:
-            self.forget_lapsed()
-        return [
-            back_end
-            for back_end in self.directory.of_service(service)
-            if back_end.state in TAKES_WORK
-        ]
-
-
-def _ignore(_: object) -> None:
-    """Do nothing until the node sets a handler."""
-
-
-def _ignore_version(_instance: InstanceId, _model: str, _version: int) -> None:
-    """Do nothing until the node sets a handler."""
+    @_take.register
+    def _take_unreadable(self, change: Unreadable, _: VersionedChange) -> None:
+        self._event_log.event(
+            "state_unreadable",
+            key=change.key,
+            problem=change.problem,
+            remedy="mend the entry in the store; the last good state stays in force",
+        )
--- a/src/weirscale/gateway/weights/rollout_task.py
+++ b/src/weirscale/gateway/weights/rollout_task.py
@@ -123,7 +123,7 @@
         async with anyio.create_task_group() as tasks:
             while True:
                 if self._holds_lease():
-                    for model in self._cluster.weights.models():
+                    for model in self._cluster.target_versions.models():
                         self._write_weights_age_marker(model, tasks)
                         self._begin_loads(model, tasks)
                 await sleep_to_tick(PLAN_INTERVAL_S)
@@ -139,7 +139,7 @@
 
     def _write_weights_age_marker(self, model: str, tasks: TaskGroup) -> None:
         """Record that a version was named just now, for nodes that start meanwhile."""
-        named = self._cluster.weights.newest_named(model)
+        named = self._cluster.target_versions.newest_named(model)
         if named is None or self._recorded.get(model, 0) >= named.version:
             return
         self._recorded[model] = named.version
@@ -182,7 +182,7 @@
     ) -> None:
         self._event_log.event(
             "load_begun", instance=engine.instance, model=model,
-            newest=self._cluster.weights.newest(model), lagging=len(lagging),
+            newest=self._cluster.target_versions.newest(model), lagging=len(lagging),
             loading=others.num_loading, old_requests=sum(one.num_requests for one in lagging),
             new_requests=others.num_requests,
         )  # fmt: skip
@@ -208,10 +208,10 @@
 
     def _lag_of(self, model: str) -> Callable[[BackEnd], LaggingEngine | None]:
         def lag(engine: BackEnd) -> LaggingEngine | None:
-            version = self._cluster.version_of(engine.instance, model)
+            version = self._cluster.engine_versions.version_of(engine.instance, model)
             if version is None or engine.instance in self._loading:
                 return None
-            owed = self._cluster.weights.first_newer(model, version)
+            owed = self._cluster.target_versions.first_newer(model, version)
             if owed is None:
                 return None
             num_requests = self._num_requests(engine.instance)
@@ -231,7 +231,7 @@
         finally:
             self._loading.discard(engine.instance)
             self._last_load_s[model] = self._clock()
-            version = self._cluster.version_of(engine.instance, model) or 0
+            version = self._cluster.engine_versions.version_of(engine.instance, model) or 0
             with anyio.CancelScope(shield=True):
                 await self._announce(engine.instance, model, version, True)
 
@@ -243,7 +243,7 @@
     async def _order_until_done(self, engine: BackEnd, model: str) -> None:
         """Order the newest version and wait for it; a version named later is another load."""
         port = self._port_of(engine)
-        wanted = self._cluster.weights.newest(model) or 0
+        wanted = self._cluster.target_versions.newest(model) or 0
         ordered_sequence: int | None = None
         ordered_at_s = 0.0
         num_silent = 0
@@ -258,7 +258,7 @@
                     return
                 has_waited = self._clock() - ordered_at_s >= TAKEN_BY_S
                 if ordered_sequence != report.sequence or has_waited:
-                    wanted = self._cluster.weights.newest(model) or 0
+                    wanted = self._cluster.target_versions.newest(model) or 0
                     if await self._order(port, engine, model, wanted, report.sequence):
                         ordered_sequence = report.sequence
                         ordered_at_s = self._clock()
@@ -267,8 +267,10 @@
     def _has_version(self, engine: BackEnd, model: str, wanted: int, report: EngineReport) -> bool:
         for served in report.models:
             if served.name == model:
-                self._cluster.learn_version(engine.instance, model, served.version, "report")
-        return (self._cluster.version_of(engine.instance, model) or 0) >= wanted
+                self._cluster.engine_versions.learn(
+                    engine.instance, model, served.version, "report"
+                )
+        return (self._cluster.engine_versions.version_of(engine.instance, model) or 0) >= wanted
 
     def _is_own_term(self) -> bool:
         token = self._lease.token()
@@ -289,5 +291,5 @@
             token=token, sequence=sequence, outcome=outcome.value,
         )  # fmt: skip
         if outcome is OrderOutcome.HOLDS_ALREADY:
-            self._cluster.learn_version(engine.instance, model, version, "order")
+            self._cluster.engine_versions.learn(engine.instance, model, version, "order")
         return True
--- a/src/weirscale/gateway/weights/version_check.py
+++ b/src/weirscale/gateway/weights/version_check.py
@@ -78,7 +78,7 @@
             return
         instance = back_end.instance
         for served in report.models:
-            known = self._cluster.version_of(instance, served.name) or 0
-            self._cluster.learn_version(instance, served.name, served.version, "refusal")
+            known = self._cluster.engine_versions.version_of(instance, served.name) or 0
+            self._cluster.engine_versions.learn(instance, served.name, served.version, "refusal")
             if served.version > known:
                 self._tell(LoadingGossip(instance, served.name, served.version, True))
