--- a/src/weirscale/gateway/telemetry/metrics.py
+++ b/src/weirscale/gateway/telemetry/metrics.py
@@ -1,8 +1,11 @@
-"""Counters and histograms of a gateway process, by the standard client library.
+"""Metrics of a gateway process, by the standard client library.
 
-Label sets are bounded: routes and back ends come and go, so neither is a label.
+Names, labels and help texts are read by operators and keep their wording whatever the code calls
+things. Label sets are bounded: routes and back ends come and go, so neither is a label.
 """
 
+from functools import partial
+
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 from prometheus_client.exposition import generate_latest
 
@@ -11,119 +14,57 @@
 from weirscale.gateway.telemetry.request_summary import ExchangeSummary
 
 NEVER_PROVED_AGE_S = 1e9
-"""Stands for the age of a state that was never proved: the text format is for plain numbers."""
+"""Seconds; stands for the age of a state that was never proved, so that graphs have a number."""
 
 MAX_TENANT_LABELS = 32
-"""So many tenants have labels of their own, in the order in which they are first seen."""
+"""Tenants with a label of their own, in the order in which they are first seen. Bounds the series
+that a node exports; not measured."""
 
 OTHER_TENANTS = "others"
 
 LATENCY_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4)
+"""Upper bounds, in seconds, of the buckets for times to the first byte: each doubles the one before
+or nearly so. Not measured."""
 
 
-class GatewayMetrics:
-    """The figures of one process."""
+class _RequestMetrics:
+    """Counts requests as they end."""
 
-    def __init__(self) -> None:
-        self.registry = CollectorRegistry()
-        self._requests = Counter(
-            "weirscale_requests", "Requests by kind and outcome", ("kind", "outcome"),
-            registry=self.registry,
-        )  # fmt: skip
-        self._attempts = Counter(
-            "weirscale_attempts", "Attempts at back ends", registry=self.registry
+    def __init__(self, registry: CollectorRegistry) -> None:
+        counter = partial(Counter, registry=registry)
+        self._requests = counter(
+            "weirscale_requests", "Requests by kind and outcome", ("kind", "outcome")
         )
+        self._attempts = counter("weirscale_attempts", "Attempts at back ends")
         self._first_byte = Histogram(
             "weirscale_first_byte_seconds", "Time to the first byte of the answer", ("kind",),
-            buckets=LATENCY_BUCKETS_S, registry=self.registry,
+            buckets=LATENCY_BUCKETS_S, registry=registry,
         )  # fmt: skip
-        self._tokens = Counter(
+        self._tokens = counter(
             "weirscale_prompt_tokens", "Prompt tokens by how they were expected to be had",
-            ("source",), registry=self.registry,
-        )  # fmt: skip
-        self._store_calls = Counter(
-            "weirscale_store_calls", "Calls to the store by kind and result", ("kind", "result"),
-            registry=self.registry,
-        )  # fmt: skip
-        self._knowledge_age = Gauge(
-            "weirscale_knowledge_age_seconds", "Time since the state was proved current",
-            registry=self.registry,
+            ("source",),
         )  # fmt: skip
-        self._configuration_version = Gauge(
-            "weirscale_configuration_version", "Version in force", registry=self.registry
-        )
-        self._back_ends = Gauge(
-            "weirscale_back_ends", "Registered back ends", registry=self.registry
-        )
-        self._lease_held = Gauge(
-            "weirscale_rollout_lease_held", "Whether this node gives orders",
-            registry=self.registry,
-        )  # fmt: skip
-        self._retry_budget_left = Gauge(
-            "weirscale_retry_budget_left", "Repeats that may be spent now", ("service",),
-            registry=self.registry,
-        )  # fmt: skip
-        self.log_lines_dropped = Gauge(
-            "weirscale_log_lines_dropped", "Log lines dropped since the start",
-            registry=self.registry,
-        )  # fmt: skip
-
-        self._overload_refusals = Counter(
+        self._overload_refusals = counter(
             "weirscale_overload_refusals", "Callers told to come back because of the queues",
-            ("kind",), registry=self.registry,
+            ("kind",),
         )  # fmt: skip
-        self._late_answers = Counter(
+        self._late_answers = counter(
             "weirscale_late_answers", "Answers later, or with longer pauses, than aimed at",
-            ("kind",), registry=self.registry,
+            ("kind",),
         )  # fmt: skip
-        self._deadlines_passed = Counter(
+        self._deadlines_passed = counter(
             "weirscale_deadlines_passed", "Requests sent on whose time was over before an answer",
-            ("kind",), registry=self.registry,
-        )  # fmt: skip
-        self._queue_share = Gauge(
-            "weirscale_queue_limit_share", "Share of the bound on queues that is in force",
-            ("service",), registry=self.registry,
-        )  # fmt: skip
-
-        self._quota_refusals = Counter(
-            "weirscale_quota_refusals", "Requests refused for their tenant's quota", ("tenant",),
-            registry=self.registry,
-        )  # fmt: skip
-        self._quota_left = Gauge(
-            "weirscale_quota_left", "What is left of a tenant's quota, in its unit", ("tenant",),
-            registry=self.registry,
-        )  # fmt: skip
-        self._tenant_labels: set[str] = set()
-
-        self._suspects = Gauge(
-            "weirscale_crash_suspects", "Requests that back ends crashed under of late",
-            registry=self.registry,
-        )  # fmt: skip
-        self._quarantined = Gauge(
-            "weirscale_quarantined_requests", "Requests that are refused for their crashes",
-            registry=self.registry,
+            ("kind",),
         )  # fmt: skip
-        self._quarantine_refusals = Counter(
+        self._quota_refusals = counter(
+            "weirscale_quota_refusals", "Requests refused for their tenant's quota", ("tenant",)
+        )
+        self._quarantine_refusals = counter(
             "weirscale_quarantine_refusals", "Tries that were refused for earlier crashes",
-            ("kind",), registry=self.registry,
-        )  # fmt: skip
-
-        self._rollout_requests = Counter(
-            "weirscale_rollout_requests", "Attempts under a rollout of a service's program",
-            ("service", "side", "end"), registry=self.registry,
+            ("kind",),
         )  # fmt: skip
-        self._rollout_stage = Gauge(
-            "weirscale_rollout_stage", "Stage of a service's rollout: 1 for the one it is at",
-            ("service", "stage"), registry=self.registry,
-        )  # fmt: skip
-
-    def _tenant_label(self, tenant: str) -> str:
-        """Return the label of a tenant; those beyond the bound share one."""
-        if len(self._tenant_labels) < MAX_TENANT_LABELS:
-            self._tenant_labels.add(tenant)
-        return tenant if tenant in self._tenant_labels else OTHER_TENANTS
 
-    def count_request(self, summary: ExchangeSummary) -> None:
+    def count(self, summary: ExchangeSummary, tenant_labels: "_TenantLabels") -> None:
         """Count a request that has ended."""
         kind = summary.route.kind.value if summary.route else "none"
         self._requests.labels(kind, summary.stage.value).inc()
@@ -133,7 +74,7 @@
         self._quarantine_refusals.labels(kind).inc(summary.is_quarantine_refusal())
         self._deadlines_passed.labels(kind).inc(summary.deadline_passed_after_sending())
         if summary.tenant is not None and summary.is_quota_refusal():
-            self._quota_refusals.labels(self._tenant_label(summary.tenant)).inc()
+            self._quota_refusals.labels(tenant_labels.label_of(summary.tenant)).inc()
         if summary.first_byte_s is not None:
             self._first_byte.labels(kind).observe(summary.first_byte_s)
         if summary.choice is not None and summary.choice.scope is not None:
@@ -142,24 +83,52 @@
             self._tokens.labels("read").inc(summary.choice.read_tokens)
             self._tokens.labels("read_shared").inc(_shared_read_tokens(summary))
 
-    def count_store_call(self, kind: str, result: str) -> None:
-        """Count a call to the store."""
-        self._store_calls.labels(kind, result).inc()
 
-    def count_rollout_end(self, service: ServiceName, side: str, end: str) -> None:
-        """Count an attempt under a rollout."""
-        self._rollout_requests.labels(service, side, end).inc()
+class _NodeGauges:
+    """Shows figures that are read when somebody asks."""
 
-    def text(self, figures: NodeFigures) -> bytes:
-        """Return all figures in the text format."""
-        self._knowledge_age.set(min(figures.state_age_s, NEVER_PROVED_AGE_S))
+    def __init__(self, registry: CollectorRegistry) -> None:
+        gauge = partial(Gauge, registry=registry)
+        self._state_age = gauge(
+            "weirscale_knowledge_age_seconds", "Time since the state was proved current"
+        )
+        self._configuration_version = gauge("weirscale_configuration_version", "Version in force")
+        self._back_ends = gauge("weirscale_back_ends", "Registered back ends")
+        self._lease_held = gauge("weirscale_rollout_lease_held", "Whether this node gives orders")
+        self._retry_budget_left = gauge(
+            "weirscale_retry_budget_left", "Repeats that may be spent now", ("service",)
+        )
+        self._queue_share = gauge(
+            "weirscale_queue_limit_share", "Share of the bound on queues that is in force",
+            ("service",),
+        )  # fmt: skip
+        self._quota_left = gauge(
+            "weirscale_quota_left", "What is left of a tenant's quota, in its unit", ("tenant",)
+        )
+        self._suspects = gauge(
+            "weirscale_crash_suspects", "Requests that back ends crashed under of late"
+        )
+        self._quarantined = gauge(
+            "weirscale_quarantined_requests", "Requests that are refused for their crashes"
+        )
+        self._rollout_stage = gauge(
+            "weirscale_rollout_stage", "Stage of a service's rollout: 1 for the one it is at",
+            ("service", "stage"),
+        )  # fmt: skip
+        self.log_lines_dropped = gauge(
+            "weirscale_log_lines_dropped", "Log lines dropped since the start"
+        )
+
+    def show(self, figures: NodeFigures, tenant_labels: "_TenantLabels") -> None:
+        """Take over the figures."""
+        self._state_age.set(min(figures.state_age_s, NEVER_PROVED_AGE_S))
         self._configuration_version.set(figures.configuration_version)
         self._back_ends.set(figures.num_back_ends)
         self._lease_held.set(1 if figures.holds_lease else 0)
         for service, share in figures.queue_shares.items():
             self._queue_share.labels(service).set(share)
         for tenant, left in figures.quota_levels.items():
-            if self._tenant_label(tenant) == tenant:
+            if tenant_labels.label_of(tenant) == tenant:
                 self._quota_left.labels(tenant).set(left)
         self._suspects.set(figures.num_suspects)
         self._quarantined.set(figures.num_quarantined)
@@ -168,6 +137,53 @@
             self._rollout_stage.labels(service, stage).set(1)
         for service, left in figures.retries_left.items():
             self._retry_budget_left.labels(service).set(left)
+
+
+class _TenantLabels:
+    """Bounds the labels of tenants."""
+
+    def __init__(self) -> None:
+        self._labels: set[str] = set()
+
+    def label_of(self, tenant: str) -> str:
+        """Return the label of a tenant; those beyond the bound share one."""
+        if len(self._labels) < MAX_TENANT_LABELS:
+            self._labels.add(tenant)
+        return tenant if tenant in self._labels else OTHER_TENANTS
+
+
+class GatewayMetrics:
+    """The metrics of one process."""
+
+    def __init__(self) -> None:
+        self.registry = CollectorRegistry()
+        self._tenant_labels = _TenantLabels()
+        self._requests = _RequestMetrics(self.registry)
+        self._gauges = _NodeGauges(self.registry)
+        self._store_calls = Counter(
+            "weirscale_store_calls", "Calls to the store by kind and result", ("kind", "result"),
+            registry=self.registry,
+        )  # fmt: skip
+        self._rollout_requests = Counter(
+            "weirscale_rollout_requests", "Attempts under a rollout of a service's program",
+            ("service", "side", "end"), registry=self.registry,
+        )  # fmt: skip
+
+    def count_request(self, summary: ExchangeSummary) -> None:
+        """Count a request that has ended."""
+        self._requests.count(summary, self._tenant_labels)
+
+    def count_store_call(self, kind: str, result: str) -> None:
+        """Count a call to the store."""
+        self._store_calls.labels(kind, result).inc()
+
+    def count_rollout_end(self, service: ServiceName, side: str, end: str) -> None:
+        """Count an attempt under a rollout."""
+        self._rollout_requests.labels(service, side, end).inc()
+
+    def text(self, figures: NodeFigures) -> bytes:
+        """Return all metrics in the text format of Prometheus."""
+        self._gauges.show(figures, self._tenant_labels)
         return generate_latest(self.registry)
 
 
