--- a/features/steps/gateway_log_steps.py
+++ b/features/steps/gateway_log_steps.py
@@ -115,8 +115,8 @@
 def step_task_flush(context):
     context.told = []
     context.log.event = lambda name, **fields: context.told.append((name, fields))
-    context.log._tell_dropped()
-    context.log._tell_dropped()
+    context.log._log_dropped()
+    context.log._log_dropped()
 
 
 @then("one line tells how many were dropped")
--- a/src/weirscale/gateway/durations.py
+++ b/src/weirscale/gateway/durations.py
@@ -1,8 +1,9 @@
-"""How log lines tell the age of what a node knows."""
+"""Ages as log lines show them."""
 
 import math
 
 MILLISECONDS_PER_S = 1000.0
+"""Milliseconds in a second."""
 
 
 def age_ms(age_s: float) -> int | str:
--- a/src/weirscale/gateway/model/configuration.py
+++ b/src/weirscale/gateway/model/configuration.py
@@ -15,7 +15,7 @@
 
 
 class RequestKind(enum.Enum):
-    """What may be repeated."""
+    """How requests of a route may be retried."""
 
     IDEMPOTENT = "idempotent"
     """May run more than once."""
@@ -39,7 +39,7 @@
         name: Unique name.
         host: Host header that it matches, without a port.
         path_prefix: Begins and ends with a slash.
-        kind: What may be repeated.
+        kind: How its requests may be retried.
         parts: Services that share the traffic by weight; at least one.
         timeout_s: Longest time that a request may be held.
         objective_s: Time to the answer, or to a stream's first event, that earns full credit.
--- a/src/weirscale/gateway/model/topology.py
+++ b/src/weirscale/gateway/model/topology.py
@@ -1,7 +1,7 @@
 """Where machines and back ends stand: zones, and the regions that they belong to.
 
 Within a region a zone more or less costs some milliseconds; between regions links are long and
-thin. A deployment without regions, or with one, is one place.
+thin. A deployment without regions counts as one region.
 """
 
 from collections.abc import Mapping
@@ -13,7 +13,7 @@
 
 
 class Topology:
-    """Tells which places are far from one another.
+    """Which zones are in which region.
 
     Args:
         regions: The region of each zone.
--- a/src/weirscale/gateway/peers/datagrams.py
+++ b/src/weirscale/gateway/peers/datagrams.py
@@ -1,6 +1,6 @@
 """The socket for datagrams between nodes.
 
-A node hears some fifty datagrams a second and sends as many. Through anyio's own socket each of
+A node receives some fifty datagrams a second and sends as many. Through anyio's own socket each of
 them wakes the process and costs a lock, a guard and a turn of the event loop; here what has arrived
 is read at the next tick, and what is sent goes out at once.
 """
@@ -10,8 +10,10 @@
 from weirscale.gateway.settings import ListenAddress
 
 MAX_DATAGRAM_BYTES = 65_535
+"""Largest datagram of UDP over IPv4."""
+
 MAX_BATCH = 256
-"""Datagrams read in one turn; the kernel keeps the rest until the next."""
+"""Datagrams read in one turn; the kernel keeps the rest until the next. Not measured."""
 
 Datagram = tuple[bytes, ListenAddress]
 """What arrived, and from where."""
--- a/src/weirscale/gateway/peers/groups.py
+++ b/src/weirscale/gateway/peers/groups.py
@@ -1,9 +1,9 @@
-"""Divides the nodes into small groups, so that what a node hears does not grow with the fleet.
+"""Divides the nodes into small groups, so that what a node receives does not grow with the fleet.
 
-Within a group every node tells every other what it does. One node of each group, its head, sums
-this up for the heads of the other groups, and tells its own group the sum of what they say
-(`group_relay`). All nodes work out the same division from the same registrations. A fleet that
-fits into one group is one group.
+Within a group every node sends every other its gossip. One node of each group, its head, sends
+the sum to the heads of the other groups, and to its own group the sum of theirs
+(`gossip.group_relay`). All nodes work out the same division from the same registrations. A fleet
+that fits into one group is one group.
 """
 
 from collections.abc import Collection, Mapping
@@ -15,10 +15,11 @@
 
 MOST_MEMBERS = 12
 """More nodes than this are divided: by zone first, since bytes between zones are dear, then by
-hash. A node hears from this many others, some three times a second from each; measured in
+hash. A node receives from this many others, some three times a second from each; measured in
 docs/design/0014-size.md."""
 
 HASH_BITS = 64
+"""Bits of `name_hash`."""
 
 
 class Member(msgspec.Struct, frozen=True):
@@ -27,7 +28,7 @@
     Attributes:
         name: Its name.
         zone: Its zone.
-        strength: How much it can do for others, in hundredths of an ordinary machine.
+        capacity: How much it can do for others, in hundredths of an ordinary machine.
     """
 
     name: str
--- a/src/weirscale/gateway/peers/heartbeat.py
+++ b/src/weirscale/gateway/peers/heartbeat.py
@@ -1,12 +1,12 @@
 """How often nodes show each other that they live, and when one counts as silent."""
 
 PEER_SILENCE_S = 1.5
-"""A source that has been silent for this long has stopped, or is cut off: its load counts no more.
-Sources tell all their loads once a second."""
+"""Seconds; a source silent for this long has stopped or is cut off, and its load counts no more.
+Sources send all their loads once a second. Not measured."""
 
 SWEEP_INTERVAL_S = 0.1
-"""How often loads are looked through for those that have grown too old."""
+"""Seconds between two searches for loads that have grown too old. Not measured."""
 
 HEARTBEAT_INTERVAL_S = 0.25
-"""Where there are quotas, nodes show this often that they live; in a large fleet they have news as
-often as that anyway."""
+"""Seconds between two heartbeats where there are quotas; in a large fleet nodes have gossip to
+send as often as that anyway. Not measured."""
--- a/src/weirscale/gateway/peers/messages.py
+++ b/src/weirscale/gateway/peers/messages.py
@@ -1,9 +1,9 @@
-"""What nodes tell one another: typed messages, cbor2 on the wire.
+"""Messages between nodes: typed, cbor2 on the wire, as arrays whose order of fields is the wire's.
 
-`Gossip` improves choices and nothing depends on it: a lost datagram costs a less good choice.
-Loads are absolute values, so a later message repairs an earlier loss. `StateQuery` and `StateReply`
-spread the platform's state from the nodes that read it to the others (`state_relay`); `AgesQuery`
-and `AgesReply` tell since when something holds (`age_exchange`).
+`Gossip` improves choices, and a lost datagram costs no more than a worse choice. Loads are absolute
+values, so a later message makes good an earlier loss. `StateQuery` and `StateReply` spread the
+platform's state from the nodes that read the store to the others (`replication.subscription`);
+`AgesQuery` and `AgesReply` carry bounds on ages (`replication.age_exchange`).
 """
 
 from collections.abc import Awaitable, Callable, Iterable
@@ -17,7 +17,7 @@
 from weirscale.gateway.settings import ListenAddress
 
 MAX_REPLY_BYTES = 24_000
-"""Larger replies do not go out: datagrams of many fragments are lost too often."""
+"""Larger replies are not sent: datagrams of many fragments are lost too often. Not measured."""
 
 
 class LoadGossip(msgspec.Struct, frozen=True, array_like=True):
@@ -143,14 +143,14 @@
     """What improves choices.
 
     Attributes:
-        sender: The node that tells.
+        sender: The node that sends it.
         loads: Loads on back ends.
         sends: Prompts at engines.
         loading: Engines that load weights.
         target_versions: Always empty (`AgesReply` carries them): keeps the place of a field of
             earlier releases.
         suspects: Unreachable back ends.
-        group: Empty for the sender's own doings; else the loads are the sum of this group's
+        group: Empty for the sender's own loads and counts; else they are the sum of this group's
             members, or with `REST_OF_FLEET` of all groups but the receiver's.
         usage: What tenants with a quota spend, of the same nodes as the loads.
         num_nodes: How many nodes that is.
@@ -182,7 +182,7 @@
 
     Attributes:
         sender: The node that asks.
-        number: Told back in the reply; the sender knows when it asked.
+        number: Returned in the reply; the sender knows when it asked.
         after_revision: Revision up to which the sender knows everything.
     """
 
@@ -214,11 +214,11 @@
 
 
 class AgesQuery(msgspec.Struct, frozen=True, array_like=True, tag="ages?"):
-    """A node asks what another one knows of times before it was sound.
+    """A node asks another one for ages that it cannot know alone.
 
     Attributes:
         sender: The node that asks.
-        number: Told back in the reply; the sender knows when it asked.
+        number: Returned in the reply; the sender knows when it asked.
     """
 
     sender: str
@@ -231,8 +231,8 @@
     Attributes:
         sender: The node that answers.
         number: Number of the query.
-        span_age_ms: The store has answered the sender without a long pause since so long ago, ...
-        proof_age_ms: ... and last so long ago.
+        span_age_ms: How long ago the time began in which the store answers without a long pause.
+        proof_age_ms: How long ago the store last answered.
         silent_age_ms: Age of the answer before that time, where the sender was awake and heard
             nothing for long in between; None otherwise.
         target_versions: Upper bounds on the age of target versions.
@@ -265,5 +265,6 @@
             cbor2.loads(datagram), PeerMessage, builtin_types=(bytes,)
         )
     except (cbor2.CBORDecodeError, msgspec.ValidationError, ValueError, TypeError):
+        # Not from a node of this fleet, or damaged: dropped like a datagram that was lost.
         return None
     return message
--- a/src/weirscale/gateway/peers/open_queries.py
+++ b/src/weirscale/gateway/peers/open_queries.py
@@ -3,7 +3,10 @@
 from random import Random
 
 MAX_OPEN_QUERIES = 8
+"""Queries whose answers are waited for; beyond it the oldest are given up. Not measured."""
+
 NUMBER_BITS = 31
+"""Bits of the first number, which is drawn at random."""
 
 
 class OpenQueries:
--- a/src/weirscale/gateway/peers/registrations.py
+++ b/src/weirscale/gateway/peers/registrations.py
@@ -17,21 +17,35 @@
 
 NODE_PREFIX = "weirscale/nodes/"
 REGISTRATION_LIFE_S = 6.0
+"""Seconds that a registration lasts without renewal: some renewals may fail. Not measured."""
+
 RENEWAL_INTERVAL_S = 2.0
+"""Seconds between two renewals. Not measured."""
+
 REGISTRATION_RETRY_S = 0.5
+"""Seconds until a failed registration or renewal is tried again. Not measured."""
+
 CALL_TIMEOUT_S = 1.5
+"""Seconds that a registration, a renewal or its end may take. Not measured."""
+
+NUM_SWAPS = 3
+"""Attempts to write over an earlier run's registration, which may change meanwhile. Not
+measured."""
+
 DIVISION_MEMORY_S = 20.0
-"""How long a node that left the registrations keeps its place in the groups: most come back. Nodes
-learn of a change at different times, and while they divide themselves differently they do not hear
-each other; so a fleet of which a third is cut off must not be divided anew. A head that is gone is
-replaced by who is heard, not by who is registered."""
+"""Seconds for which a node that left the registrations keeps its place in the groups: most come
+back. Nodes learn of a change at different times, and while their divisions differ they don't
+receive each other's gossip; so a fleet of which a third is cut off must not be divided anew. Who
+is head goes by received gossip, not by registrations. Not measured apart (docs/DECISIONS.md,
+T3)."""
 
 REMEMBERED_PEER_S = 60.0
-"""How long a node that left the registrations still counts for shared budgets."""
+"""Seconds for which a node that left the registrations still counts for shared budgets. Not
+measured."""
 
 
 class Registration(msgspec.Struct, frozen=True, array_like=True):
-    """What a node writes about itself."""
+    """What a node writes into the store about itself: an array, so the order of fields counts."""
 
     host: str
     port: int
@@ -44,10 +58,10 @@
 
     Args:
         name: This node.
-        knowledge: Where registrations are read.
+        cluster: Where registrations are read.
         clock: Monotonic seconds.
         zone: This node's zone.
-        strength: This node's strength, as it registers it.
+        capacity: This node's capacity, as it registers it.
     """
 
     def __init__(
@@ -170,6 +184,8 @@
     try:
         return msgspec.convert(cbor2.loads(value), Registration)
     except (cbor2.CBORDecodeError, msgspec.ValidationError, ValueError):
+        # A node whose registration cannot be read is left out, as if it were not registered: this
+        # runs at each change of the records, so a log line each time would flood the log.
         return None
 
 
@@ -178,9 +194,9 @@
 
     Args:
         name: This node.
-        registration: What is told of it.
+        registration: What is written of it.
         store: The key-value service.
-        event_log: Where losses are told.
+        event_log: Where losses are logged.
     """
 
     def __init__(
@@ -214,6 +230,7 @@
             return await self._renew()
         granted = await self._store.grant_lease(REGISTRATION_LIFE_S)
         if isinstance(granted, Err):
+            # No lease was granted: `run` tries again.
             return False
         if not await self._write(granted.ok_value):
             return False
@@ -234,7 +251,7 @@
     async def _write(self, lease_id: int) -> bool:
         """Write under the lease; an earlier run's registration is taken over."""
         expected_revision = 0
-        for _ in range(3):
+        for _ in range(NUM_SWAPS):
             swapped = await self._store.compare_and_swap(
                 self._key, expected_revision, self._value, lease_id
             )
--- a/src/weirscale/gateway/replication/age_exchange.py
+++ b/src/weirscale/gateway/replication/age_exchange.py
@@ -1,9 +1,10 @@
-"""Asks other nodes for what this one cannot know alone: ages that run from before it was sound.
+"""Asks other nodes for ages that this node cannot know alone.
 
-A node that has just started knows of named weights, not since when; one that stood still or lost
-the store cannot tell its own silence from the store's. Each asks some others until its doubt is
-over. An age in a reply counts from when the query went out: however long either message was on its
-way, or waited at a node that stood still, what is made of it is never too young.
+A node that has just started knows the target versions, but not since when. One that stood still or
+lost the store cannot tell its own loss from an outage of the store. Each asks some other nodes
+until its doubt is over. An age in a reply counts from when the query went out: however long either
+message was on its way, or waited at a node that stood still, the age is never taken for too young.
+The reasoning is in docs/design/0021-ages-by-proof.md.
 """
 
 from collections.abc import Callable, Iterable
@@ -20,18 +21,23 @@
 from weirscale.ports.event_log import EventLog
 
 ASK_INTERVAL_S = 0.4
+"""Seconds between two rounds of queries. Not measured."""
+
 NUM_ASKED = 5
-"""Nodes asked at a time, drawn anew each time: of 7 nodes three may have stood still together."""
+"""Nodes asked in a round, drawn anew each time: of 7 nodes three may have stood still together."""
 
 DOUBT_S = 10.0
-"""How long a node asks after its start or after a silence: some 25 rounds. What was lost or told by
-nodes that were no wiser is made up for in the next round."""
+"""Seconds for which a node asks after its start or after a silence of the store, some 25 rounds:
+lost replies, and those of nodes that knew no more, are made good by a later round. Not
+measured."""
 
-NAMING_DOUBT_S = 1.0
-"""The same after a naming: others may have had a later proof that the version was not named yet."""
+TARGET_DOUBT_S = 1.0
+"""Seconds for which a node asks after a new target version: others may have a later proof that the
+version was not the target yet. Not measured."""
 
-MAX_TOLD_AGE_S = 30.0
-"""Versions named longer ago are not told of: a node that does not know them takes them for old."""
+MAX_SENT_AGE_S = 30.0
+"""Seconds; older target versions are left out, since a node without an age takes a version for old.
+Not measured."""
 
 
 class AgeExchange:
@@ -39,10 +45,10 @@
 
     Args:
         name: This node.
-        knowledge: What is told, and made more exact.
+        cluster: What is sent, and made more exact.
         peers: The registered nodes.
         send: Sends a message to several nodes.
-        event_log: Where silences of the store and their verdicts are told.
+        event_log: Where silences of the store, and whose they were, are logged.
         random: Draws whom to ask.
         clock: Monotonic seconds.
     """
@@ -77,16 +83,16 @@
             now_s = self._clock()
             self._cluster.store_outages.look(now_s)
             self._cluster.store_outages.end_doubt(now_s - DOUBT_S)
-            self._tell_silence(now_s)
+            self._log_silence(now_s)
             if now_s <= began_s + DOUBT_S or self._is_doubtful(now_s):
                 await self._ask(now_s)
             await sleep_to_tick(ASK_INTERVAL_S)
 
     def _is_doubtful(self, now_s: float) -> bool:
-        has_new_name = now_s <= self._cluster.target_changed_at_s + NAMING_DOUBT_S
-        return has_new_name or self._cluster.store_outages.is_doubtful(now_s)
+        has_new_target = now_s <= self._cluster.target_changed_at_s + TARGET_DOUBT_S
+        return has_new_target or self._cluster.store_outages.is_doubtful(now_s)
 
-    def _tell_silence(self, now_s: float) -> None:
+    def _log_silence(self, now_s: float) -> None:
         """Log that a silence of the store is in doubt, and later whose silence it was."""
         store_outages = self._cluster.store_outages
         was_doubtful, self._was_doubtful = self._was_doubtful, store_outages.is_doubtful(now_s)
@@ -118,14 +124,14 @@
             _whole_ms(now_s - span.began_s),
             _whole_ms(now_s - span.proved_at_s),
             None if span.silent_from_s is None else _whole_ms(now_s - span.silent_from_s),
-            tuple(self._named_lately(now_s)),
+            tuple(self._young_target_versions(now_s)),
         )
         await self._send(reply, (address,))
 
-    def _named_lately(self, now_s: float) -> Iterable[TargetVersionGossip]:
+    def _young_target_versions(self, now_s: float) -> Iterable[TargetVersionGossip]:
         for model, named in self._cluster.target_versions.all():
             age_s = now_s - named.named_after_s
-            if age_s <= MAX_TOLD_AGE_S:
+            if age_s <= MAX_SENT_AGE_S:
                 yield TargetVersionGossip(model, named.version, _whole_ms(age_s))
 
     def receive(self, reply: AgesReply) -> None:
@@ -146,5 +152,5 @@
 
 
 def _whole_ms(age_s: float) -> int:
-    """Return an age in milliseconds, rounded up: what is made of it must not be too young."""
+    """Return an age in milliseconds, rounded up so that it is never too young."""
     return int(age_s * MILLISECONDS_PER_S) + 1
--- a/src/weirscale/gateway/replication/follower.py
+++ b/src/weirscale/gateway/replication/follower.py
@@ -1,5 +1,7 @@
-"""Follows the platform's state: reads all once, then waits for changes; reads all again when the
-store has forgotten its history. It rests while another node that reads the store tells the changes.
+"""Follows the platform's state in the store, and rests while another node sends the changes.
+
+Reads everything once, then waits for changes; reads everything again when the store has dropped the
+history that it needs.
 """
 
 from collections.abc import Callable
@@ -18,34 +20,38 @@
 from weirscale.ports.key_value import KeyValueFailure, KeyValueFailureKind
 
 FOLLOW_WAIT_S = 6.0
-"""Length of one wait."""
+"""Seconds of one wait for changes. Not measured."""
 
 PROOF_INTERVAL_S = 1.2
-"""How often the store's revision is read. A revision that is known already proves that nothing else
-has been acknowledged; a watch alone may tell changes late."""
+"""Seconds between two readings of the store's revision. A revision that is known already proves
+that nothing else was acknowledged; a watch alone may bring changes late. Not measured."""
 
 READER_PROOF_INTERVAL_S = 0.4
-"""The same at a node that others rest on: their proofs are older by the way to them."""
+"""Seconds between two readings at a node that others ask: their proofs are older by the way to
+them. It makes the 2.5 calls a second of docs/CAPACITY.md."""
 
-LEAST_GATHER_S = 0.1
-MOST_GATHER_S = 0.4
-"""Pause between an answer to the watch and the next watch: changes that come together cost one
-call. Each change ends every watch; a fleet that starts, or engines that take new weights, make many
-in a row, so the pause doubles while answers come at once. Changes must be in force within 2 s."""
+MIN_GATHER_S = 0.1
+MAX_GATHER_S = 0.4
+"""Bounds in seconds of the pause between an answer to the watch and the next watch, so that
+changes which come together cost one call. Each change ends every watch. A fleet that starts, or
+engines that load new weights, make many in a row, so the pause doubles while answers come at once.
+Changes must be in force within 2 s. The bounds were not measured by themselves."""
 
 READ_PAUSE_S = 0.3
-"""The same after a reading of everything: meanwhile a node hears from the readers, so that most
-nodes of a fleet that starts never watch."""
+"""Seconds between a reading of everything and the first watch: meanwhile a node gets replies from
+the readers, so that most nodes of a starting fleet never watch. Not measured."""
 
 LATE_CHANGE_S = 0.4
-"""A revision that the watch has not told by then makes everything be read anew."""
+"""Seconds that the watch has to bring a revision which the store has; then everything is read anew.
+Not measured."""
 
 ANSWER_SLACK_S = 1.5
-"""How much longer than its wait a call may take before it is given up."""
+"""Seconds that a call may take beyond its wait before it is given up. Not measured."""
 
 FIRST_RETRY_S = 0.1
 MAX_RETRY_S = 0.8
-"""Pauses after failed calls double between these; random parts keep nodes from one step."""
+"""Seconds; pauses after failed calls double between these, with a random factor of 0.5 to 1.5 so
+that nodes don't retry together. Not measured."""
 
 
 class StateFollower:
@@ -53,10 +59,10 @@
 
     Args:
         feed: The platform's state.
-        knowledge: What is kept up to date; this task is its only writer.
-        event_log: Where losses and returns of the store are told.
+        cluster: What is kept up to date.
+        event_log: Where losses and returns of the store are logged.
         random: Spreads retries.
-        publisher: Tells other nodes what changes.
+        publisher: Sends changes to other nodes.
         subscription: Keeps this node current while another one reads the store.
         clock: Monotonic seconds.
     """
@@ -80,7 +86,7 @@
         self._random = random
         self._num_failures = 0
         self._must_read_all = True
-        self._gather_s = LEAST_GATHER_S
+        self._gather_s = MIN_GATHER_S
         self._watch_scope = anyio.CancelScope()
         # A watch that hears nothing must not keep this node from reading.
         subscription.on_reading_due = lambda: self._watch_scope.cancel()
@@ -131,10 +137,10 @@
     def _next_pause_s(self, waited_s: float) -> float:
         """Return the pause after an answer to the watch that was waited for."""
         if waited_s > self._gather_s:
-            self._gather_s = LEAST_GATHER_S
-            return LEAST_GATHER_S
+            self._gather_s = MIN_GATHER_S
+            return MIN_GATHER_S
         pause_s = self._gather_s
-        self._gather_s = min(MOST_GATHER_S, 2.0 * pause_s)
+        self._gather_s = min(MAX_GATHER_S, 2.0 * pause_s)
         return pause_s
 
     async def _follow(self) -> Result[StateBatch, KeyValueFailure]:
--- a/src/weirscale/gateway/replication/publisher.py
+++ b/src/weirscale/gateway/replication/publisher.py
@@ -1,4 +1,4 @@
-"""A reader's side: answers the queries of other nodes and tells them changes as they come."""
+"""A reader's side: answers the queries of other nodes and sends them changes as they come."""
 
 from collections.abc import Callable
 
@@ -15,10 +15,13 @@
 from weirscale.gateway.settings import ListenAddress
 from weirscale.gateway.state.cluster_state import ClusterState
 
-SUBSCRIBED_S = 1.5
-"""How long after its last query a node is told changes unasked."""
+SUBSCRIPTION_S = 1.5
+"""Seconds after its last query for which a node is sent changes unasked: three queries of 0.4 s
+may be lost. Not measured."""
 
-MAX_TOLD_AGE_MS = 1_000_000_000
+MAX_SENT_AGE_MS = 1_000_000_000
+"""Milliseconds; the largest proof age that is sent, since a state that was never proved has
+none."""
 
 
 class _Subscriber(msgspec.Struct):
@@ -27,11 +30,11 @@
 
 
 class ChangePublisher:
-    """Answers other nodes' queries and tells them changes as they come.
+    """Answers other nodes' queries and sends them changes as they come.
 
     Args:
         name: This node.
-        knowledge: What is told.
+        cluster: What is sent.
         send: Sends a message to several nodes.
         clock: Monotonic seconds.
     """
@@ -47,8 +50,8 @@
         self._published_revision = 0
 
     def has_subscribers(self) -> bool:
-        """Whether other nodes rest on this one's proofs."""
-        since_s = self._clock() - SUBSCRIBED_S
+        """Whether other nodes get their proofs from this one."""
+        since_s = self._clock() - SUBSCRIPTION_S
         for name in [one for one, sub in self._subscribers.items() if sub.asked_at_s < since_s]:
             del self._subscribers[name]
         return bool(self._subscribers)
@@ -61,7 +64,7 @@
         await self._send(self._reply(query.number, query.after_revision), (address,))
 
     async def publish(self) -> None:
-        """Tell all who asked lately what has changed since the last time."""
+        """Send all who asked lately what has changed since the last time."""
         after_revision, self._published_revision = (
             self._published_revision,
             self._cluster.revision,
@@ -75,15 +78,15 @@
 
     def _reply(self, number: int, after_revision: int) -> StateReply:
         cluster = self._cluster
-        age_ms = min(cluster.age_s() * MILLISECONDS_PER_S, MAX_TOLD_AGE_MS)
-        told = StateReply(
+        age_ms = min(cluster.age_s() * MILLISECONDS_PER_S, MAX_SENT_AGE_MS)
+        left_out = StateReply(
             self._name, number, after_revision, cluster.revision, int(age_ms) + 1,
             is_left_out=True,
         )  # fmt: skip
         changes = cluster.log.since(after_revision)
         if changes is None:
-            return told
-        whole = msgspec.structs.replace(told, is_left_out=False, changes=changes)
+            return left_out
+        whole = msgspec.structs.replace(left_out, is_left_out=False, changes=changes)
         if changes and len(encode_message(whole)) > MAX_REPLY_BYTES:
-            return told
+            return left_out
         return whole
--- a/src/weirscale/gateway/replication/readers.py
+++ b/src/weirscale/gateway/replication/readers.py
@@ -7,10 +7,12 @@
 from weirscale.gateway.peers.groups import Member, head_rank
 
 MIN_READERS = 2
-NODES_A_READER = 48
-"""A reader answers so many nodes: 120 queries a second, some 0.01 of a core. Each reader makes a
-call for each change and 2.5 a second besides: they were most of the calls of 195 nodes with half as
-many nodes a reader."""
+"""Readers of a fleet in one region: one may be dead or cut off. Not measured."""
+
+NODES_PER_READER = 48
+"""Nodes that a reader answers: 120 queries a second, some 0.01 of a core. Each reader calls the
+store for each change and 2.5 times a second besides; with 24 nodes for each reader these were most
+of the calls of a fleet of 195 nodes (docs/CAPACITY.md)."""
 
 
 def choose_readers(members: Collection[Member], topology: Topology = ONE_REGION) -> list[str]:
@@ -25,6 +27,6 @@
     least = MIN_READERS if len(regions) < MIN_READERS else 1
     readers: list[str] = []
     for inhabitants in regions.values():
-        num_readers = max(least, -(-len(inhabitants) // NODES_A_READER))
+        num_readers = max(least, -(-len(inhabitants) // NODES_PER_READER))
         readers += [member.name for member in inhabitants[:num_readers]]
     return readers
--- a/src/weirscale/gateway/replication/subscription.py
+++ b/src/weirscale/gateway/replication/subscription.py
@@ -1,4 +1,4 @@
-"""Spreads the platform's state from a few nodes that read the store to all others.
+"""Keeps a node's cluster state current by asking a node that reads the store.
 
 Every call to the store has a price and a rate shared by all nodes. So a few nodes, chosen by hash
 from the registered ones, follow the store; each other node asks one of them, several times a
@@ -6,8 +6,8 @@
 
 A reply proves what it says as of the time of the query less that age, however long either message
 was on its way: the reader's proof was at most that old when it answered, and it answered after the
-query. A node whose proof grows older than `PATIENCE_S` reads the store itself, as a reader does, so
-a reader that is dead, frozen or cut off delays a change by no more than that.
+query. A node whose proof grows older than `MAX_PROOF_AGE_S` reads the store itself, as a reader
+does, so a reader that is dead, frozen or cut off delays a change by no more than that.
 """
 
 from collections.abc import Callable, Collection
@@ -35,25 +35,29 @@
 from weirscale.ports.event_log import EventLog
 
 QUERY_INTERVAL_S = 0.4
-PATIENCE_S = 1.1
-"""An older proof makes a node read the store itself; changes must be in force within 2 s."""
+"""Seconds between two queries: a reader answers 48 nodes, 120 queries a second
+(docs/CAPACITY.md)."""
 
-AVOIDED_S = 3.0
-"""How long a reader without proofs is not asked again."""
+MAX_PROOF_AGE_S = 1.1
+"""Seconds; with an older proof a node reads the store itself. Changes must be in force within 2 s,
+and reading the store takes time as well. Not measured."""
+
+READER_AVOIDED_S = 3.0
+"""Seconds for which a reader that gave no proofs is not asked again. Not measured."""
 
 
 class StateSubscription:
-    """Keeps this node's knowledge current by queries to a reader; `run` must be running.
+    """Asks a reader for what this node lacks; `run` must be running.
 
     Args:
         name: This node.
-        knowledge: What is kept current.
+        cluster: What is kept current.
         peers: The registered nodes.
         send: Sends a message to several nodes.
-        event_log: Where losses and returns of readers are told.
+        event_log: Where lost readers are logged.
         random: Spreads the queries.
         clock: Monotonic seconds.
-        places: Which zones are far from one another.
+        topology: Which zones are in which region.
     """
 
     def __init__(
@@ -82,7 +86,7 @@
         self._proved_at_s = NEVER_S
         self._reading_due = anyio.Event()
         self.on_reading_due: Callable[[], None] = lambda: None
-        """Called when a reader could not tell all changes; the follower sets it."""
+        """Called when a reader could not send all changes; the follower sets it."""
 
     async def run(self) -> None:
         """Ask until cancelled."""
@@ -93,17 +97,19 @@
 
     def is_current(self) -> bool:
         """Whether a reader keeps this node current, so that it need not read the store."""
-        return not self._reading_due.is_set() and self._clock() < self._proved_at_s + PATIENCE_S
+        return (
+            not self._reading_due.is_set() and self._clock() < self._proved_at_s + MAX_PROOF_AGE_S
+        )
 
     async def wait_until_not_current(self) -> None:
         """Return once this node has to read the store itself."""
         while self.is_current():
-            deadline_s = loop_deadline_s(self._proved_at_s + PATIENCE_S, self._clock)
+            deadline_s = loop_deadline_s(self._proved_at_s + MAX_PROOF_AGE_S, self._clock)
             with anyio.CancelScope(deadline=deadline_s):
                 await self._reading_due.wait()
 
     def is_reading_due(self) -> bool:
-        """Whether a reader could not tell all changes, so that everything must be read."""
+        """Whether a reader could not send all changes, so that everything must be read."""
         return self._reading_due.is_set()
 
     def has_read(self) -> None:
@@ -112,15 +118,15 @@
             self._reading_due = anyio.Event()
 
     def receive(self, reply: StateReply) -> None:
-        """Take over a reply, or changes that were told unasked."""
+        """Take over a reply, or changes that a reader sent unasked."""
         asked_at_s = self._queries.close(reply.number)
         if reply.is_left_out or reply.after_revision > self._cluster.revision:
-            # What was told unasked may follow on something that got lost: the next query mends it.
+            # Changes sent unasked may follow on a message that got lost: the next query mends it.
             if asked_at_s is not None and reply.revision > self._cluster.revision:
                 self._reading_due.set()
                 self.on_reading_due()
             return
-        # What is not newer is known already, or has ended since: a late reply must not revive it.
+        # What is not newer is known, or was removed since: a late reply must not bring it back.
         newer = tuple(one for one in reply.changes if one.revision > self._cluster.revision)
         self._cluster.apply(StateBatch(reply.revision, newer), NEVER_S)
         if asked_at_s is None:
@@ -138,22 +144,22 @@
         await self._send(query, (self._peers.addresses()[reader],))
 
     def _choose_reader(self) -> str | None:
-        """Return whom to ask: one reader as long as its proofs are fresh; None for a reader.
+        """Return the reader to ask, the same while its proofs are fresh; None at a reader.
 
-        A reader that the store turns away asks another one like any other node.
+        A reader without access to the store asks another one like any other node.
         """
         now_s = self._clock()
         members = self._peers.members()
         readers = choose_readers(members, self._topology)
         if self._name in readers:
-            if self._cluster.age_s() <= PATIENCE_S:
+            if self._cluster.age_s() <= MAX_PROOF_AGE_S:
                 self._reader = None
                 return None
             readers.remove(self._name)
-        if self._reader in readers and now_s - self._last_proof_s() <= PATIENCE_S:
+        if self._reader in readers and now_s - self._last_proof_s() <= MAX_PROOF_AGE_S:
             return self._reader
         if self._reader is not None:
-            self._avoided_until_s[self._reader] = now_s + AVOIDED_S
+            self._avoided_until_s[self._reader] = now_s + READER_AVOIDED_S
             self._event_log.event(
                 "reader_lost", reader=self._reader, proof_age_s=now_s - self._proved_at_s
             )
@@ -170,7 +176,7 @@
         return [one for one in readers if not self._topology.is_cross_region(own, zones[one])]
 
     def _last_proof_s(self) -> float:
-        """Return when the reader last proved to be of use, or was chosen."""
+        """Return when the reader last gave a proof, or was chosen."""
         return max(self._reader_since_s, self._proved_at_s)
 
     def _distance(self, reader: str) -> int:
--- a/src/weirscale/gateway/settings.py
+++ b/src/weirscale/gateway/settings.py
@@ -22,9 +22,9 @@
     """How exactly tenants' quotas are to be kept.
 
     Attributes:
-        window_s: In any such span, rate times span plus burst may be spent, ...
-        overage: ... and this share more, ...
-        tolerance: ... and so many units more.
+        window_s: Seconds; in any such span a tenant may spend rate times span plus burst.
+        overage: Share of that which may be spent beyond it.
+        tolerance: Units that may be spent beyond both.
     """
 
     window_s: float = 8.0
@@ -36,8 +36,8 @@
     """What an unproved version may get.
 
     Attributes:
-        share: Of the service's requests, ...
-        tolerance: ... and so many more, over all nodes together.
+        share: Largest share of the service's requests.
+        tolerance: Requests beyond that share, over all nodes together.
         return_s: Time from the 50th bad answer until nothing is sent to it any more.
     """
 
@@ -47,11 +47,12 @@
 
 
 class Guarantees(msgspec.Struct, frozen=True):
-    """Times within which the deployment's promises hold.
+    """Times within which the deployment's promises hold; defaults where the settings have none.
 
     Attributes:
         stop_s: From the signal to stop until the process is killed.
-        key_removal_s: Until a removed key serves no more, cut off or not; None without that bound.
+        key_removal_s: Until a removed key serves no more, also at an isolated node; None where the
+            deployment does not ask for it there.
         lease_s: Least time between orders of two holders.
         weights_s: Until requests start on newly named weights only.
         min_lease_s: Shortest lease that the store grants.
@@ -72,10 +73,11 @@
     """The budget of all nodes together, for each service.
 
     Attributes:
-        share: Repeats allowed for each request.
-        extra: Repeats allowed on top, over all nodes.
+        share: Retries allowed for each request.
+        extra: Retries allowed on top, over all nodes.
         window_s: Span that the rule looks at.
-        safety: Share of the budget that is used, for what nodes see a little apart.
+        safety: Share of the budget that is used; the rest covers that nodes know of each other's
+            retries late. Not measured.
     """
 
     share: float
@@ -87,10 +89,12 @@
 ORDINARY_CORES = 1.0
 ORDINARY_MEMORY_MB = 256.0
 ORDINARY_LINK_MBPS = 50.0
-"""A machine with this much is as good as any for work that it does for others. A group's head hears
-some 200 KB/s in a fleet of 200 nodes (docs/design/0014-size.md): a few hundredths of this link."""
+"""Processor cores, memory in MB and link in Mbit/s of a machine that is as good as any for work
+that it does for others. A group's head receives some 200 KB/s in a fleet of 200 nodes
+(docs/design/0014-size.md): a few hundredths of this link."""
 
 FULL_CAPACITY = 100
+"""Capacity of such a machine, in hundredths."""
 
 
 class MachineSize(msgspec.Struct, frozen=True):
@@ -125,10 +129,10 @@
         callers: Where callers connect.
         readiness: Where readiness is asked for.
         metrics: Where metrics are asked for, or None.
-        metrics_path: Path of the metrics.
+        metrics_path: Path of the metrics as configured; every path of that address answers.
         peers: Where other nodes' datagrams arrive.
         is_first_start: Whether the whole system starts for the first time.
-        bounds: The deployment's bounds.
+        bounds: The deployment's guarantees.
         retry_budget: The deployment's retry budget.
         machine: What the machine has; the strongest do what is done for others.
         regions: The region of each zone; empty where there is one only.
--- a/src/weirscale/gateway/settings_watch.py
+++ b/src/weirscale/gateway/settings_watch.py
@@ -9,10 +9,11 @@
 from weirscale.ports.event_log import EventLog
 
 READ_INTERVAL_S = 2.0
-"""How often the settings are read without a signal."""
+"""Seconds between two readings without a signal. Not measured."""
 
 APPLIED = frozenset({"bounds", "retry_budget"})
-"""Fields that are in force at once; the others count from the next start."""
+"""Fields of `GatewaySettings` that are in force at once; the others count from the next start. The
+log event `settings_taken` lists changed fields by their names, so a rename there changes a log."""
 
 
 class SettingsWatch:
@@ -22,7 +23,7 @@
         settings: What is in force.
         read: Reads the settings; raises `SettingsError`.
         apply: Puts changed settings in force.
-        event_log: Where changes and faults are told.
+        event_log: Where changes and faults are logged.
     """
 
     def __init__(
@@ -55,7 +56,7 @@
         try:
             settings = self._read()
         except SettingsError as error:
-            self._tell_problem(str(error))
+            self._log_problem(str(error))
             return
         self._last_problem = ""
         changed = _changed_fields(self._settings, settings)
@@ -69,8 +70,8 @@
             from_next_start=",".join(sorted(changed - APPLIED)),
         )
 
-    def _tell_problem(self, problem: str) -> None:
-        """The last good settings stay in force; the same problem is told once."""
+    def _log_problem(self, problem: str) -> None:
+        """The last good settings stay in force; the same problem is logged once."""
         if problem != self._last_problem:
             self._event_log.event("settings_unreadable", problem=problem)
         self._last_problem = problem
--- a/src/weirscale/gateway/state/change_log.py
+++ b/src/weirscale/gateway/state/change_log.py
@@ -8,18 +8,19 @@
 from weirscale.gateway.ports.state_feed import VersionedChange
 
 MAX_ENTRIES = 2048
-"""Beyond this the oldest entries go; nodes that lack them read the store."""
+"""Keys whose latest change is kept; beyond it the oldest are dropped, and nodes that lack them
+read the store. Bounds memory; not measured."""
 
 
 class ChangeLog:
-    """What other nodes may be told; `ClusterState` is its only writer."""
+    """The changes that other nodes may ask for; `ClusterState` is its only writer."""
 
     def __init__(self) -> None:
         self._latest: OrderedDict[str, VersionedChange] = OrderedDict()
         self._complete_after = 0
 
     def begin(self, revision: int) -> None:
-        """Begin anew after a reading of everything: what had ended before it is not known."""
+        """Start anew after a reading of everything: what was removed before it is not known."""
         self._latest.clear()
         self._complete_after = revision
 
--- a/src/weirscale/gateway/state/store_outages.py
+++ b/src/weirscale/gateway/state/store_outages.py
@@ -1,12 +1,15 @@
-"""When the store last answered no node at all.
-
-While the store is away nobody can bring new weights to the engines, so the grace of older ones
-begins anew after an outage; and registrations lapse with it. That holds for an outage of all nodes
-alone: one that stands still, loses its own connections or is turned away sees the same silence
-while the store answers others, and would let older weights and back ends that are gone serve on
-after everybody else has stopped. So a node's own silence is only a claim. It holds once other nodes
-say that they saw it too, and what any of them has proved meanwhile takes it back. Time in which a
-node itself did nothing is no silence: it asked nobody.
+"""Tells an outage of the store for all nodes from a silence that only this node saw.
+
+While the store is away nobody can bring new weights to engines, so the grace of older ones starts
+anew after an outage; and registrations lapse during it. Both are right only if the store answered
+no node. A node that stands still, loses its own connections or is refused sees the same silence
+while the store answers others; if it took that for an outage, older weights and back ends that are
+gone would serve on there after all other nodes have stopped using them.
+
+So a silence is first in doubt. It counts as an outage once other nodes (the witnesses) report that
+they were awake and got no answer either. A report that the store did answer somebody in that time
+ends the doubt the other way. Time in which this node itself stood still is no silence: it asked
+nothing. The reasoning is in docs/design/0021-ages-by-proof.md.
 """
 
 from collections.abc import Callable
@@ -14,17 +17,18 @@
 import msgspec
 
 NEVER_S = float("-inf")
+"""A time before all others: nothing is known."""
 
 GAP_S = 2.0
-"""Proofs that lie closer together are one span. A node whose reader is lost has a new proof after
-1.6 s at most: 1.1 s of patience and the next round of queries."""
+"""Seconds; proofs that lie closer together are one span. A node whose reader is lost has a new
+proof after 1.6 s at most: 1.1 s until it gives the reader up, and the next round of queries."""
 
 NUM_WITNESSES = 2
-"""So many other nodes must have seen a silence before it counts as one of the store, or all where
-there are fewer: one other may have lost its connections together with this node."""
+"""Other nodes that must have seen a silence before it counts as an outage, or all where there are
+fewer: one other may have lost its connections together with this node. Not measured."""
 
 STANDSTILL_S = 1.0
-"""A node that has not looked at the time for so long stood still. It looks every 0.4 s."""
+"""Seconds; a node that has not looked at the time for so long stood still. It looks every 0.4 s."""
 
 
 class Span(msgspec.Struct, frozen=True):
@@ -42,7 +46,7 @@
 
 
 class StoreOutageDetector:
-    """Joins what this node and others have proved of the store; starts without any proof.
+    """Joins the times at which the store answered this node and others; starts without any.
 
     Attributes:
         num_others: Returns how many other nodes there are to ask.
@@ -83,7 +87,7 @@
         self._join(span, now_s)
 
     def own_span(self) -> Span | None:
-        """Return what this node can tell others of its own knowledge."""
+        """Return when the store answered this node, for others; None if it never did."""
         return self._own_span
 
     def look(self, now_s: float) -> None:
@@ -110,7 +114,7 @@
         return self._settled_s
 
     def end_doubt(self, before_s: float) -> None:
-        """Take a silence that ended before a time for judged: whoever was asked has answered."""
+        """End the doubt about a silence that ended before a time: those asked have answered."""
         if self._span is not None and self._span.began_s <= before_s:
             self._judge()
 
--- a/src/weirscale/gateway/state/target_versions.py
+++ b/src/weirscale/gateway/state/target_versions.py
@@ -1,8 +1,8 @@
-"""Which weights are wanted, since when, and which ones may still serve.
+"""Target versions of models' weights: since when, and which older versions may still serve.
 
 When a version was named is known only as a bound: *no earlier than* a moment at which something
-proved that it was not named yet. Older weights count their grace from that bound. A node that heard
-late, for whatever befell it, then stops using them early and never late.
+proved that it was not named yet. The grace of older weights counts from that bound, so a node that
+learns of the version late stops using older ones early and never late.
 """
 
 from collections.abc import Iterator
@@ -10,11 +10,15 @@
 import msgspec
 
 FIRST_VERSION = 1
+"""The lowest version that a model may have."""
+
 MAX_EARLIER_VERSIONS = 32
-"""Versions below the newest that a node reckons with when it does not know them."""
+"""Versions below a new target that a node adds because they may have been targets meanwhile. Bounds
+memory; not measured."""
 
 MAX_KEPT_VERSIONS = 64
-"""Of one model; who names more within a grace has its oldest engines left out of use."""
+"""Versions kept for one model; with more than these within a grace, engines of the oldest are not
+used. Bounds memory; not measured."""
 
 LONG_AGO_S = float("-inf")
 """The bound where nothing is known: the version may have been named at any time."""
--- a/src/weirscale/gateway/telemetry/line_log.py
+++ b/src/weirscale/gateway/telemetry/line_log.py
@@ -1,7 +1,7 @@
 """The decision log: bounded lines through eliot, written by one task that never blocks.
 
 Past the budget of lines, ordinary successes are dropped first; refusals, failures and changes of
-belief last. What was dropped is counted and told once a second.
+belief last. What was dropped is counted and logged.
 """
 
 import os
@@ -15,13 +15,20 @@
 from weirscale.ports.event_log import render_line
 
 MAX_QUEUED_LINES = 2_000
+"""Lines that wait for the reader of the log; beyond it lines are dropped. Bounds memory; not
+measured."""
+
 FLUSH_INTERVAL_S = 0.1
-MAX_BYTES_A_WRITE = 32 * 1024
-ORDINARY_LINES_A_SECOND = 200.0
-"""Successes logged; the rest is counted."""
+"""Seconds between two writes. Not measured."""
+
+MAX_BYTES_PER_WRITE = 32 * 1024
+"""Bytes handed to the descriptor at once. Not measured."""
+
+ORDINARY_LINES_PER_S = 200.0
+"""Lines a second for requests that were answered; the rest is dropped and counted. Not measured."""
 
-LINES_A_SECOND = 600.0
-"""All lines logged."""
+LINES_PER_S = 600.0
+"""Lines a second of all kinds. Not measured."""
 
 ORDINARY_EVENT = "request_ended"
 ORDINARY_OUTCOME = "answered"
@@ -58,10 +65,10 @@
         self._fields = fields
         self._lines: deque[bytes] = deque()
         self._rest = b""
-        self._ordinary = _LineBudget(ORDINARY_LINES_A_SECOND)
-        self._all = _LineBudget(LINES_A_SECOND)
+        self._ordinary = _LineBudget(ORDINARY_LINES_PER_S)
+        self._all = _LineBudget(LINES_PER_S)
         self.num_dropped = 0
-        self._num_told = 0
+        self._num_logged = 0
 
     def event(self, name: str, **fields: object) -> None:
         """Log one event, or count it as dropped; never blocks."""
@@ -93,7 +100,7 @@
         """Write lines until cancelled."""
         while True:
             await sleep_to_tick(FLUSH_INTERVAL_S)
-            self._tell_dropped()
+            self._log_dropped()
             self.flush()
 
     def flush(self) -> None:
@@ -104,8 +111,10 @@
             try:
                 written = os.write(self._descriptor, self._rest)
             except BlockingIOError:
+                # The reader is slow: the rest waits for the next flush.
                 return
             except OSError:
+                # Nobody reads the log any more, so there is nowhere to report it.
                 self._rest = b""
                 self._lines.clear()
                 return
@@ -114,13 +123,13 @@
     def _next_block(self) -> bytes:
         block: list[bytes] = []
         num_bytes = 0
-        while self._lines and num_bytes < MAX_BYTES_A_WRITE:
+        while self._lines and num_bytes < MAX_BYTES_PER_WRITE:
             line = self._lines.popleft()
             block.append(line)
             num_bytes += len(line)
         return b"".join(block)
 
-    def _tell_dropped(self) -> None:
-        if self.num_dropped != self._num_told and self._all.try_take():
+    def _log_dropped(self) -> None:
+        if self.num_dropped != self._num_logged and self._all.try_take():
             self.event("log_lines_dropped", total=self.num_dropped)
-            self._num_told = self.num_dropped
+            self._num_logged = self.num_dropped
--- a/src/weirscale/gateway/telemetry/node_metrics.py
+++ b/src/weirscale/gateway/telemetry/node_metrics.py
@@ -13,11 +13,11 @@
     """Figures that are read off when somebody asks.
 
     Attributes:
-        knowledge_age_s: Time since the platform's state was proved current.
+        state_age_s: Time since the platform's state was proved current.
         configuration_version: Version in force, 0 for none.
         num_back_ends: Registered back ends.
         holds_lease: Whether this node gives orders.
-        retries_left: Repeats that may be spent now, by service.
+        retries_left: Retries that may be spent now, by service.
         queue_shares: Share of the bound on queues that is in force, by service.
         quota_levels: What is left of each quota, in its unit, by tenant.
         rollout_stages: How far each service's rollout is.
--- a/src/weirscale/gateway/ticks.py
+++ b/src/weirscale/gateway/ticks.py
@@ -10,11 +10,12 @@
 import anyio
 
 TICK_S = 0.04
-"""Time between two ticks: news of other nodes is some tenths of a second old anyway. With 20 ms a
-node took a fifth more processor time on a day of 64 nodes, docs/CAPACITY.md."""
+"""Seconds between two ticks: gossip of other nodes is some tenths of a second old anyway. On a day
+of 64 nodes a node took 0.053 of a core with 40 ms and 0.064 with 20 ms (docs/CAPACITY.md)."""
 
 ROUNDING_S = 1e-6
-"""A moment that lies so little after a tick counts as on it."""
+"""Seconds; a moment that lies so little after a tick counts as on it: above the rounding of
+floating point, far below a tick."""
 
 
 def next_tick_s(at_s: float) -> float:
