--- a/src/weirscale/gateway/model/back_ends.py
+++ b/src/weirscale/gateway/model/back_ends.py
@@ -17,7 +17,7 @@
     LEAVING = "leaving"
     """It says that it will end."""
     LAPSED = "lapsed"
-    """Its registration ended with an outage of the store; it is given time to come back."""
+    """Its registration ended with an outage of the store; it has some time to register again."""
 
 
 TAKES_WORK = frozenset({BackEndState.READY, BackEndState.LAPSED})
@@ -32,7 +32,7 @@
 
 
 class BackEnd(msgspec.Struct, frozen=True):
-    """One incarnation of a back end.
+    """One instance of a back end. Travels between nodes: field names are names of the wire.
 
     Attributes:
         instance: Identifies this start of the process.
@@ -43,7 +43,7 @@
         slots: Requests it works on at once.
         models: Models and versions, for engines.
         software: Version of its program.
-        started_ms: Unix time of its start, or None if it does not tell.
+        started_ms: Unix time of its start, or None if it does not say.
     """
 
     instance: InstanceId
@@ -58,7 +58,7 @@
 
     @property
     def run_id(self) -> RunId:
-        """What tells this run of the process from others, also under one instance name."""
+        """This run of the process; another run under the same instance name has another id."""
         return RunId(f"{self.instance}@{self.started_ms or 0}")
 
     def version_of(self, model: str) -> int | None:
@@ -72,15 +72,15 @@
 class BackEndDirectory:
     """Back ends by instance, as the platform registers them.
 
-    A later incarnation at an address takes it over: the earlier one is dropped with it, since its
-    address now answers for another process, maybe of another service.
+    A later instance at an address displaces the earlier one, since the address now belongs to
+    another process, maybe of another service.
     """
 
     def __init__(self) -> None:
         self._by_instance: dict[InstanceId, BackEnd] = {}
         self._by_service: dict[ServiceName, dict[InstanceId, BackEnd]] = {}
         self.num_changes = 0
-        """Rises when an instance comes or goes, for those who read them by change."""
+        """Rises when an instance comes or goes, for readers that keep what they made of these."""
 
     def put(self, back_end: BackEnd) -> tuple[InstanceId, ...]:
         """Take a registration; returns the instances that it displaces."""
--- a/src/weirscale/gateway/model/rollout_order.py
+++ b/src/weirscale/gateway/model/rollout_order.py
@@ -1,4 +1,7 @@
-"""What operators order, and what they read of it."""
+"""Rollouts of a service version: what operators order, and the status that they read.
+
+`RolloutStatus` travels between nodes: its field names and values are names of the wire.
+"""
 
 import enum
 from typing import NewType
@@ -21,7 +24,7 @@
         epoch: Names the order.
         seen_at_s: When this node last knew that it was not there; its own start, if it was there.
         was_there: Whether it was there before this node, so that its age is not known.
-        served_before: Whether the target served without a trial when the order came.
+        served_before: Whether the target served without a canary when the order came.
     """
 
     service: ServiceName
--- a/src/weirscale/gateway/peers/messages.py
+++ b/src/weirscale/gateway/peers/messages.py
@@ -233,7 +233,7 @@
         number: Number of the query.
         span_age_ms: How long ago the time began in which the store answers without a long pause.
         proof_age_ms: How long ago the store last answered.
-        silent_age_ms: Age of the answer before that time, where the sender was awake and heard
+        silent_age_ms: Age of the answer before that time, where the sender was awake and got
             nothing for long in between; None otherwise.
         target_versions: Upper bounds on the age of target versions.
     """
--- a/src/weirscale/gateway/peers/registrations.py
+++ b/src/weirscale/gateway/peers/registrations.py
@@ -134,7 +134,7 @@
         self._divide()
 
     def _forget_departed(self) -> None:
-        """Give up the places of nodes that have not come back."""
+        """Give up the places of nodes that have not registered again in time."""
         if not self._departed or self._clock() < self._next_given_up_s:
             return
         since_s = self._clock() - DIVISION_MEMORY_S
--- a/src/weirscale/gateway/ports/back_end.py
+++ b/src/weirscale/gateway/ports/back_end.py
@@ -1,4 +1,4 @@
-"""Requests, orders and reports to one back end, and what may come back."""
+"""The interface to one back end: requests, orders, reports, and how each may end."""
 
 import enum
 from collections.abc import AsyncIterator
@@ -20,14 +20,14 @@
     Attributes:
         request: What the caller asked.
         body: Its body.
-        instance: The incarnation that is meant; any other refuses unrun.
+        instance: The instance that is meant; any other refuses without running it.
         timeout_s: Time left for the work.
         tenant: Tenant to name, if the route is keyed.
         priority: 0 to 9, 0 first, or None.
         cache_scope: Text within which cached blocks may be reused, or None.
         weight_version: Version that the engine must have, or None.
-        fetch_from: IP:PORT that keeps parts that this engine lacks, or None.
-        save_to: IP:PORT of a store that gets the parts, or None.
+        fetch_from: IP:PORT of an engine or store with blocks that this engine lacks, or None.
+        save_to: IP:PORT of a kept-KV store that gets the blocks, or None.
         resume_after: Id of the last event that the caller has, or None.
     """
 
@@ -51,7 +51,7 @@
         status: HTTP status.
         headers: End-to-end header fields.
         request_id: Id that the answer belongs to, or None if it names none.
-        instance: Incarnation that answered, or None if it names none.
+        instance: Instance that answered, or None if it names none.
         is_proved_unrun: Whether the back end says that it did not and will not run the request.
         is_sealed: Whether it carries the back end's signature.
         weight_version: Version of the weights, or None.
@@ -118,7 +118,7 @@
         holder: Who gives the order.
         fencing_token: Token of the holder's lease.
         expected_sequence: Orders that the engine has taken so far; any other number refuses.
-        instance: The incarnation that is meant.
+        instance: The instance that is meant.
         mode: What becomes of the requests that run there.
     """
 
@@ -132,21 +132,17 @@
 
 
 class EngineReport(msgspec.Struct, frozen=True):
-    """What an engine tells of itself, some hundred milliseconds old.
+    """An engine's report of itself, some hundred milliseconds old.
 
     Attributes:
         models: Models and versions.
         is_ordered: Whether an order is under way.
         sequence: Orders taken since its start.
-        num_active: Requests at work.
-        num_queued: Requests that wait.
     """
 
     models: tuple[ServedModel, ...]
     is_ordered: bool
     sequence: int
-    num_active: int
-    num_queued: int
 
 
 class RunState(enum.Enum):
@@ -157,18 +153,18 @@
     ENDED = "ended"
     """Nobody listens at its address, or another run answered."""
     UNKNOWN = "unknown"
-    """No answer came, or one that does not tell whose it is."""
+    """No answer came, or one that does not name its instance."""
 
 
 class BackEndPort(Protocol):
-    """Calls to one incarnation of a back end."""
+    """Calls to one instance of a back end."""
 
     def send(
         self, outbound: OutboundRequest
     ) -> AbstractAsyncContextManager[Result[Answer, SendFailure]]:
         """Send a request; leaving the context before the body's end cancels it.
 
-        Only the making of a connection has a time-out of its own; the caller bounds the rest.
+        Only connecting has a timeout of its own; the caller limits the rest.
         """
         ...
 
@@ -181,11 +177,11 @@
         ...
 
     async def is_healthy(self, path: str, timeout_s: float) -> bool:
-        """Whether the same incarnation answers its health check."""
+        """Whether the same instance answers its health check."""
         ...
 
     async def run_state(self, path: str, timeout_s: float) -> RunState:
-        """Find out by its health check, whatever that says, whether the same incarnation runs."""
+        """Find out by its health check, whatever that says, whether the same instance runs."""
         ...
 
     async def close(self) -> None:
--- a/src/weirscale/gateway/ports/callers.py
+++ b/src/weirscale/gateway/ports/callers.py
@@ -46,7 +46,7 @@
     """How requests and refusals are written on the wire."""
 
     def parse(self, scope: Mapping[str, object]) -> CallerRequest | str:
-        """Read the head of an ASGI request; a string tells what is wrong with it."""
+        """Read the head of an ASGI request; a string says what is wrong with it."""
         ...
 
     def refusal_headers(self, request_id: RequestId, retry_after_s: float | None) -> Headers:
--- a/src/weirscale/gateway/replication/follower.py
+++ b/src/weirscale/gateway/replication/follower.py
@@ -88,7 +88,7 @@
         self._must_read_all = True
         self._gather_s = MIN_GATHER_S
         self._watch_scope = anyio.CancelScope()
-        # A watch that hears nothing must not keep this node from reading.
+        # A watch without answers must not keep this node from reading.
         subscription.on_reading_due = lambda: self._watch_scope.cancel()
 
     async def run(self) -> None:
@@ -118,7 +118,7 @@
             if isinstance(read, Err):
                 return read.err_value
             if read.ok_value.revision < self._cluster.revision:
-                # A reader told newer changes meanwhile; what this reading lacks may be among them.
+                # A reader sent newer changes meanwhile; what this reading lacks may be among them.
                 return None
             self._cluster.replace_all(read.ok_value, asked_at_s)
             self._must_read_all = False
--- a/src/weirscale/gateway/state/__init__.py
+++ b/src/weirscale/gateway/state/__init__.py
@@ -1,1 +1,1 @@
-"""What this node knows of the platform's state, and what follows from the age of that knowledge."""
+"""What this node knows of the platform's state, and how old its proof of that is."""
--- a/src/weirscale/gateway/state/engine_versions.py
+++ b/src/weirscale/gateway/state/engine_versions.py
@@ -35,7 +35,7 @@
             instance: The engine; the versions of one instance only rise.
             model: The model.
             version: The version of its weights.
-            source: Who told, for the log.
+            source: Where it was learnt, for the log.
         """
         known = self._versions.get((instance, model), 0)
         if version <= known or self._directory.get(instance) is None:
--- a/src/weirscale/gateway/state/expiring_record.py
+++ b/src/weirscale/gateway/state/expiring_record.py
@@ -1,7 +1,7 @@
-"""Records that vanish from the store by themselves: the store's leases as a clock of the fleet.
+"""Records that expire with a lease: a clock that survives the restart of all nodes.
 
-Nodes keep nothing and all may restart at once; what is gone from the store was written longer ago
-than its life, whoever wrote it.
+Nodes keep nothing and all may restart at once. A record that has expired was written longer ago
+than its life, whichever node wrote it.
 """
 
 from collections.abc import Callable
@@ -25,9 +25,9 @@
     """
     asked_at_s = clock()
     granted = await store.grant_lease(life_s)
-    # A lease runs from the call's arrival. The call may wait for a connection, or its node may
-    # stand still or be suspended, for longer than a time-out: the record would then outlive the age
-    # that it tells.
+    # A lease runs from the call's arrival at the store. The call may wait for a connection, or its
+    # node may stand still or be suspended, for longer than a timeout: the record would then be in
+    # the store longer than the age that it stands for.
     if isinstance(granted, Err) or clock() > asked_at_s + within_s:
         return 0
     swapped = await store.compare_and_swap(key, 0, value, granted.ok_value)
--- a/src/weirscale/gateway/state/store_outages.py
+++ b/src/weirscale/gateway/state/store_outages.py
@@ -128,7 +128,7 @@
         return len(self._witnesses) >= min(NUM_WITNESSES, self.num_others())
 
     def _has_seen_silence(self, span: Span, asked_at_s: float) -> bool:
-        """Whether a node was awake in the silence that is in doubt and heard nothing either."""
+        """Whether a node was awake in the silence that is in doubt and got no answer either."""
         is_silent = asked_at_s > span.proved_at_s + GAP_S
         was_silent = span.silent_from_s is not None and span.began_s > self._noticed_from_s
         return is_silent or was_silent
--- a/src/weirscale/gateway/state/weights_age_marker.py
+++ b/src/weirscale/gateway/state/weights_age_marker.py
@@ -1,15 +1,16 @@
-"""What a record in the store proves of a newly named version, to a node that starts.
+"""A record in the store that bounds the age of a new target version.
 
-All nodes may restart at once, and then none of them can tell another how old a naming is.
+A starting node asks others for that age; all may restart at once, and then only the record is left.
 """
 
 import msgspec
 
 WEIGHTS_AGE_PREFIX = "weirscale/young/"
+"""Of the records' keys in the store."""
 
 
 class WeightsAgeMarker(msgspec.Struct, frozen=True):
-    """Lives in the store while a version is newly named; what it proves to a node that starts.
+    """Proves to a starting node how old a target version is at most, while it is in the store.
 
     Attributes:
         model: The model.
@@ -38,4 +39,5 @@
     try:
         return WeightsAgeMarker(model, int(version), float(value))
     except ValueError:
+        # Without an age the version is taken for old, which lets no older weights serve too long.
         return None
--- a/src/weirscale/gateway/telemetry/store_calls.py
+++ b/src/weirscale/gateway/telemetry/store_calls.py
@@ -21,6 +21,7 @@
 """Takes the kind of a call and its result."""
 
 SUCCEEDED = "ok"
+"""Result of a call that did not fail; failures are counted under the value of their kind."""
 
 
 async def _counted(
