--- a/src/weirscale/gateway/model/routes.py
+++ b/src/weirscale/gateway/model/routes.py
@@ -62,5 +62,4 @@
 
     def kept_kv_stores(self) -> list[KeptKvStore]:
         """Return the stores of cached prompt blocks."""
-        stores = (service.kept_cache for service in self._services.values())
-        return [store for store in stores if store is not None]
+        return [one.kept_kv for one in self._services.values() if one.kept_kv is not None]
--- a/src/weirscale/gateway/quarantine/record.py
+++ b/src/weirscale/gateway/quarantine/record.py
@@ -75,11 +75,11 @@
 
     def take_changes(self) -> RecordChanges:
         """Return what has changed since the last call; a record that is seen needs no write."""
-        if self._num_changes_seen == self._cluster.num_record_changes:
+        if self._num_changes_seen == self._cluster.records.num_changes:
             return NO_CHANGES
-        self._num_changes_seen = self._cluster.num_record_changes
+        self._num_changes_seen = self._cluster.records.num_changes
         keys = (
-            read_quarantine_key(key) for key, _ in self._cluster.records_under(QUARANTINE_PREFIX)
+            read_quarantine_key(key) for key, _ in self._cluster.records.under(QUARANTINE_PREFIX)
         )
         before, self._recorded = self._recorded, frozenset(one for one in keys if one is not None)
         changes = RecordChanges(self._recorded - before, before - self._recorded)
--- a/src/weirscale/gateway/rollouts/reporter.py
+++ b/src/weirscale/gateway/rollouts/reporter.py
@@ -47,7 +47,7 @@
         self._sent_at_s = now_s
         for key, counts in tallies.items():
             if must_refresh or self._sent.get(key, NO_COUNTS) != counts:
-                outbox.add_trials(_gossip(key, counts))
+                outbox.add_canary_counts(_gossip(key, counts))
         self._sent = tallies
 
 
@@ -104,11 +104,11 @@
     def receive(self, source: str, gossip: Gossip) -> None:
         """Take over what a source sends; `source` is as for the loads."""
         known = {order.epoch for order in self._cluster.rollouts.orders.values()}
-        counted = [_read(one) for one in gossip.trials if one.epoch in known]
+        counted = [_read(one) for one in gossip.canary_counts if one.epoch in known]
         if counted:
-            name = source if gossip.group else f"{source}#{gossip.run}"
+            name = source if gossip.group else f"{source}#{gossip.sender_run}"
             self._tallies.receive(name, counted)
-        for moved in gossip.moved:
+        for moved in gossip.moved_nodes:
             if moved.epoch in known:
                 key = (ServiceName(moved.service), Epoch(moved.epoch))
                 self._barrier.receive(source, key, moved.num_nodes, self._clock())
@@ -120,7 +120,7 @@
         self._to_own.add_to(outbox, dict(self._tallies.own), must_refresh, self._clock())
         for key in self._moves():
             if self.has_moved(key[0]):
-                outbox.add_moved(MovedGossip(key[0], key[1], 1))
+                outbox.add_moved_nodes(MovedGossip(key[0], key[1], 1))
 
     def add_sums(
         self,
@@ -141,8 +141,8 @@
         for key in self._moves():
             num_own = self._barrier.num_moved(key, is_member, now_s) + self.has_moved(key[0])
             num_rest = self._barrier.num_moved(key, is_group, now_s)
-            to_heads.add_moved(MovedGossip(key[0], key[1], num_own))
-            to_group.add_moved(MovedGossip(key[0], key[1], num_rest))
+            to_heads.add_moved_nodes(MovedGossip(key[0], key[1], num_own))
+            to_group.add_moved_nodes(MovedGossip(key[0], key[1], num_rest))
 
     def sums(self, counts: SourceTest) -> Tallies:
         """Return what all nodes have counted, by the sources that count at this node."""
--- a/src/weirscale/gateway/routing/candidates.py
+++ b/src/weirscale/gateway/routing/candidates.py
@@ -97,7 +97,7 @@
 
     def find(self, query: DispatchQuery, service: Service | None, now_s: float) -> list[Candidate]:
         """Return the back ends that may get a request now."""
-        ready = self._cluster.ready_back_ends(query.service)
+        ready = self._cluster.back_ends.ready(query.service)
         lowest = 0 if query.prompt is None else self._lowest_version(query.prompt.model, now_s)
         usable = [
             back_end
@@ -120,7 +120,7 @@
 
         They may keep cached blocks that it wants.
         """
-        ready = self._cluster.ready_back_ends(query.service)
+        ready = self._cluster.back_ends.ready(query.service)
         usable = self._versions.usable(query.service, ready, query.track)
         if len(usable) == len(ready):
             return []
@@ -158,14 +158,14 @@
     def _has_usable_weights(self, back_end: BackEnd, prompt: Prompt | None, lowest: int) -> bool:
         if prompt is None or not back_end.models:
             return True
-        version = self._cluster.version_of(back_end.instance, prompt.model)
+        version = self._cluster.engine_versions.version_of(back_end.instance, prompt.model)
         if version is None:
             return False
         return version >= lowest
 
     def _lowest_version(self, model: str, now_s: float) -> int:
         """Return the oldest weights that may be used."""
-        return self._cluster.weights.lowest_allowed(
+        return self._cluster.target_versions.lowest_allowed(
             model, now_s, self.weights_grace_s, self._cluster.outage_ended_s()
         )
 
@@ -183,7 +183,8 @@
         if prompt is None or service is None or service.engine is None:
             return Candidate(back_end, load, is_suspect, is_cross_region=is_cross_region)
         capacity = service.engine.cache_tokens
-        version = self._cluster.version_of(back_end.instance, prompt.model)
+        version = self._cluster.engine_versions.version_of(back_end.instance, prompt.model)
+        targets = self._cluster.target_versions
         newer = self._first_newer(prompt.model, version)
         return Candidate(
             back_end,
@@ -192,7 +193,7 @@
             self._beliefs.at_engine(back_end.instance, capacity),
             capacity,
             version,
-            newest_version=None if newer is None else self._cluster.weights.newest(prompt.model),
+            newest_version=None if newer is None else targets.newest(prompt.model),
             weights_behind_s=0.0 if newer is None else now_s - newer.named_after_s,
             begins_within_s=math.inf if newer is None else self._begins_within_s(newer, now_s),
             recent_wait_s=0.0 if newer is None else self._recent_wait_s(back_end, now_s),
@@ -203,7 +204,9 @@
 
     def _first_newer(self, model: str, version: int | None) -> TargetVersion | None:
         """Return the first target version newer than an engine's, or None."""
-        return None if version is None else self._cluster.weights.first_newer(model, version)
+        if version is None:
+            return None
+        return self._cluster.target_versions.first_newer(model, version)
 
     def _begins_within_s(self, newer: TargetVersion, now_s: float) -> float:
         """Return the time until requests may not begin any more on weights older than a version."""
--- a/src/weirscale/gateway/weights/age_markers.py
+++ b/src/weirscale/gateway/weights/age_markers.py
@@ -46,7 +46,7 @@
             grace_s: Seconds for which older weights may serve.
             tasks: Runs the write.
         """
-        target = self._cluster.weights.newest_named(model)
+        target = self._cluster.target_versions.newest_named(model)
         if target is None or self._marked.get(model, 0) >= target.version:
             return
         self._marked[model] = target.version
--- a/src/weirscale/gateway/weights/engine_load.py
+++ b/src/weirscale/gateway/weights/engine_load.py
@@ -93,7 +93,7 @@
 
     async def announce_end(self, engine: BackEnd, model: str) -> None:
         """Tell peers the version that an engine has after its load, also when cancelled."""
-        version = self._cluster.version_of(engine.instance, model) or 0
+        version = self._cluster.engine_versions.version_of(engine.instance, model) or 0
         with anyio.CancelScope(shield=True):
             await self._announce(engine.instance, model, version, True)
 
@@ -133,15 +133,17 @@
         if outcome is None:
             return
         if outcome is OrderOutcome.HOLDS_ALREADY:
-            self._cluster.learn_version(engine.instance, model, sent.version, "order")
+            self._cluster.engine_versions.learn(engine.instance, model, sent.version, "order")
         sent.sequence = report.sequence
         sent.sent_at_s = self._clock()
 
     def _has_version(self, engine: BackEnd, model: str, wanted: int, report: EngineReport) -> bool:
         for served in report.models:
             if served.name == model:
-                self._cluster.learn_version(engine.instance, model, served.version, "report")
-        return (self._cluster.version_of(engine.instance, model) or 0) >= wanted
+                self._cluster.engine_versions.learn(
+                    engine.instance, model, served.version, "report"
+                )
+        return (self._cluster.engine_versions.version_of(engine.instance, model) or 0) >= wanted
 
     def _target(self, model: str) -> int:
-        return self._cluster.weights.newest(model) or 0
+        return self._cluster.target_versions.newest(model) or 0
