--- a/features/gateway_state.feature
+++ b/features/gateway_state.feature
@@ -119,6 +119,11 @@
       | with the store away    | draining | 0.9     | none of them |
       | a while after the store's return | ready | 0.5 | none of them |
 
+  Scenario: Of registrations that end with an outage of the store, only those of ready back ends are kept
+    Given a node that knows a ready and a leaving back end
+    When both registrations end 3 seconds into an outage of the store
+    Then the ready one is kept as lapsed, and the leaving one is forgotten
+
   Scenario Outline: A node without proof of its configuration <does> when <who> cannot reach <what>
     Given a fleet of 4 nodes with a tenant's route
     When <who> cannot reach <what> for <seconds> seconds
--- a/features/steps/gateway_state_steps.py
+++ b/features/steps/gateway_state_steps.py
@@ -20,12 +20,19 @@
 from features.support.platform_runner import RunnerStandIn
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.gateway.model.back_ends import BackEnd, BackEndState
-from weirscale.gateway.ports.state_feed import BackEndRegistered, StateBatch, VersionedChange
+from weirscale.gateway.ports.state_feed import (
+    BackEndGone,
+    BackEndRegistered,
+    StateBatch,
+    VersionedChange,
+)
 from weirscale.gateway.replication.follower import StateFollower
 from weirscale.gateway.state.cluster_state import ClusterState
 
 TENANT = {"name": "t1", "api_keys": ["good"]}
 SETTLE_S = 0.3
+LOOK_INTERVAL_S = 0.4
+"""A node looks for silences of the store so often; one that does not stood still."""
 
 
 def keyed_configuration(version, keys=("good",)):
@@ -291,6 +298,37 @@
     context.script.actions.append(action)
 
 
+@given("a node that knows a ready and a leaving back end")
+def step_ready_and_leaving(context):
+    context.now_s = 100.0
+    context.cluster = ClusterState(EventRecorder(), lambda: context.now_s)
+    states = {"o-1": BackEndState.READY, "o-2": BackEndState.LEAVING}
+    ends = [
+        BackEnd(name, "orders", f"10.2.0.{number}:8080", "hall-a", state, 4)
+        for number, (name, state) in enumerate(states.items())
+    ]
+    changes = tuple(VersionedChange(end.instance, 1, BackEndRegistered(end)) for end in ends)
+    context.cluster.apply(StateBatch(1, changes), context.now_s)
+
+
+@when("both registrations end {seconds:g} seconds into an outage of the store")
+def step_both_end(context, seconds):
+    ends_s = context.now_s + seconds
+    while context.now_s < ends_s:
+        context.now_s += LOOK_INTERVAL_S
+        context.cluster.store_outages.look(context.now_s)
+    changes = tuple(VersionedChange(name, 2, BackEndGone(name)) for name in ("o-1", "o-2"))
+    context.cluster.apply(StateBatch(2, changes), float("-inf"))
+
+
+@then("the ready one is kept as lapsed, and the leaving one is forgotten")
+def step_only_ready_kept(context):
+    ready = context.cluster.directory.get("o-1")
+    assert ready is not None
+    assert ready.state is BackEndState.LAPSED, ready
+    assert context.cluster.directory.get("o-2") is None
+
+
 @when('the registration of the first back end, "{state}" before, ends {when}')
 def step_ends(context, state, when):
     async def action(script):
