--- a/features/steps/gateway_group_places_steps.py
+++ b/features/steps/gateway_group_places_steps.py
@@ -12,7 +12,7 @@
 from weirscale.gateway.peers.outbox import GossipOutbox
 from weirscale.gateway.peers.registrations import PeerDirectory
 from weirscale.gateway.replication.readers import choose_readers
-from weirscale.gateway.requests.exchange_context import ExchangeContext
+from weirscale.gateway.requests.request_context import ExchangeContext
 from weirscale.gateway.routing.choice import Candidate, Choice
 from weirscale.gateway.routing.load import FleetLoad, Load
 from weirscale.gateway.settings import Guarantees, ListenAddress
--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -39,7 +39,7 @@
 from weirscale.gateway.replication.publisher import ChangePublisher
 from weirscale.gateway.replication.subscription import StateSubscription
 from weirscale.gateway.requests.caller_app import CallerApp
-from weirscale.gateway.requests.exchange_context import ExchangeContext
+from weirscale.gateway.requests.request_context import ExchangeContext
 from weirscale.gateway.rollouts.canary_traffic import CanaryTraffic
 from weirscale.gateway.rollouts.gate import RecordReader, VersionGate
 from weirscale.gateway.rollouts.holder_task import RolloutHolderTask
--- a/src/weirscale/gateway/requests/caller_app.py
+++ b/src/weirscale/gateway/requests/caller_app.py
@@ -6,8 +6,8 @@
 import anyio
 
 from weirscale.gateway.ports.callers import CallerRequest, RequestCodec
-from weirscale.gateway.requests.exchange import Exchange
-from weirscale.gateway.requests.exchange_context import ExchangeContext
+from weirscale.gateway.requests.request_context import ExchangeContext
+from weirscale.gateway.requests.request_handler import Exchange
 from weirscale.gateway.requests.responder import Responder, Send
 from weirscale.gateway.settings import GatewaySettings
 
--- a/src/weirscale/gateway/requests/exchange_context.py
+++ b/src/weirscale/gateway/requests/request_context.py
@@ -19,7 +19,12 @@
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint
 from weirscale.gateway.quarantine.keeper import Quarantine
 from weirscale.gateway.requests.attempt_timeout import PatienceKeeper
-from weirscale.gateway.requests.outcome import CANCELLED, AttemptEnd, Verdict, is_about_weights
+from weirscale.gateway.requests.attempt_verdict import (
+    CANCELLED,
+    AttemptEnd,
+    Verdict,
+    is_about_weights,
+)
 from weirscale.gateway.requests.overload import QueueLimit
 from weirscale.gateway.rollouts.canary_traffic import CanaryTraffic, Ending
 from weirscale.gateway.rollouts.pace import AttemptTimes
--- a/src/weirscale/gateway/requests/exchange.py
+++ b/src/weirscale/gateway/requests/request_handler.py
@@ -18,9 +18,7 @@
 from weirscale.gateway.ports.callers import CallerRequest, Headers
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint, fingerprint_of
 from weirscale.gateway.requests.attempt_timeout import Patience
-from weirscale.gateway.requests.events import EventCutter
-from weirscale.gateway.requests.exchange_context import ExchangeContext
-from weirscale.gateway.requests.outcome import (
+from weirscale.gateway.requests.attempt_verdict import (
     BODY_BROKEN,
     CANCELLED,
     CONNECTION_LOST,
@@ -30,7 +28,9 @@
     judge_answer,
     judge_failure,
 )
+from weirscale.gateway.requests.events import EventCutter
 from weirscale.gateway.requests.overload import come_back_s, should_come_back
+from weirscale.gateway.requests.request_context import ExchangeContext
 from weirscale.gateway.requests.responder import Responder
 from weirscale.gateway.rollouts.gate import Track
 from weirscale.gateway.rollouts.pace import AttemptTimes
