--- a/features/steps/gateway_group_places_steps.py
+++ b/features/steps/gateway_group_places_steps.py
@@ -12,10 +12,10 @@
 from weirscale.gateway.peers.outbox import GossipOutbox
 from weirscale.gateway.peers.registrations import PeerDirectory
 from weirscale.gateway.replication.readers import choose_readers
-from weirscale.gateway.requests.request_context import ExchangeContext
+from weirscale.gateway.requests.attempt_records import AttemptRecords
 from weirscale.gateway.routing.choice import Candidate, Choice
 from weirscale.gateway.routing.load import FleetLoad, Load
-from weirscale.gateway.settings import Guarantees, ListenAddress
+from weirscale.gateway.settings import ListenAddress
 
 
 class Directory(RegisteredNodes):
@@ -136,7 +136,7 @@
         peers = GossipTask(context.own_address, directory, SlowRelay(), outbox, None, gather)
         end = BackEnd("r-1", "lm", "10.3.0.1:1", "hall-0", BackEndState.READY, 16)
         choice = Choice(Candidate(end, Load(), False), read_tokens=tokens)
-        shared = exchange_context(load, peers.hurry)
+        records = attempt_records(load, peers.hurry)
         async with (
             await anyio.create_udp_socket(
                 local_host=context.other_address.host, local_port=context.other_address.port
@@ -145,7 +145,7 @@
         ):
             tasks.start_soon(peers.run)
             await anyio.sleep(0.1)
-            shared.begin(choice, None, is_first=False)
+            records.record_start(choice, None, is_unreached=False)
             context.received = None
             with anyio.move_on_after(1.0):
                 while context.received is None or not context.received.loads:
@@ -156,16 +156,11 @@
     anyio.run(main)
 
 
-def exchange_context(load, tell_now):
-    """Return a context of requests of which only load and telling matter."""
-    parts = dict.fromkeys(
-        (
-            "cluster", "dispatcher", "health", "budget", "quotas", "peers", "outbox", "isolation",
-            "version_check", "trials", "quarantine", "port_of", "event_log", "metrics",
-        )
-    )  # fmt: skip
-    return ExchangeContext(
-        bounds=Guarantees(), load=load, tell_now=tell_now, clock=anyio.current_time, **parts
+def attempt_records(load, send_gossip_now):
+    """Return records of attempts of which only load and gossip matter."""
+    parts = dict.fromkeys(("dispatcher", "budget", "outbox", "pauses", "verdicts"))
+    return AttemptRecords(
+        load=load, send_gossip_now=send_gossip_now, clock=anyio.current_time, **parts
     )
 
 
--- a/features/steps/gateway_overload_steps.py
+++ b/features/steps/gateway_overload_steps.py
@@ -21,7 +21,7 @@
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.gateway.model.back_ends import BackEnd, BackEndState
 from weirscale.gateway.model.configuration import RequestKind, Route
-from weirscale.gateway.requests.overload import QueueLimit, should_come_back
+from weirscale.gateway.requests.overload import QueueLimit, should_refuse
 from weirscale.gateway.routing.choice import Candidate, Choice
 from weirscale.gateway.routing.load import Load
 from weirscale.gateway.routing.overdue import OverdueAttempts
@@ -197,9 +197,9 @@
 def step_streams(context, late, sound):
     context.limit = QueueLimit()
     for _ in range(late):
-        context.limit.note_stream(True)
+        context.limit.learn_from_stream(True)
     for _ in range(sound):
-        context.limit.note_stream(False)
+        context.limit.learn_from_stream(False)
 
 
 @then("between {least:g} and {most:g} of the bound is in force")
@@ -222,7 +222,7 @@
 @when('a caller that "{asks}" asks with {share:g} of the bound in force')
 def step_asks(context, asks, share):
     timeout_s = AIMED.timeout_s if asks == "first" else 0.8 * AIMED.timeout_s
-    context.is_told = should_come_back(context.choice, AIMED, timeout_s, QueueLimit(share))
+    context.is_told = should_refuse(context.choice, AIMED, timeout_s, QueueLimit(share))
 
 
 @then('that caller is "{answer}"')
@@ -287,8 +287,8 @@
 def step_usual(context, usual, allowed):
     async def body(node):
         for _ in range(400):
-            node.context.note_pause("lm", usual)
-        context.patience_s = node.context.stall_patience_s(AIMED, "lm")
+            node.context.pauses.learn_pause("lm", usual)
+        context.timeout_s = node.context.pauses.stall_timeout_s(AIMED, "lm")
 
     assert allowed == AIMED.max_pause_s
     play_with_node(body)
@@ -296,13 +296,13 @@
 
 @then("a silent one is left after {patience:g} seconds")
 def step_patience(context, patience):
-    assert abs(context.patience_s - patience) < 0.01, context.patience_s
+    assert abs(context.timeout_s - patience) < 0.01, context.timeout_s
 
 
 @when("the retry budget is spent and a stream pauses for {seconds:g} seconds")
 def step_no_repeat(context, seconds):
     async def body(node):
-        while node.context.take_retry("lm"):
+        while node.context.retry_budget.try_take("lm"):
             pass
         headers = generation_headers("q1", parts="own:200", x_deadline_ms=4000)
         context.answer = await ask(node, "/a/x", headers=headers)
@@ -326,6 +326,6 @@
         headers = generation_headers("q1", parts="own:200", x_deadline_ms=9000)
         answer = await ask(node, "/n/x", headers=headers, takes_s=caller)
         assert answer.status == 200 and answer.is_complete
-        context.limit = node.context.queue_limit("lm")
+        context.limit = node.context.pauses.queue_limit("lm")
 
     play_with_node(body, [f"pause:{runner}"])
--- a/features/steps/gateway_settings_steps.py
+++ b/features/steps/gateway_settings_steps.py
@@ -44,7 +44,7 @@
     """Return a value as the node's parts use it."""
     return {
         "retry_extra": node.budget._rules.extra,
-        "revoke_ms": node.context._key_removal_s,
+        "revoke_ms": node.context.admission._key_removal_s,
         "version_ms": node.dispatcher._weights_grace_s,
         "lease_ms": node._turn._life_s,
     }[field]
--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -38,8 +38,17 @@
 from weirscale.gateway.replication.follower import StateFollower
 from weirscale.gateway.replication.publisher import ChangePublisher
 from weirscale.gateway.replication.subscription import StateSubscription
+from weirscale.gateway.requests.admission import AdmissionControl
+from weirscale.gateway.requests.attempt_records import AttemptRecords
+from weirscale.gateway.requests.attempt_timeout import AttemptTimeoutWatch
+from weirscale.gateway.requests.back_end_selector import BackEndSelector
+from weirscale.gateway.requests.back_end_verdicts import BackEndVerdicts
 from weirscale.gateway.requests.caller_app import CallerApp
-from weirscale.gateway.requests.request_context import ExchangeContext
+from weirscale.gateway.requests.crash_reports import CrashReports
+from weirscale.gateway.requests.request_context import RequestContext
+from weirscale.gateway.requests.request_log import RequestLog
+from weirscale.gateway.requests.retry_decision import NodeRetryBudget
+from weirscale.gateway.requests.stream_pauses import StreamPauses
 from weirscale.gateway.rollouts.canary_traffic import CanaryTraffic
 from weirscale.gateway.rollouts.gate import RecordReader, VersionGate
 from weirscale.gateway.rollouts.holder_task import RolloutHolderTask
@@ -241,12 +250,7 @@
             settings.name, self.cluster, store, lambda: rank_delay_s(self.peers.rank()),
             event_log, clock,
         )  # fmt: skip
-        self.context = ExchangeContext(
-            settings.bounds, self.cluster, self.dispatcher, self.load, self.health, self.budget,
-            self.quotas, self.peers, self.outbox, lambda: self.gossip_task.hurry(), self.isolation,
-            self.version_check, self.trials, self.quarantine, self.port_of, event_log, self.metrics,
-            clock,
-        )  # fmt: skip
+        self.context = self._make_request_context()
         self.app = CallerApp(
             settings, self.context, codec, self.is_ready, self.sends_callers_on,
             self.metrics_text,
@@ -270,6 +274,33 @@
             lambda: self._exposure.return_s, event_log, clock,
         )  # fmt: skip
 
+    def _make_request_context(self) -> RequestContext:
+        pauses = StreamPauses()
+        verdicts = BackEndVerdicts(
+            self.cluster, self.dispatcher, self.health, self.outbox, self.version_check,
+            self.trials, self._clock,
+        )  # fmt: skip
+        return RequestContext(
+            clock=self._clock,
+            admission=AdmissionControl(
+                self.cluster, self.quotas, self.isolation, self.settings.bounds
+            ),
+            selector=BackEndSelector(self.dispatcher, self.trials),
+            port_of=self.port_of,
+            timeouts=AttemptTimeoutWatch(self._clock),
+            retry_budget=NodeRetryBudget(self.budget, self.peers, self._clock),
+            pauses=pauses,
+            records=AttemptRecords(
+                self.dispatcher, self.load, self.budget, self.outbox, self.gossip_task.hurry,
+                pauses, verdicts, self._clock,
+            ),
+            crashes=CrashReports(
+                self.cluster, self.port_of, self.quarantine, self.health, self.outbox,
+                self.gossip_task.hurry, self._event_log, self._clock,
+            ),
+            log=RequestLog(self._event_log, self.metrics, self.cluster, self.trials, pauses),
+        )  # fmt: skip
+
     def _make_lease(self, store: KeyValuePort, random: Random) -> DutyLeaseTask:
         duty = Duty(DutyKind.PLACEMENT_PLANNER)
         life_s = max(self.settings.bounds.min_lease_s, ROLLOUT_LEASE_S)
@@ -292,7 +323,7 @@
         bounds = settings.bounds
         self.budget.set_rules(settings.retry_budget)
         self.quotas.set_bounds(bounds.quota)
-        self.context.set_bounds(bounds)
+        self.context.admission.set_guarantees(bounds)
         self.dispatcher.set_weights_grace(bounds.weights_s - START_MARGIN_S)
         self._exposure = bounds.exposure
         self.trials.set_bounds(bounds.exposure)
@@ -320,9 +351,9 @@
             tasks.start_soon(self._rollout.run)
             tasks.start_soon(self._rollout_holder.run)
             tasks.start_soon(self.version_check.run)
-            tasks.start_soon(self.context.crash_check.run)
+            tasks.start_soon(self.context.crashes.crash_check.run)
             tasks.start_soon(self.quarantine.run)
-            tasks.start_soon(self.context.patience.run)
+            tasks.start_soon(self.context.timeouts.run)
             tasks.start_soon(self._probe_regularly, tasks)
             await anyio.sleep_forever()
 
@@ -467,7 +498,7 @@
                 configuration_version=table.version if table else 0,
                 num_back_ends=len(self.cluster.directory.instances()),
                 holds_lease=self._lease.is_held(),
-                queue_shares={one: self.context.queue_limit(one).share for one in services},
+                queue_shares={one: self.context.pauses.queue_limit(one).share for one in services},
                 retries_left={one: self.budget.left(one, num_nodes, now_s) for one in services},
                 quota_levels=self.quotas.levels(),
                 rollout_stages=self.trials.stages(),
--- /dev/null
+++ b/src/weirscale/gateway/requests/attempt.py
@@ -0,0 +1,208 @@
+"""One attempt: sends a request to one back end, passes its answer on, and judges how it ended."""
+
+import anyio
+
+from weirscale.gateway.model.configuration import RequestKind
+from weirscale.gateway.ports.back_end import Answer, BodyBrokenError, OutboundRequest
+from weirscale.gateway.requests.admission import AdmittedRequest
+from weirscale.gateway.requests.attempt_records import EndedAttempt
+from weirscale.gateway.requests.attempt_timeout import AttemptTimeout
+from weirscale.gateway.requests.attempt_verdict import (
+    BODY_BROKEN,
+    CANCELLED,
+    TOO_SLOW,
+    WHOLE_SUCCESS,
+    AttemptEnd,
+    Verdict,
+    judge_answer,
+    judge_failure,
+)
+from weirscale.gateway.requests.crash_reports import CrashGuard
+from weirscale.gateway.requests.relay import AnswerRelay, read_whole_body
+from weirscale.gateway.requests.request_context import RequestContext
+from weirscale.gateway.requests.retry_decision import (
+    AttemptHistory,
+    FailedAnswer,
+    may_leave_when_silent,
+)
+from weirscale.gateway.rollouts.pace import AttemptTimes
+from weirscale.gateway.routing.choice import Choice
+
+LAST_PRIORITY = 9
+"""Least urgent priority that back ends know (published protocol of the platform)."""
+
+PRIORITIES_A_TENANT = 3
+"""Priorities of routes that are told apart within one of a tenant. Not measured."""
+
+DEFAULT_TENANT_PRIORITY = 1
+"""Priority of a request without a tenant, or whose tenant has none. Not measured."""
+
+
+class Attempt:
+    """Runs one attempt at a request.
+
+    Args:
+        context: What requests share.
+        admitted: The request.
+        choice: The back end and what is expected of it.
+        relay: The request's answer.
+        history: What the attempts before this one have left behind; brought up to date.
+        guard: Whether the request may have crashed back ends; brought up to date.
+    """
+
+    def __init__(
+        self,
+        context: RequestContext,
+        admitted: AdmittedRequest,
+        choice: Choice,
+        relay: AnswerRelay,
+        history: AttemptHistory,
+        guard: CrashGuard,
+    ) -> None:
+        self._context = context
+        self._records = context.records
+        self._admitted = admitted
+        self._prompt = admitted.request.prompt
+        self._choice = choice
+        self._back_end = choice.candidate.back_end
+        self._relay = relay
+        self._history = history
+        self._guard = guard
+        self._began_s = 0.0
+        self._times = AttemptTimes()
+        self._longest_pause_s: float | None = None
+        self._timeout: AttemptTimeout | None = None
+        """None where a silent back end may not be left."""
+
+    async def run(self) -> AttemptEnd:
+        """Send the request and pass on what may be passed on."""
+        had_known_crash = self._start()
+        verdict = Verdict(AttemptEnd.UNCERTAIN, CANCELLED)
+        is_first = self._history.num_attempts == 1
+        scope = anyio.CancelScope()
+        timeout = self._set_timeout(scope)
+        self._context.timeouts.watch(timeout)
+        try:
+            with scope:
+                verdict = await self._send()
+            if scope.cancelled_caught:
+                verdict = Verdict(AttemptEnd.UNCERTAIN, TOO_SLOW)
+        finally:
+            self._context.timeouts.forget(timeout)
+            took_s = self._context.clock() - self._began_s
+            ended = EndedAttempt(verdict, self._times, took_s, self._longest_pause_s, is_first)
+            self._records.record_end(self._choice, self._prompt, self._admitted.route, ended)
+        if verdict.end in (AttemptEnd.NEVER_SENT, AttemptEnd.UNRUN):
+            self._context.admission.refund(self._admitted)
+        self._history.add_verdict(self._back_end.instance, verdict)
+        self._guard.add_verdict(self._back_end, verdict, had_known_crash)
+        return verdict.end
+
+    def _start(self) -> bool:
+        """Record the start; returns whether the request is known to have crashed a back end."""
+        history = self._history
+        history.num_attempts += 1
+        self._began_s = self._context.clock()
+        history.asked.add(self._back_end.instance)
+        self._records.record_start(self._choice, self._prompt, is_unreached=not history.reached)
+        self._context.admission.charge(self._admitted)
+        if history.num_attempts == 1:
+            self._records.verdicts.add_canary_share(self._back_end.service)
+        return self._guard.has_known_crash()
+
+    def _set_timeout(self, scope: anyio.CancelScope) -> AttemptTimeout:
+        """Limit the wait for the first event where the request may go on elsewhere."""
+        timeout = AttemptTimeout(scope, self._take_retry)
+        route, choice = self._admitted.route, self._choice
+        if may_leave_when_silent(self._history, route, choice.num_candidates):
+            self._timeout = timeout
+            wait_s = self._context.pauses.first_event_timeout_s(route, choice)
+            timeout.deadline_s = self._context.clock() + wait_s
+        return timeout
+
+    def _take_retry(self) -> bool:
+        """Take a retry of the shared budget before a silent back end is left."""
+        self._history.holds_retry = self._context.retry_budget.try_take(self._admitted.service)
+        return self._history.holds_retry
+
+    async def _send(self) -> Verdict:
+        outbound = self._outbound()
+        port = self._context.port_of(self._back_end)
+        async with port.send(outbound) as sent:
+            if sent.is_err():
+                return judge_failure(sent.unwrap_err())
+            answer = sent.unwrap()
+            verdict = judge_answer(answer, self._admitted.request.request_id, outbound.instance)
+            self._records.verdicts.learn_weights(self._choice, self._prompt, answer)
+            if verdict.end in (AttemptEnd.UNRUN, AttemptEnd.UNCERTAIN):
+                return verdict
+            try:
+                return await self._pass_on(answer, verdict)
+            except BodyBrokenError:
+                return Verdict(AttemptEnd.UNCERTAIN, BODY_BROKEN)
+
+    def _outbound(self) -> OutboundRequest:
+        admitted, choice, prompt = self._admitted, self._choice, self._prompt
+        tenant = admitted.tenant
+        is_generation = choice.scope is not None and prompt is not None
+        save_to = None
+        if prompt is not None:
+            save_to = self._records.dispatcher.save_address(choice, prompt)
+        return OutboundRequest(
+            request=admitted.request,
+            body=admitted.body,
+            instance=self._back_end.instance,
+            timeout_s=admitted.deadline_s - self._context.clock(),
+            tenant=tenant.name if tenant else None,
+            priority=combined_priority(admitted) if is_generation else None,
+            cache_scope=choice.scope,
+            weight_version=choice.candidate.weight_version,
+            fetch_from=choice.fetch_from,
+            save_to=save_to,
+            resume_after=self._relay.last_event_id or admitted.request.resume_after,
+        )
+
+    async def _pass_on(self, answer: Answer, verdict: Verdict) -> Verdict:
+        """Pass an answer on, or keep it if the back end failed: another attempt may succeed."""
+        is_stream = self._admitted.route.kind is RequestKind.STREAMING
+        if is_stream and verdict == WHOLE_SUCCESS:
+            await self._relay.pass_stream(answer, self)
+            return verdict
+        body = await read_whole_body(answer)
+        if verdict.end is AttemptEnd.FAILED:
+            self._history.failed_answer = FailedAnswer(answer.status, answer.headers, body)
+            return verdict
+        if self._relay.has_begun:
+            return Verdict(AttemptEnd.FAILED, f"status_{answer.status}_on_resume")
+        await self._relay.pass_whole(answer.status, answer.headers, body)
+        return verdict
+
+    def events_arrived(self) -> None:
+        """Learn from events of the stream, and limit the wait for the next one."""
+        self._records.dispatcher.note_event(self._back_end.instance)
+        if self._times.first_s is None:
+            took_s = self._context.clock() - self._began_s
+            self._times.first_s = took_s
+            self._records.record_first_event(self._choice, self._prompt, took_s)
+        self._times.num_parts += 1
+        if self._timeout is not None:
+            admitted = self._admitted
+            wait_s = self._context.pauses.stall_timeout_s(admitted.route, admitted.service)
+            self._timeout.deadline_s = self._context.clock() + wait_s
+
+    def paused(self, pause_s: float, began_s: float) -> None:
+        """Learn from a pause between two events."""
+        # A pause that began before this attempt tells nothing of its back end.
+        if began_s > self._began_s:
+            self._context.pauses.learn_pause(self._admitted.service, pause_s)
+            self._longest_pause_s = max(self._longest_pause_s or 0.0, pause_s)
+
+
+def combined_priority(admitted: AdmittedRequest) -> int:
+    """Return the priority for back ends: the tenant's goes before the route's; 0 is first."""
+    tenant = admitted.tenant
+    of_tenant = tenant.priority if tenant else None
+    if of_tenant is None:
+        of_tenant = DEFAULT_TENANT_PRIORITY
+    of_route = min(admitted.route.priority, PRIORITIES_A_TENANT - 1)
+    return min(LAST_PRIORITY, max(0, of_tenant * PRIORITIES_A_TENANT + of_route))
--- /dev/null
+++ b/src/weirscale/gateway/requests/back_end_selector.py
@@ -0,0 +1,59 @@
+"""Which back end the next attempt at a request goes to."""
+
+from collections.abc import Collection
+
+from weirscale.gateway.model.identifiers import InstanceId
+from weirscale.gateway.requests.admission import AdmittedRequest
+from weirscale.gateway.requests.retry_decision import AttemptHistory
+from weirscale.gateway.rollouts.canary_traffic import CanaryTraffic
+from weirscale.gateway.rollouts.gate import Track
+from weirscale.gateway.routing.choice import Choice
+from weirscale.gateway.routing.dispatcher import Dispatcher, DispatchQuery
+
+
+class BackEndSelector:
+    """Chooses back ends for attempts.
+
+    Args:
+        dispatcher: Ranks back ends.
+        canary_traffic: Which requests try the target of a rollout.
+    """
+
+    def __init__(self, dispatcher: Dispatcher, canary_traffic: CanaryTraffic) -> None:
+        self._dispatcher = dispatcher
+        self._canary_traffic = canary_traffic
+
+    def choose(self, admitted: AdmittedRequest, history: AttemptHistory) -> Choice | None:
+        """Return the best back end that was not asked yet, else the best one; None without any."""
+        chosen = self._dispatcher.choose(_query(admitted, history.asked))
+        if chosen is None and history.reached:
+            # Nobody else serves: the same back end may have recovered.
+            chosen = self._dispatcher.choose(_query(admitted, ()))
+        return chosen
+
+    def prefer_canary(
+        self, admitted: AdmittedRequest, history: AttemptHistory, choice: Choice
+    ) -> Choice:
+        """Return a back end of the rollout's target instead, if this request is to try it.
+
+        Whether the service has room was judged by the back ends that serve: one that is tried has
+        room for the others' requests in no case.
+        """
+        if (
+            history.num_attempts
+            or self._canary_traffic.track_of(admitted.service, admitted.route) is Track.STABLE
+        ):
+            return choice
+        canary = self._dispatcher.choose(_query(admitted, (), Track.CANARY))
+        if canary is None:
+            self._canary_traffic.give_back(admitted.service)
+            return choice
+        return canary
+
+
+def _query(
+    admitted: AdmittedRequest, excluded: Collection[InstanceId], track: Track = Track.STABLE
+) -> DispatchQuery:
+    return DispatchQuery(
+        admitted.service, admitted.request.prompt, admitted.tenant, excluded, track
+    )
--- a/src/weirscale/gateway/requests/caller_app.py
+++ b/src/weirscale/gateway/requests/caller_app.py
@@ -1,21 +1,17 @@
 """The ASGI application: callers, readiness and metrics by the port that a connection came in on."""
 
 from collections.abc import Awaitable, Callable, Mapping
+from http import HTTPStatus
 from typing import Any
 
 import anyio
 
 from weirscale.gateway.ports.callers import CallerRequest, RequestCodec
-from weirscale.gateway.requests.request_context import ExchangeContext
-from weirscale.gateway.requests.request_handler import Exchange
+from weirscale.gateway.requests.request_context import RequestContext
+from weirscale.gateway.requests.request_handler import RequestHandler
 from weirscale.gateway.requests.responder import Responder, Send
 from weirscale.gateway.settings import GatewaySettings
 
-HTTP_OK = 200
-HTTP_BAD_REQUEST = 400
-HTTP_NOT_FOUND = 404
-HTTP_TOO_LARGE = 413
-HTTP_UNAVAILABLE = 503
 METRICS_TYPE = (b"content-type", b"text/plain; version=0.0.4; charset=utf-8")
 
 Receive = Callable[[], Awaitable[dict[str, Any]]]
@@ -36,25 +32,25 @@
     Args:
         settings: Which port serves what.
         context: What requests share.
-        dialect: How requests are written.
+        codec: How requests are written.
         is_ready: Whether new connections are welcome.
-        sends_on: Whether connections should end with their answer.
+        should_close: Whether connections should end with their answer.
         metrics_text: Returns the metrics.
     """
 
     def __init__(
         self,
         settings: GatewaySettings,
-        context: ExchangeContext,
+        context: RequestContext,
         codec: RequestCodec,
         is_ready: Callable[[], bool],
-        sends_on: Callable[[], bool],
+        should_close: Callable[[], bool],
         metrics_text: Callable[[], bytes],
     ) -> None:
         self._context = context
         self._codec = codec
         self._is_ready = is_ready
-        self._sends_on = sends_on
+        self._should_close = should_close
         self._metrics_text = metrics_text
         self._caller_port = settings.callers.port
         self._readiness_port = settings.readiness.port
@@ -68,23 +64,25 @@
         if port == self._caller_port:
             await self._serve_caller(scope, receive, send)
         elif port == self._readiness_port:
-            await _answer(send, HTTP_OK if self._is_ready() else HTTP_UNAVAILABLE)
+            await _answer(
+                send, HTTPStatus.OK if self._is_ready() else HTTPStatus.SERVICE_UNAVAILABLE
+            )
         else:
-            await _answer(send, HTTP_OK, self._metrics_text())
+            await _answer(send, HTTPStatus.OK, self._metrics_text())
 
     async def _serve_caller(self, scope: Mapping[str, Any], receive: Receive, send: Send) -> None:
         arrived_at_s = self._context.clock()
         request = self._codec.parse(scope)
         if isinstance(request, str):
-            await _answer(send, HTTP_BAD_REQUEST, request.encode())
+            await _answer(send, HTTPStatus.BAD_REQUEST, request.encode())
             return
-        responder = Responder(send, self._codec, request.request_id, self._sends_on)
+        responder = Responder(send, self._codec, request.request_id, self._should_close)
         self.num_running += 1
         try:
             body = await self._read_body(receive)
             await self._run(request, body, responder, receive, arrived_at_s)
         except BodyTooLargeError:
-            await responder.refuse(HTTP_TOO_LARGE)
+            await responder.refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
         except CallerLeftError:
             return
         finally:
@@ -99,15 +97,14 @@
         arrived_at_s: float,
     ) -> None:
         """Run the request until it ends or the caller leaves."""
-        exchange = Exchange(self._context, request, body, responder, arrived_at_s)
+        handler = RequestHandler(self._context, request, body, responder, arrived_at_s)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(_cancel_when_left, receive, tasks.cancel_scope)
-            await exchange.run()
+            await handler.run()
             tasks.cancel_scope.cancel()
 
     async def _read_body(self, receive: Receive) -> bytes:
-        table = self._context.cluster.table
-        max_bytes = table.configuration.limits.max_body_bytes if table else 0
+        max_bytes = self._context.admission.max_body_bytes()
         parts: list[bytes] = []
         num_bytes = 0
         while True:
@@ -116,7 +113,7 @@
                 raise CallerLeftError
             part = message.get("body", b"")
             num_bytes += len(part)
-            if table is not None and num_bytes > max_bytes:
+            if max_bytes is not None and num_bytes > max_bytes:
                 raise BodyTooLargeError
             parts.append(part)
             if not message.get("more_body", False):
@@ -131,7 +128,7 @@
             return
 
 
-async def _answer(send: Send, status: int, body: bytes = b"") -> None:
+async def _answer(send: Send, status: HTTPStatus, body: bytes = b"") -> None:
     headers = [METRICS_TYPE, (b"content-length", str(len(body)).encode())]
-    await send({"type": "http.response.start", "status": status, "headers": headers})
+    await send({"type": "http.response.start", "status": status.value, "headers": headers})
     await send({"type": "http.response.body", "body": body, "more_body": False})
--- a/src/weirscale/gateway/requests/overload.py
+++ b/src/weirscale/gateway/requests/overload.py
@@ -1,12 +1,14 @@
-"""Which callers are told to come back under overload, and when.
+"""Which callers are refused under overload, and when they should come back: pure rules.
 
-A request that waits in a long queue is late and makes others late; one that is told at once to
-come back finds the queue shorter. The queue that callers may join is bounded by a share of the
-objective. A caller that has come back may join a longer one than one that asks for the first time.
+A request that waits in a long queue is late and makes others late; one that is refused at once and
+returns later finds the queue shorter. The queue that callers may join is limited to a share of the
+objective. A returning caller may join a longer one than a caller that asks for the first time.
 
 Where prompts are read without end, engines generate one token for each piece that they read, so
-that every stream pauses although no queue is long. So the bound follows what streams show: each
+that every stream pauses although no queue is long. So the limit follows what streams show: each
 stream that paused longer than its route allows lowers it, each one that did not raises it.
+
+Ways weighed and figures: `docs/design/0015-overload.md`.
 """
 
 import msgspec
@@ -14,81 +16,90 @@
 from weirscale.gateway.model.configuration import Route
 from weirscale.gateway.routing.choice import Choice
 
-OVERLOAD_FACTOR = 0.8
-"""A first event estimated later than this multiple of the objective is not waited for."""
+OBJECTIVE_SHARE = 0.8
+"""A first event estimated later than this multiple of the route's objective is not waited for.
+Paired plays of overloaded days at two sites: worth 0.655 and 0.672 with 0.8, 0.622 and 0.665 with
+1.25."""
 
-RETURN_FACTOR = 3.0
-"""A caller that has come back may wait for this many times as long: a second refusal loses it."""
+RETURNING_FACTOR = 3.0
+"""A returning caller may wait for this many times as long, because a second refusal loses it.
+Worth of plays whose engines read at half their speed: 0.357 with 3, 0.319 with 6."""
 
-FREE_WAIT_S = 0.05
-"""A wait that others cause is no reason for a refusal up to this: nobody reads there."""
+IDLE_WAIT_S = 0.05
+"""Seconds. A wait that others cause is no reason for a refusal up to this: the back end is idle.
+Not measured."""
 
-FRESH_SHARE = 0.99
-"""A caller that still has this share of its route's time, and no more than all of it, asks for the
-first time. One that has more may have asked before: nothing tells."""
+FIRST_TRY_SHARE = 0.99
+"""A caller that states this share of its route's time-out, and no more than all of it, asks for
+the first time. One that states more may have asked before. Not measured."""
 
-LEAST_SHARE = 0.02
-"""Least share of its time that a caller is told to stay away, so that it is known when it comes."""
+MIN_RETRY_AFTER_SHARE = 0.02
+"""Smallest share of its time that a caller is sent away for. It must exceed 1 - FIRST_TRY_SHARE, so
+that the caller is known to return. Not measured."""
 
-MOST_SHARE = 0.3
-"""Largest share of its time that a caller is told to stay away."""
+MAX_RETRY_AFTER_SHARE = 0.3
+"""Largest share of its time that a caller is sent away for. Callers honour up to a third of the
+time that they have left (published protocol of the platform). Not measured."""
 
 LATE_STREAM_FACTOR = 0.8
+"""A stream that paused too long multiplies the share in force by this. With the rise below the
+share falls once more than one in five streams pauses for too long at a share of a half. The rule
+as a whole is measured in `docs/design/0015-overload.md`; this figure alone is not."""
+
 SOUND_STREAM_RISE = 0.02
-"""What a stream does to the share of the bound in force: at a share of a half, it falls once more
-than one in five streams pauses for too long."""
+"""A stream without too long a pause adds this to the share in force. Not measured alone."""
 
-LEAST_LIMIT_SHARE = 0.05
+MIN_LIMIT_SHARE = 0.05
+"""The share never falls below this, so that some streams go on showing how things are. Not
+measured."""
 
 
 class QueueLimit(msgspec.Struct):
-    """How much of the bound on queues is in force for a service.
+    """How much of the limit on queues is in force for a service.
 
     Attributes:
-        share: From `LEAST_LIMIT_SHARE` to 1.
+        share: From `MIN_LIMIT_SHARE` to 1.
     """
 
     share: float = 1.0
 
-    def note_stream(self, is_late: bool) -> None:
-        """Learn from one run of a stream whether it paused longer than its route allows."""
+    def learn_from_stream(self, is_late: bool) -> None:
+        """Take in one run of a stream: whether it paused longer than its route allows."""
         if is_late:
-            self.share = max(LEAST_LIMIT_SHARE, self.share * LATE_STREAM_FACTOR)
+            self.share = max(MIN_LIMIT_SHARE, self.share * LATE_STREAM_FACTOR)
         else:
             self.share = min(1.0, self.share + SOUND_STREAM_RISE)
 
 
-def should_come_back(
-    choice: Choice, route: Route, timeout_s: float | None, limit: QueueLimit
-) -> bool:
+def should_refuse(choice: Choice, route: Route, timeout_s: float | None, limit: QueueLimit) -> bool:
     """Return whether a request should be refused rather than join the queue here.
 
     Args:
         choice: The best back end and what is expected of it.
         route: The request's route.
         timeout_s: How long the caller waits, or None if it did not say.
-        limit: The bound in force.
+        limit: The limit in force.
     """
     if choice.scope is None or timeout_s is None:
         return False
-    asks_first = FRESH_SHARE <= timeout_s / route.timeout_s <= 1.0
+    asks_first = FIRST_TRY_SHARE <= timeout_s / route.timeout_s <= 1.0
     others_s = choice.estimate_s - choice.idle_s
-    objective_s = OVERLOAD_FACTOR * route.objective_s
-    limit_s = limit.share * objective_s * (1.0 if asks_first else RETURN_FACTOR)
+    objective_s = OBJECTIVE_SHARE * route.objective_s
+    limit_s = limit.share * objective_s * (1.0 if asks_first else RETURNING_FACTOR)
     # A prompt that alone takes longer than the objective is late anyway: only the queue counts.
     own_s = choice.idle_s if choice.idle_s <= objective_s else 0.0
-    return others_s > max(FREE_WAIT_S, limit_s - own_s)
+    return others_s > max(IDLE_WAIT_S, limit_s - own_s)
 
 
-def come_back_s(choice: Choice, timeout_s: float | None, least_s: float) -> float:
-    """Return how long a caller should stay away.
+def retry_after_s(choice: Choice, timeout_s: float | None, min_s: float) -> float:
+    """Return after how many seconds a refused caller should come back.
 
     Args:
         choice: The best back end and what is expected of it.
         timeout_s: How long the caller waits, or None if it did not say.
-        least_s: Least time.
+        min_s: Least time.
     """
-    wait_s = max(least_s, choice.estimate_s / 2.0)
+    wait_s = max(min_s, choice.estimate_s / 2.0)
     if timeout_s is None:
         return wait_s
-    return min(MOST_SHARE * timeout_s, max(LEAST_SHARE * timeout_s, wait_s))
+    return min(MAX_RETRY_AFTER_SHARE * timeout_s, max(MIN_RETRY_AFTER_SHARE * timeout_s, wait_s))
--- a/src/weirscale/gateway/requests/responder.py
+++ b/src/weirscale/gateway/requests/responder.py
@@ -1,6 +1,7 @@
 """The caller's side of one request: its answer is sent once, whole, or visibly broken off."""
 
 from collections.abc import Awaitable, Callable
+from http import HTTPStatus
 from typing import Any
 
 from weirscale.gateway.model.identifiers import RequestId
@@ -15,54 +16,58 @@
 class Responder:
     """Sends the answer over ASGI.
 
-    An answer that is begun and not finished ends with its connection, without the end mark that a
-    whole answer has.
+    An answer that is begun and not completed ends with its connection, without the end mark that
+    a whole answer has.
 
     Args:
         send: ASGI's send.
-        dialect: Writes refusals.
+        codec: Writes refusals.
         request_id: The caller's id.
-        sends_on: Whether the connection should not be used again.
+        should_close: Whether the connection should end with the answer.
     """
 
     def __init__(
-        self, send: Send, codec: RequestCodec, request_id: RequestId, sends_on: Callable[[], bool]
+        self,
+        send: Send,
+        codec: RequestCodec,
+        request_id: RequestId,
+        should_close: Callable[[], bool],
     ) -> None:
         self._send = send
         self._codec = codec
         self._request_id = request_id
-        self._sends_on = sends_on
+        self._should_close = should_close
         self.has_begun = False
         self.has_ended = False
         self.status = 0
 
-    async def refuse(self, status: int, retry_after_s: float | None = None) -> None:
+    async def refuse(self, status: HTTPStatus, retry_after_s: float | None = None) -> None:
         """Answer on the gateway's own behalf."""
         headers = self._codec.refusal_headers(self._request_id, retry_after_s)
-        await self.whole(status, headers, b"")
+        await self.send_whole(status.value, headers, b"")
 
-    async def whole(self, status: int, headers: Headers, body: bytes) -> None:
+    async def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
         """Answer at once."""
         length = (b"content-length", str(len(body)).encode())
-        await self.begin(status, (*headers, length))
+        await self.send_head(status, (*headers, length))
         self.has_ended = True
         await self._send({"type": "http.response.body", "body": body, "more_body": False})
 
-    async def begin(self, status: int, headers: Headers) -> None:
+    async def send_head(self, status: int, headers: Headers) -> None:
         """Send the head."""
         self.has_begun = True
         self.status = status
-        if self._sends_on():
+        if self._should_close():
             headers = (*headers, CONNECTION_CLOSE)
         await self._send(
             {"type": "http.response.start", "status": status, "headers": list(headers)}
         )
 
-    async def part(self, data: bytes) -> None:
+    async def send_part(self, data: bytes) -> None:
         """Send a part of the body."""
         await self._send({"type": "http.response.body", "body": data, "more_body": True})
 
-    async def end(self) -> None:
+    async def send_end(self) -> None:
         """Send the end mark."""
         self.has_ended = True
         await self._send({"type": "http.response.body", "body": b"", "more_body": False})
--- a/src/weirscale/gateway/telemetry/metrics.py
+++ b/src/weirscale/gateway/telemetry/metrics.py
@@ -8,7 +8,7 @@
 
 from weirscale.domain.identifiers import ServiceName
 from weirscale.gateway.telemetry.node_metrics import NodeFigures
-from weirscale.gateway.telemetry.request_summary import ExchangeSummary
+from weirscale.gateway.telemetry.request_summary import RequestSummary
 
 NEVER_PROVED_AGE_S = 1e9
 """Stands for the age of a state that was never proved: the text format is for plain numbers."""
@@ -123,10 +123,10 @@
             self._tenant_labels.add(tenant)
         return tenant if tenant in self._tenant_labels else OTHER_TENANTS
 
-    def count_request(self, summary: ExchangeSummary) -> None:
+    def count_request(self, summary: RequestSummary) -> None:
         """Count a request that has ended."""
         kind = summary.route.kind.value if summary.route else "none"
-        self._requests.labels(kind, summary.stage.value).inc()
+        self._requests.labels(kind, summary.outcome.value).inc()
         self._attempts.inc(summary.num_attempts)
         self._late_answers.labels(kind).inc(summary.is_late())
         self._overload_refusals.labels(kind).inc(summary.is_overload_refusal())
@@ -171,7 +171,7 @@
         return generate_latest(self.registry)
 
 
-def _shared_read_tokens(summary: ExchangeSummary) -> int:
+def _shared_read_tokens(summary: RequestSummary) -> int:
     """Return the tokens of shared blocks that an engine was expected to read (again)."""
     prompt, choice = summary.request.prompt, summary.choice
     if prompt is None or choice is None or not prompt.parts:
--- a/src/weirscale/gateway/telemetry/node_metrics.py
+++ b/src/weirscale/gateway/telemetry/node_metrics.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from weirscale.domain.identifiers import ServiceName, TenantName
-from weirscale.gateway.telemetry.request_summary import ExchangeSummary
+from weirscale.gateway.telemetry.request_summary import RequestSummary
 
 
 class NodeFigures(msgspec.Struct, frozen=True):
@@ -40,7 +40,7 @@
 class NodeMetrics(Protocol):
     """Counts what happens at a node."""
 
-    def count_request(self, summary: ExchangeSummary) -> None:
+    def count_request(self, summary: RequestSummary) -> None:
         """Count a request that has ended."""
         ...
 
@@ -60,7 +60,7 @@
 class NoMetrics:
     """Counts nothing, where nobody can ask."""
 
-    def count_request(self, summary: ExchangeSummary) -> None:
+    def count_request(self, summary: RequestSummary) -> None:
         """Do nothing."""
 
     def count_store_call(self, kind: str, result: str) -> None:
