--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -275,6 +275,10 @@
         )  # fmt: skip
 
     def _make_request_context(self) -> RequestContext:
+        def send_gossip_now() -> None:
+            # Looked up at each call: a fleet in one process replaces the task before the node runs.
+            self.gossip_task.hurry()
+
         pauses = StreamPauses()
         verdicts = BackEndVerdicts(
             self.cluster, self.dispatcher, self.health, self.outbox, self.version_check,
@@ -291,12 +295,12 @@
             retry_budget=NodeRetryBudget(self.budget, self.peers, self._clock),
             pauses=pauses,
             records=AttemptRecords(
-                self.dispatcher, self.load, self.budget, self.outbox, self.gossip_task.hurry,
+                self.dispatcher, self.load, self.budget, self.outbox, send_gossip_now,
                 pauses, verdicts, self._clock,
             ),
             crashes=CrashReports(
                 self.cluster, self.port_of, self.quarantine, self.health, self.outbox,
-                self.gossip_task.hurry, self._event_log, self._clock,
+                send_gossip_now, self._event_log, self._clock,
             ),
             log=RequestLog(self._event_log, self.metrics, self.cluster, self.trials, pauses),
         )  # fmt: skip
--- a/src/weirscale/gateway/requests/attempt.py
+++ b/src/weirscale/gateway/requests/attempt.py
@@ -89,6 +89,8 @@
                 verdict = Verdict(AttemptEnd.UNCERTAIN, TOO_SLOW)
         finally:
             self._context.timeouts.forget(timeout)
+            # The timeout refers to this attempt: both would wait for the garbage collector.
+            self._timeout = None
             took_s = self._context.clock() - self._began_s
             ended = EndedAttempt(verdict, self._times, took_s, self._longest_pause_s, is_first)
             self._records.record_end(self._choice, self._prompt, self._admitted.route, ended)
