--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -30,8 +30,17 @@
 from weirscale.gateway.replication.follower import StateFollower
 from weirscale.gateway.replication.publisher import ChangePublisher
 from weirscale.gateway.replication.subscription import StateSubscription
+from weirscale.gateway.requests.admission import AdmissionControl
+from weirscale.gateway.requests.attempt_records import AttemptRecords
+from weirscale.gateway.requests.attempt_timeout import AttemptTimeoutWatch
+from weirscale.gateway.requests.back_end_selector import BackEndSelector
+from weirscale.gateway.requests.back_end_verdicts import BackEndVerdicts
 from weirscale.gateway.requests.caller_app import CallerApp
-from weirscale.gateway.requests.exchange_context import ExchangeContext
+from weirscale.gateway.requests.crash_reports import CrashReports
+from weirscale.gateway.requests.request_context import RequestContext
+from weirscale.gateway.requests.request_log import RequestLog
+from weirscale.gateway.requests.retry_decision import NodeRetryBudget
+from weirscale.gateway.requests.stream_pauses import StreamPauses
 from weirscale.gateway.rollouts.alarms import RolloutAlarms
 from weirscale.gateway.rollouts.canary_traffic import CanaryTraffic
 from weirscale.gateway.rollouts.facts import FactsReader, FleetSources, RolloutClock
@@ -234,12 +243,7 @@
             settings.peers, self.peers, self.relay, self.outbox, self.inbox,
             self.gatherer.gather,
         )  # fmt: skip
-        self.context = ExchangeContext(
-            settings.bounds, self.cluster, self.dispatcher, self.load, self.health, self.budget,
-            self.quotas, self.peers, self.outbox, lambda: self.gossip_task.hurry(), self.isolation,
-            self.version_check, self.trials, self.quarantine, self.port_of, event_log, self.metrics,
-            clock,
-        )  # fmt: skip
+        self.context = self._make_request_context()
         self.app = CallerApp(
             settings, self.context, codec, self.is_ready, self.sends_callers_on,
             self.metrics_text,
@@ -278,6 +282,37 @@
         """Return how many requests of all nodes are at work at an instance."""
         return self.load.total(instance, self._clock()).num_requests
 
+    def _make_request_context(self) -> RequestContext:
+        def send_gossip_now() -> None:
+            # Looked up at each call: a fleet in one process replaces the task before the node runs.
+            self.gossip_task.hurry()
+
+        pauses = StreamPauses()
+        verdicts = BackEndVerdicts(
+            self.cluster, self.dispatcher, self.health, self.outbox, self.version_check,
+            self.trials, self._clock,
+        )  # fmt: skip
+        return RequestContext(
+            clock=self._clock,
+            admission=AdmissionControl(
+                self.cluster, self.quotas, self.isolation, self.settings.bounds
+            ),
+            selector=BackEndSelector(self.dispatcher, self.trials),
+            port_of=self.port_of,
+            timeouts=AttemptTimeoutWatch(self._clock),
+            retry_budget=NodeRetryBudget(self.budget, self.peers, self._clock),
+            pauses=pauses,
+            records=AttemptRecords(
+                self.dispatcher, self.load, self.budget, self.outbox, send_gossip_now,
+                pauses, verdicts, self._clock,
+            ),
+            crashes=CrashReports(
+                self.cluster, self.port_of, self.quarantine, self.health, self.outbox,
+                send_gossip_now, self._event_log, self._clock,
+            ),
+            log=RequestLog(self._event_log, self.metrics, self.cluster, self.trials, pauses),
+        )  # fmt: skip
+
     def _make_lease(self, store: KeyValuePort, random: Random) -> DutyLeaseTask:
         duty = Duty(DutyKind.PLACEMENT_PLANNER)
         rules = holder_lease_rules(self.settings.bounds.min_lease_s)
@@ -293,7 +328,7 @@
         bounds = settings.bounds
         self.budget.set_rules(settings.retry_budget)
         self.quotas.set_precision(bounds.quota)
-        self.context.set_bounds(bounds)
+        self.context.admission.set_guarantees(bounds)
         self.dispatcher.set_weights_grace(bounds.weights_s - START_MARGIN_S)
         self._exposure = bounds.exposure
         self.trials.set_limits(bounds.exposure)
@@ -321,9 +356,9 @@
             tasks.start_soon(self._weights_rollout.run)
             tasks.start_soon(self._rollout_holder.run)
             tasks.start_soon(self.version_check.run)
-            tasks.start_soon(self.context.crash_check.run)
+            tasks.start_soon(self.context.crashes.crash_check.run)
             tasks.start_soon(self.quarantine.run)
-            tasks.start_soon(self.context.patience.run)
+            tasks.start_soon(self.context.timeouts.run)
             tasks.start_soon(self._probe_regularly, tasks)
             await anyio.sleep_forever()
 
@@ -412,7 +447,7 @@
                 configuration_version=table.version if table else 0,
                 num_back_ends=len(self.cluster.directory.instances()),
                 holds_lease=self._lease.is_held(),
-                queue_shares={one: self.context.queue_limit(one).share for one in services},
+                queue_shares={one: self.context.pauses.queue_limit(one).share for one in services},
                 retries_left={one: self.budget.left(one, num_nodes, now_s) for one in services},
                 quota_levels=self.quotas.levels(),
                 rollout_stages=self.trials.stages(),
--- a/src/weirscale/gateway/telemetry/metrics.py
+++ b/src/weirscale/gateway/telemetry/metrics.py
@@ -11,7 +11,7 @@
 
 from weirscale.domain.identifiers import ServiceName
 from weirscale.gateway.telemetry.node_metrics import NodeFigures
-from weirscale.gateway.telemetry.request_summary import ExchangeSummary
+from weirscale.gateway.telemetry.request_summary import RequestSummary
 
 NEVER_PROVED_AGE_S = 1e9
 """Seconds; stands for the age of a state that was never proved, so that graphs have a number."""
@@ -64,10 +64,10 @@
             ("kind",),
         )  # fmt: skip
 
-    def count(self, summary: ExchangeSummary, tenant_labels: "_TenantLabels") -> None:
+    def count(self, summary: RequestSummary, tenant_labels: "_TenantLabels") -> None:
         """Count a request that has ended."""
         kind = summary.route.kind.value if summary.route else "none"
-        self._requests.labels(kind, summary.stage.value).inc()
+        self._requests.labels(kind, summary.outcome.value).inc()
         self._attempts.inc(summary.num_attempts)
         self._late_answers.labels(kind).inc(summary.is_late())
         self._overload_refusals.labels(kind).inc(summary.is_overload_refusal())
@@ -169,7 +169,7 @@
             ("service", "side", "end"), registry=self.registry,
         )  # fmt: skip
 
-    def count_request(self, summary: ExchangeSummary) -> None:
+    def count_request(self, summary: RequestSummary) -> None:
         """Count a request that has ended."""
         self._requests.count(summary, self._tenant_labels)
 
@@ -187,7 +187,7 @@
         return generate_latest(self.registry)
 
 
-def _shared_read_tokens(summary: ExchangeSummary) -> int:
+def _shared_read_tokens(summary: RequestSummary) -> int:
     """Return the tokens of shared blocks that an engine was expected to read (again)."""
     prompt, choice = summary.request.prompt, summary.choice
     if prompt is None or choice is None or not prompt.blocks:
