--- a/src/weirscale/gateway/rollouts/gate.py
+++ b/src/weirscale/gateway/rollouts/gate.py
@@ -44,7 +44,7 @@
         reader: Records of rollouts.
         cluster: How old the proof of what is known is.
         return_s: Returns the time allowed for a return.
-        is_isolated: Whether this node hears neither the store nor the other nodes.
+        is_isolated: Whether this node reaches neither the store nor half of the other nodes.
         share: Returns the share of requests that may go to a canary.
     """
 
--- a/src/weirscale/gateway/weights/engine_load.py
+++ b/src/weirscale/gateway/weights/engine_load.py
@@ -61,7 +61,7 @@
         port_of: Returns the port of a back end.
         announce: Tells peers of a load.
         num_requests: Returns how many requests are at work at an instance.
-        health: Is told of engines that leave reports unanswered.
+        health: Marks engines that leave reports unanswered as unreachable.
         clock: Monotonic seconds.
     """
 
