--- a/features/architecture_layers.feature
+++ b/features/architecture_layers.feature
@@ -29,7 +29,7 @@
       | peers       | peers state ports model settings ticks                                                                               |
       | limits      | limits peers state model settings                                                                                    |
       | rollouts    | rollouts peers state ports model settings ticks                                                                      |
-      | routing     | routing rollouts peers state model                                                                                   |
+      | routing     | routing rollouts peers state ports model ticks                                                                       |
       | quarantine  | quarantine peers state ports model ticks                                                                             |
       | weights     | weights routing peers state ports model ticks                                                                        |
       | replication | replication peers state ports model settings ticks durations                                                         |
@@ -42,6 +42,10 @@
     When their imports of one another are listed
     Then no module is reached from itself
 
+  Scenario: Modules, functions and constructors of the gateway and of its adapter stay small
+    Given the modules of the gateway and of its adapter
+    Then no module has over 350 lines, no function over 50 and no constructor over 10 arguments
+
   Scenario Outline: Rules do no input or output and read no clock
     Given the modules of "weirscale.domain"
     When all their imports are listed
--- a/features/steps/architecture_layers_steps.py
+++ b/features/steps/architecture_layers_steps.py
@@ -107,3 +107,31 @@
         for module in ends:
             del left[module]
     assert not left, sorted(left)
+
+
+def functions_of(file):
+    kinds = (ast.FunctionDef, ast.AsyncFunctionDef)
+    return [one for one in ast.walk(ast.parse(file.read_text())) if isinstance(one, kinds)]
+
+
+def num_arguments(function):
+    """Return how many arguments a method takes besides the object itself."""
+    arguments = function.args
+    return len(arguments.posonlyargs + arguments.args + arguments.kwonlyargs) - 1
+
+
+@then(
+    "no module has over {lines:d} lines, no function over {length:d} "
+    "and no constructor over {arguments:d} arguments"
+)
+def step_small(context, lines, length, arguments):
+    found = []
+    for module, file in context.files.items():
+        if len(file.read_text().splitlines()) > lines:
+            found.append(module)
+        for function in functions_of(file):
+            is_long = function.end_lineno - function.lineno >= length
+            is_wide = function.name == "__init__" and num_arguments(function) > arguments
+            if is_long or is_wide:
+                found.append(f"{module}:{function.lineno} {function.name}")
+    assert not found, found
--- a/features/steps/gateway_rollouts_steps.py
+++ b/features/steps/gateway_rollouts_steps.py
@@ -476,7 +476,7 @@
             node.load.receive("node-9", runner.instance, Load(40, 400_000, 90_000), node._clock())
         # The allowance is there: only the room is not.
         for _ in range(20):
-            node.trials.note_request("lm")
+            node.canary_traffic.note_request("lm")
         headers = generation_headers("full", x_deadline_ms=4000)
         context.answer = await ask(node, "/a/x", headers=headers)
 
--- a/features/steps/gateway_weights_rollout_steps.py
+++ b/features/steps/gateway_weights_rollout_steps.py
@@ -19,7 +19,7 @@
 )
 from features.support.platform_runner import RunnerStandIn
 from features.support.virtual_time import run_in_virtual_time
-from weirscale.gateway.node import rank_delay_s
+from weirscale.gateway.peers.rank_delay import rank_delay_s
 from weirscale.gateway.weights.order_fence import FENCE_KEY
 from weirscale.gateway.weights.schedule import (
     LaggingEngine,
--- a/src/weirscale/gateway/gossip/group_relay.py
+++ b/src/weirscale/gateway/gossip/group_relay.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 
 from weirscale.gateway.gossip.group_sums import AddSums, GroupSums, add_no_sums
-from weirscale.gateway.gossip.intervals import MIN_INTERVAL_S, RefreshTimer, gossip_interval_s
+from weirscale.gateway.gossip.intervals import GossipPace, RefreshTimer
 from weirscale.gateway.gossip.sources import GROUP_SOURCE, REST_SOURCE, is_group, is_member
 from weirscale.gateway.limits.quota import QuotaLedger
 from weirscale.gateway.peers.heartbeat import HEARTBEAT_INTERVAL_S, PEER_SILENCE_S
@@ -63,6 +63,7 @@
         self._directory = directory
         self._load = load
         self._quotas = quotas
+        self._pace = GossipPace(directory)
         self._send = send
         self._clock = clock
         self._to_heads = GossipOutbox(name)
@@ -92,11 +93,7 @@
 
     def interval_s(self) -> float:
         """Return the time between messages in a fleet of this size."""
-        return gossip_interval_s(len(self._directory.division().groups))
-
-    def delay_s(self) -> float:
-        """Return how much later other nodes' loads arrive than in a fleet of one group."""
-        return self.interval_s() - MIN_INTERVAL_S
+        return self._pace.interval_s()
 
     def group_peers(self) -> tuple[str, ...]:
         """Return the names of the other members of this node's group."""
--- a/src/weirscale/gateway/gossip/intervals.py
+++ b/src/weirscale/gateway/gossip/intervals.py
@@ -1,5 +1,7 @@
 """How often nodes send gossip, by the size of the fleet."""
 
+from weirscale.gateway.peers.registrations import PeerDirectory
+
 REFRESH_INTERVAL_S = 1.0
 """Seconds after which all values are sent again, changed or not: a lost datagram is made good by
 then, and a refresh is a heartbeat as well. Not measured."""
@@ -20,6 +22,25 @@
     return min(MAX_INTERVAL_S, max(MIN_INTERVAL_S, INTERVAL_S_PER_GROUP * num_groups))
 
 
+class GossipPace:
+    """How often this node sends gossip now.
+
+    Args:
+        peers: The registered nodes and their division into groups.
+    """
+
+    def __init__(self, peers: PeerDirectory) -> None:
+        self._peers = peers
+
+    def interval_s(self) -> float:
+        """Return the time between messages in a fleet of this size."""
+        return gossip_interval_s(len(self._peers.division().groups))
+
+    def delay_s(self) -> float:
+        """Return how much later other nodes' loads arrive than in a fleet of one group."""
+        return self.interval_s() - MIN_INTERVAL_S
+
+
 class RefreshTimer:
     """Tells when everything is to be sent again, not only what has changed.
 
--- /dev/null
+++ b/src/weirscale/gateway/node_parts.py
@@ -0,0 +1,131 @@
+"""The parts of a node that hold state and choose: the platform's state, limits and routing."""
+
+from collections.abc import Callable
+from random import Random
+
+from weirscale.gateway.gossip.intervals import GossipPace
+from weirscale.gateway.limits.isolation import IsolationDetector
+from weirscale.gateway.limits.quota import GONE_MEMORY_S, QuotaLedger
+from weirscale.gateway.limits.retry_budget import SharedRetryBudget
+from weirscale.gateway.model.back_ends import BackEnd
+from weirscale.gateway.model.identifiers import InstanceId
+from weirscale.gateway.model.topology import Location, Topology
+from weirscale.gateway.peers.registrations import PeerDirectory, Registration, RegistrationTask
+from weirscale.gateway.ports.back_end import BackEndConnector
+from weirscale.gateway.ports.state_feed import StateFeed
+from weirscale.gateway.rollouts.gate import VersionGate
+from weirscale.gateway.rollouts.view import RecordReader
+from weirscale.gateway.routing.back_end_ports import BackEndPorts
+from weirscale.gateway.routing.back_end_upkeep import BackEndUpkeep
+from weirscale.gateway.routing.choice_rules import START_MARGIN_S
+from weirscale.gateway.routing.dispatcher import Dispatcher, PeerView
+from weirscale.gateway.routing.engine_shares import EngineShares
+from weirscale.gateway.routing.health import BackEndHealth
+from weirscale.gateway.routing.load import FleetLoad
+from weirscale.gateway.settings import GatewaySettings
+from weirscale.gateway.state.cluster_state import ClusterState
+from weirscale.gateway.telemetry.metrics_choice import new_metrics
+from weirscale.gateway.telemetry.store_calls import CountedFeed, CountedStore
+from weirscale.ports.event_log import EventLog
+from weirscale.ports.key_value import KeyValuePort
+
+
+class NodeParts:
+    """Makes the parts on which requests, gossip and rollouts rely; `GatewayNode` adds those.
+
+    Args:
+        settings: Settings of the process.
+        feed: The platform's state.
+        store: The key-value service.
+        connect: Makes clients of back ends.
+        event_log: Decisions.
+        random: Source of randomness.
+        clock: Monotonic seconds that count suspensions of the machine.
+    """
+
+    def __init__(
+        self,
+        settings: GatewaySettings,
+        feed: StateFeed,
+        store: KeyValuePort,
+        connect: BackEndConnector,
+        event_log: EventLog,
+        random: Random,
+        clock: Callable[[], float],
+    ) -> None:
+        self.settings = settings
+        self._event_log = event_log
+        self._random = random
+        self._clock = clock
+        self._topology = Topology(settings.regions)
+        self._canary_limits = settings.bounds.exposure
+        self.metrics = new_metrics(settings)
+        self._feed = CountedFeed(feed, self.metrics.count_store_call)
+        self._store = CountedStore(store, self.metrics.count_store_call)
+        self._make_state()
+        self._make_limits()
+        self._make_routing(connect)
+
+    def _make_state(self) -> None:
+        """Make what is known of the platform's state, other nodes, and back ends' loads."""
+        settings, clock = self.settings, self._clock
+        capacity = settings.machine.capacity()
+        self.cluster = ClusterState(self._event_log, clock)
+        self.peers = PeerDirectory(settings.name, self.cluster, clock, settings.zone, capacity)
+        self.cluster.store_outages.num_others = lambda: len(self.peers.addresses())
+        own = Registration(settings.peers.host, settings.peers.port, settings.zone, capacity)
+        self.registration = RegistrationTask(settings.name, own, self._store, self._event_log)
+        self.load = FleetLoad()
+        self.health = BackEndHealth(self._event_log, self._random)
+
+    def _make_limits(self) -> None:
+        """Make the quotas, the retry budget, and the detector of this node's isolation."""
+        settings, clock = self.settings, self._clock
+        self._gossip_pace = GossipPace(self.peers)
+        self.quotas = QuotaLedger(
+            settings.bounds.quota, lambda: self.peers.num_nodes(GONE_MEMORY_S),
+            self._gossip_pace.interval_s, self._random, clock,
+        )  # fmt: skip
+        self.cluster.observe_table(
+            lambda table: self.quotas.set_tenants(table.configuration.tenants)
+        )
+        self.budget = SharedRetryBudget(
+            settings.retry_budget, clock(), skips_first_window=not settings.is_first_start
+        )
+        self.isolation = IsolationDetector(self.cluster, self.quotas, self._event_log, clock)
+
+    def _make_routing(self, connect: BackEndConnector) -> None:
+        """Make what chooses back ends, and what looks after them."""
+        settings, clock = self.settings, self._clock
+        self._records = RecordReader(self.cluster, self._event_log)
+        self.version_gate = VersionGate(
+            self._records, self.cluster, self._rollback_s, self.isolation.is_isolated,
+            lambda: self._canary_limits.share,
+        )  # fmt: skip
+        self.engine_shares = EngineShares(settings.name, self.peers, self.cluster.directory)
+        self.dispatcher = Dispatcher(
+            Location(settings.zone, self._topology), self.cluster, self.load, self.health,
+            settings.bounds.weights_s - START_MARGIN_S, self._random, clock,
+            versions=self.version_gate,
+            peers=PeerView(self._gossip_pace.delay_s, self.engine_shares.of_other_groups),
+        )  # fmt: skip
+        self._ports = BackEndPorts(connect, self.cluster, self.load)
+        self._upkeep = BackEndUpkeep(self.cluster, self.health, self._ports, clock)
+        self.cluster.back_ends.observe_gone(self._forget_back_end)
+        self.cluster.engine_versions.observe(self._forget_cache)
+
+    def _forget_back_end(self, back_end: BackEnd) -> None:
+        self._ports.retire(back_end.instance)
+        self.dispatcher.forget(back_end.instance)
+
+    def _forget_cache(self, instance: InstanceId, model: str, version: int) -> None:
+        """Forget what an engine has cached: it has other weights now."""
+        self.dispatcher.weights_changed(instance)
+
+    def _rollback_s(self) -> float:
+        """Return the time in which nothing may be sent to a bad version any more."""
+        return self._canary_limits.return_s
+
+    def _num_requests(self, instance: InstanceId) -> int:
+        """Return how many requests of all nodes are at work at an instance."""
+        return self.load.total(instance, self._clock()).num_requests
--- a/src/weirscale/gateway/program.py
+++ b/src/weirscale/gateway/program.py
@@ -24,14 +24,16 @@
 from weirscale.ports.listeners import open_listener
 
 NOTICE_S = 2.3
-"""From the first failed readiness answer until nobody sends new connections any more."""
+"""Seconds from the first failed readiness answer until nobody sends new connections any more: two
+answers in a row take a node out. Not measured."""
 
 STOP_MARGIN_S = 0.8
-"""Kept free at the end of the time for a stop."""
+"""Seconds kept free at the end of the time for a stop: the process ends before it is killed.
+Not measured."""
 
-POLL_INTERVAL_S = 0.05
 YOUNG_OBJECTS_BEFORE_COLLECTION = 20_000
-"""New containers that start a collection; requests are freed by their reference counts."""
+"""New containers that start a garbage collection; requests are freed by their reference counts, so
+that there is little to find. Not measured by itself."""
 
 OpenListeners = Mapping[tuple[str, int], socket.socket]
 """Sockets that listen already, by host and port."""
@@ -71,7 +73,7 @@
     """One gateway on real sockets.
 
     Args:
-        adapter: The platform.
+        adapter: Makes what the node needs of the platform.
         settings: Checked settings.
         event_log: Decisions.
         random: Source of randomness.
--- a/src/weirscale/gateway/rollouts/canary_traffic.py
+++ b/src/weirscale/gateway/rollouts/canary_traffic.py
@@ -69,6 +69,7 @@
         gate: Which versions may be used.
         num_nodes: Returns how many nodes may be running.
         alarms: What is known of open rollouts.
+        tallies: Where the ends of requests are counted.
         random: Draws where an allowance begins.
         clock: Monotonic seconds.
         count: Counts an attempt by service, side and end.
@@ -82,6 +83,7 @@
         gate: VersionGate,
         num_nodes: Callable[[], int],
         alarms: RolloutAlarms,
+        tallies: FleetTallies,
         random: Random,
         clock: Callable[[], float],
         count: CountEnd,
@@ -95,7 +97,7 @@
         self._alarms = alarms
         self._random = random
         self._clock = clock
-        self.tallies = FleetTallies()
+        self._tallies = tallies
         self.pace = UsualPace()
         self._allowances: dict[Epoch, Allowance] = {}
 
@@ -156,7 +158,7 @@
         counts = Counts(1, int(not ending.is_sound), int(is_slow))
         self._count(back_end.service, "target" if is_target else "old", _end_name(counts))
         instance = back_end.instance if is_target else PREDECESSORS
-        self.tallies.note(TallyKey(back_end.service, view.epoch, route.name, instance), counts)
+        self._tallies.note(TallyKey(back_end.service, view.epoch, route.name, instance), counts)
 
     def _judge_times(
         self, back_end: BackEnd, route: Route, ending: Ending, is_target: bool
@@ -206,7 +208,7 @@
         """Look for alarms, if it is time, and forget the tallies of ended rollouts."""
         open_epochs = self._alarms.look()
         if open_epochs is not None:
-            self.tallies.keep(open_epochs)
+            self._tallies.keep(open_epochs)
 
 
 def _num_canary(known: RouteEvidence | None) -> int:
--- /dev/null
+++ b/src/weirscale/gateway/routing/back_end_upkeep.py
@@ -0,0 +1,66 @@
+"""Periodic work on back ends: probes of suspects, lapsed registrations, unused connections."""
+
+from collections.abc import Callable
+
+import anyio
+
+from weirscale.gateway.model.identifiers import InstanceId
+from weirscale.gateway.routing.back_end_ports import BackEndPorts
+from weirscale.gateway.routing.health import BackEndHealth
+from weirscale.gateway.state.cluster_state import ClusterState
+from weirscale.gateway.ticks import sleep_to_tick
+
+INTERVAL_S = 0.3
+"""Seconds between two rounds. A probe takes a slot of a back end and has a price. Not measured."""
+
+PROBE_TIMEOUT_S = 0.4
+"""Seconds after which a health check without an answer counts as failed. Not measured."""
+
+DEFAULT_HEALTH_PATH = "/"
+"""Path that is asked where the service of a back end is not declared."""
+
+
+class BackEndUpkeep:
+    """Looks after the back ends; `run` must be running.
+
+    Args:
+        cluster: Registered back ends.
+        health: Tells whom to probe, and takes the outcome.
+        ports: Clients of back ends.
+        clock: Monotonic seconds.
+    """
+
+    def __init__(
+        self,
+        cluster: ClusterState,
+        health: BackEndHealth,
+        ports: BackEndPorts,
+        clock: Callable[[], float],
+    ) -> None:
+        self._cluster = cluster
+        self._health = health
+        self._ports = ports
+        self._clock = clock
+
+    async def run(self) -> None:
+        """Work until cancelled."""
+        async with anyio.create_task_group() as tasks:
+            while True:
+                await sleep_to_tick(INTERVAL_S)
+                self._cluster.back_ends.forget_lapsed()
+                self._ports.close_unused(tasks)
+                for instance in self._health.to_probe(self._clock()):
+                    tasks.start_soon(self._probe, instance)
+
+    async def _probe(self, instance: InstanceId) -> None:
+        back_end = self._cluster.directory.get(instance)
+        table = self._cluster.table
+        if back_end is None or table is None:
+            self._health.forget(instance)
+            return
+        service = table.service(back_end.service)
+        path = service.health_path if service else DEFAULT_HEALTH_PATH
+        if await self._ports.port_of(back_end).is_healthy(path, PROBE_TIMEOUT_S):
+            self._health.probed(instance, self._clock())
+        else:
+            self._health.unreachable(instance, "probe", self._clock())
