--- a/features/steps/gateway_old_weights_steps.py
+++ b/features/steps/gateway_old_weights_steps.py
@@ -194,7 +194,7 @@
         ages.receive = hear_late
         name_version(play, version)
         await anyio.sleep(delay_s + 3.0)
-        play.named_after_s = fleet.nodes["node-1"].cluster.target_versions.newest_named(MODEL)
+        play.set_after_s = fleet.nodes["node-1"].cluster.target_versions.newest_target(MODEL)
 
     context.play.actions.append(action)
 
@@ -207,10 +207,10 @@
 @then("node-1 takes version {version:d} to be named no later than it was")
 def step_no_later(context, version):
     play = context.play.run()
-    named = play.named_after_s
+    named = play.set_after_s
     assert play.num_answers > 0
     assert named.version == version
-    assert play.named_s - MOST_EARLY_S <= named.named_after_s <= play.named_s, named
+    assert play.named_s - MOST_EARLY_S <= named.set_after_s <= play.named_s, named
 
 
 @given("runners that need {seconds:g} s to begin a request")
@@ -311,7 +311,7 @@
 def step_book(context, first, second, bound_s):
     context.book = TargetVersions()
     for version in (first, second):
-        context.book.name(MODEL, version, bound_s)
+        context.book.add(MODEL, version, bound_s)
 
 
 @when("version {version:d} turns out to have been named no earlier than {bound_s:g} s")
@@ -321,7 +321,7 @@
 
 @then("version {version:d} was named no earlier than {bound_s:g} s")
 def step_bound(context, version, bound_s):
-    assert context.book.first_newer(MODEL, version - 1).named_after_s == bound_s
+    assert context.book.first_newer(MODEL, version - 1).set_after_s == bound_s
 
 
 @when("{count:d} versions are named, one each {seconds:g} seconds")
@@ -332,9 +332,9 @@
             name_version(play, version)
             await anyio.sleep(seconds)
             for name, node in play.fleet.nodes.items():
-                named = node.cluster.target_versions.newest_named(MODEL)
+                named = node.cluster.target_versions.newest_target(MODEL)
                 assert named.version == version
-                play.early_s[name].append(play.named_s - named.named_after_s)
+                play.early_s[name].append(play.named_s - named.set_after_s)
 
     context.play.actions.append(action)
 
--- a/src/weirscale/gateway/limits/quota.py
+++ b/src/weirscale/gateway/limits/quota.py
@@ -14,7 +14,7 @@
 **Alone or cut off.** A node without contact to some of the others keeps to its share: its bucket
 fills at the rate times the share of the nodes that it hears from, itself included, and holds as
 much of the burst. However the fleet falls apart, the shares of the parts never add up to more than
-one. A node that starts, or that stood still, begins with an empty bucket: what was spent before, by
+one. A node that starts, or that was paused, begins with an empty bucket: what was spent before, by
 whichever process, was at most the burst and the rate until then.
 """
 
@@ -176,7 +176,7 @@
         return self._clock() - CONTACT_S
 
     def _forget_other_nodes(self, now_s: float) -> None:
-        """This node stood still: it does not know what the others spent meanwhile."""
+        """This node was paused: it does not know what the others spent meanwhile."""
         self._swept_at_s = float("-inf")
         for source in self.fleet.sources():
             self.fleet.forget_source(source, now_s)
--- a/src/weirscale/gateway/replication/age_exchange.py
+++ b/src/weirscale/gateway/replication/age_exchange.py
@@ -1,9 +1,9 @@
 """Asks other nodes for ages that this node cannot know alone.
 
-A node that has just started knows the target versions, but not since when. One that stood still or
+A node that has just started knows the target versions, but not since when. One that was paused or
 lost the store cannot tell its own loss from an outage of the store. Each asks some other nodes
 until its doubt is over. An age in a reply counts from when the query went out: however long either
-message was on its way, or waited at a node that stood still, the age is never taken for too young.
+message was on its way, or waited at a node that was paused, the age is never taken for too young.
 The reasoning is in docs/design/0021-ages-by-proof.md.
 """
 
@@ -24,7 +24,7 @@
 """Seconds between two rounds of queries. Not measured."""
 
 NUM_ASKED = 5
-"""Nodes asked in a round, drawn anew each time: of 7 nodes three may have stood still together."""
+"""Nodes asked in a round, drawn anew each time: of 7 nodes three may have was paused together."""
 
 DOUBT_S = 10.0
 """Seconds for which a node asks after its start or after a silence of the store, some 25 rounds:
@@ -129,10 +129,10 @@
         await self._send(reply, (address,))
 
     def _young_target_versions(self, now_s: float) -> Iterable[TargetVersionGossip]:
-        for model, named in self._cluster.target_versions.all():
-            age_s = now_s - named.named_after_s
+        for model, target in self._cluster.target_versions.all():
+            age_s = now_s - target.set_after_s
             if age_s <= MAX_SENT_AGE_S:
-                yield TargetVersionGossip(model, named.version, _whole_ms(age_s))
+                yield TargetVersionGossip(model, target.version, _whole_ms(age_s))
 
     def receive(self, reply: AgesReply) -> None:
         """Take over an answer to a query that is still open."""
@@ -146,9 +146,9 @@
             None if silent_age_ms is None else asked_at_s - silent_age_ms / MILLISECONDS_PER_S,
         )
         self._cluster.store_outages.receive(reply.sender, span, asked_at_s, self._clock())
-        for named in reply.target_versions:
-            named_after_s = asked_at_s - named.age_ms / MILLISECONDS_PER_S
-            self._cluster.target_versions.narrow(named.model, named.version, named_after_s)
+        for target in reply.target_versions:
+            set_after_s = asked_at_s - target.age_ms / MILLISECONDS_PER_S
+            self._cluster.target_versions.narrow(target.model, target.version, set_after_s)
 
 
 def _whole_ms(age_s: float) -> int:
--- a/src/weirscale/gateway/routing/candidates.py
+++ b/src/weirscale/gateway/routing/candidates.py
@@ -194,7 +194,7 @@
             capacity,
             version,
             newest_version=None if newer is None else targets.newest(prompt.model),
-            weights_behind_s=0.0 if newer is None else now_s - newer.named_after_s,
+            weights_behind_s=0.0 if newer is None else now_s - newer.set_after_s,
             begins_within_s=math.inf if newer is None else self._begins_within_s(newer, now_s),
             recent_wait_s=0.0 if newer is None else self._recent_wait_s(back_end, now_s),
             belongs_to_other_group=back_end.instance in of_other_groups,
--- a/src/weirscale/gateway/state/cluster_state.py
+++ b/src/weirscale/gateway/state/cluster_state.py
@@ -142,8 +142,8 @@
         self.confirmed_at_s = proved_at_s
         self.store_outages.prove(proved_at_s, self._clock())
         for marker in self.records.weights_age_markers():
-            named_after_s = proved_at_s - marker.max_age_s
-            self.target_versions.narrow(marker.model, marker.version, named_after_s)
+            set_after_s = proved_at_s - marker.max_age_s
+            self.target_versions.narrow(marker.model, marker.version, set_after_s)
 
     def age_s(self) -> float:
         """Return the proof age: how long ago this state was last proved current."""
@@ -163,7 +163,7 @@
         Nobody can bring new weights to engines while the store answers no node, so the grace starts
         anew when an outage ends. A loss of the store by this node alone does not prolong it.
         """
-        return max(target.named_after_s, self.outage_ended_s())
+        return max(target.set_after_s, self.outage_ended_s())
 
     @singledispatchmethod
     def _take(self, change: StateChange, versioned: VersionedChange) -> None:
@@ -200,8 +200,8 @@
         previous = self.target_versions.newest(change.model)
         # The last proof shows that it was not named then. With the time of its arrival as the
         # bound, a node that receives it late would let older weights serve beyond their grace: 3 s
-        # in a run in which a node stood still for 4 s.
-        if self.target_versions.name(change.model, change.version, self.confirmed_at_s):
+        # in a run in which a node was paused for 4 s.
+        if self.target_versions.add(change.model, change.version, self.confirmed_at_s):
             self.target_changed_at_s = self._clock()
             self._event_log.event(
                 "weights_named", model=change.model, version=change.version, previous=previous,
--- a/src/weirscale/gateway/state/expiring_record.py
+++ b/src/weirscale/gateway/state/expiring_record.py
@@ -26,7 +26,7 @@
     asked_at_s = clock()
     granted = await store.grant_lease(life_s)
     # A lease runs from the call's arrival at the store. The call may wait for a connection, or its
-    # node may stand still or be suspended, for longer than a timeout: the record would then be in
+    # node may be paused or be suspended, for longer than a timeout: the record would then be in
     # the store longer than the age that it stands for.
     if isinstance(granted, Err) or clock() > asked_at_s + within_s:
         return 0
--- a/src/weirscale/gateway/state/store_outages.py
+++ b/src/weirscale/gateway/state/store_outages.py
@@ -2,13 +2,13 @@
 
 While the store is away nobody can bring new weights to engines, so the grace of older ones starts
 anew after an outage; and registrations lapse during it. Both are right only if the store answered
-no node. A node that stands still, loses its own connections or is refused sees the same silence
+no node. A node that is paused, loses its own connections or is refused sees the same silence
 while the store answers others; if it took that for an outage, older weights and back ends that are
 gone would serve on there after all other nodes have stopped using them.
 
 So a silence is first in doubt. It counts as an outage once other nodes (the witnesses) report that
 they were awake and got no answer either. A report that the store did answer somebody in that time
-ends the doubt the other way. Time in which this node itself stood still is no silence: it asked
+ends the doubt the other way. Time in which this node itself was paused is no silence: it asked
 nothing. The reasoning is in docs/design/0021-ages-by-proof.md.
 """
 
@@ -28,7 +28,7 @@
 fewer: one other may have lost its connections together with this node. Not measured."""
 
 STANDSTILL_S = 1.0
-"""Seconds; a node that has not looked at the time for so long stood still. It looks every 0.4 s."""
+"""Seconds; a node that has not looked at the time for so long was paused. It looks every 0.4 s."""
 
 
 class Span(msgspec.Struct, frozen=True):
--- a/src/weirscale/gateway/weights/age_markers.py
+++ b/src/weirscale/gateway/weights/age_markers.py
@@ -46,12 +46,12 @@
             grace_s: Seconds for which older weights may serve.
             tasks: Runs the write.
         """
-        target = self._cluster.target_versions.newest_named(model)
+        target = self._cluster.target_versions.newest_target(model)
         if target is None or self._marked.get(model, 0) >= target.version:
             return
         self._marked[model] = target.version
         life_s = MARKER_LIFE_SHARE * grace_s
-        left_s = target.named_after_s + life_s - self._clock()
+        left_s = target.set_after_s + life_s - self._clock()
         if left_s <= MIN_MARKER_LIFE_S:
             return
         marker = WeightsAgeMarker(model, target.version, life_s + WRITE_DELAY_S)
