--- a/features/steps/engine_contract_steps.py
+++ b/features/steps/engine_contract_steps.py
@@ -6,6 +6,7 @@
 from result import Err, Ok
 
 from features.support.engine_calls import PROMPT, collect, make_call, wait_until_closed
+from features.support.served_stand_ins import serve_engine
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.domain.identifiers import Incarnation
 from weirscale.messages.cache import AllBlocksCleared, BlockRemoved, BlockStored
@@ -17,7 +18,6 @@
 from weirscale.ports.engine_http import HttpEngine
 from weirscale.standins.engine.answer import expected_text
 from weirscale.standins.engine.in_process import InProcessEngine
-from weirscale.standins.engine.server import serve_engine
 from weirscale.standins.engine.settings import EngineSettings
 from weirscale.standins.faults import EngineFaults
 
--- a/features/steps/placement_orders_steps.py
+++ b/features/steps/placement_orders_steps.py
@@ -5,6 +5,7 @@
 from behave import given, then, when
 from result import Err, Ok
 
+from features.support.served_stand_ins import serve_engine
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.domain.identifiers import Incarnation
 from weirscale.messages.cache import LoadReport
@@ -12,7 +13,6 @@
 from weirscale.ports.engine import ChangeRole, EngineOrder, LoadModel
 from weirscale.ports.engine_http import HttpEngine
 from weirscale.standins.engine.in_process import InProcessEngine
-from weirscale.standins.engine.server import serve_engine
 from weirscale.standins.engine.settings import EngineSettings
 
 RUN = Incarnation(3)
--- a/features/steps/scale_engine_connections_steps.py
+++ b/features/steps/scale_engine_connections_steps.py
@@ -6,10 +6,10 @@
 import anyio
 from behave import given, then, when
 
+from features.support.served_stand_ins import serve_engine
 from weirscale.domain.identifiers import EngineName, ModelName, WeightVersion
 from weirscale.ports.engine_http import HttpEngine
 from weirscale.standins.engine.in_process import InProcessEngine
-from weirscale.standins.engine.server import serve_engine
 from weirscale.standins.engine.settings import EngineSettings
 
 SETTINGS = EngineSettings(
--- a/features/steps/service_contract_steps.py
+++ b/features/steps/service_contract_steps.py
@@ -4,11 +4,11 @@
 from result import Ok
 
 from features.support.engine_calls import wait_until_closed
+from features.support.served_stand_ins import serve_service
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.domain.request.model import ServiceRequest
 from weirscale.ports.service_http import MAX_ANSWER_BYTES, HttpService
 from weirscale.standins.faults import ServiceFaults
-from weirscale.standins.service.http_app import serve_service
 from weirscale.standins.service.in_process import InProcessService
 from weirscale.standins.service.model import ServiceAnswer, ServiceSettings, body_digest
 
--- a/src/weirscale/experiments/demo/embedded.py
+++ b/src/weirscale/experiments/demo/embedded.py
@@ -12,10 +12,8 @@
     Deployment,
     Engine,
     Model,
-    Service,
-    ServiceBackend,
 )
-from weirscale.domain.identifiers import BackendName, ConfigurationRevision, NodeName, ZoneName
+from weirscale.domain.identifiers import ConfigurationRevision, NodeName, ZoneName
 from weirscale.experiments.history.records import AnyRecord
 from weirscale.experiments.run.exchange import Connect, HttpRequest
 from weirscale.experiments.run.http_exchange import HttpExchange
@@ -25,13 +23,13 @@
 from weirscale.node.program import NodeProgram
 from weirscale.node.settings import NodeSettings, PeerKeySettings
 from weirscale.ports.key_value_etcd import EtcdKeyValue
-from weirscale.standins.asgi_server import LOOPBACK, OutageServer
+from weirscale.standins.asgi_server import LOOPBACK, serve_on_loopback
+from weirscale.standins.engine.http_app import EngineApp
 from weirscale.standins.engine.in_process import InProcessEngine
-from weirscale.standins.engine.server import EngineServer, serve_engine
 from weirscale.standins.engine.settings import EngineSettings
 from weirscale.standins.key_value.app import KeyValueApp
 from weirscale.standins.key_value.server import KeyValueServer
-from weirscale.standins.service.http_app import ServiceServer, serve_service
+from weirscale.standins.service.http_app import ServiceApp
 from weirscale.standins.service.in_process import InProcessService
 from weirscale.standins.service.model import ServiceSettings
 
@@ -94,32 +92,30 @@
     Raises:
         DemoFailedError: The configuration was not accepted or not in force in time.
     """
-    key_value_server = KeyValueServer(random)
-    key_value = OutageServer(KeyValueApp(key_value_server), lambda: True)
-    tasks.start_soon(key_value.run)
-    engines = [await _start_engine(engine, declared.models, tasks) for engine in declared.engines]
-    services = {
-        backend.name: await _start_backend(service, backend, tasks)
+    key_value = KeyValueApp(KeyValueServer(random))
+    key_value_address: str = await tasks.start(serve_on_loopback, key_value)
+    engines = [_make_engine(engine, declared.models) for engine in declared.engines]
+    services = [
+        InProcessService(ServiceSettings(name=backend.name, service=service.name))
         for service in declared.services
         for backend in service.backends
-    }
-    deployment = _with_addresses(declared, engines, services)
-    await _apply(deployment, key_value.address, random)
-    nodes = _make_nodes(deployment, key_value.address)
+    ]
+    addresses: dict[str, str] = {}
+    for one in engines:
+        tasks.start_soon(one.run)
+        addresses[one.settings.name] = await tasks.start(serve_on_loopback, EngineApp(one))
+    for backend in services:
+        addresses[backend.settings.name] = await tasks.start(serve_on_loopback, ServiceApp(backend))
+    deployment = _with_addresses(declared, addresses)
+    await _apply(deployment, key_value_address, random)
+    nodes = _make_nodes(deployment, key_value_address)
     for node in nodes:
         tasks.start_soon(node.run, stop)
     await _wait_until_configured(nodes)
-    return EmbeddedDeployment(
-        deployment,
-        [server.engine for server in engines],
-        [server.service for server in services.values()],
-        nodes,
-    )
+    return EmbeddedDeployment(deployment, engines, services, nodes)
 
 
-async def _start_engine(
-    engine: Engine, models: tuple[Model, ...], tasks: TaskGroup
-) -> EngineServer:
+def _make_engine(engine: Engine, models: tuple[Model, ...]) -> InProcessEngine:
     model = next(model for model in models if model.name == engine.model)
     settings = EngineSettings(
         name=engine.name,
@@ -130,36 +126,22 @@
         num_total_blocks=engine.num_total_blocks,
         prefill_token_s=1.0 / engine.prefill_tokens_per_s,
     )
-    server: EngineServer = await tasks.start(serve_engine, settings)
-    return server
-
-
-async def _start_backend(
-    service: Service, backend: ServiceBackend, tasks: TaskGroup
-) -> ServiceServer:
-    settings = ServiceSettings(name=backend.name, service=service.name)
-    server: ServiceServer = await tasks.start(serve_service, settings)
-    return server
+    return InProcessEngine(settings, Random(engine.name))
 
 
-def _with_addresses(
-    declared: Deployment,
-    engines: list[EngineServer],
-    services: dict[BackendName, ServiceServer],
-) -> Deployment:
-    """Return the deployment with the addresses that were taken and without kept-KV stores."""
+def _with_addresses(declared: Deployment, addresses: dict[str, str]) -> Deployment:
+    """Return the deployment with the addresses taken, by name, and without kept-KV stores."""
     replace = msgspec.structs.replace
     return replace(
         declared,
         engines=tuple(
-            replace(engine, address=server.address)
-            for engine, server in zip(declared.engines, engines, strict=True)
+            replace(engine, address=addresses[engine.name]) for engine in declared.engines
         ),
         services=tuple(
             replace(
                 service,
                 backends=tuple(
-                    replace(backend, address=services[backend.name].address)
+                    replace(backend, address=addresses[backend.name])
                     for backend in service.backends
                 ),
             )
--- a/src/weirscale/standins/engine/in_process.py
+++ b/src/weirscale/standins/engine/in_process.py
@@ -73,7 +73,6 @@
         self._loading: LoadModel | None = None
         self._reading: anyio.CancelScope | None = None
         self._down_until_s = 0.0
-        self._crash_listeners: list[anyio.Event] = []
 
     async def run(self) -> None:
         """Run the engine until cancelled."""
@@ -138,9 +137,6 @@
         self._stop_reading()
         self.model.crash(incarnation or Incarnation(self.model.incarnation + 1), now_s)
         self._wake.set()
-        listeners, self._crash_listeners = self._crash_listeners, []
-        for listener in listeners:
-            listener.set()
 
     def leave(self) -> None:
         """Refuse new work and say so in the load report; what runs goes on."""
@@ -153,13 +149,6 @@
             return False
         return anyio.current_time() >= self._down_until_s
 
-    def reachability_change(self) -> anyio.Event:
-        """Return an event that is set when faults change or the engine crashes."""
-        changed = anyio.Event()
-        self.faults.on_change(changed.set)
-        self._crash_listeners.append(changed)
-        return changed
-
     def _unreachable(self) -> EngineFailure | None:
         if self.is_reachable:
             return None
--- a/src/weirscale/standins/service/http_app.py
+++ b/src/weirscale/standins/service/http_app.py
@@ -1,8 +1,4 @@
-"""HTTP interface of the stand-in service, and its server."""
-
-import anyio
-import msgspec
-from anyio.abc import TaskStatus
+"""HTTP interface of the stand-in service."""
 
 from weirscale.ports.asgi import (
     Receive,
@@ -14,9 +10,9 @@
     send_part,
     start_response,
 )
-from weirscale.standins.asgi_server import MAX_BODY_BYTES, OutageServer
+from weirscale.standins.asgi_server import MAX_BODY_BYTES
 from weirscale.standins.service.in_process import InProcessService
-from weirscale.standins.service.model import OK, ServiceSettings
+from weirscale.standins.service.model import OK
 
 
 class ServiceApp:
@@ -53,39 +49,3 @@
     """Begin an answer and leave it incomplete: the server then closes the connection."""
     await start_response(send, OK, ())
     await send_part(send, b"{")
-
-
-class ServiceServer(msgspec.Struct, frozen=True):
-    """A stand-in back end that is being served.
-
-    Attributes:
-        service: The back end, for faults and records.
-        address: host:port of its HTTP interface.
-    """
-
-    service: InProcessService
-    address: str
-
-
-async def serve_service(
-    service: InProcessService | ServiceSettings,
-    *,
-    task_status: TaskStatus[ServiceServer] = anyio.TASK_STATUS_IGNORED,
-) -> None:
-    """Serve a back end on loopback until cancelled; arguments as of `serve_engine`."""
-    if isinstance(service, ServiceSettings):
-        service = InProcessService(service)
-    server = OutageServer(ServiceApp(service), lambda: service.is_reachable)
-    async with anyio.create_task_group() as tasks:
-        tasks.start_soon(server.run)
-        tasks.start_soon(_follow_faults, service, server)
-        task_status.started(ServiceServer(service, server.address))
-
-
-async def _follow_faults(service: InProcessService, server: OutageServer) -> None:
-    """Tell the server of each change of the faults."""
-    while True:
-        changed = anyio.Event()
-        service.faults.on_change(changed.set)
-        server.notify()
-        await changed.wait()
