--- a/features/support/rollout_fleet.py
+++ b/features/support/rollout_fleet.py
@@ -35,6 +35,16 @@
 """How late each planner sees the engines; planners that see the same would decide the same."""
 
 
+class NoStates:
+    """What other nodes tell of engines where the planner's own node hears of every engine."""
+
+    def heard(self):
+        return {}
+
+    def watch(self, engines):
+        """Ask nobody."""
+
+
 class WeightStore:
     """Source of weights whose loads slow one another down; a test sets what goes wrong."""
 
@@ -193,6 +203,7 @@
                 client,
                 lease,
                 SilentEventLog(),
+                NoStates(),
             )
             for lease, client, lag_s in zip(self.leases, self.clients, PLANNER_LAG_S, strict=False)
         ]
--- a/src/weirscale/node/backends/facts.py
+++ b/src/weirscale/node/backends/facts.py
@@ -1,7 +1,6 @@
 """What the directory knows, as immutable values that other tasks may keep."""
 
 from collections.abc import Mapping
-from typing import Protocol
 
 import msgspec
 
@@ -86,11 +85,3 @@
 
 EMPTY_SNAPSHOT = DirectorySnapshot(ConfigurationRevision(0), {}, {}, frozenset(), {})
 """What is known before the first configuration."""
-
-
-class SnapshotSource(Protocol):
-    """Read access to the directory."""
-
-    def snapshot(self) -> DirectorySnapshot:
-        """Return what is known now; the value never changes."""
-        ...
--- a/src/weirscale/node/backends/probes.py
+++ b/src/weirscale/node/backends/probes.py
@@ -10,7 +10,7 @@
 from result import Ok
 
 from weirscale.domain.identifiers import EngineName, ModelName, ZoneName
-from weirscale.node.backends.facts import SnapshotSource
+from weirscale.node.backends.facts import DirectorySnapshot
 from weirscale.node.backends.observations import (
     MachinesListed,
     Observation,
@@ -36,9 +36,13 @@
 """How often the engines to ask are counted anew; the count takes a tenth of a millisecond."""
 
 
-class ProbedDirectory(SnapshotSource, Protocol):
+class ProbedDirectory(Protocol):
     """What the loops need of the directory."""
 
+    def snapshot(self) -> DirectorySnapshot:
+        """Return what is known now; the value never changes."""
+        ...
+
     def post(self, observation: Observation) -> None:
         """Leave an observation."""
         ...
--- a/src/weirscale/node/callers/app.py
+++ b/src/weirscale/node/callers/app.py
@@ -31,7 +31,8 @@
 from weirscale.node.callers.service_route import SERVICES_PREFIX, ServiceCallRoute
 from weirscale.node.execution.generation import GenerationExecutor
 from weirscale.node.execution.service import ServiceExecutor
-from weirscale.node.interfaces import Admission, ConfigurationInForce, ConfigurationView
+from weirscale.node.interfaces import ConfigurationInForce, ConfigurationView
+from weirscale.node.limits.task import AdmissionTask
 from weirscale.node.routing.service_router import FIRST_CONFIGURATION_WAIT_S
 from weirscale.ports.asgi import (
     JSON_TYPE,
@@ -72,7 +73,7 @@
     def __init__(
         self,
         configuration: ConfigurationView,
-        admission: Admission,
+        admission: AdmissionTask,
         generation: GenerationExecutor,
         services: ServiceExecutor,
         event_log: EventLog,
--- a/src/weirscale/node/callers/generation_route.py
+++ b/src/weirscale/node/callers/generation_route.py
@@ -25,7 +25,8 @@
 from weirscale.node.callers.generation_input import decode_object, parse_generation
 from weirscale.node.callers.metrics import CallerMetrics
 from weirscale.node.execution.generation import GenerationExecutor, GenerationRun
-from weirscale.node.interfaces import Admission, ConfigurationInForce
+from weirscale.node.interfaces import ConfigurationInForce
+from weirscale.node.limits.task import AdmissionTask
 from weirscale.ports.asgi import EVENT_STREAM_TYPE, JSON_TYPE, HeaderList, Message, send_whole
 
 MAX_EVENTS_OF_PART = 32
@@ -44,7 +45,7 @@
 
     def __init__(
         self,
-        admission: Admission,
+        admission: AdmissionTask,
         executor: GenerationExecutor,
         metrics: CallerMetrics,
         wall_clock: Callable[[], float],
--- a/src/weirscale/node/callers/service_route.py
+++ b/src/weirscale/node/callers/service_route.py
@@ -14,7 +14,8 @@
 from weirscale.node.callers.disconnect import SEND_GRACE_S, cancelled_on_disconnect
 from weirscale.node.callers.errors import REQUEST_ID_HEADER, RUN_STATUS_HEADER
 from weirscale.node.execution.service import ServiceExecutor
-from weirscale.node.interfaces import Admission, ConfigurationInForce
+from weirscale.node.interfaces import ConfigurationInForce
+from weirscale.node.limits.task import AdmissionTask
 from weirscale.ports.asgi import HeaderList, send_whole
 
 SERVICES_PREFIX = "/services/"
@@ -75,7 +76,7 @@
 class ServiceCallRoute:
     """Checks, admits and runs service calls."""
 
-    def __init__(self, admission: Admission, executor: ServiceExecutor) -> None:
+    def __init__(self, admission: AdmissionTask, executor: ServiceExecutor) -> None:
         self._admission = admission
         self._executor = executor
 
--- a/src/weirscale/node/execution/attempt.py
+++ b/src/weirscale/node/execution/attempt.py
@@ -13,7 +13,8 @@
 from weirscale.domain.request.stream import ChunkVerdict, StreamCheck
 from weirscale.node.execution.canceller import EngineCanceller
 from weirscale.node.execution.stall_watch import StallWatch, WatchedPull
-from weirscale.node.interfaces import AttemptOutcome, ChosenEngine, EngineRouting
+from weirscale.node.interfaces import AttemptOutcome, ChosenEngine
+from weirscale.node.routing.engine_router import EngineRouter
 from weirscale.ports.engine import (
     ChunkOrFailure,
     EngineFailure,
@@ -207,7 +208,7 @@
                 await context.__aexit__(None, None, None)
 
     def finish(
-        self, routing: EngineRouting, canceller: EngineCanceller, now_s: float
+        self, routing: EngineRouter, canceller: EngineCanceller, now_s: float
     ) -> AttemptOutcome:
         """Report the outcome and stop the engine's work if it may still go on."""
         if self.may_have_run and not self.is_complete:
--- a/src/weirscale/node/execution/attempts.py
+++ b/src/weirscale/node/execution/attempts.py
@@ -17,7 +17,8 @@
 from weirscale.node.execution.canceller import EngineCanceller
 from weirscale.node.execution.counts import GenerationCounts
 from weirscale.node.execution.history import RequestHistory
-from weirscale.node.interfaces import ChosenEngine, EngineRouting
+from weirscale.node.interfaces import ChosenEngine
+from weirscale.node.routing.engine_router import EngineRouter
 
 SAME_ENGINE_PAUSE_S = 0.1
 """Pause before an engine that failed this request is tried again for want of another."""
@@ -43,7 +44,7 @@
     def __init__(
         self,
         request: GenerationRequest,
-        routing: EngineRouting,
+        routing: EngineRouter,
         canceller: EngineCanceller,
         counts: GenerationCounts,
     ) -> None:
--- a/src/weirscale/node/execution/claims.py
+++ b/src/weirscale/node/execution/claims.py
@@ -8,7 +8,8 @@
 from weirscale.domain.request import refusals
 from weirscale.domain.request.model import RunStatus, ServiceResponse
 from weirscale.domain.request.refusal import Refusal
-from weirscale.node.interfaces import Claim, ClaimLedger, ClaimState
+from weirscale.node.claims.ledger import QuorumClaimLedger
+from weirscale.node.interfaces import Claim, ClaimState
 
 SETTLE_TIMEOUT_S = 2.0
 """Settling is best effort: an unsettled claim stays in progress until its retention ends."""
@@ -30,7 +31,7 @@
 
 
 async def take_claim(
-    ledger: ClaimLedger,
+    ledger: QuorumClaimLedger,
     tenant: TenantName,
     idempotency_key: str,
     request_id: RequestId,
@@ -56,7 +57,7 @@
 
 
 async def settle_claim(
-    ledger: ClaimLedger, claim: Claim, run_status: RunStatus, answer: ServiceResponse | None
+    ledger: QuorumClaimLedger, claim: Claim, run_status: RunStatus, answer: ServiceResponse | None
 ) -> None:
     """Record that the request ran, or give the key back if it provably did not.
 
--- a/src/weirscale/node/execution/generation.py
+++ b/src/weirscale/node/execution/generation.py
@@ -12,6 +12,7 @@
 from weirscale.domain.request.retry_budget import RetryBudget
 from weirscale.domain.request.retry_policy import NextStep
 from weirscale.domain.request.stream import StreamCheck
+from weirscale.node.claims.ledger import QuorumClaimLedger
 from weirscale.node.execution.attempt import Attempt, AttemptFailure, ChunkSink
 from weirscale.node.execution.attempts import RequestAttempts
 from weirscale.node.execution.canceller import EngineCanceller
@@ -20,7 +21,8 @@
 from weirscale.node.execution.hedge import race_first_chunk
 from weirscale.node.execution.history import RequestHistory
 from weirscale.node.execution.recovery import GenerationRecovery
-from weirscale.node.interfaces import Claim, ClaimLedger, ClaimState, EngineRouting
+from weirscale.node.interfaces import Claim, ClaimState
+from weirscale.node.routing.engine_router import EngineRouter
 from weirscale.ports.event_log import EventLog
 
 ChunkOrRefusal = Result[TokenChunk, Refusal]
@@ -40,8 +42,8 @@
 
     def __init__(
         self,
-        routing: EngineRouting,
-        ledger: ClaimLedger | None,
+        routing: EngineRouter,
+        ledger: QuorumClaimLedger | None,
         rules: Callable[[], RetryRules],
         canceller: EngineCanceller,
         event_log: EventLog,
--- a/src/weirscale/node/execution/service.py
+++ b/src/weirscale/node/execution/service.py
@@ -20,10 +20,12 @@
     final_refusal,
     next_step,
 )
+from weirscale.node.claims.ledger import QuorumClaimLedger
 from weirscale.node.execution.claims import fingerprint, settle_claim, take_claim
 from weirscale.node.execution.counts import ServiceCounts, count_failure
 from weirscale.node.execution.history import RequestHistory
-from weirscale.node.interfaces import ChosenBackend, Claim, ClaimLedger, ClaimState, ServiceRouting
+from weirscale.node.interfaces import ChosenBackend, Claim, ClaimState
+from weirscale.node.routing.service_router import ServiceRouter
 from weirscale.ports.event_log import EventLog
 from weirscale.ports.service import ServiceFailure, ServiceFailureKind
 
@@ -46,8 +48,8 @@
 
     def __init__(
         self,
-        routing: ServiceRouting,
-        ledger: ClaimLedger | None,
+        routing: ServiceRouter,
+        ledger: QuorumClaimLedger | None,
         rules: Callable[[], RetryRules],
         event_log: EventLog,
         budget: RetryBudget,
@@ -91,7 +93,7 @@
     async def _run_claimed(
         self,
         request: ServiceRequest,
-        ledger: ClaimLedger,
+        ledger: QuorumClaimLedger,
         idempotency_key: str,
         history: RequestHistory,
     ) -> Result[ServiceResponse, Refusal]:
--- a/src/weirscale/node/home/engine_home.py
+++ b/src/weirscale/node/home/engine_home.py
@@ -19,9 +19,10 @@
     LoadDigest,
     LoadSummary,
 )
+from weirscale.node.backends.directory import BackendDirectory
 from weirscale.node.home.rate import RateGate
 from weirscale.node.home.rules import HomeRules
-from weirscale.node.interfaces import BackendObservations, PeerLink
+from weirscale.node.interfaces import PeerLink
 from weirscale.ports.engine import EngineFailure, EngineFailureKind, EnginePort
 
 LOAD_DIGEST_BYTES = 160
@@ -70,7 +71,7 @@
         receivers: GetReceivers,
         take_own: TakeOwnDigest,
         link: PeerLink,
-        observations: BackendObservations,
+        observations: BackendDirectory,
         dumps: RateGate,
         rules: HomeRules,
         random: Random,
--- a/src/weirscale/node/home/home_task.py
+++ b/src/weirscale/node/home/home_task.py
@@ -9,13 +9,13 @@
 
 from weirscale.domain.identifiers import ConfigurationRevision, EngineName, NodeAddress
 from weirscale.messages.digest import CacheDigest, DigestReply, DigestRequest
-from weirscale.node.backends.facts import EngineFacts, SnapshotSource
+from weirscale.node.backends.directory import BackendDirectory
+from weirscale.node.backends.facts import EngineFacts
 from weirscale.node.home.engine_home import EngineHome
 from weirscale.node.home.homes import home_of, receivers_in_scope
 from weirscale.node.home.rate import RateGate
 from weirscale.node.home.rules import HomeRules
 from weirscale.node.interfaces import (
-    BackendObservations,
     ConfigurationView,
     MembershipView,
     Peer,
@@ -53,8 +53,8 @@
         self,
         membership: MembershipView,
         configuration: ConfigurationView,
-        directory: SnapshotSource,
-        observations: BackendObservations,
+        directory: BackendDirectory,
+        observations: BackendDirectory,
         link: PeerLink,
         take_own: Callable[[CacheDigest], None],
         epoch_ms: Callable[[], int],
--- a/src/weirscale/node/home/view_task.py
+++ b/src/weirscale/node/home/view_task.py
@@ -15,9 +15,10 @@
     DigestRequest,
     LoadDigest,
 )
+from weirscale.node.backends.directory import BackendDirectory
 from weirscale.node.home.rate import RateGate
 from weirscale.node.home.rules import HomeRules
-from weirscale.node.interfaces import BackendObservations, PeerLink
+from weirscale.node.interfaces import PeerLink
 from weirscale.node.mailbox import Mailbox
 
 EXPIRE_INTERVAL_S = 1.0
@@ -57,7 +58,7 @@
         rules: Intervals and limits.
     """
 
-    def __init__(self, link: PeerLink, observations: BackendObservations, rules: HomeRules) -> None:
+    def __init__(self, link: PeerLink, observations: BackendDirectory, rules: HomeRules) -> None:
         self.view = CacheView()
         self._link = link
         self._observations = observations
--- a/src/weirscale/node/interfaces.py
+++ b/src/weirscale/node/interfaces.py
@@ -12,7 +12,7 @@
 from result import Result
 
 from weirscale.domain.choice.policy import Choice
-from weirscale.domain.configuration.model import Deployment, Tenant
+from weirscale.domain.configuration.model import Deployment
 from weirscale.domain.identifiers import (
     BackendName,
     ConfigurationRevision,
@@ -21,7 +21,6 @@
     NodeAddress,
     NodeId,
     RequestId,
-    ServiceName,
     TenantName,
     WeightVersion,
     ZoneName,
@@ -30,11 +29,9 @@
     GenerationRequest,
     ServiceResponse,
 )
-from weirscale.domain.request.refusal import Refusal
-from weirscale.messages.cache import LoadReport
 from weirscale.ports.engine import EngineFailure, EnginePort
 from weirscale.ports.peers import PeerFailure
-from weirscale.ports.service import ServiceFailure, ServicePort
+from weirscale.ports.service import ServicePort
 
 
 class ConfigurationInForce(msgspec.Struct, frozen=True):
@@ -180,24 +177,6 @@
     duration_s: float
 
 
-class EngineRouting(Protocol):
-    """Choice of engine, and what is learned from outcomes."""
-
-    async def choose(
-        self,
-        request: GenerationRequest,
-        attempt: int,
-        excluded: frozenset[EngineName],
-        required_version: WeightVersion | None,
-    ) -> Result[ChosenEngine, Refusal]:
-        """Choose an engine for an attempt; the refusal says when to come back."""
-        ...
-
-    def report(self, outcome: AttemptOutcome) -> None:
-        """Tell what became of an attempt; every successful `choose` is followed by one."""
-        ...
-
-
 class ChosenBackend(msgspec.Struct, frozen=True):
     """A service back end chosen for one attempt."""
 
@@ -206,27 +185,6 @@
     address: str
 
 
-class ServiceRouting(Protocol):
-    """Choice of service back end, and what is learned from outcomes."""
-
-    async def choose(
-        self, service: ServiceName, excluded: frozenset[BackendName]
-    ) -> Result[ChosenBackend, Refusal]:
-        """Choose a back end for an attempt."""
-        ...
-
-    def report(
-        self,
-        service: ServiceName,
-        backend: BackendName,
-        failure: ServiceFailure | None,
-        http_status: int | None,
-        duration_s: float,
-    ) -> None:
-        """Tell what became of an attempt; every successful `choose` is followed by one."""
-        ...
-
-
 class Permit(msgspec.Struct, frozen=True):
     """Leave to run one request; must be released exactly once."""
 
@@ -235,25 +193,6 @@
     num_prompt_tokens: int
 
 
-class Admission(Protocol):
-    """Tenant limits, fair queueing and load shedding."""
-
-    async def admit(
-        self,
-        tenant: Tenant,
-        request_id: RequestId,
-        num_prompt_tokens: int,
-        priority: int,
-        deadline_s: float,
-    ) -> Result[Permit, Refusal]:
-        """Wait for a permit; refused at once (NOT_RUN) when the wait would miss the deadline."""
-        ...
-
-    def release(self, permit: Permit) -> None:
-        """Give the permit back."""
-        ...
-
-
 class ClaimState(enum.Enum):
     """What the ledger answers to a claim."""
 
@@ -281,38 +220,3 @@
     key: str
     holder_request_id: RequestId
     answer: ServiceResponse | None = None
-
-
-class ClaimLedger(Protocol):
-    """At-most-once claims over all nodes."""
-
-    async def claim(
-        self,
-        tenant: TenantName,
-        idempotency_key: str,
-        request_id: RequestId,
-        fingerprint: bytes,
-        deadline_s: float,
-    ) -> Result[Claim, Refusal]:
-        """Claim a key; the refusal (CLAIM_UNAVAILABLE, NOT_RUN) means no quorum answered."""
-        ...
-
-    async def complete(self, claim: Claim, answer: ServiceResponse | None) -> None:
-        """Record that the claim's request has run; best effort, bounded in time."""
-        ...
-
-    async def release(self, claim: Claim) -> None:
-        """Give a claim back after the request provably did not run."""
-        ...
-
-
-class BackendObservations(Protocol):
-    """Where observations of engines go: the task that owns the directory of back ends."""
-
-    def note_load_report(self, report: LoadReport, age_s: float) -> None:
-        """A load report arrived, from the engine or from its home node."""
-        ...
-
-    def note_unreachable(self, engine: EngineName, detail: str) -> None:
-        """A probe of the engine got no answer."""
-        ...
--- a/src/weirscale/node/placement/fleet_states.py
+++ b/src/weirscale/node/placement/fleet_states.py
@@ -5,7 +5,6 @@
 """
 
 from collections.abc import Iterable, Mapping
-from typing import Protocol
 
 import anyio
 import msgspec
@@ -13,6 +12,7 @@
 
 from weirscale.domain.duties.assignment import Duty, DutyKind, rank_candidates
 from weirscale.domain.identifiers import EngineName, NodeAddress, ZoneName
+from weirscale.leases.lease_task import DutyLeaseTask
 from weirscale.messages.engine_states import (
     AGE_UNIT_S,
     MAX_AGE_UNITS,
@@ -20,7 +20,8 @@
     EngineStatesReply,
     EngineStatesRequest,
 )
-from weirscale.node.backends.facts import EngineFacts, SnapshotSource
+from weirscale.node.backends.directory import BackendDirectory
+from weirscale.node.backends.facts import EngineFacts
 from weirscale.node.duties.view import DutyView
 from weirscale.node.home.homes import home_of
 from weirscale.node.interfaces import MembershipView, PeerLink
@@ -53,37 +54,6 @@
     observed_at_s: float
 
 
-class PlannerDuty(Protocol):
-    """Tells whether this node plans."""
-
-    def is_held(self) -> bool:
-        """Whether this node certainly plans now."""
-        ...
-
-
-class StatesSource(Protocol):
-    """What the planner needs of this module."""
-
-    def heard(self) -> Mapping[EngineName, HeardState]:
-        """Return the states heard, by engine."""
-        ...
-
-    def watch(self, engines: Iterable[EngineName]) -> None:
-        """Set the engines to be asked directly."""
-        ...
-
-
-class NoStates:
-    """Source for a planner whose own node hears of every engine."""
-
-    def heard(self) -> Mapping[EngineName, HeardState]:
-        """Return nothing."""
-        return {}
-
-    def watch(self, engines: Iterable[EngineName]) -> None:
-        """Ask nobody."""
-
-
 class _Asked(msgspec.Struct):
     """What is known of asking about one zone; `known` is the last whole answer of each node."""
 
@@ -105,10 +75,10 @@
 
     def __init__(
         self,
-        directory: SnapshotSource,
+        directory: BackendDirectory,
         membership: MembershipView,
         link: PeerLink,
-        duty: PlannerDuty,
+        duty: DutyLeaseTask,
         rules: StatesRules | None = None,
     ) -> None:
         self._directory = directory
--- a/src/weirscale/node/placement/states_server.py
+++ b/src/weirscale/node/placement/states_server.py
@@ -17,7 +17,8 @@
     EngineStatesRequest,
     pack_age,
 )
-from weirscale.node.backends.facts import DirectorySnapshot, EngineFacts, SnapshotSource
+from weirscale.node.backends.directory import BackendDirectory
+from weirscale.node.backends.facts import DirectorySnapshot, EngineFacts
 from weirscale.node.interfaces import PeerLink
 
 
@@ -29,7 +30,7 @@
         link: Receives the requests.
     """
 
-    def __init__(self, directory: SnapshotSource, link: PeerLink) -> None:
+    def __init__(self, directory: BackendDirectory, link: PeerLink) -> None:
         self._directory = directory
         link.on_call(EngineStatesRequest, self._answer)
 
--- a/src/weirscale/node/placement/task.py
+++ b/src/weirscale/node/placement/task.py
@@ -8,7 +8,6 @@
 """
 
 from collections.abc import Mapping
-from typing import Protocol
 
 import anyio
 import msgspec
@@ -27,10 +26,11 @@
     SmallChange,
     plan_small_changes,
 )
+from weirscale.leases.lease_task import DutyLeaseTask
 from weirscale.messages.placement import PlacementRecord, RolloutProgress
-from weirscale.node.backends.facts import SnapshotSource
+from weirscale.node.backends.directory import BackendDirectory
 from weirscale.node.interfaces import ConfigurationView
-from weirscale.node.placement.fleet_states import NoStates, StatesSource
+from weirscale.node.placement.fleet_states import FleetStates
 from weirscale.node.placement.observing import observe_engines
 from weirscale.node.placement.orders import (
     FencedOrder,
@@ -51,14 +51,6 @@
 that the record was lost; more than the orders of any lost record's recent past."""
 
 
-class PlannerLease(Protocol):
-    """The lease of the planner's duty, as its holder sees it."""
-
-    def is_held(self) -> bool:
-        """Whether this node certainly holds it now, by its own clock."""
-        ...
-
-
 class _GivenChange(msgspec.Struct, frozen=True):
     change: SmallChange
     given_at_s: float
@@ -73,19 +65,19 @@
         key_value: Where the record is kept.
         lease: Tells whether this node may act.
         events: Where to tell what happened.
-        rules: Bounds that the configuration does not declare.
         states: What other nodes tell of engines.
+        rules: Bounds that the configuration does not declare.
     """
 
     def __init__(
         self,
         configuration: ConfigurationView,
-        directory: SnapshotSource,
+        directory: BackendDirectory,
         key_value: KeyValuePort,
-        lease: PlannerLease,
+        lease: DutyLeaseTask,
         events: EventLog,
+        states: FleetStates,
         rules: PlacementRules | None = None,
-        states: StatesSource | None = None,
     ) -> None:
         self._configuration = configuration
         self._directory = directory
@@ -93,7 +85,7 @@
         self._lease = lease
         self._events = events
         self._rules = rules or PlacementRules()
-        self._states = states or NoStates()
+        self._states = states
         self._unreached_at_s: dict[EngineName, float] = {}
         self._stored: StoredRecord | None = None
         self._known_since_s: dict[int, float] = {}
