--- a/src/weirscale/ports/engine_wire.py
+++ b/src/weirscale/ports/engine_wire.py
@@ -117,7 +117,6 @@
 
     model: str
     max_tokens: int
-    stream: bool = False
     cache_salt: str = ""
     priority: int = 0
     adapter: str | None = None
--- a/src/weirscale/standins/engine/http_app.py
+++ b/src/weirscale/standins/engine/http_app.py
@@ -37,7 +37,7 @@
 from weirscale.standins.engine.attempt import Attempt
 from weirscale.standins.engine.chunk_faults import EARLY_END
 from weirscale.standins.engine.in_process import InProcessEngine
-from weirscale.standins.engine.stream_encoder import StreamEncoder, whole_answer
+from weirscale.standins.engine.stream_encoder import StreamEncoder
 
 DEFAULT_TIME_LEFT_S = 600.0
 SSE_HEADERS = ((b"content-type", b"text/event-stream"), (b"cache-control", b"no-cache"))
@@ -81,17 +81,14 @@
         if isinstance(parsed, Err):
             await send_failure(send, parsed.err_value)
             return
-        call, is_streamed = parsed.ok_value
+        call = parsed.ok_value
         started = await self._engine.start(call)
         if isinstance(started, Err):
             await send_failure(send, started.err_value)
             return
         attempt = started.ok_value
         chunks = self._engine.stream(attempt, call.continue_sequence, call.time_left_s)
-        if is_streamed:
-            await self._send_stream(attempt, chunks, send)
-        else:
-            await self._send_whole(attempt, chunks, send)
+        await self._send_stream(attempt, chunks, send)
 
     async def _send_stream(
         self, attempt: Attempt, chunks: AsyncIterator[ChunkOrFailure], send: Send
@@ -110,17 +107,6 @@
             await send_part(send, encoder.encode_failure(failure))
         await send_part(send, encoder.end(), is_last=True)
 
-    async def _send_whole(
-        self, attempt: Attempt, chunks: AsyncIterator[ChunkOrFailure], send: Send
-    ) -> None:
-        texts: list[str] = []
-        async for item in chunks:
-            if isinstance(item, Err):
-                await send_failure(send, item.err_value)
-                return
-            texts.append(item.ok_value.text)
-        await send_json(send, OK, whole_answer(attempt, "".join(texts)))
-
     async def _attempt_call(self, path: str, method: str, scope: Scope, send: Send) -> None:
         parts = path[len(wire.STREAMS_PATH) + 1 :].split("/")
         is_cancel = len(parts) == 3 and parts[2] == "cancel" and method == "POST"
@@ -192,8 +178,8 @@
 
 def parse_call(
     path: str, headers: dict[str, str], body: bytes
-) -> Result[tuple[GenerateCall, bool], EngineFailure]:
-    """Return the call that a request stands for, and whether its answer is streamed."""
+) -> Result[GenerateCall, EngineFailure]:
+    """Return the call that a request stands for; its answer is always streamed."""
     try:
         parsed = msgspec.json.decode(body, type=dict[str, object])
         fields = msgspec.convert(parsed, wire.GenerateExtensions)
@@ -231,7 +217,7 @@
         kept_kv_store=transfer.store if transfer else None,
         kept_kv_block_hash=transfer.block_hash if transfer else None,
     )
-    return Ok((call, fields.stream))
+    return Ok(call)
 
 
 async def send_failure(send: Send, failure: EngineFailure) -> None:
--- a/src/weirscale/standins/engine/stream_encoder.py
+++ b/src/weirscale/standins/engine/stream_encoder.py
@@ -1,11 +1,10 @@
-"""Chunks of an answer as OpenAI-shaped server-sent events or as one whole answer."""
+"""Chunks of an answer as OpenAI-shaped server-sent events."""
 
 import msgspec
 
 from weirscale.domain.request.model import TokenChunk
 from weirscale.ports import engine_wire as wire
 from weirscale.ports.engine import EngineFailure, EngineFailureKind, GenerateCall
-from weirscale.standins.engine.attempt import FINISH_REASON, Attempt
 
 CHAT_PATH = "/v1/chat/completions"
 GARBLED_EVENT = b'data: {"choices": [{"del' + wire.EVENT_END
@@ -35,7 +34,7 @@
             num_tokens=chunk.num_tokens,
         )
         if chunk.finish_reason is not None:
-            event.usage = _usage(chunk.num_prompt_tokens, chunk.num_cached_tokens, 0)
+            event.usage = _usage(chunk.num_prompt_tokens, chunk.num_cached_tokens)
         return wire.DATA_PREFIX + msgspec.json.encode(event) + wire.EVENT_END
 
     def encode_failure(self, failure: EngineFailure) -> bytes:
@@ -53,28 +52,10 @@
         return wire.DATA_PREFIX + wire.END_OF_STREAM + wire.EVENT_END
 
 
-def whole_answer(attempt: Attempt, text: str) -> dict[str, object]:
-    """Return an answer that is not streamed."""
-    is_chat = attempt.call.path == CHAT_PATH
-    choice: dict[str, object] = {"index": 0, "finish_reason": FINISH_REASON}
-    if is_chat:
-        choice["message"] = {"role": "assistant", "content": text}
-    else:
-        choice["text"] = text
-    num_generated = attempt.num_generated - attempt.call.continue_num_tokens
-    return {
-        "id": attempt.call.request_id,
-        "object": "chat.completion" if is_chat else "text_completion",
-        "model": attempt.call.model,
-        "choices": [choice],
-        "usage": _usage(attempt.num_prompt_tokens, attempt.num_cached_tokens, num_generated),
-    }
-
-
-def _usage(num_prompt_tokens: int, num_cached_tokens: int, num_generated: int) -> wire.Usage:
+def _usage(num_prompt_tokens: int, num_cached_tokens: int) -> wire.Usage:
     return wire.Usage(
         prompt_tokens=num_prompt_tokens,
-        completion_tokens=num_generated,
-        total_tokens=num_prompt_tokens + num_generated,
+        completion_tokens=0,
+        total_tokens=num_prompt_tokens,
         prompt_tokens_details=wire.PromptDetails(num_cached_tokens),
     )
--- a/src/weirscale/standins/key_value/app.py
+++ b/src/weirscale/standins/key_value/app.py
@@ -1,4 +1,4 @@
-"""The stand-in as an ASGI app: the etcd v3 JSON gateway, plus `/stand-in/faults`.
+"""The stand-in as an ASGI app: the etcd v3 JSON gateway.
 
 Keys and values are base64, 64-bit integers are strings, errors are gRPC's code and message, as the
 gateway's. Only what the router uses is there: range, txn with one comparison, leases and watches.
@@ -33,7 +33,6 @@
 )
 from weirscale.standins.key_value.server import (
     AnswerLostError,
-    KeyValueFaults,
     KeyValueServer,
     StoreDownError,
     StoreRateLimitedError,
@@ -86,10 +85,6 @@
     async def _answer(self, path: str, body: Body, receive: Receive, send: Send) -> None:
         if path == "/v3/watch":
             await self._watch_until_disconnect(body, receive, send)
-        elif path == "/stand-in/faults":
-            self._server.faults = msgspec.convert(body, KeyValueFaults)
-            self._server.notify()
-            await send_json(send, 200, {})
         elif path in self._effects:
             await self._run(self._effects[path](body), send)
         else:
