--- a/features/steps/peers_link_steps.py
+++ b/features/steps/peers_link_steps.py
@@ -11,9 +11,10 @@
 from features.support.async_steps import async_when
 from features.support.generated import for_all
 from features.support.loopback import free_address
+from features.support.poor_network import PoorNetwork
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.domain.identifiers import NodeAddress, NodeId
-from weirscale.experiments.memory_network import LinkQuality, MemoryNetwork
+from weirscale.experiments.memory_network import LinkQuality
 from weirscale.messages.codec import CodecFailure, MessageCodec
 from weirscale.messages.envelope import (
     EnvelopeKind,
@@ -80,7 +81,7 @@
         async def main():
             async with anyio.create_task_group() as tasks:
                 self.tasks = tasks
-                self.network = MemoryNetwork(tasks, random.Random(7), self.quality)
+                self.network = PoorNetwork(tasks, random.Random(7), self.quality)
                 self.network.recorded = []
                 self.a = self.start(ID_A, ADDRESS_A)
                 self.b = self.start(ID_B, ADDRESS_B)
@@ -228,13 +229,13 @@
 async def step_call_twice(context, pair, text):
     endpoint = pair.network.attach(NodeAddress("10.0.0.3", 1), "zone")
     calls = []
-    handler = pair.network._endpoints[ADDRESS_B].handler
+    handler = pair.network.endpoints[ADDRESS_B].handler
 
     async def spy(request):
         calls.append(request)
         return await handler(request)
 
-    pair.network._endpoints[ADDRESS_B].handler = spy
+    pair.network.endpoints[ADDRESS_B].handler = spy
     assert isinstance(await pair.a.link.call(ADDRESS_B, Question(text), 1.0), Ok)
     for request in tuple(calls):
         await endpoint.call(ADDRESS_B, request, 1.0)
--- a/features/support/configuration_fleet.py
+++ b/features/support/configuration_fleet.py
@@ -8,6 +8,7 @@
 import msgspec
 from anyio.abc import TaskGroup
 
+from features.support.poor_network import PoorNetwork
 from weirscale.domain.configuration.model import Deployment
 from weirscale.domain.identifiers import (
     ConfigurationRevision,
@@ -163,7 +164,7 @@
     def __init__(self, tasks: TaskGroup, num_nodes: int, num_zones: int, seed: int) -> None:
         self.random = Random(seed)
         self.server = KeyValueServer(Random(f"store {seed}"))
-        self.network = MemoryNetwork(tasks, Random(f"network {seed}"))
+        self.network = PoorNetwork(tasks, Random(f"network {seed}"))
         self.members = KnownMembers()
         self.nodes: dict[NodeName, FleetNode] = {}
         self.past_nodes: list[FleetNode] = []
--- a/features/support/membership_fleet.py
+++ b/features/support/membership_fleet.py
@@ -6,6 +6,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
+from features.support.poor_network import PoorNetwork
 from weirscale.domain.identifiers import Incarnation, NodeAddress, NodeId, NodeName, ZoneName
 from weirscale.domain.membership.rules import MembershipRules
 from weirscale.experiments.memory_network import LinkQuality, MemoryEndpoint, MemoryNetwork
@@ -95,7 +96,7 @@
         zones: int,
         rules: MembershipRules | None = None,
     ) -> None:
-        self.network = MemoryNetwork(tasks, Random(seed), OTHER_ZONE)
+        self.network = PoorNetwork(tasks, Random(seed), OTHER_ZONE)
         self.zones = [ZoneName(f"zone-{number:02d}") for number in range(zones)]
         for zone in self.zones:
             self.network.set_zone_quality(zone, zone, SAME_ZONE)
--- a/features/support/placement_states_fleet.py
+++ b/features/support/placement_states_fleet.py
@@ -14,6 +14,7 @@
 import msgspec
 from result import Ok, Result
 
+from features.support.poor_network import PoorNetwork
 from weirscale.domain.configuration.model import Deployment, Engine, Model, Region
 from weirscale.domain.identifiers import (
     ConfigurationRevision,
@@ -27,7 +28,6 @@
     WeightVersion,
     ZoneName,
 )
-from weirscale.experiments.memory_network import MemoryNetwork
 from weirscale.messages.cache import LoadReport
 from weirscale.messages.envelope import KeyRing, PeerKey
 from weirscale.node.backends.facts import EMPTY_SNAPSHOT, DirectorySnapshot, EngineFacts
@@ -179,7 +179,7 @@
         **model_fields: Any,
     ) -> None:
         random = Random(7)
-        self.network = MemoryNetwork(tasks, random)
+        self.network = PoorNetwork(tasks, random)
         self.key_value = InProcessKeyValue(KeyValueServer(Random(2)))
         self.zones = [ZoneName(f"hall-{index:02}") for index in range(num_zones)]
         self.engines = {
--- a/src/weirscale/experiments/memory_network.py
+++ b/src/weirscale/experiments/memory_network.py
@@ -111,7 +111,7 @@
     Args:
         tasks: Deliveries run in this task group.
         random: Source of all chance.
-        default_quality: Links with no quality of their own.
+        default_quality: Of every link.
     """
 
     def __init__(
@@ -119,37 +119,19 @@
     ) -> None:
         self._tasks = tasks
         self._random = random
-        self._default_quality = default_quality or LinkQuality()
-        self._zone_quality: dict[tuple[ZoneName, ZoneName], LinkQuality] = {}
-        self._endpoints: dict[NodeAddress, MemoryEndpoint] = {}
+        self.default_quality = default_quality or LinkQuality()
+        self.endpoints: dict[NodeAddress, MemoryEndpoint] = {}
         self._blocked: set[tuple[NodeAddress, NodeAddress]] = set()
-        self.recorded: list[tuple[NodeAddress, bytes]] | None = None
-        """Datagrams seen on the wire, when set to a list: an eavesdropper's record."""
 
     def attach(self, address: NodeAddress, zone: ZoneName) -> MemoryEndpoint:
         """Connect a node, in place of any earlier one at the address."""
         endpoint = MemoryEndpoint(self, address, zone)
-        self._endpoints[address] = endpoint
+        self.endpoints[address] = endpoint
         return endpoint
 
     def detach(self, address: NodeAddress) -> None:
         """Take a node off the network, as a crash does."""
-        self._endpoints.pop(address, None)
-
-    def set_zone_quality(self, first: ZoneName, second: ZoneName, quality: LinkQuality) -> None:
-        """Set the quality between two zones, both ways (or within one zone)."""
-        self._zone_quality[first, second] = quality
-        self._zone_quality[second, first] = quality
-
-    def set_default_quality(self, quality: LinkQuality) -> None:
-        """Set the quality of links with none of their own."""
-        self._default_quality = quality
-
-    def set_drop_rate(self, drop_rate: float) -> None:
-        """Set the share of datagrams and calls lost on every link."""
-        self._default_quality = msgspec.structs.replace(self._default_quality, drop_rate=drop_rate)
-        for zones, quality in list(self._zone_quality.items()):
-            self._zone_quality[zones] = msgspec.structs.replace(quality, drop_rate=drop_rate)
+        self.endpoints.pop(address, None)
 
     def cut(self, sources: set[NodeAddress], destinations: set[NodeAddress]) -> None:
         """Lose everything from the sources to the destinations (one way)."""
@@ -164,17 +146,9 @@
         """End all cuts."""
         self._blocked.clear()
 
-    def inject(self, source: NodeAddress, destination: NodeAddress, payload: bytes) -> None:
-        """Put a datagram on the wire as a stranger would, with any source address."""
-        endpoint = self._endpoints.get(destination)
-        if endpoint is not None:
-            endpoint.take(Datagram(source, payload))
-
     def carry(self, source: MemoryEndpoint, destination: NodeAddress, payload: bytes) -> None:
         """Carry one datagram; it may be dropped, doubled or delayed."""
-        if self.recorded is not None:
-            self.recorded.append((destination, payload))
-        quality = self._quality(source, destination)
+        quality = self.quality_of(source, destination)
         if self._is_lost(source.address, destination, quality):
             return
         num_copies = 2 if self._random.random() < quality.duplicate_rate else 1
@@ -187,11 +161,11 @@
         self, source: MemoryEndpoint, destination: NodeAddress, payload: bytes
     ) -> Result[bytes, PeerFailure]:
         """Carry one call there and back; a lost one never returns (the caller times out)."""
-        quality = self._quality(source, destination)
+        quality = self.quality_of(source, destination)
         if self._is_lost(source.address, destination, quality):
             await anyio.sleep_forever()
         await anyio.sleep(self._delay_s(quality))
-        endpoint = self._endpoints.get(destination)
+        endpoint = self.endpoints.get(destination)
         if endpoint is None or endpoint.handler is None:
             return Err(PeerFailure("connection refused", provably_not_sent=True))
         await endpoint.wait_until_thawed()
@@ -203,15 +177,13 @@
 
     async def _deliver(self, destination: NodeAddress, datagram: Datagram, delay_s: float) -> None:
         await anyio.sleep(delay_s)
-        endpoint = self._endpoints.get(destination)
+        endpoint = self.endpoints.get(destination)
         if endpoint is not None:
             endpoint.take(datagram)
 
-    def _quality(self, source: MemoryEndpoint, destination: NodeAddress) -> LinkQuality:
-        endpoint = self._endpoints.get(destination)
-        if endpoint is None:
-            return self._default_quality
-        return self._zone_quality.get((source.zone, endpoint.zone), self._default_quality)
+    def quality_of(self, source: MemoryEndpoint, destination: NodeAddress) -> LinkQuality:
+        """Return the quality of the link between two nodes."""
+        return self.default_quality
 
     def _is_lost(self, source: NodeAddress, destination: NodeAddress, quality: LinkQuality) -> bool:
         if (source, destination) in self._blocked:
