--- a/features/support/backend_fleet.py
+++ b/features/support/backend_fleet.py
@@ -16,6 +16,7 @@
     ServiceBackend,
     Tenant,
 )
+from weirscale.domain.prefix.chain import extend_chain
 from weirscale.domain.request.model import GenerationRequest
 from weirscale.node.backends.directory import BackendDirectory
 from weirscale.node.interfaces import ConfigurationInForce
@@ -139,6 +140,7 @@
             self.decisions,
             lambda zone: LINK_DELAY_S,
             self.random,
+            lambda seed, prompt, block_size_bytes: extend_chain(seed, prompt, 0, block_size_bytes),
         )
         self.services = ServiceRouter(self.directory, ZONES[0], self.random)
         for engine in deployment.engines:
--- a/features/support/local_allowances.py
+++ b/features/support/local_allowances.py
@@ -6,7 +6,7 @@
 from weirscale.domain.limits.token_bucket import TokenBucket
 
 
-class LocalAllowance:
+class LocalAllowance(TenantAllowance):
     """The whole limit on one node, for a process that stands alone."""
 
     def __init__(self, tenant: Tenant, now_s: float) -> None:
--- a/src/weirscale/domain/choice/policy.py
+++ b/src/weirscale/domain/choice/policy.py
@@ -1,8 +1,6 @@
-"""Interface of every policy that chooses an engine."""
+"""What a policy that chooses an engine is told, and what it answers."""
 
 from collections.abc import Sequence
-from random import Random
-from typing import Protocol
 
 import msgspec
 
@@ -118,27 +116,3 @@
     estimated_ttft_s: float = 0.0
     import_from: str | None = None
     import_block_hash: BlockHash | None = None
-
-
-class ChoicePolicy(Protocol):
-    """Chooses an engine; owned by one task, so it may keep state."""
-
-    def choose(
-        self,
-        request: ChoiceRequest,
-        candidates: Sequence[EngineCandidate],
-        now_s: float,
-        random: Random,
-    ) -> Choice | None:
-        """Choose among the candidates that are not excluded; None when none is left."""
-        ...
-
-    def note_sent(self, request: ChoiceRequest, engine: EngineName, now_s: float) -> None:
-        """Learn that the request was sent to the engine."""
-        ...
-
-    def note_finished(
-        self, request: ChoiceRequest, engine: EngineName, num_cached_tokens: int, now_s: float
-    ) -> None:
-        """Learn how many prompt tokens the engine really served from its cache."""
-        ...
--- a/src/weirscale/domain/choice/prefix_aware.py
+++ b/src/weirscale/domain/choice/prefix_aware.py
@@ -19,7 +19,6 @@
 import msgspec
 
 from weirscale.domain.choice.belief_trust import BeliefTrust
-from weirscale.domain.choice.beliefs import CacheBeliefs
 from weirscale.domain.choice.eligible import eligible_candidates
 from weirscale.domain.choice.engine_runs import EngineRuns
 from weirscale.domain.choice.estimate import NO_BELIEF, PromptBelief, cost_model, with_import
@@ -34,6 +33,7 @@
 from weirscale.domain.choice.recent_sends import RecentSends
 from weirscale.domain.configuration.model import RoutingObjective
 from weirscale.domain.identifiers import BlockHash, EngineName
+from weirscale.domain.prefix.cache_view import CacheView
 from weirscale.domain.rendezvous import rendezvous_score
 
 NUM_RANKED_PROPOSALS = 3
@@ -85,7 +85,7 @@
 
     def __init__(
         self,
-        beliefs: CacheBeliefs,
+        beliefs: CacheView,
         objective: RoutingObjective,
         noted: NotedSends | None = None,
         tell: TellSend | None = None,
--- a/src/weirscale/domain/limits/exchange.py
+++ b/src/weirscale/domain/limits/exchange.py
@@ -14,7 +14,7 @@
 
 from weirscale.domain.configuration.model import Tenant
 from weirscale.domain.identifiers import NodeAddress, TenantName, ZoneName
-from weirscale.domain.limits.allowance import TenantAllowance, UnlimitedAllowance
+from weirscale.domain.limits.allowance import TenantAllowance
 from weirscale.domain.limits.fair_queue import NOTHING, Waiting
 from weirscale.domain.limits.homes import NUM_SHARDS, Member, choose_homes, tenant_digest
 from weirscale.domain.limits.share_holding import ShareHolding
@@ -37,7 +37,7 @@
 MAX_ITEMS = 30
 """Tenants in one datagram: at most 28 bytes each, below the largest cast."""
 NO_LACK = (0, 0, 0)
-UNLIMITED = UnlimitedAllowance()
+UNLIMITED = TenantAllowance()
 
 
 class Outgoing(msgspec.Struct, frozen=True):
--- a/src/weirscale/domain/limits/share_holding.py
+++ b/src/weirscale/domain/limits/share_holding.py
@@ -1,7 +1,7 @@
 """What a node holds of one tenant's limits: tokens and leased slots from the zone's home."""
 
 from weirscale.domain.configuration.model import Tenant
-from weirscale.domain.limits.allowance import PROMPT_BURST_S
+from weirscale.domain.limits.allowance import PROMPT_BURST_S, TenantAllowance
 from weirscale.domain.limits.share_pool import NODE_LEASE_S
 from weirscale.messages.limits import TenantDemand, TenantGrant
 
@@ -17,8 +17,8 @@
 """Weight of the newest interval in the arrival rate."""
 
 
-class ShareHolding:
-    """A `TenantAllowance` fed by grants.
+class ShareHolding(TenantAllowance):
+    """An allowance fed by grants.
 
     Args:
         tenant: The tenant as configured.
--- a/src/weirscale/domain/prefix/block_set.py
+++ b/src/weirscale/domain/prefix/block_set.py
@@ -42,11 +42,6 @@
     def __contains__(self, block_hash: int) -> bool:
         return self._slots[self._find(block_hash or ZERO_SUBSTITUTE)] != EMPTY
 
-    @property
-    def num_bytes(self) -> int:
-        """Memory of the table."""
-        return len(self._slots) * self._slots.itemsize
-
     def add(self, block_hash: int) -> bool:
         """Add a hash; False if it was there."""
         block_hash = block_hash or ZERO_SUBSTITUTE
--- a/src/weirscale/domain/prefix/cache_view.py
+++ b/src/weirscale/domain/prefix/cache_view.py
@@ -56,7 +56,7 @@
 
 
 class CacheView:
-    """Beliefs about the engines of a zone; implements `CacheBeliefs`."""
+    """Beliefs about the engines of a zone; hints, never promises."""
 
     def __init__(self) -> None:
         self._masks = EngineMasks()
--- a/src/weirscale/domain/prefix/engine_masks.py
+++ b/src/weirscale/domain/prefix/engine_masks.py
@@ -60,10 +60,6 @@
             if is_removed(key):
                 self.remove(key, bit)
 
-    def mask(self, key: int) -> int:
-        """Return the bits of the engines that hold the key."""
-        return self._masks.get(key, 0) & self._live
-
     def keys_of(self, bit: int) -> set[int]:
         """Return all keys of one engine; scans the table."""
         return {key for key, mask in self._masks.items() if mask & bit}
--- a/src/weirscale/messages/digest.py
+++ b/src/weirscale/messages/digest.py
@@ -56,20 +56,8 @@
     @staticmethod
     def of(report: LoadReport, age_s: float) -> "LoadSummary":
         """Summarise a report that was read `age_s` ago."""
-        return LoadSummary(
-            adapters=report.adapters,
-            num_running=report.num_running,
-            num_waiting=report.num_waiting,
-            num_waiting_prefill_tokens=report.num_waiting_prefill_tokens,
-            num_cached_blocks=report.num_cached_blocks,
-            num_total_blocks=report.num_total_blocks,
-            is_leaving=report.is_leaving,
-            order_token=report.order_token,
-            age_s=round(age_s, 2),
-            role=report.role,
-            loading_token=report.loading_token,
-            failed_load_token=report.failed_load_token,
-        )
+        fields = {name: getattr(report, name) for name in REPORTED_FIELDS}
+        return LoadSummary(age_s=round(age_s, 2), **fields)
 
     def report(
         self,
@@ -79,23 +67,12 @@
         weight_version: WeightVersion | None,
     ) -> LoadReport:
         """Return the whole report again."""
-        return LoadReport(
-            engine=engine,
-            incarnation=incarnation,
-            model=model,
-            weight_version=weight_version,
-            adapters=self.adapters,
-            num_running=self.num_running,
-            num_waiting=self.num_waiting,
-            num_waiting_prefill_tokens=self.num_waiting_prefill_tokens,
-            num_cached_blocks=self.num_cached_blocks,
-            num_total_blocks=self.num_total_blocks,
-            is_leaving=self.is_leaving,
-            order_token=self.order_token,
-            role=self.role,
-            loading_token=self.loading_token,
-            failed_load_token=self.failed_load_token,
-        )
+        fields = {name: getattr(self, name) for name in REPORTED_FIELDS}
+        return LoadReport(engine, incarnation, model, weight_version, **fields)
+
+
+REPORTED_FIELDS = tuple(name for name in LoadSummary.__struct_fields__ if name != "age_s")
+"""What a summary and the report have in common."""
 
 
 class LoadDigest(msgspec.Struct, frozen=True, array_like=True, tag="load_digest"):
--- a/src/weirscale/node/claims/registry.py
+++ b/src/weirscale/node/claims/registry.py
@@ -112,10 +112,6 @@
         """The epochs of the groups that this node holds."""
         return tuple(KnownEpoch(group, held.epoch) for group, held in self._holders.items())
 
-    def num_claims(self) -> int:
-        """Claims that this node keeps in all its groups."""
-        return sum(holder.num_entries for holder in self._holders.values())
-
     def is_active(self, group: int, epoch: int) -> bool:
         """Whether this node answers for an epoch of a group."""
         holder = self._holders.get(group)
--- a/src/weirscale/node/routing/engine_router.py
+++ b/src/weirscale/node/routing/engine_router.py
@@ -7,7 +7,8 @@
 import msgspec
 from result import Err, Ok, Result
 
-from weirscale.domain.choice.policy import Choice, ChoicePolicy, ChoiceRequest
+from weirscale.domain.choice.policy import Choice, ChoiceRequest
+from weirscale.domain.choice.prefix_aware import PrefixAware
 from weirscale.domain.identifiers import (
     BlockHash,
     EngineName,
@@ -15,7 +16,7 @@
     WeightVersion,
     ZoneName,
 )
-from weirscale.domain.prefix.chain import BYTES_PER_TOKEN, chain_seed, extend_chain
+from weirscale.domain.prefix.chain import BYTES_PER_TOKEN, chain_seed
 from weirscale.domain.request.model import GenerationRequest
 from weirscale.domain.request.refusal import Refusal
 from weirscale.domain.request.refusals import not_configured, unknown_model
@@ -57,11 +58,6 @@
 ChooseResult = Result[ChosenEngine, Refusal]
 
 
-def hash_whole_prompt(seed: BlockHash, prompt: bytes, block_size_bytes: int) -> list[BlockHash]:
-    """Hash every full block of a prompt."""
-    return extend_chain(seed, prompt, 0, block_size_bytes)
-
-
 class _Choose(msgspec.Struct, frozen=True):
     request: GenerationRequest
     attempt: int
@@ -102,17 +98,17 @@
         decisions: Where decisions are remembered.
         link_delay_s: One-way delay from this node to a zone.
         random: For the policy and for slow returns.
-        hash_prompt: Hashes prompts; one that remembers hot prefixes may be given.
+        hash_prompt: Hashes prompts.
     """
 
     def __init__(
         self,
         directory: BackendDirectory,
-        policy: ChoicePolicy,
+        policy: PrefixAware,
         decisions: DecisionLog,
         link_delay_s: Callable[[ZoneName], float],
         random: Random,
-        hash_prompt: HashPrompt = hash_whole_prompt,
+        hash_prompt: HashPrompt,
     ) -> None:
         self._directory = directory
         self._policy = policy
