--- a/features/steps/engine_behaviour_steps.py
+++ b/features/steps/engine_behaviour_steps.py
@@ -7,14 +7,14 @@
 
 from features.support.async_steps import async_when
 from features.support.engine_calls import collect, make_call
+from features.support.faulty_stores import FaultyKeptKvStore, FaultyWeightStore, StoreFaults
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.domain.prefix.chain import chain_seed, extend_chain
 from weirscale.ports.engine import EngineOrder, LoadModel
 from weirscale.standins.engine.answer import expected_text
 from weirscale.standins.engine.in_process import InProcessEngine
 from weirscale.standins.engine.settings import EngineSettings
-from weirscale.standins.faults import StoreFaults
-from weirscale.standins.kept_kv.in_process import InProcessKeptKvStore, KeptKvSettings
+from weirscale.standins.kept_kv.in_process import KeptKvSettings
 from weirscale.standins.weight_store.in_process import InProcessWeightStore, WeightStoreSettings
 
 PROMPT = b"twenty bytes of text" * 1000
@@ -119,7 +119,7 @@
     async def without_store(engine):
         return await time_to_first_chunk(engine, call)
 
-    store = InProcessKeptKvStore(KeptKvSettings(name="mezgeb"))
+    store = FaultyKeptKvStore(KeptKvSettings(name="mezgeb"))
     engine = InProcessEngine(SETTINGS, Random(1), block_stores={"mezgeb:1": store})
     with_store_s, context.chunk = run_with_engine(engine, scenario)
     plain_s = run_with_engine(InProcessEngine(SETTINGS, Random(1)), without_store)
@@ -154,8 +154,8 @@
 
 
 async def use_stores(faults):
-    kept = InProcessKeptKvStore(KeptKvSettings(name="mezgeb"))
-    weights = InProcessWeightStore(WeightStoreSettings())
+    kept = FaultyKeptKvStore(KeptKvSettings(name="mezgeb"))
+    weights = FaultyWeightStore(WeightStoreSettings())
     await kept.export_blocks([1, 2, 3, 4, 5])
     kept.faults.set(faults)
     weights.faults.set(faults)
--- /dev/null
+++ b/features/support/faulty_stores.py
@@ -0,0 +1,52 @@
+"""Stand-ins of the kept-KV and the weight store that fail and stall."""
+
+import anyio
+from result import Err
+
+from weirscale.standins.faults import Faults, FaultSwitch
+from weirscale.standins.kept_kv.in_process import InProcessKeptKvStore
+from weirscale.standins.weight_store.in_process import InProcessWeightStore
+
+
+class StoreFaults(Faults, frozen=True, kw_only=True):
+    """What goes wrong at a kept-KV or weight store; the default is nothing.
+
+    `is_dead`: every call fails at once; `is_stalled`: no call is answered; `delay_s`: every call
+    takes this much longer.
+    """
+
+    is_dead: bool = False
+    is_stalled: bool = False
+    delay_s: float = 0.0
+
+
+async def failure_of(switch):
+    """Return the failure of one more call, which may also stall or take longer."""
+    faults = switch.strike()
+    if faults.is_dead:
+        return Err("the store is down")
+    if faults.is_stalled:
+        await anyio.sleep_forever()
+    await anyio.sleep(faults.delay_s)
+    return None
+
+
+class FaultyKeptKvStore(InProcessKeptKvStore):
+    def __init__(self, settings):
+        super().__init__(settings)
+        self.faults = FaultSwitch(StoreFaults())
+
+    async def import_blocks(self, block_hashes):
+        return await failure_of(self.faults) or await super().import_blocks(block_hashes)
+
+    async def export_blocks(self, block_hashes):
+        return await failure_of(self.faults) or await super().export_blocks(block_hashes)
+
+
+class FaultyWeightStore(InProcessWeightStore):
+    def __init__(self, settings, broken_versions=()):
+        super().__init__(settings, broken_versions)
+        self.faults = FaultSwitch(StoreFaults())
+
+    async def fetch(self, engine, load, num_bytes):
+        return await failure_of(self.faults) or await super().fetch(engine, load, num_bytes)
--- a/src/weirscale/standins/faults.py
+++ b/src/weirscale/standins/faults.py
@@ -82,20 +82,6 @@
     fail_status: int | None = None
 
 
-class StoreFaults(Faults, frozen=True, kw_only=True):
-    """What goes wrong at a kept-KV or weight store; the default is nothing.
-
-    Attributes:
-        is_dead: Every call fails at once.
-        is_stalled: No call is answered.
-        delay_s: Every call takes this much longer.
-    """
-
-    is_dead: bool = False
-    is_stalled: bool = False
-    delay_s: float = 0.0
-
-
 FaultsT = TypeVar("FaultsT", bound=Faults)
 
 
--- a/src/weirscale/standins/kept_kv/in_process.py
+++ b/src/weirscale/standins/kept_kv/in_process.py
@@ -9,12 +9,9 @@
 
 import anyio
 import msgspec
-from result import Err, Ok, Result
+from result import Ok, Result
 
 from weirscale.domain.identifiers import BlockHash
-from weirscale.standins.faults import FaultSwitch, StoreFaults
-
-NO_FAULTS = StoreFaults()
 
 
 class KeptKvSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -38,7 +35,6 @@
 
     def __init__(self, settings: KeptKvSettings) -> None:
         self.settings = settings
-        self.faults: FaultSwitch[StoreFaults] = FaultSwitch(NO_FAULTS)
         self._blocks: OrderedDict[BlockHash, None] = OrderedDict()
         self.num_imported_blocks = 0
 
@@ -50,9 +46,7 @@
     async def import_blocks(self, block_hashes: Sequence[BlockHash]) -> Result[int, str]:
         """Read a chain of blocks; answers how many leading ones were there."""
         num_found = self._num_leading(block_hashes)
-        failure = await self._call(num_found)
-        if failure is not None:
-            return Err(failure)
+        await self._call(num_found)
         for block_hash in block_hashes[:num_found]:
             if block_hash in self._blocks:
                 self._blocks.move_to_end(block_hash)
@@ -62,9 +56,7 @@
     async def export_blocks(self, block_hashes: Sequence[BlockHash]) -> Result[None, str]:
         """Keep a chain of blocks; those already held cost no transfer."""
         missing = [item for item in block_hashes if item not in self._blocks]
-        failure = await self._call(len(missing))
-        if failure is not None:
-            return Err(failure)
+        await self._call(len(missing))
         # Deep blocks are written first, so that they are evicted before those they depend on.
         for block_hash in reversed(block_hashes):
             self._blocks[block_hash] = None
@@ -79,12 +71,6 @@
                 return index
         return len(block_hashes)
 
-    async def _call(self, num_blocks: int) -> str | None:
-        faults = self.faults.strike()
-        if faults.is_dead:
-            return "the kept-KV store is down; compute the prefix"
-        if faults.is_stalled:
-            await anyio.sleep_forever()
+    async def _call(self, num_blocks: int) -> None:
         transfer_s = num_blocks * self.settings.block_transfer_s
-        await anyio.sleep(self.settings.call_latency_s + transfer_s + faults.delay_s)
-        return None
+        await anyio.sleep(self.settings.call_latency_s + transfer_s)
--- a/src/weirscale/standins/weight_store/in_process.py
+++ b/src/weirscale/standins/weight_store/in_process.py
@@ -8,9 +8,7 @@
 
 from weirscale.domain.identifiers import EngineName, ModelName, WeightVersion
 from weirscale.ports.engine import LoadModel
-from weirscale.standins.faults import FaultSwitch, StoreFaults
 
-NO_FAULTS = StoreFaults()
 DONE_BYTES = 1024.0
 """Less than this left is rounding: the read is complete."""
 
@@ -61,7 +59,6 @@
         """
         self.settings = settings
         self.broken_versions = set(broken_versions)
-        self.faults: FaultSwitch[StoreFaults] = FaultSwitch(NO_FAULTS)
         self.loads: list[WeightLoad] = []
         self._running: list[WeightLoad] = []
         self._changed = anyio.Event()
@@ -70,12 +67,6 @@
 
     async def fetch(self, engine: EngineName, load: LoadModel, num_bytes: int) -> Result[None, str]:
         """Read all weights; takes as long as the reading does."""
-        faults = self.faults.strike()
-        if faults.is_dead:
-            return Err("the weight store is down; give the order again later")
-        if faults.is_stalled:
-            await anyio.sleep_forever()
-        await anyio.sleep(faults.delay_s)
         await self._wait_for_start()
         now_s = anyio.current_time()
         read = WeightLoad(engine, load.model, load.weight_version, float(num_bytes), now_s)
