--- a/features/steps/configuration_spread_steps.py
+++ b/features/steps/configuration_spread_steps.py
@@ -18,7 +18,8 @@
 from weirscale.messages.configuration import ConfigurationReply
 from weirscale.node.configuration.holder import MAX_KEPT_REVISIONS, ConfigurationHolder
 from weirscale.node.configuration.spread import ConfigurationSpread
-from weirscale.node.interfaces import Peer, PeerFailure, PeerState
+from weirscale.node.interfaces import Peer, PeerState
+from weirscale.ports.peers import PeerFailure
 
 SEEDS = (1,)
 QUIET_S = 60
--- a/features/steps/peers_link_steps.py
+++ b/features/steps/peers_link_steps.py
@@ -23,7 +23,7 @@
     PeerKey,
     address_binding,
 )
-from weirscale.node.peers.link import AuthenticatedPeerLink
+from weirscale.node.peers.link import PeerLink
 from weirscale.ports.peers_network import UdpHttpPeerNetwork
 
 OLD_KEY = PeerKey(1, b"old secret of 24 bytes..")
@@ -60,9 +60,7 @@
         self.address = address
         self.casts = []
         self.num_calls = 0
-        self.link = AuthenticatedPeerLink(
-            network, node_id, address, self.keys, random.Random(str(node_id))
-        )
+        self.link = PeerLink(network, node_id, address, self.keys, random.Random(str(node_id)))
         self.link.on_cast(Note, lambda source, note: self.casts.append((source, note.text)))
         self.link.on_call(Question, self.answer)
 
--- a/features/support/configuration_fleet.py
+++ b/features/support/configuration_fleet.py
@@ -24,7 +24,7 @@
 from weirscale.node.configuration.outcome import Accepted, ApplyOutcome
 from weirscale.node.configuration.task import ConfigurationTask
 from weirscale.node.interfaces import Peer, PeerState
-from weirscale.node.peers.link import AuthenticatedPeerLink
+from weirscale.node.peers.link import PeerLink
 from weirscale.standins.key_value.in_process import InProcessKeyValue
 from weirscale.standins.key_value.server import KeyValueServer
 
@@ -110,9 +110,7 @@
         self.scope = anyio.CancelScope()
         self.endpoint = network.attach(own.address, own.zone)
         random = Random(f"{own.node}")
-        self.link = AuthenticatedPeerLink(
-            self.endpoint, own.node, own.address, KeyRing((FLEET_KEY,)), random
-        )
+        self.link = PeerLink(self.endpoint, own.node, own.address, KeyRing((FLEET_KEY,)), random)
         self.port = InProcessKeyValue(server)
         self.task = ConfigurationTask(
             self.port,
--- a/features/support/membership_fleet.py
+++ b/features/support/membership_fleet.py
@@ -13,7 +13,7 @@
 from weirscale.messages.envelope import KeyRing, PeerKey
 from weirscale.node.interfaces import Peer
 from weirscale.node.membership import MembershipTask
-from weirscale.node.peers.link import AuthenticatedPeerLink
+from weirscale.node.peers.link import PeerLink
 
 FLEET_KEY = PeerKey(1, b"key of the membership fleet")
 PEER_PORT = 7100
@@ -52,9 +52,7 @@
         self.address = address
         self.zone = zone
         self.endpoint: MemoryEndpoint = network.attach(address, zone)
-        self.link = AuthenticatedPeerLink(
-            self.endpoint, node, address, KeyRing((FLEET_KEY,)), random
-        )
+        self.link = PeerLink(self.endpoint, node, address, KeyRing((FLEET_KEY,)), random)
         self.membership = MembershipTask(
             self.link, node, address, zone, seeds, random, rules, sleep=self.endpoint.sleep
         )
--- a/features/support/placement_states_fleet.py
+++ b/features/support/placement_states_fleet.py
@@ -32,7 +32,7 @@
 from weirscale.messages.envelope import KeyRing, PeerKey
 from weirscale.node.backends.facts import EMPTY_SNAPSHOT, DirectorySnapshot, EngineFacts
 from weirscale.node.interfaces import ConfigurationInForce, Peer, PeerState
-from weirscale.node.peers.link import AuthenticatedPeerLink
+from weirscale.node.peers.link import PeerLink
 from weirscale.node.placement.fleet_states import FleetStates
 from weirscale.node.placement.states_server import EngineStatesServer
 from weirscale.node.placement.task import PlacementTask
@@ -131,7 +131,7 @@
         self.held = False
         self._fleet = fleet
         endpoint = fleet.network.attach(peer.address, peer.zone)
-        self.link = AuthenticatedPeerLink(endpoint, peer.node, peer.address, KEYS, random)
+        self.link = PeerLink(endpoint, peer.node, peer.address, KEYS, random)
         self.server = EngineStatesServer(self, self.link)
         self.states = FleetStates(self, self, self.link, self)
         self.planner = PlacementTask(
--- a/src/weirscale/node/assembly.py
+++ b/src/weirscale/node/assembly.py
@@ -42,7 +42,7 @@
 from weirscale.node.membership.task import MembershipTask
 from weirscale.node.node_ports import NodeIdentity, NodePorts
 from weirscale.node.operators.app import OperatorApp
-from weirscale.node.peers.link import AuthenticatedPeerLink
+from weirscale.node.peers.link import PeerLink
 from weirscale.node.placement.fleet_states import FleetStates
 from weirscale.node.placement.states_server import EngineStatesServer
 from weirscale.node.placement.status import PlacementStatus
@@ -78,9 +78,7 @@
     ) -> None:
         self.identity = identity
         self._event_log = event_log
-        self.link = AuthenticatedPeerLink(
-            ports.network, identity.node, identity.address, keys, random
-        )
+        self.link = PeerLink(ports.network, identity.node, identity.address, keys, random)
         self.membership = MembershipTask(
             self.link,
             identity.node,
--- a/src/weirscale/node/claims/ledger.py
+++ b/src/weirscale/node/claims/ledger.py
@@ -50,8 +50,8 @@
     ClaimState,
     ConfigurationView,
     MembershipView,
-    PeerLink,
 )
+from weirscale.node.peers.link import PeerLink
 from weirscale.ports.event_log import EventLog
 from weirscale.ports.key_value import KeyValuePort
 
--- a/src/weirscale/node/claims/log.py
+++ b/src/weirscale/node/claims/log.py
@@ -13,7 +13,7 @@
 from weirscale.node.claims.log_mark import LogMark, read_marked
 from weirscale.node.claims.log_writer import ClaimLogWriter
 from weirscale.node.claims.registry import HolderRegistry
-from weirscale.node.interfaces import PeerLink
+from weirscale.node.peers.link import PeerLink
 from weirscale.ports.key_value import KeyValueFailure, KeyValuePort
 
 
--- a/src/weirscale/node/claims/peers.py
+++ b/src/weirscale/node/claims/peers.py
@@ -8,7 +8,8 @@
 
 from weirscale.domain.claims.model import Holder
 from weirscale.domain.claims.planning import LiveNode
-from weirscale.node.interfaces import MembershipView, PeerLink, PeerState
+from weirscale.node.interfaces import MembershipView, PeerState
+from weirscale.node.peers.link import PeerLink
 
 ReplyT = TypeVar("ReplyT", bound=msgspec.Struct)
 
--- a/src/weirscale/node/claims/registry.py
+++ b/src/weirscale/node/claims/registry.py
@@ -29,7 +29,7 @@
     KnownEpoch,
 )
 from weirscale.node.claims.epochs import EpochDirectory
-from weirscale.node.interfaces import PeerLink
+from weirscale.node.peers.link import PeerLink
 
 COPY_PAGE_CLAIMS = 2000
 """Claims in one page of a copy: some 150 kB, a few milliseconds to encode."""
--- a/src/weirscale/node/configuration/spread.py
+++ b/src/weirscale/node/configuration/spread.py
@@ -24,8 +24,9 @@
 from weirscale.node.configuration.backoff import Backoff
 from weirscale.node.configuration.holder import ConfigurationHolder
 from weirscale.node.configuration.reader import Offer, Sleep
-from weirscale.node.interfaces import MembershipView, Peer, PeerLink
+from weirscale.node.interfaces import MembershipView, Peer
 from weirscale.node.mailbox import Mailbox
+from weirscale.node.peers.link import PeerLink
 
 ANNOUNCE_FANOUT = 6
 """Announcements of a new revision from each node; about e^-6 of the nodes hear none of them."""
--- a/src/weirscale/node/configuration/status.py
+++ b/src/weirscale/node/configuration/status.py
@@ -13,7 +13,8 @@
 from weirscale.node.configuration.holder import ConfigurationHolder
 from weirscale.node.configuration.reader import ConfigurationReader
 from weirscale.node.configuration.spread import ConfigurationSpread
-from weirscale.node.interfaces import MembershipView, Peer, PeerLink, PeerState
+from weirscale.node.interfaces import MembershipView, Peer, PeerState
+from weirscale.node.peers.link import PeerLink
 
 STATUS_PATH = "/operator/configuration"
 """Path on a node's operator port that answers with a `FleetConfigurationStatus` as JSON."""
--- a/src/weirscale/node/configuration/task.py
+++ b/src/weirscale/node/configuration/task.py
@@ -12,8 +12,9 @@
 from weirscale.node.configuration.reader import ConfigurationReader, Sleep
 from weirscale.node.configuration.spread import ConfigurationSpread
 from weirscale.node.configuration.status import ConfigurationStatusTask, FleetConfigurationStatus
-from weirscale.node.interfaces import ConfigurationInForce, MembershipView, PeerLink
+from weirscale.node.interfaces import ConfigurationInForce, MembershipView
 from weirscale.node.mailbox import Mailbox
+from weirscale.node.peers.link import PeerLink
 from weirscale.ports.event_log import EventLog
 from weirscale.ports.key_value import KeyValuePort
 
--- a/src/weirscale/node/home/engine_home.py
+++ b/src/weirscale/node/home/engine_home.py
@@ -22,7 +22,7 @@
 from weirscale.node.backends.directory import BackendDirectory
 from weirscale.node.home.rate import RateGate
 from weirscale.node.home.rules import HomeRules
-from weirscale.node.interfaces import PeerLink
+from weirscale.node.peers.link import PeerLink
 from weirscale.ports.engine import EngineFailure, EngineFailureKind, EnginePort
 
 LOAD_DIGEST_BYTES = 160
--- a/src/weirscale/node/home/home_task.py
+++ b/src/weirscale/node/home/home_task.py
@@ -19,9 +19,9 @@
     ConfigurationView,
     MembershipView,
     Peer,
-    PeerLink,
     PeerState,
 )
+from weirscale.node.peers.link import PeerLink
 
 
 class _Running(msgspec.Struct):
--- a/src/weirscale/node/home/notes_task.py
+++ b/src/weirscale/node/home/notes_task.py
@@ -12,8 +12,8 @@
 from weirscale.domain.prefix.note_budget import NoteBudget
 from weirscale.messages.digest import SendNote, pack_keys, unpack_keys
 from weirscale.node.home.rules import HomeRules
-from weirscale.node.interfaces import PeerLink
 from weirscale.node.mailbox import Mailbox
+from weirscale.node.peers.link import PeerLink
 
 MAX_NOTE_KEYS = 180
 """Deeper steps of the ladder are left out, so that a note fits one cast; reached by no prompt
@@ -34,7 +34,10 @@
     """
 
     def __init__(
-        self, link: PeerLink, receivers: Callable[[], Sequence[NodeAddress]], rules: HomeRules
+        self,
+        link: PeerLink,
+        receivers: Callable[[], Sequence[NodeAddress]],
+        rules: HomeRules,
     ) -> None:
         self.noted = NotedSends()
         self.num_unsent = 0
--- a/src/weirscale/node/home/view_task.py
+++ b/src/weirscale/node/home/view_task.py
@@ -18,8 +18,8 @@
 from weirscale.node.backends.directory import BackendDirectory
 from weirscale.node.home.rate import RateGate
 from weirscale.node.home.rules import HomeRules
-from weirscale.node.interfaces import PeerLink
 from weirscale.node.mailbox import Mailbox
+from weirscale.node.peers.link import PeerLink
 
 EXPIRE_INTERVAL_S = 1.0
 BURST_REQUESTS = 4
--- a/src/weirscale/node/interfaces.py
+++ b/src/weirscale/node/interfaces.py
@@ -5,11 +5,9 @@
 """
 
 import enum
-from collections.abc import Awaitable, Callable
 from typing import Protocol
 
 import msgspec
-from result import Result
 
 from weirscale.domain.choice.policy import Choice
 from weirscale.domain.configuration.model import Deployment
@@ -30,7 +28,6 @@
     ServiceResponse,
 )
 from weirscale.ports.engine import EngineFailure, EnginePort
-from weirscale.ports.peers import PeerFailure
 from weirscale.ports.service import ServicePort
 
 
@@ -92,47 +89,6 @@
         ...
 
 
-class PeerLink(Protocol):
-    """Authenticated typed messages between nodes.
-
-    Message types are msgspec Structs registered with `on_cast` or `on_call` by the task that
-    handles them; the type's tag names it on the wire.
-    """
-
-    async def cast(self, destination: NodeAddress, message: msgspec.Struct) -> None:
-        """Send one message; it may be lost, doubled or reordered."""
-        ...
-
-    async def call(
-        self, destination: NodeAddress, message: msgspec.Struct, timeout_s: float
-    ) -> Result[msgspec.Struct, PeerFailure]:
-        """Send a message of any size and await its typed reply."""
-        ...
-
-    def on_cast(
-        self,
-        message_type: type[msgspec.Struct],
-        handler: Callable[[NodeAddress, msgspec.Struct], None],
-    ) -> None:
-        """Have casts of a type given to a handler, which must not block."""
-        ...
-
-    def on_call(
-        self,
-        message_type: type[msgspec.Struct],
-        handler: Callable[[msgspec.Struct], Awaitable[msgspec.Struct]],
-    ) -> None:
-        """Have calls of a type answered by an async handler that returns a registered struct.
-
-        Reply types in the handler's return annotation are registered with it.
-        """
-        ...
-
-    def register(self, *message_types: type[msgspec.Struct]) -> None:
-        """Make types known that this node only receives as replies."""
-        ...
-
-
 class ChosenEngine(msgspec.Struct, frozen=True):
     """An engine chosen for one attempt.
 
--- a/src/weirscale/node/limits/fleet.py
+++ b/src/weirscale/node/limits/fleet.py
@@ -10,8 +10,9 @@
 from weirscale.domain.limits.fair_queue import WaitingRequest
 from weirscale.domain.limits.homes import Member
 from weirscale.messages.limits import LimitDemand, LimitGrant
-from weirscale.node.interfaces import ConfigurationView, MembershipView, PeerLink, PeerState
+from weirscale.node.interfaces import ConfigurationView, MembershipView, PeerState
 from weirscale.node.limits.task import MIN_RUNNING, AdmissionTask, node_capacity
+from weirscale.node.peers.link import PeerLink
 
 FLEET_POLL_S = 0.25
 """How often a node without messages looks at what it owes its peers."""
--- a/src/weirscale/node/membership/task.py
+++ b/src/weirscale/node/membership/task.py
@@ -23,8 +23,9 @@
     SyncReply,
     SyncRequest,
 )
-from weirscale.node.interfaces import Peer, PeerLink, PeerState
+from weirscale.node.interfaces import Peer, PeerState
 from weirscale.node.mailbox import Mailbox
+from weirscale.node.peers.link import PeerLink
 from weirscale.ports.machines import MachineListPort
 
 SYNC_TIMEOUT_S = 3.0
--- a/src/weirscale/node/peers/asking.py
+++ b/src/weirscale/node/peers/asking.py
@@ -8,7 +8,8 @@
 import msgspec
 from result import Ok
 
-from weirscale.node.interfaces import Peer, PeerLink
+from weirscale.node.interfaces import Peer
+from weirscale.node.peers.link import PeerLink
 
 AnswerT = TypeVar("AnswerT")
 
--- a/src/weirscale/node/peers/link.py
+++ b/src/weirscale/node/peers/link.py
@@ -33,8 +33,11 @@
 """Name of challenges and their answers in the traffic counts."""
 
 
-class AuthenticatedPeerLink:
-    """Implements `node.interfaces.PeerLink`; `run` must be running for casts to arrive.
+class PeerLink:
+    """Authenticated typed messages between nodes; `run` must be running for casts to arrive.
+
+    Message types are msgspec Structs registered with `on_cast` or `on_call` by the task that
+    handles them; the type's tag names it on the wire.
 
     Handlers see a message only after its envelope was authenticated, its sender's run is known
     to be live (it answered a challenge) and its counter is new. The address given to a cast
--- a/src/weirscale/node/placement/fleet_states.py
+++ b/src/weirscale/node/placement/fleet_states.py
@@ -24,7 +24,8 @@
 from weirscale.node.backends.facts import EngineFacts
 from weirscale.node.duties.view import DutyView
 from weirscale.node.home.homes import home_of
-from weirscale.node.interfaces import MembershipView, PeerLink
+from weirscale.node.interfaces import MembershipView
+from weirscale.node.peers.link import PeerLink
 
 
 class StatesRules(msgspec.Struct, frozen=True):
--- a/src/weirscale/node/placement/states_server.py
+++ b/src/weirscale/node/placement/states_server.py
@@ -19,7 +19,7 @@
 )
 from weirscale.node.backends.directory import BackendDirectory
 from weirscale.node.backends.facts import DirectorySnapshot, EngineFacts
-from weirscale.node.interfaces import PeerLink
+from weirscale.node.peers.link import PeerLink
 
 
 class EngineStatesServer:
--- a/src/weirscale/node/placement/status.py
+++ b/src/weirscale/node/placement/status.py
@@ -3,8 +3,9 @@
 import msgspec
 
 from weirscale.messages.placement import PlacementStatusReply, PlacementStatusRequest
-from weirscale.node.interfaces import MembershipView, PeerLink
+from weirscale.node.interfaces import MembershipView
 from weirscale.node.peers.asking import first_answer
+from weirscale.node.peers.link import PeerLink
 from weirscale.node.placement.task import PlacementTask
 
 STATUS_TIMEOUT_S = 2.0
