--- a/src/weirscale/experiments/run/fleet.py
+++ b/src/weirscale/experiments/run/fleet.py
@@ -13,8 +13,9 @@
 from weirscale.experiments.history.records import ConfigurationTaken, NodeChange, NodeChanged
 from weirscale.experiments.memory_network import MemoryEndpoint, MemoryNetwork
 from weirscale.experiments.run.exchange import CallerExchange, Connect, HttpRequest
-from weirscale.experiments.run.node_process import FleetNode, NodeFactory, NodeProcess, NodeSetup
+from weirscale.experiments.run.node_process import NodeFactory, NodeProcess, NodeSetup
 from weirscale.experiments.run.recorder import Recorder
+from weirscale.node.assembly import Node
 
 PEER_PORT = 7400
 FIRST_HOST_NUMBER = 1
@@ -83,7 +84,7 @@
         member.process = process
         run_number = member.num_starts
 
-        def make(tasks: TaskGroup) -> FleetNode:
+        def make(tasks: TaskGroup) -> Node:
             setup = NodeSetup(
                 name=place.name,
                 zone=place.zone,
@@ -203,7 +204,7 @@
     def _record(self, name: NodeName, change: NodeChange) -> None:
         self._recorder.add(NodeChanged(at_s=self._recorder.now(), node=name, change=change))
 
-    async def _watch_configuration(self, name: NodeName, node: FleetNode) -> None:
+    async def _watch_configuration(self, name: NodeName, node: Node) -> None:
         """Record each revision that a node puts in force."""
         revision = ConfigurationRevision(0)
         while True:
--- a/src/weirscale/experiments/run/node_factory.py
+++ b/src/weirscale/experiments/run/node_factory.py
@@ -9,7 +9,7 @@
 from weirscale.experiments.run.fleet import Fleet
 from weirscale.experiments.run.gates import GatedEngine, GatedMachines, GatedService
 from weirscale.experiments.run.links import Path
-from weirscale.experiments.run.node_process import FleetNode, NodeSetup
+from weirscale.experiments.run.node_process import NodeSetup
 from weirscale.experiments.run.platform import Platform
 from weirscale.experiments.run.platform_gates import GatedKeyValue, GatedPeers
 from weirscale.experiments.run.recorder import Recorder
@@ -58,7 +58,7 @@
         self._random = random
         self._event_log = event_log
 
-    def make(self, setup: NodeSetup) -> FleetNode:
+    def make(self, setup: NodeSetup) -> Node:
         """Make the node of one run."""
         identity = NodeIdentity(
             node=NodeId(setup.name, Incarnation(epoch_ms() + setup.run_number)),
--- a/src/weirscale/experiments/run/node_process.py
+++ b/src/weirscale/experiments/run/node_process.py
@@ -1,7 +1,7 @@
 """One run of a virtual node: its tasks, its life and the exchanges with its callers."""
 
-from collections.abc import Awaitable, Callable, MutableMapping
-from typing import Any, Protocol
+from collections.abc import Callable, MutableMapping
+from typing import Any
 
 import anyio
 import msgspec
@@ -10,42 +10,12 @@
 from weirscale.domain.identifiers import NodeAddress, NodeName, ZoneName
 from weirscale.experiments.run.exchange import Exchange, HttpRequest, Message
 from weirscale.experiments.run.life import ProcessKilled, ProcessLife
-from weirscale.node.interfaces import ConfigurationView
-
-AsgiMessage = MutableMapping[str, Any]
-CallerApplication = Callable[
-    [AsgiMessage, Callable[[], Awaitable[AsgiMessage]], Callable[[AsgiMessage], Awaitable[None]]],
-    Awaitable[None],
-]
-"""The ASGI application that callers reach."""
-
+from weirscale.node.assembly import Node
 
 FLUSH_S = 0.01
 """What a server needs to send answers that are complete."""
 
 
-class FleetNode(Protocol):
-    """What the harness needs of a node, whatever it is made of."""
-
-    @property
-    def configuration(self) -> ConfigurationView:
-        """The configuration in force."""
-        ...
-
-    @property
-    def caller_app(self) -> CallerApplication:
-        """The application that callers reach."""
-        ...
-
-    async def run(self) -> None:
-        """Run the node's tasks until cancelled."""
-        ...
-
-    async def drain(self) -> object:
-        """Refuse new requests, finish all others, then return."""
-        ...
-
-
 class NodeSetup(msgspec.Struct, frozen=True):
     """What a run of a node is made from.
 
@@ -66,7 +36,7 @@
     tasks: TaskGroup
 
 
-NodeFactory = Callable[[NodeSetup], FleetNode]
+NodeFactory = Callable[[NodeSetup], Node]
 """Makes the node of one run; its ports must pass the gates of the setup's life."""
 
 
@@ -81,7 +51,7 @@
 
     def __init__(self, failures: list[Exception]) -> None:
         self.life = ProcessLife()
-        self.node: FleetNode | None = None
+        self.node: Node | None = None
         self.failures = failures
         self._tasks: TaskGroup | None = None
         self._scope = anyio.CancelScope()
@@ -97,7 +67,7 @@
         """Exchanges that have not ended."""
         return len(self._exchanges)
 
-    async def run(self, make_node: Callable[[TaskGroup], FleetNode]) -> None:
+    async def run(self, make_node: Callable[[TaskGroup], Node]) -> None:
         """Run until killed or stopped; never raises."""
         try:
             with self._scope:
@@ -143,13 +113,12 @@
         self._tasks.start_soon(self._serve, self.node, exchange)
         return exchange
 
-    async def _serve(self, node: FleetNode, exchange: Exchange) -> None:
-        async def receive() -> AsgiMessage:
+    async def _serve(self, node: Node, exchange: Exchange) -> None:
+        async def receive() -> Message:
             return await self.life.guard(exchange.receive)
 
-        async def send(message: AsgiMessage) -> None:
-            sent: Message = dict(message)
-            await self.life.guard(lambda: exchange.send(sent))
+        async def send(message: MutableMapping[str, Any]) -> None:
+            await self.life.guard(lambda: exchange.send(dict(message)))
 
         try:
             await self.life.go_on()
