--- a/features/support/configuration_fleet.py
+++ b/features/support/configuration_fleet.py
@@ -8,6 +8,7 @@
 import msgspec
 from anyio.abc import TaskGroup
 
+from features.support.poor_network import PoorNetwork
 from weirscale.domain.configuration.model import Deployment
 from weirscale.domain.identifiers import (
     ConfigurationRevision,
@@ -23,7 +24,7 @@
 from weirscale.node.configuration.outcome import Accepted, ApplyOutcome
 from weirscale.node.configuration.task import ConfigurationTask
 from weirscale.node.interfaces import Peer, PeerState
-from weirscale.node.peers.link import AuthenticatedPeerLink
+from weirscale.node.peers.link import PeerLink
 from weirscale.standins.key_value.in_process import InProcessKeyValue
 from weirscale.standins.key_value.server import KeyValueServer
 
@@ -109,9 +110,7 @@
         self.scope = anyio.CancelScope()
         self.endpoint = network.attach(own.address, own.zone)
         random = Random(f"{own.node}")
-        self.link = AuthenticatedPeerLink(
-            self.endpoint, own.node, own.address, KeyRing((FLEET_KEY,)), random
-        )
+        self.link = PeerLink(self.endpoint, own.node, own.address, KeyRing((FLEET_KEY,)), random)
         self.port = InProcessKeyValue(server)
         self.task = ConfigurationTask(
             self.port,
@@ -163,7 +162,7 @@
     def __init__(self, tasks: TaskGroup, num_nodes: int, num_zones: int, seed: int) -> None:
         self.random = Random(seed)
         self.server = KeyValueServer(Random(f"store {seed}"))
-        self.network = MemoryNetwork(tasks, Random(f"network {seed}"))
+        self.network = PoorNetwork(tasks, Random(f"network {seed}"))
         self.members = KnownMembers()
         self.nodes: dict[NodeName, FleetNode] = {}
         self.past_nodes: list[FleetNode] = []
--- a/features/support/membership_fleet.py
+++ b/features/support/membership_fleet.py
@@ -6,13 +6,14 @@
 import anyio
 from anyio.abc import TaskGroup
 
+from features.support.poor_network import PoorNetwork
 from weirscale.domain.identifiers import Incarnation, NodeAddress, NodeId, NodeName, ZoneName
 from weirscale.domain.membership.rules import MembershipRules
 from weirscale.experiments.memory_network import LinkQuality, MemoryEndpoint, MemoryNetwork
 from weirscale.messages.envelope import KeyRing, PeerKey
 from weirscale.node.interfaces import Peer
 from weirscale.node.membership import MembershipTask
-from weirscale.node.peers.link import AuthenticatedPeerLink
+from weirscale.node.peers.link import PeerLink
 
 FLEET_KEY = PeerKey(1, b"key of the membership fleet")
 PEER_PORT = 7100
@@ -51,9 +52,7 @@
         self.address = address
         self.zone = zone
         self.endpoint: MemoryEndpoint = network.attach(address, zone)
-        self.link = AuthenticatedPeerLink(
-            self.endpoint, node, address, KeyRing((FLEET_KEY,)), random
-        )
+        self.link = PeerLink(self.endpoint, node, address, KeyRing((FLEET_KEY,)), random)
         self.membership = MembershipTask(
             self.link, node, address, zone, seeds, random, rules, sleep=self.endpoint.sleep
         )
@@ -95,7 +94,7 @@
         zones: int,
         rules: MembershipRules | None = None,
     ) -> None:
-        self.network = MemoryNetwork(tasks, Random(seed), OTHER_ZONE)
+        self.network = PoorNetwork(tasks, Random(seed), OTHER_ZONE)
         self.zones = [ZoneName(f"zone-{number:02d}") for number in range(zones)]
         for zone in self.zones:
             self.network.set_zone_quality(zone, zone, SAME_ZONE)
--- a/features/support/placement_states_fleet.py
+++ b/features/support/placement_states_fleet.py
@@ -14,6 +14,7 @@
 import msgspec
 from result import Ok, Result
 
+from features.support.poor_network import PoorNetwork
 from weirscale.domain.configuration.model import Deployment, Engine, Model, Region
 from weirscale.domain.identifiers import (
     ConfigurationRevision,
@@ -27,12 +28,11 @@
     WeightVersion,
     ZoneName,
 )
-from weirscale.experiments.memory_network import MemoryNetwork
 from weirscale.messages.cache import LoadReport
 from weirscale.messages.envelope import KeyRing, PeerKey
 from weirscale.node.backends.facts import EMPTY_SNAPSHOT, DirectorySnapshot, EngineFacts
 from weirscale.node.interfaces import ConfigurationInForce, Peer, PeerState
-from weirscale.node.peers.link import AuthenticatedPeerLink
+from weirscale.node.peers.link import PeerLink
 from weirscale.node.placement.fleet_states import FleetStates
 from weirscale.node.placement.states_server import EngineStatesServer
 from weirscale.node.placement.task import PlacementTask
@@ -131,7 +131,7 @@
         self.held = False
         self._fleet = fleet
         endpoint = fleet.network.attach(peer.address, peer.zone)
-        self.link = AuthenticatedPeerLink(endpoint, peer.node, peer.address, KEYS, random)
+        self.link = PeerLink(endpoint, peer.node, peer.address, KEYS, random)
         self.server = EngineStatesServer(self, self.link)
         self.states = FleetStates(self, self, self.link, self)
         self.planner = PlacementTask(
@@ -179,7 +179,7 @@
         **model_fields: Any,
     ) -> None:
         random = Random(7)
-        self.network = MemoryNetwork(tasks, random)
+        self.network = PoorNetwork(tasks, random)
         self.key_value = InProcessKeyValue(KeyValueServer(Random(2)))
         self.zones = [ZoneName(f"hall-{index:02}") for index in range(num_zones)]
         self.engines = {
--- a/src/weirscale/node/claims/registry.py
+++ b/src/weirscale/node/claims/registry.py
@@ -29,7 +29,7 @@
     KnownEpoch,
 )
 from weirscale.node.claims.epochs import EpochDirectory
-from weirscale.node.interfaces import PeerLink
+from weirscale.node.peers.link import PeerLink
 
 COPY_PAGE_CLAIMS = 2000
 """Claims in one page of a copy: some 150 kB, a few milliseconds to encode."""
@@ -112,10 +112,6 @@
         """The epochs of the groups that this node holds."""
         return tuple(KnownEpoch(group, held.epoch) for group, held in self._holders.items())
 
-    def num_claims(self) -> int:
-        """Claims that this node keeps in all its groups."""
-        return sum(holder.num_entries for holder in self._holders.values())
-
     def is_active(self, group: int, epoch: int) -> bool:
         """Whether this node answers for an epoch of a group."""
         holder = self._holders.get(group)
