--- a/features/steps/gateway_runner_shares_steps.py
+++ b/features/steps/gateway_runner_shares_steps.py
@@ -12,7 +12,7 @@
     RegisteredNodes,
     make_members,
 )
-from weirscale.gateway.gossip.group_relay import news_interval_s
+from weirscale.gateway.gossip.intervals import gossip_interval_s
 from weirscale.gateway.model.back_ends import BackEnd, BackEndDirectory, BackEndState, ServedModel
 from weirscale.gateway.model.prompt import Prompt
 from weirscale.gateway.peers.groups import divide
@@ -87,7 +87,7 @@
 @when("its group's runner has {waiting:d} tokens waiting")
 def step_waiting(context, waiting):
     rules = ChoiceRules(
-        other_group_s=ChoiceRules().other_group_share * (news_interval_s(12) - 0.05)
+        other_group_s=ChoiceRules().other_group_share * (gossip_interval_s(12) - 0.05)
     )
     own, foreign = context.ends
     candidates = [
--- a/features/support/recorded_forms.py
+++ b/features/support/recorded_forms.py
@@ -69,14 +69,14 @@
 from weirscale.gateway.ports.state_feed import (
     BackEndGone,
     BackEndRegistered,
-    ConfigurationNamed,
+    ConfigurationChanged,
     RecordChanged,
     RolloutOrdered,
     RolloutStatusSeen,
     RolloutWithdrawn,
+    TargetVersionChanged,
     Unreadable,
     VersionedChange,
-    WeightsNamed,
 )
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint
 from weirscale.gateway.quarantine.keeper import Quarantine
@@ -146,7 +146,7 @@
             Service(ServiceName("app")),
             Service(
                 ServiceName("kept"),
-                kept_cache=KeptKvStore("10.0.0.9:8080", ZoneName("z"), 5_000_000),
+                kept_kv=KeptKvStore("10.0.0.9:8080", ZoneName("z"), 5_000_000),
             ),
         ),
         CallerLimits(1000, 2000, 1.5, 2.5),
@@ -178,7 +178,7 @@
     service = ServiceName("lm")
     return (
         BackEndGone("i-9"),
-        WeightsNamed("m", 4),
+        TargetVersionChanged("m", 4),
         RolloutOrdered(service, target, 60.0),
         RolloutWithdrawn("op/rollout/lm"),
         *(RolloutStatusSeen(RolloutStatus(service, target, state)) for state in RolloutState),
@@ -204,17 +204,17 @@
         loads=(LoadGossip("i-1", 3, 9190, 18000), LoadGossip("i-2", 0, 0, 0)),
         sends=(SendGossip("i-1", "m@3/t", False, parts), SendGossip("i-1", "m@3", True, parts[:1])),
         loading=(LoadingGossip("i-1", "m", 4, False), LoadingGossip("i-2", "m", 4, True)),
-        named=(TargetVersionGossip("m", 4, 350),),
+        target_versions=(TargetVersionGossip("m", 4, 350),),
         suspects=(SuspectGossip("i-9"),),
         group="",
         usage=(UsageGossip("t", 1200, (300, 1000, 0)),),
         num_nodes=1,
-        trials=(
+        canary_counts=(
             CanaryGossip("lm", 77, "a", "i-1", 20, 2, 1),
             CanaryGossip("lm", 77, "a", "", 90, 1, 0),
         ),
-        moved=(MovedGossip("lm", 77, 1),),
-        run=3_735_928_559,
+        moved_nodes=(MovedGossip("lm", 77, 1),),
+        sender_run=3_735_928_559,
         crashes=(CrashGossip(FINGERPRINT, RUNS[0], True), CrashGossip(FINGERPRINT, RUNS[1], False)),
         answered=(AnsweredGossip(FINGERPRINT),),
     )
@@ -226,7 +226,7 @@
         ),
         "query": StateQuery("node-2", 5, 99),
         "reply_empty": StateReply("node-1", 5, 99, 99, 12, True),
-        "reply_configuration": _reply([ConfigurationNamed(_configuration())]),
+        "reply_configuration": _reply([ConfigurationChanged(_configuration())]),
         "reply_back_ends": _reply([BackEndRegistered(one) for one in _back_ends()]),
         "reply_other_changes": _reply(_other_changes()),
         "ages_query": AgesQuery("node-2", 6),
--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -8,25 +8,18 @@
 
 from weirscale.domain.duties.assignment import Duty, DutyKind
 from weirscale.domain.identifiers import Incarnation, NodeId, NodeName
-from weirscale.gateway.gossip.gossip_task import GossipTask, MessageReceiver
-from weirscale.gateway.gossip.group_relay import GroupRelay, is_group, is_member
+from weirscale.gateway.gossip.gatherer import GossipGatherer
+from weirscale.gateway.gossip.gossip_task import GossipTask
+from weirscale.gateway.gossip.group_relay import GroupRelay
+from weirscale.gateway.gossip.inbox import GossipReceiver, PeerInbox
+from weirscale.gateway.gossip.sources import is_group, is_member
 from weirscale.gateway.limits.isolation import IsolationDetector
 from weirscale.gateway.limits.quota import GONE_MEMORY_S, QuotaLedger
 from weirscale.gateway.limits.retry_budget import SharedRetryBudget
-from weirscale.gateway.limits.usage_reporter import UsageReporter, read_usage
 from weirscale.gateway.model.back_ends import BackEnd
 from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.model.topology import Location, Topology
-from weirscale.gateway.peers.messages import (
-    AgesQuery,
-    AgesReply,
-    Gossip,
-    LoadGossip,
-    LoadingGossip,
-    PeerMessage,
-    StateQuery,
-    StateReply,
-)
+from weirscale.gateway.peers.messages import LoadingGossip, PeerMessage
 from weirscale.gateway.peers.outbox import GossipOutbox
 from weirscale.gateway.peers.registrations import PeerDirectory, Registration, RegistrationTask
 from weirscale.gateway.ports.back_end import BackEndConnector, BackEndPort
@@ -37,8 +30,17 @@
 from weirscale.gateway.replication.follower import StateFollower
 from weirscale.gateway.replication.publisher import ChangePublisher
 from weirscale.gateway.replication.subscription import StateSubscription
+from weirscale.gateway.requests.admission import AdmissionControl
+from weirscale.gateway.requests.attempt_records import AttemptRecords
+from weirscale.gateway.requests.attempt_timeout import AttemptTimeoutWatch
+from weirscale.gateway.requests.back_end_selector import BackEndSelector
+from weirscale.gateway.requests.back_end_verdicts import BackEndVerdicts
 from weirscale.gateway.requests.caller_app import CallerApp
-from weirscale.gateway.requests.exchange_context import ExchangeContext
+from weirscale.gateway.requests.crash_reports import CrashReports
+from weirscale.gateway.requests.request_context import RequestContext
+from weirscale.gateway.requests.request_log import RequestLog
+from weirscale.gateway.requests.retry_decision import NodeRetryBudget
+from weirscale.gateway.requests.stream_pauses import StreamPauses
 from weirscale.gateway.rollouts.alarms import RolloutAlarms
 from weirscale.gateway.rollouts.canary_traffic import CanaryTraffic
 from weirscale.gateway.rollouts.facts import FactsReader, FleetSources, RolloutClock
@@ -52,7 +54,7 @@
 from weirscale.gateway.routing.dispatcher import Dispatcher, PeerView
 from weirscale.gateway.routing.engine_shares import EngineShares
 from weirscale.gateway.routing.health import BackEndHealth
-from weirscale.gateway.routing.load import NO_LOAD, FleetLoad, Load
+from weirscale.gateway.routing.load import NO_LOAD, FleetLoad
 from weirscale.gateway.settings import GatewaySettings, ListenAddress
 from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.gateway.telemetry.metrics_choice import new_metrics
@@ -117,7 +119,7 @@
         return self._clock() >= self._free_since_s + rank_delay_s(self._peers.rank())
 
 
-class GatewayNode(MessageReceiver):
+class GatewayNode:
     """One gateway.
 
     Args:
@@ -153,8 +155,8 @@
         feed = CountedFeed(feed, self.metrics.count_store_call)
         store = CountedStore(store, self.metrics.count_store_call)
         self.cluster = ClusterState(event_log, clock)
-        self.cluster.on_gone = self._forget_back_end
-        self.cluster.on_version = self._take_version
+        self.cluster.back_ends.observe_gone(self._forget_back_end)
+        self.cluster.engine_versions.observe(self._take_version)
         self.load = FleetLoad()
         self.health = BackEndHealth(event_log, random)
         bounds = settings.bounds
@@ -179,16 +181,16 @@
         self.peers = PeerDirectory(settings.name, self.cluster, clock, settings.zone, capacity)
         self.cluster.store_outages.num_others = lambda: len(self.peers.addresses())
         self.engine_shares = EngineShares(settings.name, self.peers, self.cluster.directory)
-        self.outbox = GossipOutbox(settings.name)
         self.quotas = QuotaLedger(
             bounds.quota, lambda: self.peers.num_nodes(GONE_MEMORY_S),
             lambda: self.relay.interval_s(), random, clock,
         )  # fmt: skip
-        self.cluster.on_table = lambda table: self.quotas.set_tenants(table.configuration.tenants)
-        self._usage_reporter = UsageReporter()
+        self.cluster.observe_table(
+            lambda table: self.quotas.set_tenants(table.configuration.tenants)
+        )
         self.relay = GroupRelay(
             settings.name, self.peers, self.load, self.quotas, self._send, clock,
-            self._tell_rollout_sums,
+            self._add_rollout_sums,
         )  # fmt: skip
         self._rollout_alarms = RolloutAlarms(
             self.cluster, self._records, self._rollout_sums, event_log, clock
@@ -202,10 +204,7 @@
             self.cluster, self._records, self.trials.tallies,
             lambda instance: self.load.own(instance).num_requests, clock,
         )  # fmt: skip
-        self.outbox.run = random.getrandbits(RUN_BITS)
-        self.gossip_task = GossipTask(
-            settings.peers, self.peers, self.relay, self.outbox, self, self._gather_gossip
-        )
+        self.outbox = GossipOutbox(settings.name, sender_run=random.getrandbits(RUN_BITS))
         self.publisher = ChangePublisher(settings.name, self.cluster, self._send, clock)
         self.subscription = StateSubscription(
             settings.name, self.cluster, self.peers, self._send, event_log, random, clock,
@@ -231,12 +230,20 @@
             settings.name, self.cluster, store, lambda: rank_delay_s(self.peers.rank()),
             event_log, clock,
         )  # fmt: skip
-        self.context = ExchangeContext(
-            settings.bounds, self.cluster, self.dispatcher, self.load, self.health, self.budget,
-            self.quotas, self.peers, self.outbox, lambda: self.gossip_task.hurry(), self.isolation,
-            self.version_check, self.trials, self.quarantine, self.port_of, event_log, self.metrics,
-            clock,
+        self.gatherer = GossipGatherer(
+            self.outbox, self.load, self.quotas, self.trials, self.rollout_reporter,
+            self.quarantine,
         )  # fmt: skip
+        received = GossipReceiver(
+            self.cluster, self.relay, self.load, self.quotas, self.dispatcher, self.health,
+            self.rollout_reporter, self.quarantine, clock,
+        )  # fmt: skip
+        self.inbox = PeerInbox(received, self.relay, self.publisher, self.subscription, self.ages)
+        self.gossip_task = GossipTask(
+            settings.peers, self.peers, self.relay, self.outbox, self.inbox,
+            self.gatherer.gather,
+        )  # fmt: skip
+        self.context = self._make_request_context()
         self.app = CallerApp(
             settings, self.context, codec, self.is_ready, self.sends_callers_on,
             self.metrics_text,
@@ -275,6 +282,37 @@
         """Return how many requests of all nodes are at work at an instance."""
         return self.load.total(instance, self._clock()).num_requests
 
+    def _make_request_context(self) -> RequestContext:
+        def send_gossip_now() -> None:
+            # Looked up at each call: a fleet in one process replaces the task before the node runs.
+            self.gossip_task.hurry()
+
+        pauses = StreamPauses()
+        verdicts = BackEndVerdicts(
+            self.cluster, self.dispatcher, self.health, self.outbox, self.version_check,
+            self.trials, self._clock,
+        )  # fmt: skip
+        return RequestContext(
+            clock=self._clock,
+            admission=AdmissionControl(
+                self.cluster, self.quotas, self.isolation, self.settings.bounds
+            ),
+            selector=BackEndSelector(self.dispatcher, self.trials),
+            port_of=self.port_of,
+            timeouts=AttemptTimeoutWatch(self._clock),
+            retry_budget=NodeRetryBudget(self.budget, self.peers, self._clock),
+            pauses=pauses,
+            records=AttemptRecords(
+                self.dispatcher, self.load, self.budget, self.outbox, send_gossip_now,
+                pauses, verdicts, self._clock,
+            ),
+            crashes=CrashReports(
+                self.cluster, self.port_of, self.quarantine, self.health, self.outbox,
+                send_gossip_now, self._event_log, self._clock,
+            ),
+            log=RequestLog(self._event_log, self.metrics, self.cluster, self.trials, pauses),
+        )  # fmt: skip
+
     def _make_lease(self, store: KeyValuePort, random: Random) -> DutyLeaseTask:
         duty = Duty(DutyKind.PLACEMENT_PLANNER)
         rules = holder_lease_rules(self.settings.bounds.min_lease_s)
@@ -290,7 +328,7 @@
         bounds = settings.bounds
         self.budget.set_rules(settings.retry_budget)
         self.quotas.set_precision(bounds.quota)
-        self.context.set_bounds(bounds)
+        self.context.admission.set_guarantees(bounds)
         self.dispatcher.set_weights_grace(bounds.weights_s - START_MARGIN_S)
         self._exposure = bounds.exposure
         self.trials.set_limits(bounds.exposure)
@@ -318,9 +356,9 @@
             tasks.start_soon(self._weights_rollout.run)
             tasks.start_soon(self._rollout_holder.run)
             tasks.start_soon(self.version_check.run)
-            tasks.start_soon(self.context.crash_check.run)
+            tasks.start_soon(self.context.crashes.crash_check.run)
             tasks.start_soon(self.quarantine.run)
-            tasks.start_soon(self.context.patience.run)
+            tasks.start_soon(self.context.timeouts.run)
             tasks.start_soon(self._probe_regularly, tasks)
             await anyio.sleep_forever()
 
@@ -353,48 +391,6 @@
     async def _send(self, message: PeerMessage, addresses: Iterable[ListenAddress]) -> None:
         await self.gossip_task.send(message, addresses)
 
-    async def receive(self, message: PeerMessage, sender: ListenAddress) -> None:
-        """Take over what a peer tells, or answer it."""
-        if isinstance(message, StateQuery):
-            await self.publisher.answer(message, sender)
-        elif isinstance(message, StateReply):
-            self.subscription.receive(message)
-        elif isinstance(message, AgesQuery):
-            await self.ages.answer(message, sender)
-        elif isinstance(message, AgesReply):
-            self.ages.receive(message)
-        else:
-            self._receive_gossip(message)
-            await self.relay.receive(message)
-
-    def _receive_gossip(self, gossip: Gossip) -> None:
-        now_s = self._clock()
-        source = self.relay.source_of(gossip)
-        for load in gossip.loads if source is not None else ():
-            received = Load(load.num_requests, load.waiting_tokens, load.held_tokens)
-            self.load.receive(source or "", load.instance, received, now_s)
-        if source is not None:
-            usage = [read_usage(one) for one in gossip.usage]
-            self.quotas.fleet.receive(source, gossip.num_nodes, usage, now_s)
-            if gossip.trials or gossip.moved:
-                self.rollout_reporter.receive(source, gossip)
-        for send in gossip.sends:
-            if gossip.group:
-                self.dispatcher.record_shared_blocks(send.instance, send.scope, send.blocks)
-            else:
-                self.dispatcher.record_blocks(send.instance, send.scope, send.blocks, send.is_ready)
-        for loading in gossip.loading:
-            self._receive_loading(loading)
-        self.quarantine.receive(gossip)
-        for suspect in gossip.suspects:
-            if self.cluster.directory.get(suspect.instance) is not None:
-                self.health.unreachable(suspect.instance, "told_by_peer", now_s)
-
-    def _receive_loading(self, loading: LoadingGossip) -> None:
-        self.dispatcher.mark_loading(loading.instance, loading.is_done)
-        if loading.is_done and loading.version:
-            self.cluster.learn_version(loading.instance, loading.model, loading.version, "peer")
-
     async def _announce_loading(
         self, instance: InstanceId, model: str, version: int, is_done: bool
     ) -> None:
@@ -405,29 +401,15 @@
     def _rollout_sums(self) -> Tallies:
         return self.rollout_reporter.sums(self.relay.counts)
 
-    def _tell_rollout_sums(
+    def _add_rollout_sums(
         self, to_heads: GossipOutbox, to_group: GossipOutbox, must_refresh: bool
     ) -> None:
         self.rollout_reporter.add_sums(to_heads, to_group, is_member, is_group, must_refresh)
 
-    def _gather_gossip(self, must_refresh: bool) -> None:
-        self.trials.tick()
-        self.rollout_reporter.add_own(self.outbox, must_refresh)
-        changed = self.load.take_changed()
-        if must_refresh:
-            changed.update({one: self.load.own(one) for one in self.load.own_instances()})
-        self.quarantine.add_to(self.outbox, must_refresh)
-        self.quotas.tick()
-        self._usage_reporter.add_to(self.outbox, dict(self.quotas.own_usage()), must_refresh)
-        for instance, load in changed.items():
-            self.outbox.add_load(
-                LoadGossip(instance, load.num_requests, load.waiting_tokens, load.held_tokens)
-            )
-
     async def _probe_regularly(self, tasks: TaskGroup) -> None:
         while True:
             await sleep_to_tick(PROBE_INTERVAL_S)
-            self.cluster.forget_lapsed()
+            self.cluster.back_ends.forget_lapsed()
             self._close_unused(tasks)
             for instance in self.health.to_probe(self._clock()):
                 tasks.start_soon(self._probe, instance)
@@ -465,7 +447,7 @@
                 configuration_version=table.version if table else 0,
                 num_back_ends=len(self.cluster.directory.instances()),
                 holds_lease=self._lease.is_held(),
-                queue_shares={one: self.context.queue_limit(one).share for one in services},
+                queue_shares={one: self.context.pauses.queue_limit(one).share for one in services},
                 retries_left={one: self.budget.left(one, num_nodes, now_s) for one in services},
                 quota_levels=self.quotas.levels(),
                 rollout_stages=self.trials.stages(),
--- /dev/null
+++ b/src/weirscale/gateway/requests/request_handler.py
@@ -0,0 +1,183 @@
+"""One request from its arrival to its end: admission, attempts, answer, log line.
+
+Where its rules stand:
+
+- when it is refused unsent: `admission.py`, `overload.py`, `crash_reports.py` (quarantine);
+- what the end of an attempt proves: `attempt_verdict.py`;
+- when it is sent again or given up: `retry_decision.py`;
+- when a silent back end is left: `attempt_timeout.py`, `stream_pauses.py`.
+
+An answer goes to the caller only if it is whole and the request's own. A refusal that promises
+"not run" is given only if no attempt may have run. What is given up is answered at once.
+"""
+
+from http import HTTPStatus
+
+import anyio
+
+from weirscale.gateway.ports.callers import CallerRequest
+from weirscale.gateway.requests.admission import AdmittedRequest, Refusal
+from weirscale.gateway.requests.attempt import Attempt
+from weirscale.gateway.requests.crash_reports import CrashGuard
+from weirscale.gateway.requests.overload import retry_after_s, should_refuse
+from weirscale.gateway.requests.relay import AnswerRelay
+from weirscale.gateway.requests.request_context import RequestContext
+from weirscale.gateway.requests.responder import Responder
+from weirscale.gateway.requests.retry_decision import AttemptHistory, reason_to_give_up
+from weirscale.gateway.routing.candidate import Choice
+from weirscale.gateway.telemetry.request_summary import (
+    RequestCause,
+    RequestOutcome,
+    RequestSummary,
+)
+from weirscale.ports.boot_clock import loop_deadline_s
+
+NO_BACK_END_RETRY_S = 0.25
+"""Seconds after which a refused caller should come back where nothing says more. Callers honour up
+to a third of the time that they have left (published protocol of the platform). Not measured."""
+
+
+class RequestHandler:
+    """Runs one request.
+
+    Args:
+        context: What requests share.
+        request: The request.
+        body: Its whole body.
+        responder: The caller's side.
+        arrived_at_s: When its head arrived.
+    """
+
+    def __init__(
+        self,
+        context: RequestContext,
+        request: CallerRequest,
+        body: bytes,
+        responder: Responder,
+        arrived_at_s: float,
+    ) -> None:
+        self._context = context
+        self._request = request
+        self._body = body
+        self._responder = responder
+        self._arrived_at_s = arrived_at_s
+        self._relay = AnswerRelay(responder, arrived_at_s, context.clock)
+        self._history = AttemptHistory()
+        self._admission: AdmittedRequest | Refusal | None = None
+        self._guard: CrashGuard | None = None
+        self._choice: Choice | None = None
+        self._outcome = RequestOutcome.LEFT
+
+    async def run(self) -> None:
+        """Answer the request, or break its answer off."""
+        admission = self._context.admission
+        try:
+            await admission.wait_for_first_read(self._request.timeout_s)
+            admitted = admission.admit(self._request, self._body, self._arrived_at_s)
+            self._admission = admitted
+            if isinstance(admitted, Refusal):
+                self._history.causes.append(admitted.cause)
+                await self._refuse(admitted.status, admitted.retry_after_s)
+                return
+            guard = self._guard = CrashGuard(self._context.crashes, admitted)
+            deadline_s = loop_deadline_s(admitted.deadline_s, self._context.clock)
+            with anyio.CancelScope(deadline=deadline_s) as time_left:
+                await self._attempt_until_done(admitted, guard)
+            if time_left.cancelled_caught:
+                await self._time_out()
+        finally:
+            self._context.log.add(self._summary())
+
+    async def _attempt_until_done(self, admitted: AdmittedRequest, guard: CrashGuard) -> None:
+        while True:
+            quarantined_for_s = guard.quarantined_for_s()
+            if quarantined_for_s is not None:
+                await self._give_up(RequestCause.QUARANTINED, quarantined_for_s)
+                return
+            choice = self._context.selector.choose(admitted, self._history)
+            if choice is None:
+                await self._give_up(RequestCause.NO_BACK_END)
+                return
+            self._choice = choice
+            if self._is_overloaded(admitted, choice):
+                await self._refuse_for_overload(choice)
+                return
+            choice = self._context.selector.prefer_canary(admitted, self._history, choice)
+            self._choice = choice
+            attempt = Attempt(self._context, admitted, choice, self._relay, self._history, guard)
+            last_end = await attempt.run()
+            if self._responder.has_ended:
+                self._outcome = RequestOutcome.ANSWERED
+                return
+            give_up_reason = reason_to_give_up(
+                last_end,
+                self._history,
+                admitted.route,
+                admitted.deadline_s - self._context.clock(),
+                lambda: self._context.retry_budget.try_take(admitted.service),
+            )
+            if give_up_reason is not None:
+                await self._give_up(give_up_reason.value)
+                return
+
+    def _is_overloaded(self, admitted: AdmittedRequest, choice: Choice) -> bool:
+        """Whether the request should be refused because of the queues; not once it was sent."""
+        if self._history.reached:
+            return False
+        limit = self._context.pauses.queue_limit(admitted.service)
+        return should_refuse(choice, admitted.route, self._request.timeout_s, limit)
+
+    async def _give_up(
+        self, cause: RequestCause | None, retry_s: float = NO_BACK_END_RETRY_S
+    ) -> None:
+        """Answer at once for a request that no attempt has answered."""
+        if cause is not None:
+            self._history.causes.append(cause)
+        failed_answer = self._history.failed_answer
+        if self._responder.has_begun:
+            self._outcome = RequestOutcome.BROKEN
+        elif failed_answer is not None:
+            self._outcome = RequestOutcome.FAILED
+            await self._responder.send_whole(
+                failed_answer.status, failed_answer.headers, failed_answer.body
+            )
+        elif self._history.may_have_run:
+            self._outcome = RequestOutcome.FAILED
+            await self._responder.refuse(HTTPStatus.BAD_GATEWAY)
+        else:
+            await self._refuse(HTTPStatus.SERVICE_UNAVAILABLE, retry_s)
+
+    async def _refuse_for_overload(self, choice: Choice) -> None:
+        self._history.causes.append(RequestCause.OVERLOADED)
+        wait_s = retry_after_s(choice, self._request.timeout_s, NO_BACK_END_RETRY_S)
+        await self._refuse(HTTPStatus.SERVICE_UNAVAILABLE, wait_s)
+
+    async def _time_out(self) -> None:
+        self._outcome = RequestOutcome.TIMED_OUT
+        self._history.causes.append(RequestCause.TIME_OUT)
+        if not self._responder.has_begun:
+            await self._responder.refuse(HTTPStatus.GATEWAY_TIMEOUT)
+
+    async def _refuse(self, status: HTTPStatus, retry_s: float | None) -> None:
+        self._outcome = RequestOutcome.REFUSED
+        await self._responder.refuse(status, retry_s)
+
+    def _summary(self) -> RequestSummary:
+        admission = self._admission
+        tenant = admission.tenant if admission else None
+        return RequestSummary(
+            request=self._request,
+            route=admission.route if admission else None,
+            service=admission.service if admission else None,
+            outcome=self._outcome,
+            status=self._responder.status,
+            choice=self._choice,
+            num_attempts=self._history.num_attempts,
+            causes=tuple(self._history.causes),
+            first_byte_s=self._relay.first_byte_s,
+            longest_pause_s=self._relay.longest_pause_s,
+            duration_s=self._context.clock() - self._arrived_at_s,
+            tenant=tenant.name if tenant else None,
+            quota=admission.quota if isinstance(admission, Refusal) else None,
+            fingerprint=self._guard.known_fingerprint if self._guard else None,
+        )
--- a/src/weirscale/gateway/telemetry/node_metrics.py
+++ b/src/weirscale/gateway/telemetry/node_metrics.py
@@ -6,18 +6,18 @@
 import msgspec
 
 from weirscale.domain.identifiers import ServiceName, TenantName
-from weirscale.gateway.telemetry.request_summary import ExchangeSummary
+from weirscale.gateway.telemetry.request_summary import RequestSummary
 
 
 class NodeFigures(msgspec.Struct, frozen=True):
     """Figures that are read off when somebody asks.
 
     Attributes:
-        knowledge_age_s: Time since the platform's state was proved current.
+        state_age_s: Time since the platform's state was proved current.
         configuration_version: Version in force, 0 for none.
         num_back_ends: Registered back ends.
         holds_lease: Whether this node gives orders.
-        retries_left: Repeats that may be spent now, by service.
+        retries_left: Retries that may be spent now, by service.
         queue_shares: Share of the bound on queues that is in force, by service.
         quota_levels: What is left of each quota, in its unit, by tenant.
         rollout_stages: How far each service's rollout is.
@@ -40,7 +40,7 @@
 class NodeMetrics(Protocol):
     """Counts what happens at a node."""
 
-    def count_request(self, summary: ExchangeSummary) -> None:
+    def count_request(self, summary: RequestSummary) -> None:
         """Count a request that has ended."""
         ...
 
@@ -60,7 +60,7 @@
 class NoMetrics:
     """Counts nothing, where nobody can ask."""
 
-    def count_request(self, summary: ExchangeSummary) -> None:
+    def count_request(self, summary: RequestSummary) -> None:
         """Do nothing."""
 
     def count_store_call(self, kind: str, result: str) -> None:
--- a/src/weirscale/gateway/weights/rollout_task.py
+++ b/src/weirscale/gateway/weights/rollout_task.py
@@ -81,7 +81,7 @@
         async with anyio.create_task_group() as tasks:
             while True:
                 if self._term.begin():
-                    for model in self._cluster.weights.models():
+                    for model in self._cluster.target_versions.models():
                         self._age_markers.write(model, self._rules.unusable_after_s, tasks)
                         self._begin_loads(model, tasks)
                 await sleep_to_tick(PLAN_INTERVAL_S)
@@ -121,7 +121,7 @@
     ) -> None:
         self._event_log.event(
             "load_begun", instance=engine.instance, model=model,
-            newest=self._cluster.weights.newest(model), lagging=len(lagging),
+            newest=self._cluster.target_versions.newest(model), lagging=len(lagging),
             loading=others.num_loading, old_requests=sum(one.num_requests for one in lagging),
             new_requests=others.num_requests,
         )  # fmt: skip
@@ -142,10 +142,10 @@
 
     def _lag(self, engine: BackEnd, model: str) -> LaggingEngine | None:
         """Return an engine's lag; None if it has the target version or loads already."""
-        version = self._cluster.version_of(engine.instance, model)
+        version = self._cluster.engine_versions.version_of(engine.instance, model)
         if version is None or engine.instance in self._loading:
             return None
-        missed = self._cluster.weights.first_newer(model, version)
+        missed = self._cluster.target_versions.first_newer(model, version)
         if missed is None:
             return None
         return LaggingEngine(
