--- a/features/steps/gateway_rollouts_steps.py
+++ b/features/steps/gateway_rollouts_steps.py
@@ -385,7 +385,7 @@
 
 def stream_world(faults_of_new):
     """Return a fleet with three old runners of streams, and what adds three of the target."""
-    fleet = Fleet(exposure=CanaryLimits(SHARE, TOLERANCE, 5.0))
+    fleet = Fleet(canary=CanaryLimits(SHARE, TOLERANCE, 5.0))
     fleet.store.put("op/config", configuration())
     runners = {"v1": [], "v2": []}
 
--- a/features/support/rollouts_fleet.py
+++ b/features/support/rollouts_fleet.py
@@ -129,8 +129,8 @@
 
     def __post_init__(self):
         self.random = Random(self.seed)
-        exposure = CanaryLimits(SHARE, TOLERANCE, RETURN_S)
-        self.fleet = Fleet(self.seed, exposure=exposure)
+        canary = CanaryLimits(SHARE, TOLERANCE, RETURN_S)
+        self.fleet = Fleet(self.seed, canary=canary)
         self.fleet.store.put(
             "op/config",
             configuration(
--- a/src/weirscale/gateway/limits/isolation.py
+++ b/src/weirscale/gateway/limits/isolation.py
@@ -1,7 +1,7 @@
 """Tells whether this node is isolated: it reaches neither the store nor half of the other nodes.
 
 Without a proof that its configuration is current a node refuses requests with keys. If it still
-hears from the other nodes, they lack the proof as well: the store is down, and callers are no
+receives from the other nodes, they lack the proof as well: the store is down, and callers are no
 better off elsewhere. If it does not, the others most likely serve on, so an isolated node is not
 ready and sends its callers to them.
 """
@@ -30,7 +30,7 @@
 
     Args:
         cluster: How old the proof of the configuration is.
-        quotas: Which nodes were heard from.
+        quotas: Which nodes were received from.
         event_log: Where changes are logged.
         clock: Monotonic seconds.
     """
@@ -49,7 +49,7 @@
         self._was_isolated = False
 
     def is_isolated(self) -> bool:
-        """Whether neither the store nor half of the nodes have been heard from recently."""
+        """Whether neither the store nor half of the nodes have been received from recently."""
         age_s = self._cluster.age_s()
         share = self._quotas.received_share(self._clock() - PEER_SILENCE_S)
         is_isolated = age_s > ISOLATION_AGE_S and share < ISOLATION_SHARE
--- a/src/weirscale/gateway/limits/quota.py
+++ b/src/weirscale/gateway/limits/quota.py
@@ -1,8 +1,8 @@
 """Tenants' quotas over all nodes, decided without asking anybody while a request waits.
 
 **What is shared.** All nodes together may spend a tenant's rate and burst. Each node keeps a bucket
-for each tenant with a quota. It fills as `quota_rules` tells, up to the burst. What this node
-spends is taken out at once, what the others spend as gossip tells it (`usage`). Gossip is some
+for each tenant with a quota. It fills as `quota_rules` computes, up to the burst. What this node
+spends is taken out at once, what the others spend as gossip reports it (`usage`). Gossip is some
 tenths of a second old, so a bucket may fall below zero; that debt is paid back before more is
 admitted, so the quota holds in the long run whatever the delay, and the deployment's tolerance
 covers the moment.
@@ -12,7 +12,7 @@
 while gossip travels. What more urgent requests of the tenant need is taken off first.
 
 **Alone or cut off.** A node without contact to some of the others keeps to its share: its bucket
-fills at the rate times the share of the nodes that it hears from, itself included, and holds as
+fills at the rate times the share of the nodes that it receives from, itself included, and holds as
 much of the burst. However the fleet falls apart, the shares of the parts never add up to more than
 one. A node that starts, or that was paused, begins with an empty bucket: what was spent before, by
 whichever process, was at most the burst and the rate until then.
@@ -51,7 +51,7 @@
 were not measured."""
 
 CONTACT_S = 0.8
-"""Seconds for which a node that was heard from counts as in contact: nodes send each 0.25 s at
+"""Seconds for which a node that was received from counts as in contact: nodes send each 0.25 s at
 least, so two messages may be lost. Not measured against other figures; the schedules of quotas hold
 with it (`docs/design/0016-quotas.md`)."""
 
@@ -67,7 +67,7 @@
         cost: What it costs, in the unit of the quota.
         level: What the bucket held, in the unit of the quota.
         share: Share of the nodes that this one has contact to, itself included.
-        age_s: Seconds since the source that has been silent longest was heard from.
+        age_s: Seconds since the source that has been silent longest was received from.
         retry_after_s: Seconds until it would be admitted if nobody else spent; None if never.
     """
 
@@ -163,7 +163,7 @@
             self._share = share
 
     def received_share(self, since_s: float) -> float:
-        """Return the share of the nodes that were heard from since a time, this one included."""
+        """Return the share of the nodes that were received from since a time, this one included."""
         received = self.fleet.num_nodes_since(since_s)
         return min(1.0, (1 + received) / max(1, self._num_nodes()))
 
@@ -172,7 +172,7 @@
         return bool(self._quotas)
 
     def contact_since_s(self) -> float:
-        """Return since when a node must have been heard from to be in contact."""
+        """Return since when a node must have been received from to be in contact."""
         return self._clock() - CONTACT_S
 
     def _forget_other_nodes(self, now_s: float) -> None:
--- a/src/weirscale/gateway/limits/quota_rules.py
+++ b/src/weirscale/gateway/limits/quota_rules.py
@@ -11,7 +11,7 @@
 
 SETTLE_INTERVALS = 2.5
 """Gossip intervals over which a bucket is shared out among the nodes. With fewer, nodes admit more
-than there is before they hear of each other; with more, a burst is refused though there is room.
+than there is before they learn of each other; with more, a burst is refused though there is room.
 Measured by simulation of 79 nodes at 7.5 times the usual load, one seed: 2.0 gave a worst window of
 0.94 of the rule; with 3.3 a tenant whose load comes in bursts was refused at 0.87 of its room."""
 
--- a/src/weirscale/gateway/limits/usage.py
+++ b/src/weirscale/gateway/limits/usage.py
@@ -116,7 +116,7 @@
 
     Attributes:
         num_nodes: Nodes whose usage is in it.
-        received_at_s: When it was last heard from.
+        received_at_s: When it was last received from.
         tenants: Usage that it sent, by tenant.
     """
 
--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -247,12 +247,12 @@
     def apply_settings(self, settings: GatewaySettings) -> None:
         """Put changed guarantees and a changed retry budget in force."""
         bounds = settings.bounds
-        self._canary_limits = bounds.exposure
+        self._canary_limits = bounds.canary
         self.budget.set_rules(settings.retry_budget)
         self.quotas.set_precision(bounds.quota)
         self.context.admission.set_guarantees(bounds)
         self.dispatcher.set_weights_grace(bounds.weights_s - START_MARGIN_S)
-        self.canary_traffic.set_limits(bounds.exposure)
+        self.canary_traffic.set_limits(bounds.canary)
         self._weights_rollout.set_rules(load_rules(bounds.weights_s))
         self._order_fence.set_least_gap(bounds.lease_s)
 
--- a/src/weirscale/gateway/node_parts.py
+++ b/src/weirscale/gateway/node_parts.py
@@ -58,7 +58,7 @@
         self._random = random
         self._clock = clock
         self._topology = Topology(settings.regions)
-        self._canary_limits = settings.bounds.exposure
+        self._canary_limits = settings.bounds.canary
         self.metrics = new_metrics(settings)
         self._feed = CountedFeed(feed, self.metrics.count_store_call)
         self._store = CountedStore(store, self.metrics.count_store_call)
--- a/src/weirscale/gateway/peers/groups.py
+++ b/src/weirscale/gateway/peers/groups.py
@@ -81,7 +81,7 @@
 
 
 def head_rank(member: Member) -> tuple[int, int, str]:
-    """Return a sort key: the strongest first, then by hash, so that duties spread."""
+    """Return a sort key: the greatest capacity first, then by hash, so that duties spread."""
     return -member.capacity, name_hash(member.name), member.name
 
 
--- a/src/weirscale/gateway/peers/messages.py
+++ b/src/weirscale/gateway/peers/messages.py
@@ -48,7 +48,7 @@
 
 
 class TargetVersionGossip(msgspec.Struct, frozen=True, array_like=True):
-    """For how long a version has been named at most, as far as the sender knows."""
+    """For how long a version has been the target at most, as far as the sender knows."""
 
     model: str
     version: int
--- a/src/weirscale/gateway/requests/attempt.py
+++ b/src/weirscale/gateway/requests/attempt.py
@@ -194,7 +194,7 @@
 
     def paused(self, pause_s: float, began_s: float) -> None:
         """Learn from a pause between two events."""
-        # A pause that began before this attempt tells nothing of its back end.
+        # A pause that began before this attempt says nothing about its back end.
         if began_s > self._began_s:
             self._context.pauses.learn_pause(self._admitted.service, pause_s)
             self._longest_pause_s = max(self._longest_pause_s or 0.0, pause_s)
--- a/src/weirscale/gateway/routing/choice_rules.py
+++ b/src/weirscale/gateway/routing/choice_rules.py
@@ -77,7 +77,7 @@
     """Seconds within which costs count as equal. Not measured."""
 
     tie_share: float = 0.15
-    """Share of the gossip delay that is added to `tie_s`: until they hear of each other's sends,
+    """Share of the gossip delay that is added to `tie_s`: until they learn of each other's sends,
     many nodes see the same engine as the best, and would all choose it. One run of 195 nodes had a
     worth of 0.515 instead of 0.433; other shares were not tried (`docs/DECISIONS.md`, W1)."""
 
@@ -100,5 +100,5 @@
 
     affinity_s: float = 0.03
     """Seconds by which the engine that a prompt belongs to by its hash is preferred where nobody
-    keeps any of it, so that nodes that have not heard of each other's sends choose the same. Not
+    keeps any of it, so that nodes that have not learnt of each other's sends choose the same. Not
     measured apart from the other changes that came with it."""
--- a/src/weirscale/gateway/routing/dispatcher.py
+++ b/src/weirscale/gateway/routing/dispatcher.py
@@ -1,4 +1,4 @@
-"""Chooses back ends for requests, and takes in what their attempts and other nodes tell.
+"""Chooses back ends for requests, and learns from their attempts and from gossip.
 
 The decision has one place for each of its questions: who may get the request (`candidates`), what
 is cached where (`cache_beliefs`), what was learnt of waits (`attempt_learning`), what a candidate
--- a/src/weirscale/gateway/routing/load.py
+++ b/src/weirscale/gateway/routing/load.py
@@ -1,4 +1,4 @@
-"""How much work each back end has, from this node and, as gossip tells it, from the others.
+"""How much work each back end has, from this node and, as gossip reports it, from the others.
 
 What is received is kept by its source: another node of this node's group, or the sum of another
 group (`peers.groups`). The sum over the sources is updated at each change, since each choice reads
--- a/src/weirscale/gateway/settings.py
+++ b/src/weirscale/gateway/settings.py
@@ -54,10 +54,10 @@
         key_removal_s: Until a removed key serves no more, also at an isolated node; None where the
             deployment does not ask for it there.
         lease_s: Least time between orders of two holders.
-        weights_s: Until requests start on newly named weights only.
+        weights_s: Until requests start on the newest target version only.
         min_lease_s: Shortest lease that the store grants.
         quota: How exactly tenants' quotas are to be kept.
-        exposure: What an unproved version of a service's program may get.
+        canary: What an unproved version of a service's program may get.
     """
 
     stop_s: float = 8.0
@@ -66,7 +66,7 @@
     weights_s: float = 8.0
     min_lease_s: float = 1.0
     quota: QuotaPrecision = QuotaPrecision()
-    exposure: CanaryLimits = CanaryLimits()
+    canary: CanaryLimits = CanaryLimits()
 
 
 class RetryBudgetRules(msgspec.Struct, frozen=True):
@@ -134,7 +134,7 @@
         is_first_start: Whether the whole system starts for the first time.
         bounds: The deployment's guarantees.
         retry_budget: The deployment's retry budget.
-        machine: What the machine has; the strongest do what is done for others.
+        machine: What the machine has; those with the greatest capacity do what is done for others.
         regions: The region of each zone; empty where there is one only.
     """
 
--- a/src/weirscale/gateway/state/cluster_state.py
+++ b/src/weirscale/gateway/state/cluster_state.py
@@ -198,7 +198,7 @@
     @_take.register
     def _take_target_version(self, change: TargetVersionChanged, _: VersionedChange) -> None:
         previous = self.target_versions.newest(change.model)
-        # The last proof shows that it was not named then. With the time of its arrival as the
+        # The last proof shows that it was not set then. With the time of its arrival as the
         # bound, a node that receives it late would let older weights serve beyond their grace: 3 s
         # in a run in which a node was paused for 4 s.
         if self.target_versions.add(change.model, change.version, self.confirmed_at_s):
--- a/src/weirscale/gateway/state/weights_age_marker.py
+++ b/src/weirscale/gateway/state/weights_age_marker.py
@@ -15,7 +15,7 @@
     Attributes:
         model: The model.
         version: The version.
-        max_age_s: While the record is there, the version was named no longer ago than this.
+        max_age_s: While the record is there, the version was set no longer ago than this.
     """
 
     model: str
--- a/src/weirscale/gateway/telemetry/node_metrics.py
+++ b/src/weirscale/gateway/telemetry/node_metrics.py
@@ -18,7 +18,7 @@
         num_back_ends: Registered back ends.
         holds_lease: Whether this node gives orders.
         retries_left: Retries that may be spent now, by service.
-        queue_shares: Share of the bound on queues that is in force, by service.
+        queue_shares: Share of the limit on queues that is in force, by service.
         quota_levels: What is left of each quota, in its unit, by tenant.
         rollout_stages: How far each service's rollout is.
         num_suspects: Requests that back ends crashed under of late.
--- a/src/weirscale/gateway/weights/schedule.py
+++ b/src/weirscale/gateway/weights/schedule.py
@@ -11,7 +11,7 @@
   `begin_within_s`, counting the waves that have to go before it;
 - otherwise a wave begins while too large a share of the requests runs on older weights: the
   engines that have the target version do not suffice;
-- the rest wait: a version that is named until then is taken by the same load.
+- the rest wait: a version that is set until then is taken by the same load.
 """
 
 import math
@@ -24,15 +24,15 @@
 
 LOAD_S = 1.3
 """Seconds that a wave is expected to take, while requests go on during the load. With 1.3 instead
-of 2.4 the mean worth of 18 paired days was 0.785 instead of 0.770 (docs/PLATFORM-RESULTS.md)."""
+of 2.4 the mean worth of 18 paired days was 0.785 instead of 0.770 (docs/DECISIONS.md)."""
 
 SHARE_AT_ONCE = 0.34
 """Share of a model's engines in one wave. With a fifth instead of a third the mean worth of 18
-paired days was 0.766 instead of 0.785 (docs/PLATFORM-RESULTS.md)."""
+paired days was 0.766 instead of 0.785 (docs/DECISIONS.md)."""
 
 BEGIN_WITHIN_SHARE = 0.8
 """Share of older weights' grace within which every load should have begun. With 0.3 the mean worth
-of 18 paired days was 0.756 instead of 0.785 (docs/PLATFORM-RESULTS.md)."""
+of 18 paired days was 0.756 instead of 0.785 (docs/DECISIONS.md)."""
 
 SETTLE_S = 0.4
 """Seconds after a load until requests have spread over the loaded engines. Not measured."""
@@ -48,8 +48,8 @@
     Attributes:
         load_s: Seconds that a wave is expected to take, with the requests that end first.
         share_at_once: Share of a model's engines in one wave.
-        begin_within_s: Seconds after the naming within which every load should have begun.
-        unusable_after_s: Seconds after the naming from which older weights get no requests.
+        begin_within_s: Seconds after a version was set within which every load should have begun.
+        unusable_after_s: Seconds after a version was set from which older weights get no requests.
         settle_s: Seconds after a load before it is judged whether the loaded engines suffice.
         old_share: They don't while more than this share of the requests is on older weights.
     """
@@ -66,7 +66,7 @@
     """Return the rules for a deployment.
 
     Args:
-        weights_s: Seconds after the naming of a version in which requests may begin on older ones.
+        weights_s: Seconds after a version was set in which requests may begin on older ones.
     """
     return LoadRules(
         load_s=LOAD_S,
@@ -81,7 +81,7 @@
 
     Attributes:
         instance: The engine.
-        behind_since_s: When the first version newer than its own was named.
+        behind_since_s: When the first version newer than its own was set.
         num_requests: Requests at work there.
         is_suspect: Whether it has failed lately; the others load before it.
     """
