--- a/bench/gateway_cost.py
+++ b/bench/gateway_cost.py
@@ -20,8 +20,8 @@
     decode_message,
     encode_message,
 )
-from weirscale.gateway.routing.cache_belief import CacheBelief
-from weirscale.gateway.routing.candidate import Candidate, FetchSource, PromptNeed
+from weirscale.gateway.routing.cached_blocks import CachedBlocks
+from weirscale.gateway.routing.candidate import Candidate, FetchSource, ScopedPrompt
 from weirscale.gateway.routing.choice import choose
 from weirscale.gateway.routing.choice_rules import ChoiceRules
 from weirscale.gateway.routing.load import Load
@@ -58,7 +58,7 @@
     """Make runners that keep what a share of the prompts brought them."""
     candidates = []
     for number in range(NUM_RUNNERS):
-        cache = CacheBelief(CAPACITY_TOKENS)
+        cache = CachedBlocks(CAPACITY_TOKENS)
         for prompt in random.sample(prompts, 12):
             cache.record(SCOPE, prompt.blocks, is_ready=True)
         back_end = BackEnd(
@@ -106,7 +106,7 @@
     rules = ChoiceRules()
 
     def choose_one(number: int) -> object:
-        need = PromptNeed(prompts[number % NUM_PROMPTS], {VERSION: SCOPE})
+        need = ScopedPrompt(prompts[number % NUM_PROMPTS], {VERSION: SCOPE})
         return choose(candidates, need, sources, ZoneName("z1"), rules, random)
 
     report(f"choice over {NUM_RUNNERS} runners", time_each(choose_one, NUM_CHOICES))
--- a/features/steps/gateway_choice_steps.py
+++ b/features/steps/gateway_choice_steps.py
@@ -22,18 +22,18 @@
 from weirscale.gateway.model.back_ends import BackEnd, BackEndState
 from weirscale.gateway.model.prompt import CacheScope, Prompt, PromptBlock
 from weirscale.gateway.model.topology import Location
-from weirscale.gateway.routing.cache_belief import CacheBelief
-from weirscale.gateway.routing.candidate import Candidate, FetchSource, PromptNeed
+from weirscale.gateway.routing.cached_blocks import CachedBlocks
+from weirscale.gateway.routing.candidate import Candidate, FetchSource, ScopedPrompt
 from weirscale.gateway.routing.choice import choose
 from weirscale.gateway.routing.choice_rules import ChoiceRules
 from weirscale.gateway.routing.dispatcher import Dispatcher, PeerView
 from weirscale.gateway.routing.first_event_model import (
-    LEAST_RATES,
-    MOST_RATES,
+    MAX_RATES,
+    MIN_RATES,
     START_RATES,
     FirstEventModel,
     FirstEventRates,
-    ReadingWork,
+    PrefillWork,
     first_event_s,
 )
 from weirscale.gateway.routing.health import BackEndHealth
@@ -66,7 +66,7 @@
 
 
 def make_candidate(name, traits):
-    cache = CacheBelief(CAPACITY)
+    cache = CachedBlocks(CAPACITY)
     if "keeps it" in traits:
         cache.record(SCOPE, (SHARED,), is_ready=True)
     if "keeps it unread" in traits:
@@ -99,7 +99,7 @@
 
 @when('a prompt of 800 shared and 200 own tokens is to be placed in zone "{zone}"')
 def step_place(context, zone):
-    need = PromptNeed(PROMPT, {VERSION: SCOPE})
+    need = ScopedPrompt(PROMPT, {VERSION: SCOPE})
     sources = [
         FetchSource(
             one.back_end.address, one.back_end.zone, one.cache, VERSION, one.back_end.instance
@@ -128,7 +128,7 @@
     context.placed = []
     for number in range(count):
         parts = (PromptBlock(f"{number:x}", 800), PromptBlock(f"own{number:x}", 200))
-        need = PromptNeed(Prompt("m", parts, 1000, 20), {VERSION: SCOPE})
+        need = ScopedPrompt(Prompt("m", parts, 1000, 20), {VERSION: SCOPE})
         context.placed.append(
             {
                 choose(
@@ -151,7 +151,7 @@
 def step_waiting_runners(context, count, most_ms):
     context.candidates = []
     for number in range(count):
-        cache = CacheBelief(CAPACITY)
+        cache = CachedBlocks(CAPACITY)
         cache.record(SCOPE, (SHARED,), is_ready=True)
         waiting = int(most_ms * number / count / 1000.0 / START_RATES.waiting_token_s)
         end = BackEnd(f"r-{number}", "lm", f"10.0.1.{number}:1", "here", BackEndState.READY, SLOTS)
@@ -171,7 +171,7 @@
         lambda: 0.0,
         peers=PeerView(gossip_delay_s=lambda: delay),
     )
-    need = PromptNeed(PROMPT, {VERSION: SCOPE})
+    need = ScopedPrompt(PROMPT, {VERSION: SCOPE})
     rules = dispatcher.rules("lm")
     chosen = [
         choose(context.candidates, need, [], "here", rules, Random(seed)) for seed in range(nodes)
@@ -187,7 +187,7 @@
 
 @given("a place that keeps {tokens:d} tokens")
 def step_place_keeps(context, tokens):
-    context.cache = CacheBelief(tokens)
+    context.cache = CachedBlocks(tokens)
 
 
 @when('the parts "{first}" and then "{second}" are noted there')
@@ -328,7 +328,7 @@
         elif event == "unreachable":
             context.health.unreachable("r", "connect", context.now_s)
         else:
-            context.health.probed("r", context.now_s)
+            context.health.probe_succeeded("r", context.now_s)
             context.now_s += 3.0
 
 
@@ -375,7 +375,7 @@
 def make_work(random):
     """Return what requests of mixed sizes meet at a runner."""
     waiting = max(0, int(random.gauss(0, 6000)))
-    return ReadingWork(int(random.lognormvariate(7.5, 1.2)), waiting, random.randrange(12))
+    return PrefillWork(int(random.lognormvariate(7.5, 1.2)), waiting, random.randrange(12))
 
 
 @given(
@@ -418,14 +418,14 @@
 def step_observe_same(context, count, tokens, took_s):
     context.model = FirstEventModel()
     for _ in range(count):
-        context.model.observe(ReadingWork(tokens, 0, 1), took_s)
+        context.model.observe(PrefillWork(tokens, 0, 1), took_s)
 
 
 @then("every rate lies within its bounds")
 def step_bounds(context):
     for name in FirstEventRates.__struct_fields__:
         rate = getattr(context.model.rates, name)
-        assert getattr(LEAST_RATES, name) <= rate <= getattr(MOST_RATES, name), (name, rate)
+        assert getattr(MIN_RATES, name) <= rate <= getattr(MAX_RATES, name), (name, rate)
 
 
 @given("a runner with old weights where a request is to wait for {seconds:g} s")
@@ -433,7 +433,7 @@
     waiting = int(seconds / START_RATES.waiting_token_s)
     end = BackEnd("r", "lm", "10.0.1.1:1", "here", BackEndState.READY, SLOTS)
     context.candidate = Candidate(
-        end, Load(0, waiting, 0), False, CacheBelief(CAPACITY), CAPACITY, VERSION,
+        end, Load(0, waiting, 0), False, CachedBlocks(CAPACITY), CAPACITY, VERSION,
         newest_version=VERSION + 1,
     )  # fmt: skip
 
@@ -441,9 +441,9 @@
 @when("its weights are too old in {left_s:g} s and the longest wait of late was {recent_s:g} s")
 def step_time_left(context, left_s, recent_s):
     candidate = msgspec.structs.replace(
-        context.candidate, begins_within_s=left_s, recent_wait_s=recent_s
+        context.candidate, max_start_delay_s=left_s, recent_wait_s=recent_s
     )
-    need = PromptNeed(PROMPT, {VERSION: SCOPE})
+    need = ScopedPrompt(PROMPT, {VERSION: SCOPE})
     context.choice = choose([candidate], need, [], "here", ChoiceRules(), Random(1))
 
 
--- a/features/steps/gateway_fetches_steps.py
+++ b/features/steps/gateway_fetches_steps.py
@@ -18,8 +18,8 @@
 )
 from features.support.attempt_records import attempt_records
 from weirscale.gateway.model.back_ends import BackEnd, BackEndState
-from weirscale.gateway.routing.cache_belief import CacheBelief
-from weirscale.gateway.routing.candidate import Candidate, FetchSource, PromptNeed
+from weirscale.gateway.routing.cached_blocks import CachedBlocks
+from weirscale.gateway.routing.candidate import Candidate, FetchSource, ScopedPrompt
 from weirscale.gateway.routing.choice import choose
 from weirscale.gateway.routing.choice_rules import ChoiceRules
 from weirscale.gateway.routing.first_event_model import (
@@ -61,10 +61,10 @@
     "runner without them"
 )
 def step_keeper(context, place, name, waiting):
-    keeps = CacheBelief(CAPACITY)
+    keeps = CachedBlocks(CAPACITY)
     keeps.record(SCOPE, (SHARED,), is_ready=True)
     idle = BackEnd("idle", "lm", "idle:1", "here", BackEndState.READY, SLOTS)
-    context.candidates = [Candidate(idle, Load(), False, CacheBelief(CAPACITY), CAPACITY, VERSION)]
+    context.candidates = [Candidate(idle, Load(), False, CachedBlocks(CAPACITY), CAPACITY, VERSION)]
     if place == "a store":
         context.source = FetchSource(f"{name}:1", "here", keeps)
         return
@@ -80,7 +80,7 @@
     rates = msgspec.structs.replace(
         START_RATES, engine_token_s=fetch_s + missed * (read_s - fetch_s)
     )
-    need = PromptNeed(PROMPT, {VERSION: SCOPE})
+    need = ScopedPrompt(PROMPT, {VERSION: SCOPE})
     rules = ChoiceRules(rates=rates, affinity_s=0.0)
     context.choice = choose(context.candidates, need, [context.source], "here", rules, Random(1))
 
--- a/features/steps/gateway_groups_steps.py
+++ b/features/steps/gateway_groups_steps.py
@@ -230,7 +230,7 @@
         first.outbox.add_send(context.send)
         await anyio.sleep(seconds)
         for name, node in context.fleet.nodes.items():
-            cache = node.dispatcher.beliefs.at_known_engine(RUNNER.instance)
+            cache = node.dispatcher.cache_index.at_tracked_engine(RUNNER.instance)
             found[name] = cache.matched_tokens(SCOPE, SHARED, only_ready=True) if cache else 0
 
     play(context, body)
--- a/features/steps/gateway_places_steps.py
+++ b/features/steps/gateway_places_steps.py
@@ -22,8 +22,8 @@
 )
 from weirscale.gateway.replication.readers import choose_readers
 from weirscale.gateway.replication.subscription import StateSubscription
-from weirscale.gateway.routing.cache_belief import CacheBelief
-from weirscale.gateway.routing.candidate import Candidate, FetchSource, PromptNeed
+from weirscale.gateway.routing.cached_blocks import CachedBlocks
+from weirscale.gateway.routing.candidate import Candidate, FetchSource, ScopedPrompt
 from weirscale.gateway.routing.choice import choose
 from weirscale.gateway.routing.choice_rules import ChoiceRules
 from weirscale.gateway.routing.dispatcher import Dispatcher
@@ -42,7 +42,7 @@
     zone = "z1" if region == "one" else "z2"
     end = BackEnd(f"r-{region}", "lm", f"10.0.0.{zone[1]}:80", zone, BackEndState.READY, 12)
     return Candidate(
-        end, load or Load(), False, CacheBelief(CAPACITY), CAPACITY, 1,
+        end, load or Load(), False, CachedBlocks(CAPACITY), CAPACITY, 1,
         region=region, is_cross_region=region != "one",
     )  # fmt: skip
 
@@ -50,7 +50,7 @@
 @given("a node in region one, and idle runners in regions one and two")
 def step_two(context):
     context.near, context.far = candidate_in("one"), candidate_in("two")
-    context.need = PromptNeed(PROMPT, {1: SCOPE})
+    context.need = ScopedPrompt(PROMPT, {1: SCOPE})
 
 
 def chosen(context, sources=()):
@@ -70,7 +70,7 @@
 
 @when('a runner in region "{region}" keeps a prompt\'s parts and the near runner keeps none')
 def step_keeps(context, region):
-    cache = CacheBelief(CAPACITY)
+    cache = CachedBlocks(CAPACITY)
     cache.record(SCOPE, BLOCKS[:-1], is_ready=True)
     zone = "z1" if region == "one" else "z2"
     context.sources = [FetchSource("10.0.0.9:80", zone, cache, 1, "r-other", region)]
--- a/features/steps/gateway_runner_shares_steps.py
+++ b/features/steps/gateway_runner_shares_steps.py
@@ -17,11 +17,11 @@
 from weirscale.gateway.model.prompt import Prompt
 from weirscale.gateway.peers.groups import divide
 from weirscale.gateway.peers.registrations import PeerDirectory
-from weirscale.gateway.routing.cache_belief import CacheBelief
-from weirscale.gateway.routing.candidate import Candidate, PromptNeed
+from weirscale.gateway.routing.cached_blocks import CachedBlocks
+from weirscale.gateway.routing.candidate import Candidate, ScopedPrompt
 from weirscale.gateway.routing.choice import choose
 from weirscale.gateway.routing.choice_rules import ChoiceRules
-from weirscale.gateway.routing.engine_shares import EngineShares, share_out
+from weirscale.gateway.routing.engine_assignment import EngineAssignment, assign_engines
 from weirscale.gateway.routing.load import Load
 
 
@@ -39,7 +39,7 @@
 def step_share_out(context, count):
     zones = len({one.zone for one in context.members})
     context.runners = make_runners(count, zones)
-    context.owners = share_out(context.runners, context.division)
+    context.owners = assign_engines(context.runners, context.division)
 
 
 @then("every group of a zone has as many runners as the others there, or one less")
@@ -60,7 +60,7 @@
     shuffled = list(context.runners)
     for seed in range(3):
         Random(seed).shuffle(shuffled)
-        assert share_out(shuffled, context.division) == context.owners
+        assert assign_engines(shuffled, context.division) == context.owners
 
 
 @then("when one runner is gone, at most {most:d} of the others change hands")
@@ -68,7 +68,7 @@
     moved = []
     for gone in range(0, len(context.runners), max(1, len(context.runners) // 10)):
         left = [one for number, one in enumerate(context.runners) if number != gone]
-        owners = share_out(left, context.division)
+        owners = assign_engines(left, context.division)
         moved.append(sum(1 for name, owner in owners.items() if context.owners[name] != owner))
     assert max(moved) <= most, moved
 
@@ -77,7 +77,7 @@
 def step_two_runners(context):
     division = divide(make_members(79, 3))
     runners = make_runners(45, 3)
-    owners = share_out(runners, division)
+    owners = assign_engines(runners, division)
     own_group = division.group_of["node-0"]
     own = next(one for one in runners if owners[one.instance] == own_group)
     foreign = next(one for one in runners if owners[one.instance] != own_group)
@@ -91,13 +91,13 @@
     )
     own, foreign = context.ends
     candidates = [
-        Candidate(own, Load(1, waiting, waiting), False, CacheBelief(80_000), 86_000, 1),
+        Candidate(own, Load(1, waiting, waiting), False, CachedBlocks(80_000), 86_000, 1),
         Candidate(
-            foreign, Load(), False, CacheBelief(80_000), 86_000, 1, belongs_to_other_group=True
+            foreign, Load(), False, CachedBlocks(80_000), 86_000, 1, belongs_to_other_group=True
         ),
     ]
     prompt = Prompt("m", (*SHARED, OWN), 1300, 20)
-    need = PromptNeed(prompt, {1: SCOPE})
+    need = ScopedPrompt(prompt, {1: SCOPE})
     choice = choose(candidates, need, [], own.zone, rules, Random(1))
     context.chosen = choice.candidate.back_end
 
@@ -121,7 +121,7 @@
     context.ends = BackEndDirectory()
     for runner in make_runners(45, 3):
         context.ends.put(runner)
-    context.shares = EngineShares(own.name, context.peers, context.ends)
+    context.shares = EngineAssignment(own.name, context.peers, context.ends)
 
 
 @when("a runner is gone and another one comes")
@@ -133,7 +133,7 @@
 @then("the runners that it takes for foreign are those of other groups")
 def step_foreign(context):
     division = context.peers.division()
-    owners = share_out(context.ends.all(), division)
+    owners = assign_engines(context.ends.all(), division)
     own_group = division.group_of[context.name]
     foreign = {one for one, owner in owners.items() if owner != own_group}
     assert set(context.shares.of_other_groups()) == foreign
--- a/features/steps/gateway_silent_engines_steps.py
+++ b/features/steps/gateway_silent_engines_steps.py
@@ -101,7 +101,7 @@
     load.request_sent(ENGINE.instance, own + others, own + others)
     scope = anyio.CancelScope()
     timeout = AttemptTimeout(
-        scope, lambda: True, lambda since_s: dispatcher.reads_for_others(choice, own, since_s)
+        scope, lambda: True, lambda since_s: dispatcher.is_busy_with_others(choice, own, since_s)
     )
     timeout.start(now_s, timeout_s)
     while not scope.cancel_called and now_s < GIVEN_UP_S:
--- a/src/weirscale/gateway/node_parts.py
+++ b/src/weirscale/gateway/node_parts.py
@@ -19,12 +19,12 @@
 from weirscale.gateway.request_limits.stated_limits import StatedLimits
 from weirscale.gateway.rollouts.gate import VersionGate
 from weirscale.gateway.rollouts.view import RecordReader
+from weirscale.gateway.routing.back_end_maintenance import BackEndMaintenance
 from weirscale.gateway.routing.back_end_notices import BackEndNotices
 from weirscale.gateway.routing.back_end_ports import BackEndPorts
-from weirscale.gateway.routing.back_end_upkeep import BackEndUpkeep
 from weirscale.gateway.routing.choice_rules import START_MARGIN_S
 from weirscale.gateway.routing.dispatcher import Dispatcher, PeerView
-from weirscale.gateway.routing.engine_shares import EngineShares
+from weirscale.gateway.routing.engine_assignment import EngineAssignment
 from weirscale.gateway.routing.health import BackEndHealth
 from weirscale.gateway.routing.load import FleetLoad
 from weirscale.gateway.settings import GatewaySettings
@@ -118,13 +118,13 @@
             self._records, self.cluster, self._rollback_s, self.isolation.is_isolated,
             lambda: self._canary_limits.share,
         )  # fmt: skip
-        self.engine_shares = EngineShares(settings.name, self.peers, self.cluster.directory)
+        self.engine_assignment = EngineAssignment(settings.name, self.peers, self.cluster.directory)
         self.dispatcher = Dispatcher(
             Location(settings.zone, self._topology), self.cluster, self.load, self.health,
             settings.bounds.weights_s - START_MARGIN_S, self._random, clock,
             versions=self.version_gate,
             peers=PeerView(
-                self._gossip_pace.delay_s, self.engine_shares.of_other_groups, self.permits
+                self._gossip_pace.delay_s, self.engine_assignment.of_other_groups, self.permits
             ),
         )  # fmt: skip
         back_pressure = self.dispatcher.back_pressure
@@ -132,7 +132,9 @@
             self.cluster, back_pressure.rests, self.stated_limits, self._event_log, clock
         )
         self._ports = BackEndPorts(connect, self.cluster, self.load, self._notices.take)
-        self._upkeep = BackEndUpkeep(self.cluster, self.health, back_pressure, self._ports, clock)
+        self._upkeep = BackEndMaintenance(
+            self.cluster, self.health, back_pressure, self._ports, clock
+        )
         self.cluster.back_ends.observe_gone(self._forget_back_end)
         self.cluster.engine_versions.observe(self._forget_cache)
 
--- a/src/weirscale/gateway/requests/attempt_records.py
+++ b/src/weirscale/gateway/requests/attempt_records.py
@@ -109,7 +109,7 @@
     def reads_for_others(self, choice: Choice, since_s: float) -> bool:
         """Whether an attempt's engine has worked since a time and has others' prompts to read."""
         own_tokens = self._unread_tokens.get(id(choice), 0)
-        return self.dispatcher.reads_for_others(choice, own_tokens, since_s)
+        return self.dispatcher.is_busy_with_others(choice, own_tokens, since_s)
 
     def record_end(
         self, choice: Choice, prompt: Prompt | None, route: Route, ended: EndedAttempt
--- a/src/weirscale/gateway/requests/back_end_selector.py
+++ b/src/weirscale/gateway/requests/back_end_selector.py
@@ -8,7 +8,7 @@
 from weirscale.gateway.requests.retry_decision import AttemptHistory
 from weirscale.gateway.rollouts.canary_traffic import CanaryTraffic
 from weirscale.gateway.rollouts.gate import Track
-from weirscale.gateway.routing.back_pressure import Return
+from weirscale.gateway.routing.back_pressure import NextAvailability
 from weirscale.gateway.routing.candidate import Choice
 from weirscale.gateway.routing.candidates import DispatchQuery
 from weirscale.gateway.routing.dispatcher import Dispatcher
@@ -43,9 +43,9 @@
         """Wait for a back end that states a request limit; returns whether to choose again."""
         return await self._dispatcher.wait_for_permit(_query(admitted, history.gone), most_s)
 
-    def first_return(self, admitted: AdmittedRequest) -> Return | None:
+    def first_return(self, admitted: AdmittedRequest) -> NextAvailability | None:
         """Return when the first of those that ask to be spared a request takes one again."""
-        return self._dispatcher.first_return(_query(admitted, ()))
+        return self._dispatcher.next_availability(_query(admitted, ()))
 
     def request_sent(self, back_end: BackEnd) -> None:
         """Use a permit for a request that is sent to a back end now, if it takes one."""
--- a/src/weirscale/gateway/routing/attempt_learning.py
+++ b/src/weirscale/gateway/routing/attempt_learning.py
@@ -2,7 +2,7 @@
 
 from weirscale.domain.identifiers import ServiceName
 from weirscale.gateway.model.identifiers import Address, InstanceId
-from weirscale.gateway.routing.cache_beliefs import CacheBeliefs
+from weirscale.gateway.routing.cache_index import CacheIndex
 from weirscale.gateway.routing.candidate import Choice
 from weirscale.gateway.routing.choice_rules import ChoiceRules
 from weirscale.gateway.routing.first_event_model import FirstEventModel, FirstEventRates
@@ -25,9 +25,9 @@
         beliefs: Which sources are kept-KV stores.
     """
 
-    def __init__(self, rules: ChoiceRules, beliefs: CacheBeliefs) -> None:
+    def __init__(self, rules: ChoiceRules, cache_index: CacheIndex) -> None:
         self._rules = rules
-        self._beliefs = beliefs
+        self._cache_index = cache_index
         self._models: dict[ServiceName, FirstEventModel] = {}
         self._waits: dict[ServiceName, RecentWaits] = {}
         self._slow_until_s: dict[Address, float] = {}
@@ -68,7 +68,7 @@
         address = choice.fetch_from
         if address is None or took_s < choice.estimate_s + SLOW_SOURCE_S:
             return
-        if self._beliefs.is_store(address):
+        if self._cache_index.is_store(address):
             self._slow_until_s[address] = now_s + SLOW_SOURCE_PAUSE_S
 
     def learn_from_overdue(self, now_s: float) -> None:
@@ -90,7 +90,7 @@
         model = self._models.get(service)
         if model is None:
             model = self._models[service] = FirstEventModel(self._rules.rates)
-        work = candidate.reading_work(
+        work = candidate.prefill_work(
             choice.read_tokens, choice.fetched_tokens, choice.is_from_store
         )
         setup_s = self._rules.fetch_setup_s if choice.fetched_tokens else 0.0
--- a/src/weirscale/gateway/routing/back_end_upkeep.py
+++ b/src/weirscale/gateway/routing/back_end_maintenance.py
@@ -22,7 +22,7 @@
 """Path that is asked where the service of a back end is not declared."""
 
 
-class BackEndUpkeep:
+class BackEndMaintenance:
     """Looks after the back ends; `run` must be running.
 
     Args:
@@ -72,6 +72,6 @@
         service = table.service(back_end.service)
         path = service.health_path if service else DEFAULT_HEALTH_PATH
         if await self._ports.port_of(back_end).is_healthy(path, PROBE_TIMEOUT_S):
-            self._health.probed(instance, self._clock())
+            self._health.probe_succeeded(instance, self._clock())
         else:
             self._health.unreachable(instance, "probe", self._clock())
--- a/src/weirscale/gateway/routing/back_pressure.py
+++ b/src/weirscale/gateway/routing/back_pressure.py
@@ -16,7 +16,7 @@
 later."""
 
 
-class Return(msgspec.Struct, frozen=True):
+class NextAvailability(msgspec.Struct, frozen=True):
     """When a back end that may not be sent a request now may be sent one again.
 
     Attributes:
@@ -59,7 +59,9 @@
         if self._permits is not None:
             self._permits.take(run)
 
-    def first_return(self, back_ends: Iterable[BackEnd], now_s: float) -> Return | None:
+    def next_availability(
+        self, back_ends: Iterable[BackEnd], now_s: float
+    ) -> NextAvailability | None:
         """Return who comes back first of those that may be sent nothing now; None without any."""
         returns = [self._return(one.run_id, now_s) for one in back_ends]
         found = [one for one in returns if one is not None]
@@ -77,7 +79,7 @@
             now_s: The time.
             most_s: Longest wait in seconds that makes sense.
         """
-        first = self.first_return(back_ends, now_s)
+        first = self.next_availability(back_ends, now_s)
         if self._permits is None or first is None or not first.is_limited:
             return False
         hoped_for = self._permits.expected((one.run_id for one in back_ends), MAX_PERMIT_WAIT_S)
@@ -91,13 +93,13 @@
             self._num_waiting -= 1
         return True
 
-    def _return(self, run: RunId, now_s: float) -> Return | None:
+    def _return(self, run: RunId, now_s: float) -> NextAvailability | None:
         rest_s = self.rests.left_s(run, now_s)
         if rest_s > 0.0:
-            return Return(rest_s, is_limited=False)
+            return NextAvailability(rest_s, is_limited=False)
         if self._has_permit(run) or self._permits is None:
             return None
-        return Return(self._permits.wait_left_s(run), is_limited=True)
+        return NextAvailability(self._permits.wait_left_s(run), is_limited=True)
 
     def _has_permit(self, run: RunId) -> bool:
         return self._permits is None or self._permits.admits(run)
--- a/src/weirscale/gateway/routing/cache_beliefs.py
+++ b/src/weirscale/gateway/routing/cache_index.py
@@ -9,7 +9,7 @@
 from weirscale.gateway.model.identifiers import Address, InstanceId
 from weirscale.gateway.model.prompt import PromptBlock
 from weirscale.gateway.model.topology import Topology
-from weirscale.gateway.routing.cache_belief import CacheBelief
+from weirscale.gateway.routing.cached_blocks import CachedBlocks
 from weirscale.gateway.state.cluster_state import ClusterState
 
 CACHE_SHARE = 0.8
@@ -17,7 +17,7 @@
 measured."""
 
 
-class CacheBeliefs:
+class CacheIndex:
     """Beliefs about caches, by engine and by store.
 
     Args:
@@ -28,26 +28,26 @@
     def __init__(self, cluster: ClusterState, topology: Topology) -> None:
         self._cluster = cluster
         self._topology = topology
-        self._engines: dict[InstanceId, CacheBelief] = {}
-        self._stores: dict[Address, CacheBelief] = {}
+        self._engines: dict[InstanceId, CachedBlocks] = {}
+        self._stores: dict[Address, CachedBlocks] = {}
 
-    def at_engine(self, instance: InstanceId, capacity_tokens: int) -> CacheBelief:
+    def at_engine(self, instance: InstanceId, capacity_tokens: int) -> CachedBlocks:
         """Return what is believed of an engine whose memory has a capacity."""
         belief = self._engines.get(instance)
         if belief is None:
-            belief = CacheBelief(int(capacity_tokens * CACHE_SHARE))
+            belief = CachedBlocks(int(capacity_tokens * CACHE_SHARE))
             self._engines[instance] = belief
         return belief
 
-    def at_known_engine(self, instance: InstanceId) -> CacheBelief | None:
+    def at_tracked_engine(self, instance: InstanceId) -> CachedBlocks | None:
         """Return what is believed of an engine; None if nothing was ever believed of it."""
         return self._engines.get(instance)
 
-    def at_store(self, store: KeptKvStore) -> CacheBelief:
+    def at_store(self, store: KeptKvStore) -> CachedBlocks:
         """Return what is believed of a store."""
         belief = self._stores.get(store.address)
         if belief is None:
-            belief = self._stores[store.address] = CacheBelief(store.capacity_tokens)
+            belief = self._stores[store.address] = CachedBlocks(store.capacity_tokens)
         return belief
 
     def stores(self) -> list[KeptKvStore]:
@@ -97,13 +97,13 @@
         self, instance: InstanceId, scope: str, blocks: tuple[PromptBlock, ...]
     ) -> None:
         """Forget blocks that were sent to an engine and not read there."""
-        belief = self.at_known_engine(instance)
+        belief = self.at_tracked_engine(instance)
         if belief is not None:
             belief.forget(scope, blocks)
 
     def clear_engine(self, instance: InstanceId) -> None:
         """Forget all blocks of an engine that has taken new weights."""
-        belief = self.at_known_engine(instance)
+        belief = self.at_tracked_engine(instance)
         if belief is not None:
             belief.clear()
 
@@ -111,9 +111,9 @@
         """Forget an engine that is gone."""
         self._engines.pop(instance, None)
 
-    def _at_declared_engine(self, instance: InstanceId) -> CacheBelief | None:
+    def _at_declared_engine(self, instance: InstanceId) -> CachedBlocks | None:
         """Return what is believed of an engine; None if the platform lists no such engine."""
-        belief = self.at_known_engine(instance)
+        belief = self.at_tracked_engine(instance)
         if belief is not None:
             return belief
         back_end = self._cluster.directory.get(instance)
--- a/src/weirscale/gateway/routing/cache_belief.py
+++ b/src/weirscale/gateway/routing/cached_blocks.py
@@ -24,7 +24,7 @@
     is_ready: bool
 
 
-class CacheBelief:
+class CachedBlocks:
     """The blocks believed to be kept at one place; the least recently used are dropped first.
 
     Args:
--- a/src/weirscale/gateway/routing/candidate.py
+++ b/src/weirscale/gateway/routing/candidate.py
@@ -9,8 +9,8 @@
 from weirscale.gateway.model.identifiers import Address, InstanceId
 from weirscale.gateway.model.prompt import Prompt
 from weirscale.gateway.model.topology import NO_REGION
-from weirscale.gateway.routing.cache_belief import CacheBelief
-from weirscale.gateway.routing.first_event_model import ReadingWork
+from weirscale.gateway.routing.cached_blocks import CachedBlocks
+from weirscale.gateway.routing.first_event_model import PrefillWork
 from weirscale.gateway.routing.load import Load
 
 
@@ -37,13 +37,13 @@
     back_end: BackEnd
     load: Load
     is_suspect: bool
-    cache: CacheBelief | None = None
+    cache: CachedBlocks | None = None
     capacity_tokens: int = 0
     weight_version: int | None = None
     load_age_s: float = 0.0
     newest_version: int | None = None
     weights_behind_s: float = 0.0
-    begins_within_s: float = math.inf
+    max_start_delay_s: float = math.inf
     recent_wait_s: float = 0.0
     belongs_to_other_group: bool = False
     region: RegionName = NO_REGION
@@ -54,11 +54,11 @@
         """Whether newer weights than its own are wanted."""
         return self.newest_version is not None
 
-    def reading_work(
+    def prefill_work(
         self, read_tokens: int, fetched_tokens: int, is_from_store: bool
-    ) -> ReadingWork:
+    ) -> PrefillWork:
         """Return what a request that has some tokens to read and to fetch meets here."""
-        return ReadingWork(
+        return PrefillWork(
             read_tokens,
             self.load.waiting_tokens,
             self.load.num_requests,
@@ -81,13 +81,13 @@
 
     address: Address
     zone: ZoneName
-    cache: CacheBelief
+    cache: CachedBlocks
     weight_version: int | None = None
     instance: InstanceId | None = None
     region: RegionName = NO_REGION
 
 
-class PromptNeed(msgspec.Struct, frozen=True):
+class ScopedPrompt(msgspec.Struct, frozen=True):
     """A prompt and the scope of its blocks for each version of the weights.
 
     Attributes:
--- a/src/weirscale/gateway/routing/candidate_cost.py
+++ b/src/weirscale/gateway/routing/candidate_cost.py
@@ -9,11 +9,11 @@
 
 from weirscale.domain.identifiers import ZoneName
 from weirscale.gateway.model.prompt import Prompt
-from weirscale.gateway.routing.candidate import Candidate, Choice, PromptNeed
+from weirscale.gateway.routing.candidate import Candidate, Choice, ScopedPrompt
 from weirscale.gateway.routing.choice_rules import AFFINITY_SHARPNESS, ChoiceRules
 from weirscale.gateway.routing.fetch_source import SourceFinder
 from weirscale.gateway.routing.first_event_model import (
-    ReadingWork,
+    PrefillWork,
     first_event_s,
     missed_share,
 )
@@ -36,7 +36,7 @@
 
 def estimate(
     candidate: Candidate,
-    need: PromptNeed | None,
+    need: ScopedPrompt | None,
     finder: SourceFinder | None,
     zone: ZoneName,
     rules: ChoiceRules,
@@ -74,7 +74,7 @@
 
 def _estimate_generation(
     candidate: Candidate,
-    need: PromptNeed,
+    need: ScopedPrompt,
     finder: SourceFinder,
     common_s: float,
     rules: ChoiceRules,
@@ -87,9 +87,9 @@
     source, fetched = finder.best(candidate, cached)
     read = prompt.num_tokens - cached - fetched
     is_from_store = source is not None and source.instance is None
-    work = candidate.reading_work(read, fetched, is_from_store)
+    work = candidate.prefill_work(read, fetched, is_from_store)
     setup_s = rules.fetch_setup_s if fetched else 0.0
-    alone = ReadingWork(read, 0, 0, work.num_from_engine, work.num_from_store)
+    alone = PrefillWork(read, 0, 0, work.num_from_engine, work.num_from_store)
     idle_s = first_event_s(rules.rates, alone) + setup_s
     wait_s = first_event_s(rules.rates, work) + setup_s
     wait_s += _memory_delay_s(candidate, prompt, rules)
--- a/src/weirscale/gateway/routing/candidates.py
+++ b/src/weirscale/gateway/routing/candidates.py
@@ -19,8 +19,8 @@
 from weirscale.gateway.model.topology import Location
 from weirscale.gateway.rollouts.gate import Track
 from weirscale.gateway.routing.attempt_learning import AttemptLearning
-from weirscale.gateway.routing.back_pressure import BackPressure, Return
-from weirscale.gateway.routing.cache_beliefs import CacheBeliefs
+from weirscale.gateway.routing.back_pressure import BackPressure, NextAvailability
+from weirscale.gateway.routing.cache_index import CacheIndex
 from weirscale.gateway.routing.candidate import Candidate
 from weirscale.gateway.routing.choice_rules import START_MARGIN_S
 from weirscale.gateway.routing.health import BackEndHealth
@@ -79,7 +79,7 @@
         cluster: ClusterState,
         load: FleetLoad,
         health: BackEndHealth,
-        beliefs: CacheBeliefs,
+        cache_index: CacheIndex,
         learning: AttemptLearning,
         weights_grace_s: float,
         versions: VersionRules,
@@ -90,7 +90,7 @@
         self._cluster = cluster
         self._load = load
         self._health = health
-        self._beliefs = beliefs
+        self._cache_index = cache_index
         self._learning = learning
         self.weights_grace_s = weights_grace_s
         self._versions = versions
@@ -110,9 +110,9 @@
         others = self._engines_of_other_groups()
         return [self._candidate(one, query.prompt, service, others, now_s) for one in found]
 
-    def first_return(self, query: DispatchQuery, now_s: float) -> Return | None:
+    def next_availability(self, query: DispatchQuery, now_s: float) -> NextAvailability | None:
         """Return when the first of those that ask to be spared a request takes one again."""
-        return self._back_pressure.first_return(self.usable(query, now_s), now_s)
+        return self._back_pressure.next_availability(self.usable(query, now_s), now_s)
 
     def usable(self, query: DispatchQuery, now_s: float) -> list[BackEnd]:
         """Return the ready back ends of a version and with weights that the request may go to."""
@@ -202,12 +202,12 @@
             back_end,
             load,
             is_suspect,
-            self._beliefs.at_engine(back_end.instance, capacity),
+            self._cache_index.at_engine(back_end.instance, capacity),
             capacity,
             version,
             newest_version=None if newer is None else targets.newest(prompt.model),
             weights_behind_s=0.0 if newer is None else now_s - newer.set_after_s,
-            begins_within_s=math.inf if newer is None else self._begins_within_s(newer, now_s),
+            max_start_delay_s=math.inf if newer is None else self._max_start_delay_s(newer, now_s),
             recent_wait_s=0.0 if newer is None else self._recent_wait_s(back_end, now_s),
             belongs_to_other_group=back_end.instance in of_other_groups,
             region=self._location.topology.region_of(back_end.zone),
@@ -220,7 +220,7 @@
             return None
         return self._cluster.target_versions.first_newer(model, version)
 
-    def _begins_within_s(self, newer: TargetVersion, now_s: float) -> float:
+    def _max_start_delay_s(self, newer: TargetVersion, now_s: float) -> float:
         """Return the time until requests may not begin any more on weights older than a version."""
         began_s = self._cluster.grace_began_s(newer)
         return began_s + self.weights_grace_s + START_MARGIN_S - now_s
--- a/src/weirscale/gateway/routing/choice.py
+++ b/src/weirscale/gateway/routing/choice.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from weirscale.domain.identifiers import ZoneName
-from weirscale.gateway.routing.candidate import Candidate, Choice, FetchSource, PromptNeed
+from weirscale.gateway.routing.candidate import Candidate, Choice, FetchSource, ScopedPrompt
 from weirscale.gateway.routing.candidate_cost import estimate
 from weirscale.gateway.routing.choice_rules import RECENT_FACTOR, START_FACTOR, ChoiceRules
 from weirscale.gateway.routing.fetch_source import SourceFinder
@@ -14,7 +14,7 @@
 
 def choose(
     candidates: Sequence[Candidate],
-    need: PromptNeed | None,
+    need: ScopedPrompt | None,
     sources: Sequence[FetchSource],
     zone: ZoneName,
     rules: ChoiceRules,
@@ -53,4 +53,4 @@
     """Whether a request would begin before its engine's weights are too old."""
     candidate = choice.candidate
     wait_s = max(START_FACTOR * choice.estimate_s, RECENT_FACTOR * candidate.recent_wait_s)
-    return wait_s <= candidate.begins_within_s
+    return wait_s <= candidate.max_start_delay_s
--- a/src/weirscale/gateway/routing/dispatcher.py
+++ b/src/weirscale/gateway/routing/dispatcher.py
@@ -1,7 +1,7 @@
 """Chooses back ends for requests, and learns from their attempts and from gossip.
 
 The decision has one place for each of its questions: who may get the request (`candidates`), what
-is cached where (`cache_beliefs`), what was learnt of waits (`attempt_learning`), what a candidate
+is cached where (`cache_index`), what was learnt of waits (`attempt_learning`), what a candidate
 costs (`candidate_cost`, with the weights of `choice_rules`), where cached blocks are fetched from
 (`fetch_source`), and which candidate is taken (`choice`).
 """
@@ -20,9 +20,9 @@
 from weirscale.gateway.rollouts.gate import Track
 from weirscale.gateway.routing.attempt_learning import AttemptLearning
 from weirscale.gateway.routing.back_end_rests import BackEndRests
-from weirscale.gateway.routing.back_pressure import BackPressure, Return
-from weirscale.gateway.routing.cache_beliefs import CacheBeliefs
-from weirscale.gateway.routing.candidate import Candidate, Choice, FetchSource, PromptNeed
+from weirscale.gateway.routing.back_pressure import BackPressure, NextAvailability
+from weirscale.gateway.routing.cache_index import CacheIndex
+from weirscale.gateway.routing.candidate import Candidate, Choice, FetchSource, ScopedPrompt
 from weirscale.gateway.routing.candidates import Candidates, DispatchQuery
 from weirscale.gateway.routing.choice import choose
 from weirscale.gateway.routing.choice_rules import ChoiceRules
@@ -88,11 +88,11 @@
         self._clock = clock
         self._start_rules = rules or ChoiceRules()
         self._peers = peers
-        self.beliefs = CacheBeliefs(cluster, location.topology)
-        self.learning = AttemptLearning(self._start_rules, self.beliefs)
+        self.cache_index = CacheIndex(cluster, location.topology)
+        self.learning = AttemptLearning(self._start_rules, self.cache_index)
         self.back_pressure = BackPressure(BackEndRests(random), peers.permits)
         self.candidates = Candidates(
-            location, cluster, load, health, self.beliefs, self.learning, weights_grace_s,
+            location, cluster, load, health, self.cache_index, self.learning, weights_grace_s,
             versions or AllVersions(), peers.engines_of_other_groups,
             self.back_pressure,
         )  # fmt: skip
@@ -122,9 +122,9 @@
         back_ends = self.candidates.usable(query, now_s)
         return await self.back_pressure.wait_for_permit(back_ends, now_s, most_s)
 
-    def first_return(self, query: DispatchQuery) -> Return | None:
+    def next_availability(self, query: DispatchQuery) -> NextAvailability | None:
         """Return when the first of those that ask to be spared a request takes one again."""
-        return self.candidates.first_return(query, self._clock())
+        return self.candidates.next_availability(query, self._clock())
 
     def rules(self, service: ServiceName) -> ChoiceRules:
         """Return the weights of the choice as they are now.
@@ -147,10 +147,10 @@
         The last block of a prompt is its own; saving it alone is not worth the move.
         """
         shared = prompt.blocks[:-1]
-        store = self.beliefs.store_near(choice.candidate.back_end.zone)
+        store = self.cache_index.store_near(choice.candidate.back_end.zone)
         if store is None or not shared or choice.scope is None:
             return None
-        kept_tokens = self.beliefs.at_store(store).matched_tokens(choice.scope, shared)
+        kept_tokens = self.cache_index.at_store(store).matched_tokens(choice.scope, shared)
         return store.address if kept_tokens < sum(one.num_tokens for one in shared) else None
 
     def _with_load_age(self, choice: Choice, track: Track, now_s: float) -> Choice:
@@ -178,10 +178,10 @@
             FetchSource(
                 store.address,
                 store.zone,
-                self.beliefs.at_store(store),
+                self.cache_index.at_store(store),
                 region=self._location.topology.region_of(store.zone),
             )
-            for store in self.beliefs.stores()
+            for store in self.cache_index.stores()
             if not self.learning.is_slow(store.address, now_s)
         ]
 
@@ -204,7 +204,7 @@
         """An engine did not read a prompt after all."""
         if choice.scope is not None:
             instance = choice.candidate.back_end.instance
-            self.beliefs.forget_unread(instance, choice.scope, prompt.blocks)
+            self.cache_index.forget_unread(instance, choice.scope, prompt.blocks)
 
     def record_blocks(
         self,
@@ -215,19 +215,19 @@
     ) -> None:
         """Record blocks at an engine, from this node's own sends or a peer's."""
         if scope is not None:
-            self.beliefs.record(instance, scope, blocks, is_ready)
+            self.cache_index.record(instance, scope, blocks, is_ready)
 
     def record_shared_blocks(
         self, instance: InstanceId, scope: str, shared: tuple[PromptBlock, ...]
     ) -> None:
         """Record the shared blocks of a prompt that an engine has read for another group."""
-        self.beliefs.record_shared(instance, scope, shared)
+        self.cache_index.record_shared(instance, scope, shared)
 
     def event_received(self, instance: InstanceId) -> None:
         """An engine has made an event, so it lives."""
         self.learning.event_received(instance, self._clock())
 
-    def reads_for_others(self, choice: Choice, own_tokens: int, since_s: float) -> bool:
+    def is_busy_with_others(self, choice: Choice, own_tokens: int, since_s: float) -> bool:
         """Return whether an engine has made an event since a time and has others' prompts to read.
 
         Args:
@@ -261,20 +261,20 @@
 
     def weights_changed(self, instance: InstanceId) -> None:
         """An engine has new weights: what it kept is gone."""
-        self.beliefs.clear_engine(instance)
+        self.cache_index.clear_engine(instance)
         self.candidates.unmark_loading(instance)
 
     def forget(self, instance: InstanceId) -> None:
         """Forget a back end that is gone."""
-        self.beliefs.forget_engine(instance)
+        self.cache_index.forget_engine(instance)
         self.candidates.forget(instance)
         self.learning.forget_engine(instance)
         self._load.forget(instance)
         self._health.forget(instance)
 
 
-def _need(prompt: Prompt, tenant: Tenant | None, candidates: list[Candidate]) -> PromptNeed:
+def _need(prompt: Prompt, tenant: Tenant | None, candidates: list[Candidate]) -> ScopedPrompt:
     isolated = tenant.name if tenant is not None and tenant.is_isolated else None
     versions = {one.weight_version for one in candidates if one.weight_version is not None}
     scopes = {version: CacheScope(prompt.model, version, isolated).text() for version in versions}
-    return PromptNeed(prompt, scopes)
+    return ScopedPrompt(prompt, scopes)
--- a/src/weirscale/gateway/routing/engine_shares.py
+++ b/src/weirscale/gateway/routing/engine_assignment.py
@@ -14,7 +14,7 @@
 from weirscale.gateway.peers.registrations import PeerDirectory
 
 
-class EngineShares:
+class EngineAssignment:
     """Keeps the engines that other groups prefer, worked out anew when groups or engines change.
 
     Args:
@@ -38,13 +38,13 @@
             self._division = division
             self._num_changes = self._directory.num_changes
             engines = [one for one in self._directory.all() if one.models]
-            owners = share_out(engines, division)
+            owners = assign_engines(engines, division)
             own_group = division.group_of.get(self._name)
             self._of_other_groups = frozenset(one for one in owners if owners[one] != own_group)
         return self._of_other_groups
 
 
-def share_out(back_ends: Iterable[BackEnd], division: Division) -> dict[InstanceId, str]:
+def assign_engines(back_ends: Iterable[BackEnd], division: Division) -> dict[InstanceId, str]:
     """Return the group that each engine belongs to; the same on all nodes that know the same.
 
     Within a zone every group gets about as many as the others, by rendezvous hashing, so that few
--- a/src/weirscale/gateway/routing/fetch_source.py
+++ b/src/weirscale/gateway/routing/fetch_source.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from weirscale.gateway.model.topology import are_apart
-from weirscale.gateway.routing.candidate import Candidate, FetchSource, PromptNeed
+from weirscale.gateway.routing.candidate import Candidate, FetchSource, ScopedPrompt
 from weirscale.gateway.routing.choice_rules import ChoiceRules
 
 
@@ -37,7 +37,7 @@
     """Finds the best source of a prompt's cached blocks; each source is looked up once."""
 
     def __init__(
-        self, need: PromptNeed, sources: Sequence[FetchSource], rules: ChoiceRules
+        self, need: ScopedPrompt, sources: Sequence[FetchSource], rules: ChoiceRules
     ) -> None:
         self._need = need
         self._sources = sources
--- a/src/weirscale/gateway/routing/first_event_model.py
+++ b/src/weirscale/gateway/routing/first_event_model.py
@@ -62,14 +62,14 @@
 """How far the rates of a deployment may be from those of the start: standard deviations, in the
 units of the rates. Widest for tokens to fetch: engines that do not fetch read them."""
 
-LEAST_RATES = FirstEventRates(0.0, 1 / 400_000.0, 1 / 800_000.0, 0.0, 1 / 800_000.0, 1 / 800_000.0)
+MIN_RATES = FirstEventRates(0.0, 1 / 400_000.0, 1 / 800_000.0, 0.0, 1 / 800_000.0, 1 / 800_000.0)
 """Lower bounds of the rates, whatever is observed."""
 
-MOST_RATES = FirstEventRates(0.2, 1 / 4_000.0, 1 / 4_000.0, 0.02, 1 / 4_000.0, 1 / 4_000.0)
+MAX_RATES = FirstEventRates(0.2, 1 / 4_000.0, 1 / 4_000.0, 0.02, 1 / 4_000.0, 1 / 4_000.0)
 """Upper bounds of the rates, whatever is observed."""
 
 
-class ReadingWork(msgspec.Struct, frozen=True):
+class PrefillWork(msgspec.Struct, frozen=True):
     """What a request meets at an engine.
 
     Attributes:
@@ -87,7 +87,7 @@
     num_from_store: int = 0
 
 
-def first_event_s(rates: FirstEventRates, work: ReadingWork) -> float:
+def first_event_s(rates: FirstEventRates, work: PrefillWork) -> float:
     """Return the expected seconds to the first event."""
     # Written out instead of a loop, as each choice calls this for every engine.
     return (
@@ -120,7 +120,7 @@
             for row in range(len(spread))
         ]
 
-    def observe(self, work: ReadingWork, took_s: float) -> None:
+    def observe(self, work: PrefillWork, took_s: float) -> None:
         """Learn from one first event.
 
         Args:
@@ -153,7 +153,7 @@
     return msgspec.structs.astuple(rates)
 
 
-def _inputs(work: ReadingWork) -> Vector:
+def _inputs(work: PrefillWork) -> Vector:
     return (
         1.0,
         float(work.num_tokens),
@@ -169,7 +169,7 @@
 
 
 def _bounded(learnt: list[float]) -> FirstEventRates:
-    least, most = _vector(LEAST_RATES), _vector(MOST_RATES)
+    least, most = _vector(MIN_RATES), _vector(MAX_RATES)
     bounded = [
         max(low, min(high, rate)) for rate, low, high in zip(learnt, least, most, strict=True)
     ]
--- a/src/weirscale/gateway/routing/health.py
+++ b/src/weirscale/gateway/routing/health.py
@@ -71,7 +71,7 @@
         after = after_probe_failure(circuit, self._rules, now_s, self._random, reason)
         self._set(instance, after, now_s)
 
-    def probed(self, instance: InstanceId, now_s: float) -> None:
+    def probe_succeeded(self, instance: InstanceId, now_s: float) -> None:
         """A probe was answered."""
         circuit = self._circuits.get(instance)
         if circuit is not None:
