--- a/features/steps/gateway_overload_steps.py
+++ b/features/steps/gateway_overload_steps.py
@@ -301,7 +301,7 @@
 def step_usual(context, usual, allowed):
     async def body(node):
         for _ in range(400):
-            node.context.pauses.learn_pause("lm", usual)
+            node.context.pauses.record_pause("lm", usual)
         context.timeout_s = node.context.pauses.stall_timeout_s(AIMED, "lm")
 
     assert allowed == AIMED.max_pause_s
--- a/features/steps/gateway_queue_limit_steps.py
+++ b/features/steps/gateway_queue_limit_steps.py
@@ -16,20 +16,20 @@
     context.pauses = StreamPauses()
     context.limit = context.pauses.queue_limit("lm")
     context.limit.level = 1.0
-    context.limit.learn_idle(1.0, 0.0)
+    context.limit.record_idle_share(1.0, 0.0)
     stay_idle(context.limit, seconds)
 
 
 def stay_idle(limit, seconds):
     """Let requests that come every tenth of a second find all engines idle."""
-    began_s = limit.idle_known_at_s
+    began_s = limit.idle_updated_at_s
     for number in range(1, 10 * seconds + 1):
-        limit.learn_idle(1.0, began_s + number / 10)
+        limit.record_idle_share(1.0, began_s + number / 10)
 
 
 @when("all of them stall for {stalled:g} seconds and then are idle for {idle:d} seconds")
 def step_stall(context, stalled, idle):
-    context.limit.learn_stall(stalled)
+    context.limit.record_stall(stalled)
     stay_idle(context.limit, idle)
 
 
@@ -46,4 +46,4 @@
         context.pauses.stream_began(back_end)
     for number in range(streams):
         context.pauses.stream_began(backs[0])
-        context.pauses.learn_stall(backs[0], ROUTE, pause, pause + number * apart)
+        context.pauses.record_stall(backs[0], ROUTE, pause, pause + number * apart)
--- a/features/steps/gateway_requests_steps.py
+++ b/features/steps/gateway_requests_steps.py
@@ -52,7 +52,7 @@
 
 ENDS = {
     "broken": AttemptEnd.UNCERTAIN,
-    "refused": AttemptEnd.UNRUN,
+    "refused": AttemptEnd.NOT_RUN,
     "absent": AttemptEnd.NEVER_SENT,
 }
 
@@ -69,8 +69,8 @@
     "{before:d} of the route's attempts are used before an answer has begun, and {after:d} afterwards"
 )
 def step_used(context, before, after):
-    assert context.history.num_used(has_begun=False) == before
-    assert context.history.num_used(has_begun=True) == after
+    assert context.history.num_used_attempts(has_begun=False) == before
+    assert context.history.num_used_attempts(has_begun=True) == after
 
 
 @given("two back ends that fail each request")
--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -36,7 +36,7 @@
 from weirscale.gateway.requests.back_end_selector import BackEndSelector
 from weirscale.gateway.requests.back_end_verdicts import BackEndVerdicts
 from weirscale.gateway.requests.caller_app import CallerApp
-from weirscale.gateway.requests.crash_reports import CrashReports
+from weirscale.gateway.requests.crash_reports import CrashReporter
 from weirscale.gateway.requests.request_context import RequestContext
 from weirscale.gateway.requests.request_log import RequestLog
 from weirscale.gateway.requests.retry_decision import NodeRetryBudget
@@ -50,7 +50,7 @@
 from weirscale.gateway.rollouts.tallies import FleetTallies, Tallies
 from weirscale.gateway.routing.choice_rules import START_MARGIN_S
 from weirscale.gateway.settings import GatewaySettings, ListenAddress
-from weirscale.gateway.telemetry.node_metrics import NodeFigures
+from weirscale.gateway.telemetry.node_metrics import GaugeValues
 from weirscale.gateway.weights.age_markers import AgeMarkerWriter
 from weirscale.gateway.weights.engine_load import EngineLoader
 from weirscale.gateway.weights.holder_lease import (
@@ -197,7 +197,7 @@
                 self.dispatcher, self.load, self.budget, self.outbox, self._send_gossip_now,
                 pauses, verdicts, clock,
             ),
-            crashes=CrashReports(
+            crash_reporter=CrashReporter(
                 self.cluster, port_of, self.quarantine, self.health, self.outbox,
                 self._send_gossip_now, self._event_log, clock,
             ),
@@ -253,7 +253,7 @@
                 self.follower, self.subscription, self.ages, self.registration,
                 self.gossip_task, self.relay, self._permit_exchange, self._lease,
                 self._weights_rollout,
-                self._rollout_holder, self.version_check, self.context.crashes.crash_check,
+                self._rollout_holder, self.version_check, self.context.crash_reporter.crash_check,
                 self.quarantine, self.context.timeouts, self._upkeep,
             ):  # fmt: skip
                 tasks.start_soon(task.run)
@@ -315,7 +315,7 @@
         services = {one.service for one in self.cluster.directory.all()}
         num_nodes, now_s = self.peers.num_nodes(), self._clock()
         return self.metrics.text(
-            NodeFigures(
+            GaugeValues(
                 state_age_s=self.cluster.age_s(),
                 configuration_version=table.version if table else 0,
                 num_back_ends=len(self.cluster.directory.instances()),
--- a/src/weirscale/gateway/requests/admission.py
+++ b/src/weirscale/gateway/requests/admission.py
@@ -121,7 +121,7 @@
         """Change the guarantees."""
         self._key_removal_s = guarantees.key_removal_s
 
-    def is_current(self) -> bool:
+    def is_configuration_current(self) -> bool:
         """Whether the configuration is proved to be current enough for keys."""
         bound_s = self._key_removal_s
         return bound_s is None or self._cluster.age_s() <= PROOF_SHARE * bound_s
@@ -157,7 +157,7 @@
             return self._deny(HTTPStatus.NOT_FOUND, RequestCause.NO_ROUTE)
         tenant = None
         if table.needs_keys and not route.is_public:
-            if not self.is_current():
+            if not self.is_configuration_current():
                 return self._refuse(RequestCause.CONFIGURATION_UNPROVED, route)
             tenant = table.tenant_of(request.key)
             if tenant is None:
@@ -192,7 +192,7 @@
 
     def _deny(self, status: HTTPStatus, cause: RequestCause, route: Route | None = None) -> Refusal:
         """Deny a request for good if the configuration is current; else the caller comes back."""
-        if self.is_current():
+        if self.is_configuration_current():
             return Refusal(status, cause, None, route)
         return self._refuse(cause, route)
 
--- a/src/weirscale/gateway/requests/attempt.py
+++ b/src/weirscale/gateway/requests/attempt.py
@@ -93,7 +93,7 @@
             took_s = self._context.clock() - self._began_s
             ended = EndedAttempt(verdict, self._times, took_s, is_first)
             self._records.record_end(self._choice, self._prompt, self._admitted.route, ended)
-        if verdict.end in (AttemptEnd.NEVER_SENT, AttemptEnd.UNRUN):
+        if verdict.end in (AttemptEnd.NEVER_SENT, AttemptEnd.NOT_RUN):
             self._context.admission.refund(self._admitted)
         self._history.add_verdict(self._back_end.instance, verdict)
         self._guard.add_verdict(self._back_end, verdict, had_known_crash)
@@ -104,7 +104,7 @@
         history = self._history
         history.num_attempts += 1
         self._began_s = self._context.clock()
-        history.asked.add(self._back_end.instance)
+        history.tried.add(self._back_end.instance)
         self._context.selector.request_sent(self._back_end)
         self._records.record_start(self._choice, self._prompt, is_unreached=not history.reached)
         self._context.admission.charge(self._admitted)
@@ -140,7 +140,7 @@
             answer = sent.unwrap()
             verdict = judge_answer(answer, self._admitted.request.request_id, outbound.instance)
             self._records.verdicts.learn_weights(self._choice, self._prompt, answer)
-            if verdict.end in (AttemptEnd.UNRUN, AttemptEnd.UNCERTAIN):
+            if verdict.end in (AttemptEnd.NOT_RUN, AttemptEnd.UNCERTAIN):
                 return verdict
             try:
                 return await self._pass_on(answer, verdict)
@@ -201,8 +201,8 @@
         # A pause that began before this attempt says nothing about its back end.
         if began_s > self._began_s:
             pauses, now_s = self._context.pauses, self._context.clock()
-            pauses.learn_pause(self._admitted.service, pause_s)
-            pauses.learn_stall(self._back_end, self._admitted.route, pause_s, now_s)
+            pauses.record_pause(self._admitted.service, pause_s)
+            pauses.record_stall(self._back_end, self._admitted.route, pause_s, now_s)
 
 
 def combined_priority(admitted: AdmittedRequest) -> int:
--- a/src/weirscale/gateway/requests/attempt_timeout.py
+++ b/src/weirscale/gateway/requests/attempt_timeout.py
@@ -21,7 +21,7 @@
 RECHECK_S = 0.25
 """An overdue attempt that is not ended is checked again after this."""
 
-STANDSTILL_S = 0.25
+SUSPENSION_THRESHOLD_S = 0.25
 """Seconds. A check that comes this much late shows that the process stood still."""
 
 READING_FACTOR = 3.0
@@ -97,9 +97,9 @@
         while True:
             await sleep_to_tick(CHECK_INTERVAL_S)
             now_s = self._clock()
-            stood_still = now_s - checked_at_s > CHECK_INTERVAL_S + STANDSTILL_S
+            was_suspended = now_s - checked_at_s > CHECK_INTERVAL_S + SUSPENSION_THRESHOLD_S
             checked_at_s = now_s
-            if stood_still:
+            if was_suspended:
                 # What arrived meanwhile has not been looked at yet: nobody was silent.
                 continue
             for timeout in tuple(self._watched):
--- a/src/weirscale/gateway/requests/attempt_verdict.py
+++ b/src/weirscale/gateway/requests/attempt_verdict.py
@@ -17,7 +17,7 @@
 
     NEVER_SENT = "never_sent"
     """No connection was made: it did not run and the back end may be gone."""
-    UNRUN = "unrun"
+    NOT_RUN = "unrun"
     """The back end says that it did not and will not run it."""
     ANSWERED = "answered"
     """Answered; the answer goes to the caller."""
@@ -100,7 +100,7 @@
     promises "not run" without proof of it is not passed on.
     """
     if answer.is_proved_unrun:
-        return Verdict(AttemptEnd.UNRUN, f"refused_{answer.status}")
+        return Verdict(AttemptEnd.NOT_RUN, f"refused_{answer.status}")
     if answer.request_id != request_id:
         return Verdict(AttemptEnd.UNCERTAIN, OTHER_ANSWER)
     if answer.instance is not None and answer.instance != instance:
@@ -118,7 +118,7 @@
 
 def is_about_weights(verdict: Verdict) -> bool:
     """Whether a back end refused for being another one, or having other weights, than expected."""
-    return verdict.end is AttemptEnd.UNRUN and verdict.reason == WEIGHTS_REFUSAL
+    return verdict.end is AttemptEnd.NOT_RUN and verdict.reason == WEIGHTS_REFUSAL
 
 
 def promises_not_run(status: int) -> bool:
--- a/src/weirscale/gateway/requests/back_end_selector.py
+++ b/src/weirscale/gateway/requests/back_end_selector.py
@@ -32,16 +32,16 @@
         One that was not there just now is not asked again: its refusals take a millisecond, and a
         request would do nothing but connect until its time is over.
         """
-        chosen = self._dispatcher.choose(_query(admitted, history.asked))
+        chosen = self._dispatcher.choose(_query(admitted, history.tried))
         if chosen is None and history.reached:
-            chosen = self._dispatcher.choose(_query(admitted, history.gone))
+            chosen = self._dispatcher.choose(_query(admitted, history.unreachable))
         return chosen
 
     async def wait_for_permit(
         self, admitted: AdmittedRequest, history: AttemptHistory, most_s: float
     ) -> bool:
         """Wait for a back end that states a request limit; returns whether to choose again."""
-        return await self._dispatcher.wait_for_permit(_query(admitted, history.gone), most_s)
+        return await self._dispatcher.wait_for_permit(_query(admitted, history.unreachable), most_s)
 
     def first_return(self, admitted: AdmittedRequest) -> Return | None:
         """Return when the first of those that ask to be spared a request takes one again."""
--- a/src/weirscale/gateway/requests/back_end_verdicts.py
+++ b/src/weirscale/gateway/requests/back_end_verdicts.py
@@ -66,7 +66,7 @@
         if verdict.end is AttemptEnd.ANSWERED:
             self._health.succeeded(instance, now_s)
             self._cluster.back_ends.mark_answered(instance)
-        elif verdict.end is AttemptEnd.UNRUN:
+        elif verdict.end is AttemptEnd.NOT_RUN:
             self._dispatcher.request_refused(instance)
             if is_about_weights(verdict):
                 self._version_check.request(instance)
--- a/src/weirscale/gateway/requests/caller_app.py
+++ b/src/weirscale/gateway/requests/caller_app.py
@@ -99,7 +99,7 @@
         """Run the request until it ends or the caller leaves."""
         handler = RequestHandler(self._context, request, body, responder, arrived_at_s)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(_cancel_when_left, receive, tasks.cancel_scope)
+            tasks.start_soon(_cancel_on_disconnect, receive, tasks.cancel_scope)
             await handler.run()
             tasks.cancel_scope.cancel()
 
@@ -120,7 +120,7 @@
                 return b"".join(parts)
 
 
-async def _cancel_when_left(receive: Receive, scope: anyio.CancelScope) -> None:
+async def _cancel_on_disconnect(receive: Receive, scope: anyio.CancelScope) -> None:
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
--- a/src/weirscale/gateway/requests/crash_reports.py
+++ b/src/weirscale/gateway/requests/crash_reports.py
@@ -16,7 +16,7 @@
 from weirscale.ports.event_log import EventLog
 
 
-class CrashReports:
+class CrashReporter:
     """Has lost connections looked into and reports the crashes; `crash_check.run` must be running.
 
     Args:
@@ -72,7 +72,7 @@
         admitted: The request.
     """
 
-    def __init__(self, reports: CrashReports, admitted: AdmittedRequest) -> None:
+    def __init__(self, reports: CrashReporter, admitted: AdmittedRequest) -> None:
         self._reports = reports
         self._quarantine = reports.quarantine
         self._admitted = admitted
--- a/src/weirscale/gateway/requests/events.py
+++ b/src/weirscale/gateway/requests/events.py
@@ -27,12 +27,12 @@
         self._note_last_id(whole)
         return whole
 
-    def take_rest(self) -> bytes:
+    def take_incomplete(self) -> bytes:
         """Return what is held back, once the stream has ended."""
         rest, self._rest = self._rest, b""
         return rest
 
-    def drop_rest(self) -> None:
+    def discard_incomplete(self) -> None:
         """Drop the unfinished event of a broken stream."""
         self._rest = b""
 
--- a/src/weirscale/gateway/requests/overload.py
+++ b/src/weirscale/gateway/requests/overload.py
@@ -62,31 +62,31 @@
 
     Attributes:
         level: The share of the limit in force and, beyond 1, the reserve that stalls use up first.
-        idle_known_at_s: When it was last known how many engines were idle.
+        idle_updated_at_s: When it was last known how many engines were idle.
     """
 
     level: float = 1.0 + STALL_RESERVE
-    idle_known_at_s: float | None = None
+    idle_updated_at_s: float | None = None
 
     @property
     def share(self) -> float:
         """The share of the limit that is in force, from `MIN_LIMIT_SHARE` to 1."""
         return min(1.0, self.level)
 
-    def learn_stall(self, stalled_s: float) -> None:
+    def record_stall(self, stalled_s: float) -> None:
         """Take in for how many seconds a service's engines stalled, on average."""
         self.level = max(MIN_LIMIT_SHARE, self.level - STALL_COST_PER_S * stalled_s)
 
-    def learn_idle(self, idle_share: float, now_s: float) -> None:
+    def record_idle_share(self, idle_share: float, now_s: float) -> None:
         """Take in the share of a service's engines that have no prompt to read now.
 
         It counts for the time since it was last known. Requests come at random times, so what
         they find is what there is on average.
         """
-        if self.idle_known_at_s is not None:
-            idle_s = idle_share * min(MAX_IDLE_S, now_s - self.idle_known_at_s)
+        if self.idle_updated_at_s is not None:
+            idle_s = idle_share * min(MAX_IDLE_S, now_s - self.idle_updated_at_s)
             self.level = min(1.0 + STALL_RESERVE, self.level + IDLE_GAIN_PER_S * idle_s)
-        self.idle_known_at_s = now_s
+        self.idle_updated_at_s = now_s
 
 
 def should_refuse(choice: Choice, route: Route, timeout_s: float | None, limit: QueueLimit) -> bool:
@@ -100,10 +100,10 @@
     """
     if choice.scope is None or timeout_s is None:
         return False
-    asks_first = FIRST_TRY_SHARE <= timeout_s / route.timeout_s <= 1.0
+    is_first_try = FIRST_TRY_SHARE <= timeout_s / route.timeout_s <= 1.0
     others_s = choice.estimate_s - choice.idle_s
     objective_s = OBJECTIVE_SHARE * route.objective_s
-    limit_s = limit.share * objective_s * (1.0 if asks_first else RETURNING_FACTOR)
+    limit_s = limit.share * objective_s * (1.0 if is_first_try else RETURNING_FACTOR)
     # A prompt that alone takes longer than the objective is late anyway: only the queue counts.
     own_s = choice.idle_s if choice.idle_s <= objective_s else 0.0
     return others_s > max(IDLE_WAIT_S, limit_s - own_s)
--- a/src/weirscale/gateway/requests/relay.py
+++ b/src/weirscale/gateway/requests/relay.py
@@ -73,7 +73,7 @@
             BodyBrokenError: The stream ended early; another attempt may go on with it.
         """
         cutter, responder = self._cutter, self._responder
-        cutter.drop_rest()
+        cutter.discard_incomplete()
         async for chunk in answer.body:
             events = cutter.feed(chunk)
             if not events:
@@ -87,7 +87,7 @@
             self._last_event_s = self._clock()
         if not responder.has_begun:
             await self._send_head(answer)
-        rest = cutter.take_rest()
+        rest = cutter.take_incomplete()
         if rest:
             await responder.send_part(rest)
         await responder.send_end()
--- a/src/weirscale/gateway/requests/request_context.py
+++ b/src/weirscale/gateway/requests/request_context.py
@@ -10,7 +10,7 @@
 from weirscale.gateway.requests.attempt_records import AttemptRecords
 from weirscale.gateway.requests.attempt_timeout import AttemptTimeoutWatch
 from weirscale.gateway.requests.back_end_selector import BackEndSelector
-from weirscale.gateway.requests.crash_reports import CrashReports
+from weirscale.gateway.requests.crash_reports import CrashReporter
 from weirscale.gateway.requests.request_log import RequestLog
 from weirscale.gateway.requests.retry_decision import NodeRetryBudget
 from weirscale.gateway.requests.stream_pauses import StreamPauses
@@ -28,7 +28,7 @@
         retry_budget: Retries that this node may spend.
         pauses: Timeouts and queue limits, learnt from streams.
         records: What is recorded of attempts.
-        crashes: Reports of back ends that crashed.
+        crash_reporter: Reports of back ends that crashed.
         log: Lines and counts of requests that have ended.
     """
 
@@ -40,5 +40,5 @@
     retry_budget: NodeRetryBudget
     pauses: StreamPauses
     records: AttemptRecords
-    crashes: CrashReports
+    crash_reporter: CrashReporter
     log: RequestLog
--- a/src/weirscale/gateway/requests/request_handler.py
+++ b/src/weirscale/gateway/requests/request_handler.py
@@ -81,7 +81,7 @@
                 self._history.causes.append(admitted.cause)
                 await self._refuse(admitted.status, admitted.retry_after_s)
                 return
-            guard = self._guard = CrashGuard(self._context.crashes, admitted)
+            guard = self._guard = CrashGuard(self._context.crash_reporter, admitted)
             deadline_s = loop_deadline_s(admitted.deadline_s, self._context.clock)
             with anyio.CancelScope(deadline=deadline_s) as time_left:
                 await self._attempt_until_done(admitted, guard)
@@ -138,7 +138,7 @@
         if self._history.reached:
             return False
         limit = self._context.pauses.queue_limit(admitted.service)
-        limit.learn_idle(choice.idle_share, self._context.clock())
+        limit.record_idle_share(choice.idle_share, self._context.clock())
         return should_refuse(choice, admitted.route, self._request.timeout_s, limit)
 
     async def _give_up(
--- a/src/weirscale/gateway/requests/retry_decision.py
+++ b/src/weirscale/gateway/requests/retry_decision.py
@@ -57,11 +57,11 @@
 
     Attributes:
         num_attempts: Attempts begun.
-        asked: Back ends of all attempts; another attempt prefers others.
+        tried: Back ends of all attempts; another attempt prefers others.
         reached: Those of them that a connection was made to.
         refused: Those of the reached ones that have only refused it, and proved that nothing ran.
         num_refusals: How often that was.
-        gone: Those of them that could not be reached when they were last asked.
+        unreachable: Those of them that could not be reached when they were last asked.
         may_have_run: Whether any attempt may have run the request.
         holds_retry: Whether a retry of the shared budget was taken for the next attempt.
         failed_answer: The last answer that the request failed at a back end.
@@ -69,11 +69,11 @@
     """
 
     num_attempts: int = 0
-    asked: set[InstanceId] = msgspec.field(default_factory=set)
+    tried: set[InstanceId] = msgspec.field(default_factory=set)
     reached: set[InstanceId] = msgspec.field(default_factory=set)
     refused: set[InstanceId] = msgspec.field(default_factory=set)
     num_refusals: int = 0
-    gone: set[InstanceId] = msgspec.field(default_factory=set)
+    unreachable: set[InstanceId] = msgspec.field(default_factory=set)
     may_have_run: bool = False
     holds_retry: bool = False
     failed_answer: FailedAnswer | None = None
@@ -82,7 +82,7 @@
     def add_verdict(self, instance: InstanceId, verdict: Verdict) -> None:
         """Take in how an attempt at a back end ended."""
         if verdict.end is AttemptEnd.NEVER_SENT:
-            self.gone.add(instance)
+            self.unreachable.add(instance)
         else:
             self._add_reached(instance, verdict)
         if verdict.end in (AttemptEnd.UNCERTAIN, AttemptEnd.FAILED):
@@ -91,15 +91,15 @@
             self.causes.append(f"{instance}:{verdict.reason}")
 
     def _add_reached(self, instance: InstanceId, verdict: Verdict) -> None:
-        self.gone.discard(instance)
-        if verdict.end is not AttemptEnd.UNRUN:
+        self.unreachable.discard(instance)
+        if verdict.end is not AttemptEnd.NOT_RUN:
             self.refused.discard(instance)
         elif instance not in self.reached or instance in self.refused:
             self.refused.add(instance)
-        self.num_refusals += verdict.end is AttemptEnd.UNRUN
+        self.num_refusals += verdict.end is AttemptEnd.NOT_RUN
         self.reached.add(instance)
 
-    def num_used(self, has_begun: bool) -> int:
+    def num_used_attempts(self, has_begun: bool) -> int:
         """Return how many attempts of the route are used up.
 
         Args:
@@ -144,7 +144,7 @@
         return None
     if history.may_have_run and not route.is_retryable:
         return GiveUpReason.MAY_HAVE_RUN
-    if history.num_used(has_begun) >= route.max_attempts:
+    if history.num_used_attempts(has_begun) >= route.max_attempts:
         return GiveUpReason.MAX_ATTEMPTS
     if not (history.holds_retry or take_retry()):
         return GiveUpReason.RETRY_BUDGET
--- a/src/weirscale/gateway/requests/stream_pauses.py
+++ b/src/weirscale/gateway/requests/stream_pauses.py
@@ -77,7 +77,7 @@
         """Return the limit on the queues of a service."""
         return self._queue_limits.setdefault(service, QueueLimit())
 
-    def learn_pause(self, service: ServiceName, pause_s: float) -> None:
+    def record_pause(self, service: ServiceName, pause_s: float) -> None:
         """Learn from a pause between two events of one attempt."""
         usual_s = self._usual_pause_s.get(service, pause_s)
         self._usual_pause_s[service] = usual_s + PAUSE_WEIGHT * (pause_s - usual_s)
@@ -95,7 +95,7 @@
         if streams.num_open == 0:
             del engines[engine.instance]
 
-    def learn_stall(self, engine: BackEnd, route: Route, pause_s: float, now_s: float) -> None:
+    def record_stall(self, engine: BackEnd, route: Route, pause_s: float, now_s: float) -> None:
         """Learn from a pause between two events of a stream that has begun.
 
         Args:
@@ -112,4 +112,4 @@
         stalled_s = now_s - max(now_s - too_long_s, streams.stalled_until_s)
         if stalled_s > 0.0:
             streams.stalled_until_s = now_s
-            self.queue_limit(engine.service).learn_stall(stalled_s / len(engines))
+            self.queue_limit(engine.service).record_stall(stalled_s / len(engines))
--- a/src/weirscale/gateway/telemetry/metrics.py
+++ b/src/weirscale/gateway/telemetry/metrics.py
@@ -10,7 +10,7 @@
 from prometheus_client.exposition import generate_latest
 
 from weirscale.domain.identifiers import ServiceName
-from weirscale.gateway.telemetry.node_metrics import NodeFigures
+from weirscale.gateway.telemetry.node_metrics import GaugeValues
 from weirscale.gateway.telemetry.request_summary import RequestSummary
 
 NEVER_PROVED_AGE_S = 1e9
@@ -123,7 +123,7 @@
             "weirscale_log_lines_dropped", "Log lines dropped since the start"
         )
 
-    def show(self, figures: NodeFigures, tenant_labels: "_TenantLabels") -> None:
+    def show(self, figures: GaugeValues, tenant_labels: "_TenantLabels") -> None:
         """Take over the figures."""
         self._state_age.set(min(figures.state_age_s, NEVER_PROVED_AGE_S))
         self._configuration_version.set(figures.configuration_version)
@@ -186,7 +186,7 @@
         """Count an attempt under a rollout."""
         self._rollout_requests.labels(service, side, end).inc()
 
-    def text(self, figures: NodeFigures) -> bytes:
+    def text(self, figures: GaugeValues) -> bytes:
         """Return all metrics in the text format of Prometheus."""
         self._gauges.show(figures, self._tenant_labels)
         return generate_latest(self.registry)
--- a/src/weirscale/gateway/telemetry/node_metrics.py
+++ b/src/weirscale/gateway/telemetry/node_metrics.py
@@ -9,7 +9,7 @@
 from weirscale.gateway.telemetry.request_summary import RequestSummary
 
 
-class NodeFigures(msgspec.Struct, frozen=True):
+class GaugeValues(msgspec.Struct, frozen=True):
     """Figures that are read off when somebody asks.
 
     Attributes:
@@ -55,7 +55,7 @@
         """Count an attempt under a rollout."""
         ...
 
-    def text(self, figures: NodeFigures) -> bytes:
+    def text(self, figures: GaugeValues) -> bytes:
         """Return all figures as text."""
         ...
 
@@ -72,6 +72,6 @@
     def count_rollout_end(self, service: ServiceName, side: str, end: str) -> None:
         """Do nothing."""
 
-    def text(self, figures: NodeFigures) -> bytes:
+    def text(self, figures: GaugeValues) -> bytes:
         """Return nothing."""
         return b""
