--- a/features/steps/gateway_group_places_steps.py
+++ b/features/steps/gateway_group_places_steps.py
@@ -136,7 +136,7 @@
         peers = GossipTask(context.own_address, directory, SlowRelay(), outbox, None, gather)
         end = BackEnd("r-1", "lm", "10.3.0.1:1", "hall-0", BackEndState.READY, 16)
         choice = Choice(Candidate(end, Load(), False), read_tokens=tokens)
-        records = attempt_records(load, peers.hurry)
+        records = attempt_records(load, peers.request_flush)
         async with (
             await anyio.create_udp_socket(
                 local_host=context.other_address.host, local_port=context.other_address.port
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -276,7 +276,7 @@
 
 @then("the node {reads} the store")
 def step_reads(context, reads):
-    is_due = context.asker.subscription._reading_due.is_set()
+    is_due = context.asker.subscription._full_read_due.is_set()
     assert is_due == (reads == "has to read")
     assert not context.asker.subscription.is_current()
 
--- a/features/steps/gateway_rollouts_steps.py
+++ b/features/steps/gateway_rollouts_steps.py
@@ -328,7 +328,7 @@
 def step_stale_write(context):
     world = context.world
     record = RolloutRecord("orders", Epoch(5), "v2", Stage.CANARY, 1.0, 1)
-    later = RolloutRecord("orders", Epoch(5), "v2", Stage.RETURNED, 2.0, 2)
+    later = RolloutRecord("orders", Epoch(5), "v2", Stage.ROLLED_BACK, 2.0, 2)
 
     async def body():
         world.fleet.store.put(RECORD_KEY, encode_record(record))
@@ -476,7 +476,7 @@
             node.load.receive("node-9", runner.instance, Load(40, 400_000, 90_000), node._clock())
         # The allowance is there: only the room is not.
         for _ in range(20):
-            node.canary_traffic.note_request("lm")
+            node.canary_traffic.record_request("lm")
         headers = generation_headers("full", x_deadline_ms=4000)
         context.answer = await ask(node, "/a/x", headers=headers)
 
--- a/features/steps/gateway_state_steps.py
+++ b/features/steps/gateway_state_steps.py
@@ -536,7 +536,7 @@
         cluster = ClusterState(EventRecorder(), anyio.current_time)
         publisher = SimpleNamespace(publish=do_nothing, has_subscribers=lambda: False)
         subscription = SimpleNamespace(
-            is_current=lambda: False, is_reading_due=lambda: False, has_read=lambda: None
+            is_current=lambda: False, is_full_read_due=lambda: False, record_full_read=lambda: None
         )
         follower = StateFollower(
             context.feed,
--- a/features/steps/rollout_rules_steps.py
+++ b/features/steps/rollout_rules_steps.py
@@ -20,7 +20,7 @@
 from weirscale.gateway.rollouts.plan import RolloutFacts, Step, next_record, next_step
 from weirscale.gateway.rollouts.record import RolloutRecord, Stage, encode_record, record_key
 from weirscale.gateway.rollouts.tallies import Counts, FleetTallies, RouteEvidence, TallyKey
-from weirscale.gateway.rollouts.verdict import AlarmTest, Judgement, Verdict, judge_end
+from weirscale.gateway.rollouts.verdict import AlarmTest, Judgement, Verdict, judge_completion
 from weirscale.gateway.rollouts.view import RecordReader, RolloutView
 from weirscale.gateway.settings import CanaryLimits
 from weirscale.gateway.state.cluster_state import ClusterState
@@ -63,7 +63,7 @@
             nodes = [new(False) if random.random() < 0.7 else one for one in nodes]
         node = random.choice(nodes)
         trials += node.try_take()
-        node.earn()
+        node.accrue()
     return trials
 
 
@@ -83,7 +83,7 @@
 def step_earns(context, count):
     context.allowance = Allowance(SHARE, 0.0)
     for _ in range(count):
-        context.allowance.earn()
+        context.allowance.accrue()
 
 
 @then("it may try {count:d} at once and no more")
@@ -109,7 +109,7 @@
         name = random.choice(names)
         if random.random() < 0.6:
             one = Counts(1, int(random.random() < 0.3), 0)
-            nodes[name].note(key, one)
+            nodes[name].record(key, one)
             truth = truth.plus(one)
         else:
             told = tuple(nodes[name].own.items())
@@ -120,15 +120,15 @@
         if random.random() < 0.5:
             messages = messages[random.randrange(3) :]
         for node in nodes.values():
-            known = node.sum_of(lambda _: True, with_own=True).get(key, Counts())
-            if known.most(truth) != truth:
+            known = node.sum_of(lambda _: True, include_own=True).get(key, Counts())
+            if known.elementwise_max(truth) != truth:
                 context.excess.append(known)
     for name in names:
         for other in names:
             if other != name:
                 nodes[other].receive(name, tuple(nodes[name].own.items()))
     for node in nodes.values():
-        if node.sum_of(lambda _: True, with_own=True).get(key, Counts()) != truth:
+        if node.sum_of(lambda _: True, include_own=True).get(key, Counts()) != truth:
             context.lacking.append(truth)
 
 
@@ -183,7 +183,7 @@
             runner = f"r{random.randrange(4)}"
             fails = runner == "r0" and random.random() < share
             target[runner] = target.get(runner, Counts()).plus(Counts(1, int(fails), 0))
-        if test.look({"a": RouteEvidence(old, dict(target))}, 0.2 * step):
+        if test.check({"a": RouteEvidence(old, dict(target))}, 0.2 * step):
             return True
     return False
 
@@ -203,7 +203,7 @@
 @when("the target had {trials:d} trials of which {bad:d} were bad")
 def step_target(context, trials, bad):
     target = {"r1": Counts(trials, bad, 0)} if trials else {}
-    context.verdict = judge_end({"a": RouteEvidence(context.old, target)}, None)
+    context.verdict = judge_completion({"a": RouteEvidence(context.old, target)}, None)
 
 
 @then('it is judged "{judged}"')
@@ -222,7 +222,7 @@
     cluster = ClusterState(log, lambda: now.s)
     cluster.replace_all(StateBatch(1, ()), now.s - 50.0)
     changes = [VersionedChange("order", int(EPOCH), RolloutOrdered("s", "v2", 12.0))]
-    earlier = RolloutRecord("s", Epoch(2), "v0", Stage.RETURNED, 1.0, 1, ("v0",))
+    earlier = RolloutRecord("s", Epoch(2), "v0", Stage.ROLLED_BACK, 1.0, 1, ("v0",))
     record = earlier
     if stage != "none":
         unusable = {"completed": ("v0", "v1"), "returned": ("v0", "v2")}.get(stage, ("v0",))
@@ -259,7 +259,7 @@
 def step_plan_facts(context, slots, moved, running, in_stage):
     context.facts = RolloutFacts(
         context.elapsed_s, context.verdict, target_slots=slots, old_slots=24,
-        has_moved_s=moved, old_requests=running, in_stage_s=in_stage, return_s=5.0,
+        all_moved_for_s=moved, old_requests=running, in_stage_s=in_stage, rollback_s=5.0,
     )  # fmt: skip
 
 
@@ -292,7 +292,7 @@
 @given("a node that may send the target requests, and has {alarm}")
 def step_node_with_alarm(context, alarm):
     view = RolloutView(EPOCH, "v2", Stage.CANARY, frozenset())
-    alarms = SimpleNamespace(alarm=lambda epoch: ALARMS[alarm], known=lambda epoch: {})
+    alarms = SimpleNamespace(alarm=lambda epoch: ALARMS[alarm], evidence=lambda epoch: {})
     orders = SimpleNamespace(rollouts=SimpleNamespace(orders={}))
     context.traffic = CanaryTraffic(
         CanaryLimits(1.0, 50, 5.0), orders, SimpleNamespace(open_view=lambda service: view),
@@ -305,8 +305,8 @@
 def step_repeatable(context):
     route = SimpleNamespace(name="r", is_retryable=True)
     for _ in range(20):
-        context.traffic.note_request("s")
-    context.track = context.traffic.track_of("s", route)
+        context.traffic.record_request("s")
+    context.track = context.traffic.choose_track("s", route)
 
 
 @then('it is for the "{track}" versions')
--- a/features/support/platform_fleet.py
+++ b/features/support/platform_fleet.py
@@ -272,7 +272,7 @@
                 await self._hurried.wait()
             self._hurried = anyio.Event()
 
-    def hurry(self):
+    def request_flush(self):
         self._hurried.set()
 
     async def flush(self):
--- a/features/support/recorded_forms.py
+++ b/features/support/recorded_forms.py
@@ -380,7 +380,7 @@
 
 def _rollout():
     return RolloutRecord(
-        ServiceName("lm"), Epoch(77), SoftwareVersion("v8"), Stage.RETURNED, 12.5, 3,
+        ServiceName("lm"), Epoch(77), SoftwareVersion("v8"), Stage.ROLLED_BACK, 12.5, 3,
         (SoftwareVersion("v6"), SoftwareVersion("v8")),
         Evidence(Counts(20, 2, 1), Counts(90, 1, 0)), "failures", (SoftwareVersion("v7"),),
     )  # fmt: skip
--- a/features/support/relay_history.py
+++ b/features/support/relay_history.py
@@ -123,9 +123,9 @@
             self.read_all(self.reader)
         elif action <= 6:
             finish(self.subscription._ask())
-        elif self.subscription.is_reading_due() and self.random.random() < 0.5:
+        elif self.subscription.is_full_read_due() and self.random.random() < 0.5:
             self.read_all(self.asker)
-            self.subscription.has_read()
+            self.subscription.record_full_read()
 
     def stale_keys(self):
         """Return the keys whose value at the node ended before the node's proof."""
--- a/features/support/verdict_ways.py
+++ b/features/support/verdict_ways.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from weirscale.gateway.rollouts.tallies import Counts, RouteEvidence
-from weirscale.gateway.rollouts.verdict import AlarmTest, Judgement, _strata, judge_end
+from weirscale.gateway.rollouts.verdict import AlarmTest, Judgement, _strata, judge_completion
 
 TRIALS_A_S = 9
 OLD_A_S = 81
@@ -52,7 +52,7 @@
         self.num_looks = {}
         self.next_look = {}
 
-    def look(self, routes, _now_s):
+    def check(self, routes, _now_s):
         strata = _strata(routes)
         alarming = [self.is_alarming(one, len(strata)) for one in strata]
         return any(alarming) or None
@@ -121,7 +121,7 @@
             num += 1
             num_bad += drawn.num_bad
         routes = {one: RouteEvidence(old[one], dict(target[one])) for one in ROUTES}
-        if test.look(routes, at_s):
+        if test.check(routes, at_s):
             return num, num_bad, routes, True
         if num_bad >= MOST_BAD:
             break
@@ -159,7 +159,7 @@
                 found += is_found
                 trials += [num] if is_found else []
                 if make is AlarmTest and not is_found:
-                    good += judge_end(routes, None).judgement is Judgement.GOOD
+                    good += judge_completion(routes, None).judgement is Judgement.GOOD
             middle = sorted(trials)[len(trials) // 2] if trials else "-"
             cell = f"{found / num_runs:.4f}, {middle}"
             cells.append(cell + (f", {good / num_runs:.3f}" if make is AlarmTest else ""))
--- a/src/weirscale/gateway/gossip/gossip_task.py
+++ b/src/weirscale/gateway/gossip/gossip_task.py
@@ -93,7 +93,7 @@
         self._flush_due_s = nearest_tick_s(now_s + self._relay.interval_s())
         return True
 
-    def hurry(self) -> None:
+    def request_flush(self) -> None:
         """Have the next message go out at once, unless one has just gone out."""
         if anyio.current_time() >= self._flushed_at_s + MIN_PAUSE_S:
             self._hurried.set()
--- a/src/weirscale/gateway/gossip/group_relay.py
+++ b/src/weirscale/gateway/gossip/group_relay.py
@@ -132,7 +132,7 @@
             if is_group(source) and (source == REST_SOURCE) == is_head:
                 self._quotas.fleet.forget_source(source, self._clock())
 
-    def counts(self, source: str) -> bool:
+    def is_counted(self, source: str) -> bool:
         """Whether a source counts here: each group counts at a head, their sum at the others."""
         return is_member(source) or (source == REST_SOURCE) != self.is_head()
 
--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -239,11 +239,11 @@
             tallies=self._rollout_tallies,
             alarm_of=self._rollout_alarms.alarm,
             num_moved=lambda service, epoch: self.rollout_reporter.num_moved(
-                service, epoch, self.relay.counts
+                service, epoch, self.relay.is_counted
             ),
             num_nodes=lambda: self.peers.num_nodes(0.0),
             num_requests=self._num_requests,
-            return_s=self._rollback_s,
+            rollback_s=self._rollback_s,
         )
 
     async def run(self) -> None:
@@ -290,7 +290,7 @@
         await self.gossip_task.send(message, addresses)
 
     def _send_gossip_now(self) -> None:
-        self.gossip_task.hurry()
+        self.gossip_task.request_flush()
 
     async def _announce_loading(
         self, instance: InstanceId, model: str, version: int, is_done: bool
@@ -302,7 +302,7 @@
 
     def _rollout_tallies(self) -> Tallies:
         """Return what all nodes have counted of rollouts, as far as it was received."""
-        return self.rollout_reporter.sums(self.relay.counts)
+        return self.rollout_reporter.fleet_tallies(self.relay.is_counted)
 
     def _add_rollout_sums(
         self, to_heads: GossipOutbox, to_group: GossipOutbox, must_refresh: bool
--- a/src/weirscale/gateway/replication/follower.py
+++ b/src/weirscale/gateway/replication/follower.py
@@ -90,7 +90,7 @@
         self._gather_s = MIN_GATHER_S
         self._watch_scope = anyio.CancelScope()
         # A watch without answers must not keep this node from reading.
-        subscription.on_reading_due = lambda: self._watch_scope.cancel()
+        subscription.on_full_read_due = lambda: self._watch_scope.cancel()
 
     async def run(self) -> None:
         """Follow until cancelled."""
@@ -114,7 +114,7 @@
 
     async def _step(self) -> KeyValueFailure | None:
         asked_at_s = self._clock()
-        if self._must_read_all or self._subscription.is_reading_due():
+        if self._must_read_all or self._subscription.is_full_read_due():
             read = await self._feed.read_all()
             if isinstance(read, Err):
                 return read.err_value
@@ -123,7 +123,7 @@
                 return None
             self._cluster.replace_all(read.ok_value, asked_at_s)
             self._must_read_all = False
-            self._subscription.has_read()
+            self._subscription.record_full_read()
             pause_s = READ_PAUSE_S
         else:
             followed = await self._follow()
--- a/src/weirscale/gateway/replication/subscription.py
+++ b/src/weirscale/gateway/replication/subscription.py
@@ -84,8 +84,8 @@
         self._avoided_until_s: dict[str, float] = {}
         self._queries = OpenQueries(random)
         self._proved_at_s = NEVER_S
-        self._reading_due = anyio.Event()
-        self.on_reading_due: Callable[[], None] = lambda: None
+        self._full_read_due = anyio.Event()
+        self.on_full_read_due: Callable[[], None] = lambda: None
         """Called when a reader could not send all changes; the follower sets it."""
 
     async def run(self) -> None:
@@ -98,7 +98,7 @@
     def is_current(self) -> bool:
         """Whether a reader keeps this node current, so that it need not read the store."""
         return (
-            not self._reading_due.is_set() and self._clock() < self._proved_at_s + MAX_PROOF_AGE_S
+            not self._full_read_due.is_set() and self._clock() < self._proved_at_s + MAX_PROOF_AGE_S
         )
 
     async def wait_until_not_current(self) -> None:
@@ -106,16 +106,16 @@
         while self.is_current():
             deadline_s = loop_deadline_s(self._proved_at_s + MAX_PROOF_AGE_S, self._clock)
             with anyio.CancelScope(deadline=deadline_s):
-                await self._reading_due.wait()
+                await self._full_read_due.wait()
 
-    def is_reading_due(self) -> bool:
+    def is_full_read_due(self) -> bool:
         """Whether a reader could not send all changes, so that everything must be read."""
-        return self._reading_due.is_set()
+        return self._full_read_due.is_set()
 
-    def has_read(self) -> None:
+    def record_full_read(self) -> None:
         """Learn that everything has been read."""
-        if self._reading_due.is_set():
-            self._reading_due = anyio.Event()
+        if self._full_read_due.is_set():
+            self._full_read_due = anyio.Event()
 
     def receive(self, reply: StateReply) -> None:
         """Take over a reply, or changes that a reader sent unasked."""
@@ -123,8 +123,8 @@
         if reply.is_left_out or reply.after_revision > self._cluster.revision:
             # Changes sent unasked may follow on a message that got lost: the next query mends it.
             if asked_at_s is not None and reply.revision > self._cluster.revision:
-                self._reading_due.set()
-                self.on_reading_due()
+                self._full_read_due.set()
+                self.on_full_read_due()
             return
         # What is not newer is known, or was removed since: a late reply must not bring it back.
         newer = tuple(one for one in reply.changes if one.revision > self._cluster.revision)
--- a/src/weirscale/gateway/requests/attempt.py
+++ b/src/weirscale/gateway/requests/attempt.py
@@ -186,9 +186,9 @@
     def events_arrived(self) -> None:
         """Learn from events of the stream, and limit the wait for the next one."""
         self._records.dispatcher.event_received(self._back_end.instance)
-        if self._times.first_s is None:
+        if self._times.first_event_s is None:
             took_s = self._context.clock() - self._began_s
-            self._times.first_s = took_s
+            self._times.first_event_s = took_s
             self._records.record_first_event(self._choice, self._prompt, took_s)
         self._times.num_parts += 1
         if self._timeout is not None:
--- a/src/weirscale/gateway/requests/attempt_records.py
+++ b/src/weirscale/gateway/requests/attempt_records.py
@@ -123,7 +123,7 @@
         if was_unread and prompt is not None:
             self.dispatcher.prompt_not_read(choice, prompt)
         self.verdicts.judge_health(back_end.instance, ended.verdict)
-        if ended.times.first_s is not None:
+        if ended.times.first_event_s is not None:
             self.pauses.stream_ended(back_end)
         self.verdicts.judge_version(choice, route, ended.verdict, ended.times, ended.took_s)
         if ended.is_first:
--- a/src/weirscale/gateway/requests/back_end_selector.py
+++ b/src/weirscale/gateway/requests/back_end_selector.py
@@ -61,12 +61,12 @@
         """
         if (
             history.num_attempts
-            or self._canary_traffic.track_of(admitted.service, admitted.route) is Track.STABLE
+            or self._canary_traffic.choose_track(admitted.service, admitted.route) is Track.STABLE
         ):
             return choice
         canary = self._dispatcher.choose(_query(admitted, (), Track.CANARY))
         if canary is None:
-            self._canary_traffic.give_back(admitted.service)
+            self._canary_traffic.refund_attempt(admitted.service)
             return choice
         return canary
 
--- a/src/weirscale/gateway/requests/back_end_verdicts.py
+++ b/src/weirscale/gateway/requests/back_end_verdicts.py
@@ -16,7 +16,7 @@
     Verdict,
     is_about_weights,
 )
-from weirscale.gateway.rollouts.canary_traffic import CanaryTraffic, Ending
+from weirscale.gateway.rollouts.canary_traffic import CanaryTraffic, VersionOutcome
 from weirscale.gateway.rollouts.pace import AttemptTimes
 from weirscale.gateway.routing.candidate import Choice
 from weirscale.gateway.routing.dispatcher import Dispatcher
@@ -97,21 +97,21 @@
         caller left before it was overdue.
         """
         back_end = choice.candidate.back_end
-        is_overdue = times.first_s is None and took_s > OVERDUE_FACTOR * route.objective_s
+        is_overdue = times.first_event_s is None and took_s > OVERDUE_FACTOR * route.objective_s
         if is_about_weights(verdict) or (verdict.reason == CANCELLED and not is_overdue):
             return
-        if not self._canary_traffic.is_open(back_end.service):
+        if not self._canary_traffic.has_open_rollout(back_end.service):
             return
         expected_s = None if choice.scope is None else choice.estimate_s
         is_sound = verdict.end is AttemptEnd.ANSWERED
-        ending = Ending(is_sound, times.ended(took_s, expected_s))
-        self._canary_traffic.note_end(back_end, route, ending)
+        outcome = VersionOutcome(is_sound, times.answer_times(took_s, expected_s))
+        self._canary_traffic.record_outcome(back_end, route, outcome)
 
     def add_canary_share(self, service: ServiceName) -> None:
         """Let a request that is sent for the first time raise what the canary may get."""
-        self._canary_traffic.note_request(service)
+        self._canary_traffic.record_request(service)
 
     def take_back_canary_share(self, service: ServiceName, verdict: Verdict) -> None:
         """Take that back if the request's first attempt reached nobody."""
         if verdict.end is AttemptEnd.NEVER_SENT:
-            self._canary_traffic.note_unsent(service)
+            self._canary_traffic.record_unsent_request(service)
--- a/src/weirscale/gateway/requests/request_log.py
+++ b/src/weirscale/gateway/requests/request_log.py
@@ -74,7 +74,7 @@
         fields: dict[str, object] = {}
         if summary.service is None:
             return fields
-        if self._canary_traffic.is_open(summary.service):
+        if self._canary_traffic.has_open_rollout(summary.service):
             fields["software"] = choice.candidate.back_end.software
             fields["trial"] = int(choice.is_canary)
         if choice.scope is not None:
--- a/src/weirscale/gateway/rollouts/alarms.py
+++ b/src/weirscale/gateway/rollouts/alarms.py
@@ -51,11 +51,11 @@
         test = self._tests.get(epoch)
         return None if test is None else test.alarm
 
-    def known(self, epoch: Epoch) -> Mapping[str, RouteEvidence]:
+    def evidence(self, epoch: Epoch) -> Mapping[str, RouteEvidence]:
         """Return what was known of an open rollout at the last look, by route."""
         return self._known.get(epoch, {})
 
-    def look(self) -> frozenset[Epoch] | None:
+    def check(self) -> frozenset[Epoch] | None:
         """Look at the open rollouts and return them; None if it is not time yet."""
         now_s = self._clock()
         orders = self._cluster.rollouts.orders
@@ -84,7 +84,7 @@
             test = self._tests[view.epoch] = AlarmTest(order.deadline_s)
         had_alarm = test.alarm is not None
         known = self._known[view.epoch] = by_route(sums, service, view.epoch)
-        alarm = test.look(known, now_s)
+        alarm = test.check(known, now_s)
         if alarm is not None and not had_alarm:
             self._event_log.event(
                 "rollout_alarm", service=service, target=view.target, epoch=view.epoch,
--- a/src/weirscale/gateway/rollouts/allowance.py
+++ b/src/weirscale/gateway/rollouts/allowance.py
@@ -61,11 +61,11 @@
         self._share = SAFETY * share
         self._credit = credit
 
-    def earn(self) -> None:
+    def accrue(self) -> None:
         """A request is sent on for the first time."""
         self._credit = min(max(MOST_SAVED, self._credit), self._credit + self._share)
 
-    def lose(self) -> None:
+    def cancel_accrual(self) -> None:
         """A request that was sent on reached nobody."""
         self._credit -= self._share
 
@@ -80,6 +80,6 @@
         """Whether as much is saved up as an attempt can wait for."""
         return self._credit >= MOST_SAVED - 1.0
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """An attempt was not made after all."""
         self._credit += 1.0
--- a/src/weirscale/gateway/rollouts/canary_traffic.py
+++ b/src/weirscale/gateway/rollouts/canary_traffic.py
@@ -47,7 +47,7 @@
 """Takes a service, a side of its rollout (`target`, `old`) and how an attempt ended there."""
 
 
-class Ending(msgspec.Struct, frozen=True):
+class VersionOutcome(msgspec.Struct, frozen=True):
     """How an attempt ended, as far as it shows something of its back end's version.
 
     Attributes:
@@ -105,7 +105,7 @@
         """Change what an unproved version may get; allowances that have begun keep their share."""
         self._limits = limits
 
-    def track_of(self, service: ServiceName, route: Route) -> Track:
+    def choose_track(self, service: ServiceName, route: Route) -> Track:
         """Return which versions a request that was not sent yet is for, and spend the allowance."""
         view = self._reader.open_view(service)
         if view is None or not self._gate.allows_canary(view):
@@ -121,7 +121,7 @@
 
     def _is_wanted(self, route: Route, epoch: Epoch) -> bool:
         """Whether no other route needs canary requests more than this one does."""
-        known = self._alarms.known(epoch)
+        known = self._alarms.evidence(epoch)
         if _num_canary(known.get(route.name)) < ENOUGH_REQUESTS:
             return True
         total = sum(one.old.num for one in known.values())
@@ -130,47 +130,47 @@
             for one in known.values()
         )
 
-    def give_back(self, service: ServiceName) -> None:
+    def refund_attempt(self, service: ServiceName) -> None:
         """A request for the canary did not go there: there is no engine for it."""
         view = self._reader.open_view(service)
         if view is not None:
-            self._allowance(service, view).give_back()
+            self._allowance(service, view).refund()
 
-    def note_request(self, service: ServiceName) -> None:
+    def record_request(self, service: ServiceName) -> None:
         """A request is sent on for the first time."""
         view = self._reader.open_view(service)
         if view is not None:
-            self._allowance(service, view).earn()
+            self._allowance(service, view).accrue()
 
-    def note_unsent(self, service: ServiceName) -> None:
+    def record_unsent_request(self, service: ServiceName) -> None:
         """A request that was sent on for the first time reached nobody."""
         view = self._reader.open_view(service)
         if view is not None:
-            self._allowance(service, view).lose()
+            self._allowance(service, view).cancel_accrual()
 
-    def note_end(self, back_end: BackEnd, route: Route, ending: Ending) -> None:
+    def record_outcome(self, back_end: BackEnd, route: Route, outcome: VersionOutcome) -> None:
         """An attempt ended and shows something of its back end's version."""
         view = self._reader.open_view(back_end.service)
         if view is None:
             return
         is_target = back_end.software == view.target
-        is_slow = self._judge_times(back_end, route, ending, is_target)
-        counts = Counts(1, int(not ending.is_sound), int(is_slow))
+        is_slow = self._judge_times(back_end, route, outcome, is_target)
+        counts = Counts(1, int(not outcome.is_sound), int(is_slow))
         self._count(back_end.service, "target" if is_target else "old", _end_name(counts))
         instance = back_end.instance if is_target else PREDECESSORS
-        self._tallies.note(TallyKey(back_end.service, view.epoch, route.name, instance), counts)
+        self._tallies.record(TallyKey(back_end.service, view.epoch, route.name, instance), counts)
 
     def _judge_times(
-        self, back_end: BackEnd, route: Route, ending: Ending, is_target: bool
+        self, back_end: BackEnd, route: Route, outcome: VersionOutcome, is_target: bool
     ) -> bool:
-        if not ending.is_sound or ending.times is None:
+        if not outcome.is_sound or outcome.times is None:
             return False
-        is_slow = self.pace.is_slow(back_end.service, route.name, ending.times)
+        is_slow = self.pace.is_slow(back_end.service, route.name, outcome.times)
         if not is_target:
-            self.pace.learn(back_end.service, route.name, ending.times)
+            self.pace.learn(back_end.service, route.name, outcome.times)
         return is_slow
 
-    def is_open(self, service: ServiceName) -> bool:
+    def has_open_rollout(self, service: ServiceName) -> bool:
         """Whether a rollout of a service is under way."""
         return self._reader.open_view(service) is not None
 
@@ -190,7 +190,7 @@
             elapsed_s = self._clock() - order.seen_at_s
             if elapsed_s >= UNREPEATABLE_AFTER_SHARE * order.deadline_s:
                 return True
-        known = evidence_of(self._alarms.known(view.epoch))
+        known = evidence_of(self._alarms.evidence(view.epoch))
         return known.target.num >= PROVEN_REQUESTS
 
     def _allowance(self, service: ServiceName, view: RolloutView) -> Allowance:
@@ -206,7 +206,7 @@
 
     def tick(self) -> None:
         """Look for alarms, if it is time, and forget the tallies of ended rollouts."""
-        open_epochs = self._alarms.look()
+        open_epochs = self._alarms.check()
         if open_epochs is not None:
             self._tallies.keep(open_epochs)
 
--- a/src/weirscale/gateway/rollouts/facts.py
+++ b/src/weirscale/gateway/rollouts/facts.py
@@ -16,7 +16,7 @@
     by_route,
     evidence_of,
 )
-from weirscale.gateway.rollouts.verdict import Judgement, Verdict, judge_end
+from weirscale.gateway.rollouts.verdict import Judgement, Verdict, judge_completion
 from weirscale.gateway.rollouts.view import RecordReader
 from weirscale.gateway.state.cluster_state import ClusterState
 
@@ -30,7 +30,7 @@
         num_moved: Returns how many nodes have moved for a service and an epoch.
         num_nodes: Returns how many nodes are registered.
         num_requests: Returns the requests of all nodes at a back end.
-        return_s: Returns the seconds allowed for a return.
+        rollback_s: Returns the seconds allowed for a return.
     """
 
     tallies: Callable[[], Tallies]
@@ -38,7 +38,7 @@
     num_moved: Callable[[ServiceName, Epoch], int]
     num_nodes: Callable[[], int]
     num_requests: Callable[[InstanceId], int]
-    return_s: Callable[[], float]
+    rollback_s: Callable[[], float]
 
 
 class RolloutClock:
@@ -66,7 +66,7 @@
         entered_s = self._entered_s.setdefault((record.epoch, record.stage), self._clock())
         return self._clock() - entered_s
 
-    def has_moved_s(self, record: RolloutRecord, has_moved: bool) -> float:
+    def all_moved_for_s(self, record: RolloutRecord, has_moved: bool) -> float:
         """Return for how long all nodes are known to have moved."""
         if not has_moved:
             self._moved_s.pop(record.epoch, None)
@@ -109,7 +109,7 @@
         old_requests = sum(self._sources.num_requests(one.instance) for one in old)
         verdict, evidence = self._judge(order, record)
         view = self._reader.view(order.service)
-        has_moved_s, in_stage_s = self._move_times(record, old_requests)
+        all_moved_for_s, in_stage_s = self._move_times(record, old_requests)
         return RolloutFacts(
             elapsed_s=self._times.elapsed_s(order, record),
             verdict=verdict,
@@ -117,9 +117,9 @@
             target_slots=_working_slots(target),
             old_slots=_working_slots(old),
             old_versions=tuple(sorted({one.software for one in old})),
-            has_moved_s=has_moved_s,
+            all_moved_for_s=all_moved_for_s,
             in_stage_s=in_stage_s,
-            return_s=self._sources.return_s(),
+            rollback_s=self._sources.rollback_s(),
             old_requests=old_requests,
             target_serves=view is not None and view.target_serves,
         )
@@ -130,12 +130,12 @@
             return 0.0, 0.0
         num_moved = self._sources.num_moved(record.service, record.epoch)
         has_moved = num_moved >= self._sources.num_nodes() and old_requests == 0
-        return self._times.has_moved_s(record, has_moved), self._times.in_stage_s(record)
+        return self._times.all_moved_for_s(record, has_moved), self._times.in_stage_s(record)
 
     def _judge(self, order: RolloutOrder, record: RolloutRecord | None) -> tuple[Verdict, Evidence]:
         """Judge by the nodes' tallies, or by the record's evidence while that counts more."""
         routes = by_route(self._sources.tallies(), order.service, order.epoch)
-        verdict = judge_end(routes, self._sources.alarm_of(order.epoch))
+        verdict = judge_completion(routes, self._sources.alarm_of(order.epoch))
         evidence = evidence_of(routes)
         if record is None or evidence.target.num >= record.evidence.target.num:
             return verdict, evidence
--- a/src/weirscale/gateway/rollouts/gate.py
+++ b/src/weirscale/gateway/rollouts/gate.py
@@ -43,7 +43,7 @@
     Args:
         reader: Records of rollouts.
         cluster: How old the proof of what is known is.
-        return_s: Returns the time allowed for a return.
+        rollback_s: Returns the time allowed for a return.
         is_isolated: Whether this node reaches neither the store nor half of the other nodes.
         share: Returns the share of requests that may go to a canary.
     """
@@ -52,13 +52,13 @@
         self,
         reader: RecordReader,
         cluster: ClusterState,
-        return_s: Callable[[], float],
+        rollback_s: Callable[[], float],
         is_isolated: Callable[[], bool],
         share: Callable[[], float],
     ) -> None:
         self._reader = reader
         self._cluster = cluster
-        self._return_s = return_s
+        self._rollback_s = rollback_s
         self._is_isolated = is_isolated
         self._share = share
 
@@ -83,7 +83,7 @@
         return view is None or view.is_stable(back_end.software)
 
     def _is_proved(self) -> bool:
-        return self._cluster.age_s() <= PROOF_SHARE * self._return_s()
+        return self._cluster.age_s() <= PROOF_SHARE * self._rollback_s()
 
     def _may_serve(self, view: RolloutView) -> bool:
         """Whether the proof is fresh enough to know which versions serve."""
@@ -91,12 +91,12 @@
             # It may have been returned; at the predecessors nobody may begin any more.
             return self._is_proved()
         if view.is_open():
-            return self._cluster.age_s() <= self._return_s()
+            return self._cluster.age_s() <= self._rollback_s()
         return self._may_serve_unproved()
 
     def _may_serve_unproved(self) -> bool:
         """Whether there may be no rollout that this node has missed from order to end."""
-        return self._cluster.age_s() <= self._return_s() or not self._is_isolated()
+        return self._cluster.age_s() <= self._rollback_s() or not self._is_isolated()
 
     def _canary(self, view: RolloutView, back_ends: list[BackEnd]) -> list[BackEnd]:
         """Return the few engines of the target that get canary requests, the same on all nodes."""
--- a/src/weirscale/gateway/rollouts/pace.py
+++ b/src/weirscale/gateway/rollouts/pace.py
@@ -31,12 +31,12 @@
     """What one attempt took, in seconds.
 
     Attributes:
-        first_s: Until the first event, or the whole answer.
+        first_event_s: Until the first event, or the whole answer.
         expected_s: What was expected of that, or None where nothing is.
         pace_s: Time from one event to the next on average, or None without several.
     """
 
-    first_s: float
+    first_event_s: float
     expected_s: float | None = None
     pace_s: float | None = None
 
@@ -45,26 +45,26 @@
     """What an attempt has taken so far; its exchange updates it.
 
     Attributes:
-        first_s: Until the first event, or None before it.
+        first_event_s: Until the first event, or None before it.
         num_parts: Parts of the answer with whole events.
     """
 
-    first_s: float | None = None
+    first_event_s: float | None = None
     num_parts: int = 0
 
-    def ended(self, ended_s: float, expected_s: float | None) -> AnswerTimes:
+    def answer_times(self, ended_s: float, expected_s: float | None) -> AnswerTimes:
         """Return the times of an attempt that has ended.
 
         Args:
             ended_s: When, since its beginning.
             expected_s: What was expected of its first event, or None where nothing is.
         """
-        if self.first_s is None:
+        if self.first_event_s is None:
             return AnswerTimes(ended_s, expected_s)
         pace_s = None
         if self.num_parts > 1:
-            pace_s = (ended_s - self.first_s) / (self.num_parts - 1)
-        return AnswerTimes(self.first_s, expected_s, pace_s)
+            pace_s = (ended_s - self.first_event_s) / (self.num_parts - 1)
+        return AnswerTimes(self.first_event_s, expected_s, pace_s)
 
 
 class _Usual:
@@ -93,7 +93,7 @@
     def learn(self, service: ServiceName, route: str, times: AnswerTimes) -> None:
         """Learn from an answer of an older version."""
         key = (service, route)
-        self._first.setdefault(key, _Usual()).learn(times.first_s)
+        self._first.setdefault(key, _Usual()).learn(times.first_event_s)
         if times.pace_s is not None:
             self._pace.setdefault(key, _Usual()).learn(times.pace_s)
 
@@ -104,7 +104,7 @@
         expected_s = times.expected_s
         if expected_s is None and usual is not None:
             expected_s = usual.known_s()
-        if expected_s is not None and times.first_s > _limit_s(expected_s, LEAST_TIME_S):
+        if expected_s is not None and times.first_event_s > _limit_s(expected_s, LEAST_TIME_S):
             return True
         pace = self._pace.get(key)
         usual_s = None if pace is None else pace.known_s()
--- a/src/weirscale/gateway/rollouts/plan.py
+++ b/src/weirscale/gateway/rollouts/plan.py
@@ -47,10 +47,10 @@
         target_slots: Slots of the target's engines that take work.
         old_slots: Slots of the older engines that take work.
         old_versions: Versions of the older back ends, leaving ones included.
-        has_moved_s: Seconds for which every node has been known to have moved and nothing to run at
-            older versions; 0 if that is not so.
+        all_moved_for_s: Seconds for which all nodes have been known to have moved and no request to
+            run at older versions; 0 if that is not the case now.
         in_stage_s: Seconds since this node first saw the record at its stage.
-        return_s: Seconds of silence after which a node has lost its proof.
+        rollback_s: Seconds of silence after which a node has lost its proof.
         old_requests: Requests known to run at older versions.
         target_serves: Whether the target served before its order.
     """
@@ -61,9 +61,9 @@
     target_slots: int = 0
     old_slots: int = 0
     old_versions: tuple[SoftwareVersion, ...] = ()
-    has_moved_s: float = 0.0
+    all_moved_for_s: float = 0.0
     in_stage_s: float = 0.0
-    return_s: float = 5.0
+    rollback_s: float = 5.0
     old_requests: int = 0
     target_serves: bool = False
 
@@ -97,7 +97,7 @@
     if record.has_ended():
         return None
     if facts.verdict.judgement is Judgement.BAD:
-        return Step(Stage.RETURNED, f"bad:{facts.verdict.reason}")
+        return Step(Stage.ROLLED_BACK, f"bad:{facts.verdict.reason}")
     if record.stage is Stage.CANARY:
         return _after_canary(order, facts)
     if _may_complete(facts):
@@ -115,7 +115,7 @@
     if facts.elapsed_s < order.deadline_s - LAST_VERDICT_S:
         return None
     lacks = "too_few_runners" if is_good else f"undecided:{facts.verdict.reason}"
-    return Step(Stage.RETURNED, lacks)
+    return Step(Stage.ROLLED_BACK, lacks)
 
 
 def _may_complete(facts: RolloutFacts) -> bool:
@@ -125,8 +125,8 @@
     """
     if facts.old_requests:
         return False
-    has_waited = facts.in_stage_s >= facts.return_s + SILENCE_MARGIN_S + HOLD_S
-    return facts.has_moved_s >= HOLD_S or has_waited
+    has_waited = facts.in_stage_s >= facts.rollback_s + SILENCE_MARGIN_S + HOLD_S
+    return facts.all_moved_for_s >= HOLD_S or has_waited
 
 
 def next_record(
@@ -153,7 +153,7 @@
         predecessors = tuple(one for one in facts.old_versions if one not in unusable)
     if step.stage is Stage.COMPLETED:
         unusable |= set(facts.old_versions)
-    if step.stage is Stage.RETURNED:
+    if step.stage is Stage.ROLLED_BACK:
         unusable.add(order.target)
     return RolloutRecord(
         service=order.service,
@@ -178,7 +178,7 @@
     """
     return msgspec.structs.replace(
         record,
-        stage=Stage.RETURNED,
+        stage=Stage.ROLLED_BACK,
         token=token,
         unusable=(*record.unusable, record.target),
         reason="withdrawn",
@@ -189,6 +189,6 @@
     """Return what operators are to read."""
     if record.stage is Stage.COMPLETED:
         return RolloutState.COMPLETED
-    if record.stage is Stage.RETURNED:
+    if record.stage is Stage.ROLLED_BACK:
         return RolloutState.RETURNED
     return RolloutState.ACTIVE
--- a/src/weirscale/gateway/rollouts/record.py
+++ b/src/weirscale/gateway/rollouts/record.py
@@ -21,11 +21,11 @@
     """All new requests go to the target; what runs at its predecessors ends there."""
     COMPLETED = "completed"
     """Nobody uses the predecessors any more. An end."""
-    RETURNED = "returned"
+    ROLLED_BACK = "returned"
     """Nobody uses the target any more. An end."""
 
 
-ENDS = frozenset({Stage.COMPLETED, Stage.RETURNED})
+ENDS = frozenset({Stage.COMPLETED, Stage.ROLLED_BACK})
 """Stages that are never left."""
 
 
--- a/src/weirscale/gateway/rollouts/reporter.py
+++ b/src/weirscale/gateway/rollouts/reporter.py
@@ -134,7 +134,7 @@
         if self.is_idle():
             return
         now_s = self._clock()
-        own = self._tallies.sum_of(lambda one: is_member(_node(one)), with_own=True)
+        own = self._tallies.sum_of(lambda one: is_member(_node(one)), include_own=True)
         rest = self._tallies.sum_of(is_group)
         self._to_heads.add_to(to_heads, own, must_refresh, now_s)
         self._to_group.add_to(to_group, rest, must_refresh, now_s)
@@ -144,9 +144,9 @@
             to_heads.add_moved_nodes(MovedGossip(key[0], key[1], num_own))
             to_group.add_moved_nodes(MovedGossip(key[0], key[1], num_rest))
 
-    def sums(self, counts: SourceTest) -> Tallies:
+    def fleet_tallies(self, counts: SourceTest) -> Tallies:
         """Return what all nodes have counted, by the sources that count at this node."""
-        return self._tallies.sum_of(lambda one: counts(_node(one)), with_own=True)
+        return self._tallies.sum_of(lambda one: counts(_node(one)), include_own=True)
 
     def num_moved(self, service: ServiceName, epoch: Epoch, counts: SourceTest) -> int:
         """Return how many nodes have moved, by the sources that count at this node."""
--- a/src/weirscale/gateway/rollouts/tallies.py
+++ b/src/weirscale/gateway/rollouts/tallies.py
@@ -48,7 +48,7 @@
             max(0, self.num_slow - other.num_slow),
         )
 
-    def most(self, other: "Counts") -> "Counts":
+    def elementwise_max(self, other: "Counts") -> "Counts":
         """Return the greater of each."""
         return Counts(
             max(self.num, other.num),
@@ -104,7 +104,7 @@
         self.num_changes = 0
         """Rises with each change, for those who read by change."""
 
-    def note(self, key: TallyKey, counts: Counts) -> None:
+    def record(self, key: TallyKey, counts: Counts) -> None:
         """Count requests of this node."""
         add_to(self.own, key, counts)
         self.num_changes += 1
@@ -114,14 +114,14 @@
         received = self._received.setdefault(source, {})
         for key, counts in counted:
             known = received.get(key, NO_COUNTS)
-            most = known.most(counts)
+            most = known.elementwise_max(counts)
             if most != known:
                 received[key] = most
                 self.num_changes += 1
 
-    def sum_of(self, is_wanted: Callable[[str], bool], with_own: bool = False) -> Tallies:
+    def sum_of(self, is_wanted: Callable[[str], bool], include_own: bool = False) -> Tallies:
         """Return the sum over some sources."""
-        sums: Tallies = dict(self.own) if with_own else {}
+        sums: Tallies = dict(self.own) if include_own else {}
         for source, received in self._received.items():
             if is_wanted(source):
                 for key, counts in received.items():
--- a/src/weirscale/gateway/rollouts/verdict.py
+++ b/src/weirscale/gateway/rollouts/verdict.py
@@ -166,7 +166,7 @@
         self.alarm: Verdict | None = None
         """The first alarm; it is never taken back."""
 
-    def look(self, routes: dict[str, RouteEvidence], now_s: float) -> Verdict | None:
+    def check(self, routes: dict[str, RouteEvidence], now_s: float) -> Verdict | None:
         """Look at what is known now; returns the alarm once there is one."""
         if self.alarm is None:
             whole = _strata(routes)
@@ -227,7 +227,7 @@
     ]
 
 
-def judge_end(routes: dict[str, RouteEvidence], alarm: Verdict | None) -> Verdict:
+def judge_completion(routes: dict[str, RouteEvidence], alarm: Verdict | None) -> Verdict:
     """Return whether enough is known to complete a rollout."""
     if alarm is not None:
         return alarm
--- a/src/weirscale/gateway/rollouts/view.py
+++ b/src/weirscale/gateway/rollouts/view.py
@@ -34,7 +34,7 @@
 
     def is_open(self) -> bool:
         """Whether the rollout has not ended."""
-        return self.stage not in (Stage.COMPLETED, Stage.RETURNED)
+        return self.stage not in (Stage.COMPLETED, Stage.ROLLED_BACK)
 
     def is_stable(self, version: SoftwareVersion) -> bool:
         """Whether a version serves requests of the stable track."""
@@ -84,7 +84,7 @@
             view = view_of(record)
             if order is None and view.is_open():
                 # Its order has been withdrawn: it gets no canary any more.
-                return msgspec.structs.replace(view, stage=Stage.RETURNED)
+                return msgspec.structs.replace(view, stage=Stage.ROLLED_BACK)
             return view
         if order is None:
             return None
@@ -125,7 +125,7 @@
 
 _END_STAGES = {
     RolloutState.COMPLETED: Stage.COMPLETED,
-    RolloutState.RETURNED: Stage.RETURNED,
+    RolloutState.RETURNED: Stage.ROLLED_BACK,
 }
 
 
