--- a/features/steps/gateway_displaced_steps.py
+++ b/features/steps/gateway_displaced_steps.py
@@ -263,7 +263,7 @@
         self.registry = BackEndRegistry(
             directory, EngineVersions(directory, log), StoreOutageDetector(), log, self.now_s
         )
-        self.registry.observe_gone(lambda back_end: self.gone.append(back_end.instance))
+        self.registry.observe_removal(lambda back_end: self.gone.append(back_end.instance))
 
     def now_s(self):
         return self.clock_s
@@ -310,8 +310,8 @@
 @when('another run than "{instance}" answers there')
 def step_other(context, instance):
     run = context.world.directory.get(InstanceId(instance)).run_id
-    assert context.world.registry.mark_other_run(run, OwnerProof.OTHER_RUN)
-    assert not context.world.registry.mark_other_run(run, OwnerProof.PEER)
+    assert context.world.registry.mark_replaced(run, OwnerProof.OTHER_RUN)
+    assert not context.world.registry.mark_replaced(run, OwnerProof.PEER)
 
 
 START_MS = 1_700_000_000_000
@@ -420,7 +420,7 @@
         if used.instance == living.instance:
             self.world.registry.mark_answered(used.instance)
         else:
-            self.world.registry.mark_other_run(used.run_id, OwnerProof.OTHER_RUN)
+            self.world.registry.mark_replaced(used.run_id, OwnerProof.OTHER_RUN)
 
 
 @given("any sequence of starts, crashes, late entries, ends and requests at two addresses")
--- a/features/steps/gateway_old_weights_steps.py
+++ b/features/steps/gateway_old_weights_steps.py
@@ -316,7 +316,7 @@
 
 @when("version {version:d} turns out to have been named no earlier than {bound_s:g} s")
 def step_narrow(context, version, bound_s):
-    context.book.narrow(MODEL, version, bound_s)
+    context.book.tighten_bound(MODEL, version, bound_s)
 
 
 @then("version {version:d} was named no earlier than {bound_s:g} s")
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -264,7 +264,7 @@
         "unasked": {"number": 0},
         "of another query": {"number": query.number + 7},
         "beginning too late": {"after_revision": 150, "revision": 160},
-        "left out": {"is_left_out": True},
+        "left out": {"are_changes_omitted": True},
     }[kind]
     context.asker.subscription.receive(reply_to(query, **more))
 
--- a/features/steps/gateway_store_silence_steps.py
+++ b/features/steps/gateway_store_silence_steps.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from features.support.platform_fleet import STORE_ADDRESS
-from weirscale.gateway.state.store_outages import NEVER_S, Span, StoreOutageDetector
+from weirscale.gateway.state.store_outages import NEVER_S, AvailabilitySpan, StoreOutageDetector
 
 LOOK_INTERVAL_S = 0.4
 
@@ -45,7 +45,9 @@
 def read_span(text):
     silent_from, _, span = text.rpartition("<")
     began, proved_at = span.split("-")
-    return Span(float(began), float(proved_at), float(silent_from) if silent_from else None)
+    return AvailabilitySpan(
+        float(began), float(proved_at), float(silent_from) if silent_from else None
+    )
 
 
 @then('at {now_s:g} s the last outage has ended at "{ended}"')
--- a/features/support/permit_fleet.py
+++ b/features/support/permit_fleet.py
@@ -40,7 +40,7 @@
 
     def reply(self, query):
         """Return the reply to a query."""
-        grant = self.issuer.issue(RUN, query.sender, query.num_wanted)
+        grant = self.issuer.issue(RUN, query.sender, query.num_requested)
         limit_per_s = self.limits.limit_per_s(RUN)
         return PermitReply(
             self.name, query.number, RUN, grant.num_permits, round(grant.wait_s * 1000),
--- a/features/support/recorded_forms.py
+++ b/features/support/recorded_forms.py
@@ -463,7 +463,7 @@
     return WeightOrder("m", 4, "node-1", 3, 2, "i-1", mode)
 
 
-_STATUS = RolloutStatus(ServiceName("lm"), SoftwareVersion("v8"), RolloutState.RETURNED)
+_STATUS = RolloutStatus(ServiceName("lm"), SoftwareVersion("v8"), RolloutState.ROLLED_BACK)
 
 _RUNNER_CALLS = {
     "request_full": lambda runner: _send(runner, _outbound(True)),
--- a/src/weirscale/gateway/gossip/group_relay.py
+++ b/src/weirscale/gateway/gossip/group_relay.py
@@ -5,7 +5,7 @@
 back ends are unreachable, and at once which engines load weights; it sends its own group the sum of
 what the other heads send. Two nodes that both take themselves for the head do no harm: sums are
 whole values, and the latest replaces the one before. A head that is dead, frozen or cut off is
-replaced `PEER_SILENCE_S` after it was last received.
+replaced `PEER_TIMEOUT_S` after it was last received.
 
 Relies on `PeerDirectory` for the division into groups, which is the same on all nodes.
 """
@@ -16,7 +16,7 @@
 from weirscale.gateway.gossip.intervals import GossipPace, RefreshTimer
 from weirscale.gateway.gossip.sources import GROUP_SOURCE, REST_SOURCE, is_group, is_member
 from weirscale.gateway.limits.quota import QuotaLedger
-from weirscale.gateway.peers.heartbeat import HEARTBEAT_INTERVAL_S, PEER_SILENCE_S
+from weirscale.gateway.peers.heartbeat import HEARTBEAT_INTERVAL_S, PEER_TIMEOUT_S
 from weirscale.gateway.peers.messages import REST_OF_FLEET, Gossip, SendGossip, SendMessage
 from weirscale.gateway.peers.outbox import GossipOutbox
 from weirscale.gateway.peers.registrations import PeerDirectory
@@ -116,7 +116,7 @@
                 return True
             # One that has just registered is given time to send its first message.
             received_at_s = self._received_at_s.setdefault(member.name, now_s)
-            if now_s - received_at_s <= PEER_SILENCE_S:
+            if now_s - received_at_s <= PEER_TIMEOUT_S:
                 return False
         return True
 
@@ -232,6 +232,6 @@
         members = self._directory.division().groups[group]
         names = [member.name for member in members]
         speaker, received_at_s = self._speakers.get(group, ("", float("-inf")))
-        if speaker in names and self._clock() - received_at_s <= PEER_SILENCE_S:
+        if speaker in names and self._clock() - received_at_s <= PEER_TIMEOUT_S:
             return (speaker,)
         return tuple(names[:NUM_FIRST_HEADS])
--- a/src/weirscale/gateway/gossip/inbox.py
+++ b/src/weirscale/gateway/gossip/inbox.py
@@ -101,7 +101,7 @@
         for leaving in gossip.leaving:
             self._cluster.back_ends.mark_leaving(RunId(leaving.run), LeavingSource.PEER)
         for ended in gossip.ended:
-            self._cluster.back_ends.mark_other_run(RunId(ended.run), OwnerProof.PEER)
+            self._cluster.back_ends.mark_replaced(RunId(ended.run), OwnerProof.PEER)
         for limit in gossip.limits:
             statement = LimitStatement(limit.limit_per_s, now_s)
             self._limits.told_by_peer(RunId(limit.run), statement)
@@ -128,7 +128,7 @@
     def _receive_loading(self, loading: LoadingGossip) -> None:
         self._dispatcher.mark_loading(loading.instance, loading.is_done)
         if loading.is_done and loading.version:
-            self._cluster.engine_versions.learn(
+            self._cluster.engine_versions.record_version(
                 loading.instance, loading.model, loading.version, "peer"
             )
 
--- a/src/weirscale/gateway/limits/quota.py
+++ b/src/weirscale/gateway/limits/quota.py
@@ -40,7 +40,7 @@
     TenantUsage,
 )
 from weirscale.gateway.model.configuration import Quota, Tenant
-from weirscale.gateway.peers.heartbeat import PEER_SILENCE_S, SWEEP_INTERVAL_S
+from weirscale.gateway.peers.heartbeat import PEER_TIMEOUT_S, SWEEP_INTERVAL_S
 from weirscale.gateway.settings import QuotaPrecision
 
 GONE_MEMORY_S = 1.0
@@ -149,7 +149,7 @@
     def tick(self) -> None:
         """Bring the share of the nodes up to date; to be called as often as gossip is sent."""
         now_s = self._clock()
-        if now_s - self._awake_at_s > PEER_SILENCE_S:
+        if now_s - self._awake_at_s > PEER_TIMEOUT_S:
             self._forget_other_nodes(now_s)
         self._awake_at_s = now_s
         if now_s - self._swept_at_s < SWEEP_INTERVAL_S:
--- a/src/weirscale/gateway/limits/usage.py
+++ b/src/weirscale/gateway/limits/usage.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from weirscale.domain.identifiers import TenantName
-from weirscale.gateway.peers.heartbeat import PEER_SILENCE_S
+from weirscale.gateway.peers.heartbeat import PEER_TIMEOUT_S
 
 NUM_PRIORITIES = 3
 """Priorities of routes that are told apart; all beyond count as the last. Messages carry as many
@@ -202,11 +202,11 @@
     def sweep(self, now_s: float) -> None:
         """Drop sources, and what they sent of single tenants, once that is too old."""
         for name, source in list(self._sources.items()):
-            if now_s - source.received_at_s > PEER_SILENCE_S:
+            if now_s - source.received_at_s > PEER_TIMEOUT_S:
                 self.forget_source(name, now_s)
                 continue
             for tenant, received in list(source.tenants.items()):
-                if now_s - received.received_at_s > PEER_SILENCE_S:
+                if now_s - received.received_at_s > PEER_TIMEOUT_S:
                     del source.tenants[tenant]
                     self._change(tenant, NO_USAGE.minus(received.usage), now_s)
 
--- a/src/weirscale/gateway/model/back_ends.py
+++ b/src/weirscale/gateway/model/back_ends.py
@@ -31,7 +31,7 @@
     """It said so in an answer to another node."""
 
 
-TAKES_WORK = frozenset({BackEndState.READY, BackEndState.LAPSED})
+ACCEPTING_STATES = frozenset({BackEndState.READY, BackEndState.LAPSED})
 """States in which a back end is sent new requests."""
 
 
--- a/src/weirscale/gateway/model/run_memory.py
+++ b/src/weirscale/gateway/model/recent_runs.py
@@ -11,7 +11,7 @@
 size designed for, some 1,700, so that a replacement of all of them fits."""
 
 
-class RunMemory(Generic[_T]):
+class RecentRuns(Generic[_T]):
     """A value for each run, of as many as are remembered.
 
     A run never comes back under its id once it has ended, so what is remembered of it needs no end
--- a/src/weirscale/gateway/model/rollout_order.py
+++ b/src/weirscale/gateway/model/rollout_order.py
@@ -23,7 +23,7 @@
         deadline_s: Time for it, from the order's acknowledgement on.
         epoch: Names the order.
         seen_at_s: When this node last knew that it was not there; its own start, if it was there.
-        was_there: Whether it was there before this node, so that its age is not known.
+        predates_node: Whether it was there before this node, so that its age is not known.
         served_before: Whether the target served without a canary when the order came.
     """
 
@@ -32,7 +32,7 @@
     deadline_s: float
     epoch: Epoch
     seen_at_s: float
-    was_there: bool = False
+    predates_node: bool = False
     served_before: bool = False
 
 
@@ -43,7 +43,7 @@
     """It is under way."""
     COMPLETED = "completed"
     """All traffic goes to the target; its predecessors are not needed any more."""
-    RETURNED = "returned"
+    ROLLED_BACK = "returned"
     """All traffic goes to the target's predecessors."""
 
 
--- a/src/weirscale/gateway/model/topology.py
+++ b/src/weirscale/gateway/model/topology.py
@@ -30,10 +30,10 @@
 
     def is_cross_region(self, zone: ZoneName, other: ZoneName) -> bool:
         """Whether two zones are known to stand in different regions."""
-        return are_apart(self.region_of(zone), self.region_of(other))
+        return are_different_regions(self.region_of(zone), self.region_of(other))
 
 
-def are_apart(region: RegionName, other: RegionName) -> bool:
+def are_different_regions(region: RegionName, other: RegionName) -> bool:
     """Whether two regions are known and differ."""
     return region != other and NO_REGION not in (region, other)
 
--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -143,7 +143,9 @@
         self.version_check = VersionCheck(
             self.cluster, self._ports.port_of, self.outbox.add_loading, clock
         )
-        self.cluster.back_ends.observe_gone(lambda gone: self.version_check.forget(gone.instance))
+        self.cluster.back_ends.observe_removal(
+            lambda gone: self.version_check.forget(gone.instance)
+        )
 
     def _make_replication(self) -> None:
         """Make what brings the platform's state here, and the receiver of other nodes' messages."""
--- a/src/weirscale/gateway/node_parts.py
+++ b/src/weirscale/gateway/node_parts.py
@@ -133,7 +133,7 @@
         )
         self._ports = BackEndPorts(connect, self.cluster, self.load, self._notices.take)
         self._upkeep = BackEndUpkeep(self.cluster, self.health, back_pressure, self._ports, clock)
-        self.cluster.back_ends.observe_gone(self._forget_back_end)
+        self.cluster.back_ends.observe_removal(self._forget_back_end)
         self.cluster.engine_versions.observe(self._forget_cache)
 
     def _forget_back_end(self, back_end: BackEnd) -> None:
@@ -147,7 +147,7 @@
 
     def _rollback_s(self) -> float:
         """Return the time in which nothing may be sent to a bad version any more."""
-        return self._canary_limits.return_s
+        return self._canary_limits.rollback_s
 
     def _num_requests(self, instance: InstanceId) -> int:
         """Return how many requests of all nodes are at work at an instance."""
--- a/src/weirscale/gateway/peers/heartbeat.py
+++ b/src/weirscale/gateway/peers/heartbeat.py
@@ -1,6 +1,6 @@
 """How often nodes show each other that they live, and when one counts as silent."""
 
-PEER_SILENCE_S = 1.5
+PEER_TIMEOUT_S = 1.5
 """Seconds; a source silent for this long has stopped or is cut off, and its load counts no more.
 Sources send all their loads once a second. Not measured."""
 
--- a/src/weirscale/gateway/peers/messages.py
+++ b/src/weirscale/gateway/peers/messages.py
@@ -238,7 +238,7 @@
         after_revision: The changes are complete after this revision.
         revision: The changes are complete up to this revision.
         proof_age_ms: Everything acknowledged longer ago than this is in it.
-        is_left_out: The changes are too old or too large to be sent.
+        are_changes_omitted: The changes are too old or too large to be sent.
         changes: The latest change of each key.
     """
 
@@ -247,7 +247,7 @@
     after_revision: int
     revision: int
     proof_age_ms: int
-    is_left_out: bool = False
+    are_changes_omitted: bool = False
     changes: tuple[VersionedChange, ...] = ()
 
 
@@ -291,7 +291,7 @@
         sender: The node that asks.
         number: Returned in the reply; the sender knows when it asked.
         run: The back end's run.
-        num_wanted: Permits that it can use within their life.
+        num_requested: Permits that it can use within their life.
         limit_per_s: The limit that it knows of.
         age_ms: How long ago the back end stated it.
     """
@@ -299,7 +299,7 @@
     sender: str
     number: int
     run: str
-    num_wanted: int
+    num_requested: int
     limit_per_s: float
     age_ms: int
 
--- a/src/weirscale/gateway/ports/back_end.py
+++ b/src/weirscale/gateway/ports/back_end.py
@@ -53,7 +53,7 @@
         request_id: Id that the answer belongs to, or None if it names none.
         instance: Instance that answered, or None if it names none.
         is_proved_unrun: Whether the back end says that it did not and will not run the request.
-        is_sealed: Whether it carries the back end's signature.
+        is_signed: Whether it carries the back end's signature.
         weight_version: Version of the weights, or None.
         body: Chunks in order; raises `BodyBrokenError` if it ends early.
     """
@@ -63,7 +63,7 @@
     request_id: RequestId | None
     instance: InstanceId | None
     is_proved_unrun: bool
-    is_sealed: bool
+    is_signed: bool
     weight_version: int | None
     body: AsyncIterator[bytes]
 
@@ -79,7 +79,7 @@
         unreadable_rest: A time of rest that could not be read, as it was written; empty for none.
         limit_per_s: Requests a second that it takes from all nodes together; None if it names none.
         unreadable_limit: A limit that could not be read, as it was written; empty for none.
-        unlimited_since_s: For the successful answer to a request that names no limit: how many
+        unlimited_for_s: For the successful answer to a request that names no limit: how many
             seconds ago that request was sent. None for any other answer.
         unknown_names: Headers by which it says of itself what this release does not know.
     """
@@ -90,11 +90,11 @@
     unreadable_rest: str = ""
     limit_per_s: float | None = None
     unreadable_limit: str = ""
-    unlimited_since_s: float | None = None
+    unlimited_for_s: float | None = None
     unknown_names: tuple[str, ...] = ()
 
 
-TakeNotice = Callable[[BackEnd, AnswerNotice], None]
+NoticeHandler = Callable[[BackEnd, AnswerNotice], None]
 """Takes what a back end says of itself, at the moment at which the head of its answer is here."""
 
 
@@ -122,7 +122,7 @@
     """How an engine took an order."""
 
     ACCEPTED = "accepted"
-    HOLDS_ALREADY = "holds_already"
+    ALREADY_LOADED = "holds_already"
     CONFLICT = "conflict"
     FENCED = "fenced"
     REFUSED = "refused"
@@ -166,19 +166,19 @@
 
     Attributes:
         models: Models and versions.
-        is_ordered: Whether an order is under way.
+        has_pending_order: Whether an order is under way.
         sequence: Orders taken since its start.
     """
 
     models: tuple[ServedModel, ...]
-    is_ordered: bool
+    has_pending_order: bool
     sequence: int
 
 
 class RunState(enum.Enum):
     """Whether the run of a back end that is meant goes on."""
 
-    LIVES = "lives"
+    RUNNING = "lives"
     """It answered."""
     ENDED = "ended"
     """Nobody listens at its address, or another run answered."""
@@ -223,13 +223,13 @@
     """Makes the port of a back end."""
 
     def __call__(
-        self, back_end: BackEnd, max_connections: int, take_notice: TakeNotice
+        self, back_end: BackEnd, max_connections: int, on_notice: NoticeHandler
     ) -> BackEndPort:
         """Return a port; no connection is opened yet.
 
         Args:
             back_end: The run that is meant.
             max_connections: Most connections to it.
-            take_notice: Called with what each answer says of the back end that gave it.
+            on_notice: Called with what each answer says of the back end that gave it.
         """
         ...
--- a/src/weirscale/gateway/quarantine/crash_check.py
+++ b/src/weirscale/gateway/quarantine/crash_check.py
@@ -11,7 +11,7 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from weirscale.gateway.model.back_ends import TAKES_WORK, BackEnd, BackEndState
+from weirscale.gateway.model.back_ends import ACCEPTING_STATES, BackEnd, BackEndState
 from weirscale.gateway.model.identifiers import RunId
 from weirscale.gateway.ports.back_end import BackEndPort, RunState
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint
@@ -66,7 +66,7 @@
     def request(self, back_end: BackEnd, lost: LostRequest) -> None:
         """Look at a back end whose connection ended under a request."""
         known = self._cluster.directory.get(back_end.instance)
-        if known is None or known.state not in TAKES_WORK:
+        if known is None or known.state not in ACCEPTING_STATES:
             # It left, or its registration ended, before the connection did.
             return
         if back_end.run_id in self._lost:
@@ -104,7 +104,7 @@
             # It took work when its connection ended, so it did not leave as planned.
             return RunState.ENDED
         if known.state is BackEndState.LEAVING:
-            return RunState.LIVES
+            return RunState.RUNNING
         table = self._cluster.table
         service = table.service(known.service) if table else None
         path = service.health_path if service else "/"
--- a/src/weirscale/gateway/quarantine/record.py
+++ b/src/weirscale/gateway/quarantine/record.py
@@ -8,7 +8,7 @@
 from weirscale.gateway.model.identifiers import RunId
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint, read_fingerprint
 from weirscale.gateway.state.cluster_state import ClusterState
-from weirscale.gateway.state.expiring_record import write_timed_record
+from weirscale.gateway.state.expiring_record import write_expiring_record
 from weirscale.ports.key_value import KeyValuePort
 
 QUARANTINE_PREFIX = "weirscale/quarantine/"
@@ -125,7 +125,7 @@
     async def _write(self, fingerprint: RequestFingerprint, crashes: Sequence[RunId]) -> None:
         self._write_at_s[fingerprint] = self._clock() + RETRY_S
         value = f"{self._name} {','.join(crashes)}".encode()
-        await write_timed_record(
+        await write_expiring_record(
             self._store,
             quarantine_key(fingerprint),
             value,
--- a/src/weirscale/gateway/replication/age_exchange.py
+++ b/src/weirscale/gateway/replication/age_exchange.py
@@ -16,7 +16,7 @@
 from weirscale.gateway.peers.registrations import PeerDirectory
 from weirscale.gateway.settings import ListenAddress
 from weirscale.gateway.state.cluster_state import ClusterState
-from weirscale.gateway.state.store_outages import NEVER_S, Span
+from weirscale.gateway.state.store_outages import NEVER_S, AvailabilitySpan
 from weirscale.gateway.ticks import sleep_to_tick
 from weirscale.ports.event_log import EventLog
 
@@ -122,7 +122,7 @@
             self._name,
             query.number,
             _whole_ms(now_s - span.began_s),
-            _whole_ms(now_s - span.proved_at_s),
+            _whole_ms(now_s - span.last_answer_s),
             None if span.silent_from_s is None else _whole_ms(now_s - span.silent_from_s),
             tuple(self._young_target_versions(now_s)),
         )
@@ -140,7 +140,7 @@
         if asked_at_s is None:
             return
         silent_age_ms = reply.silent_age_ms
-        span = Span(
+        span = AvailabilitySpan(
             asked_at_s - reply.span_age_ms / MILLISECONDS_PER_S,
             asked_at_s - reply.proof_age_ms / MILLISECONDS_PER_S,
             None if silent_age_ms is None else asked_at_s - silent_age_ms / MILLISECONDS_PER_S,
@@ -148,7 +148,7 @@
         self._cluster.store_outages.receive(reply.sender, span, asked_at_s, self._clock())
         for target in reply.target_versions:
             set_after_s = asked_at_s - target.age_ms / MILLISECONDS_PER_S
-            self._cluster.target_versions.narrow(target.model, target.version, set_after_s)
+            self._cluster.target_versions.tighten_bound(target.model, target.version, set_after_s)
 
 
 def _whole_ms(age_s: float) -> int:
--- a/src/weirscale/gateway/replication/publisher.py
+++ b/src/weirscale/gateway/replication/publisher.py
@@ -81,12 +81,12 @@
         age_ms = min(cluster.age_s() * MILLISECONDS_PER_S, MAX_SENT_AGE_MS)
         left_out = StateReply(
             self._name, number, after_revision, cluster.revision, int(age_ms) + 1,
-            is_left_out=True,
+            are_changes_omitted=True,
         )  # fmt: skip
         changes = cluster.log.since(after_revision)
         if changes is None:
             return left_out
-        whole = msgspec.structs.replace(left_out, is_left_out=False, changes=changes)
+        whole = msgspec.structs.replace(left_out, are_changes_omitted=False, changes=changes)
         if changes and len(encode_message(whole)) > MAX_REPLY_BYTES:
             return left_out
         return whole
--- a/src/weirscale/gateway/replication/subscription.py
+++ b/src/weirscale/gateway/replication/subscription.py
@@ -120,7 +120,7 @@
     def receive(self, reply: StateReply) -> None:
         """Take over a reply, or changes that a reader sent unasked."""
         asked_at_s = self._queries.close(reply.number)
-        if reply.is_left_out or reply.after_revision > self._cluster.revision:
+        if reply.are_changes_omitted or reply.after_revision > self._cluster.revision:
             # Changes sent unasked may follow on a message that got lost: the next query mends it.
             if asked_at_s is not None and reply.revision > self._cluster.revision:
                 self._reading_due.set()
--- a/src/weirscale/gateway/request_limits/permit_exchange.py
+++ b/src/weirscale/gateway/request_limits/permit_exchange.py
@@ -69,7 +69,7 @@
         known = self._limits.statement(run)
         if known is None:
             return
-        grant = self._issuer.issue(run, query.sender, query.num_wanted)
+        grant = self._issuer.issue(run, query.sender, query.num_requested)
         reply = PermitReply(
             self._name,
             query.number,
--- a/src/weirscale/gateway/request_limits/permit_issuer.py
+++ b/src/weirscale/gateway/request_limits/permit_issuer.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from weirscale.gateway.model.identifiers import RunId
-from weirscale.gateway.model.run_memory import RunMemory
+from weirscale.gateway.model.recent_runs import RecentRuns
 from weirscale.gateway.request_limits.issuers import PermitIssuers
 from weirscale.gateway.request_limits.permit_bucket import PermitBucket, PermitGrant
 from weirscale.gateway.request_limits.stated_limits import StatedLimits
@@ -32,7 +32,7 @@
         self._limits = limits
         self._issuers = issuers
         self._clock = clock
-        self._buckets: RunMemory[PermitBucket] = RunMemory()
+        self._buckets: RecentRuns[PermitBucket] = RecentRuns()
 
     def issue(self, run: RunId, asker: str, num_wanted: int) -> PermitGrant:
         """Return the permits that a node gets for a run; none are needed where it has no limit."""
--- a/src/weirscale/gateway/request_limits/stated_limits.py
+++ b/src/weirscale/gateway/request_limits/stated_limits.py
@@ -11,7 +11,7 @@
 
 from weirscale.gateway.model.back_ends import instance_of
 from weirscale.gateway.model.identifiers import RunId
-from weirscale.gateway.model.run_memory import RunMemory
+from weirscale.gateway.model.recent_runs import RecentRuns
 from weirscale.ports.event_log import EventLog
 
 UNLIMITED_PER_S = 1e6
@@ -52,7 +52,7 @@
 
     def __init__(self, event_log: EventLog) -> None:
         self._event_log = event_log
-        self._statements: RunMemory[LimitStatement] = RunMemory()
+        self._statements: RecentRuns[LimitStatement] = RecentRuns()
 
     def statement(self, run: RunId) -> LimitStatement | None:
         """Return what a run said last; None if it never stated a limit."""
--- a/src/weirscale/gateway/requests/attempt_verdict.py
+++ b/src/weirscale/gateway/requests/attempt_verdict.py
@@ -106,7 +106,7 @@
     if answer.instance is not None and answer.instance != instance:
         return Verdict(AttemptEnd.UNCERTAIN, OTHER_INSTANCE)
     if HTTPStatus.OK <= answer.status < HTTPStatus.MULTIPLE_CHOICES:
-        if answer.is_sealed:
+        if answer.is_signed:
             return WHOLE_SUCCESS
         return Verdict(AttemptEnd.UNCERTAIN, NO_SIGNATURE)
     if promises_not_run(answer.status):
--- a/src/weirscale/gateway/requests/back_end_verdicts.py
+++ b/src/weirscale/gateway/requests/back_end_verdicts.py
@@ -81,7 +81,9 @@
         if prompt is None or answer.weight_version is None or choice.scope is None:
             return
         instance = choice.candidate.back_end.instance
-        self._cluster.engine_versions.learn(instance, prompt.model, answer.weight_version, "answer")
+        self._cluster.engine_versions.record_version(
+            instance, prompt.model, answer.weight_version, "answer"
+        )
 
     def judge_version(
         self,
--- a/src/weirscale/gateway/rollouts/barrier.py
+++ b/src/weirscale/gateway/rollouts/barrier.py
@@ -10,7 +10,7 @@
 
 from weirscale.domain.identifiers import ServiceName
 from weirscale.gateway.model.rollout_order import Epoch
-from weirscale.gateway.peers.heartbeat import PEER_SILENCE_S
+from weirscale.gateway.peers.heartbeat import PEER_TIMEOUT_S
 
 MovedKey = tuple[ServiceName, Epoch]
 
@@ -35,7 +35,7 @@
         return sum(
             received.num_nodes
             for source, received in self._received.get(key, {}).items()
-            if is_wanted(source) and now_s - received.received_at_s <= PEER_SILENCE_S
+            if is_wanted(source) and now_s - received.received_at_s <= PEER_TIMEOUT_S
         )
 
     def keep(self, keys: set[MovedKey]) -> None:
--- a/src/weirscale/gateway/rollouts/canary_traffic.py
+++ b/src/weirscale/gateway/rollouts/canary_traffic.py
@@ -197,7 +197,7 @@
         allowance = self._allowances.get(view.epoch)
         if allowance is None:
             order = self._cluster.rollouts.orders.get(service)
-            has_seen_order = order is not None and not order.was_there
+            has_seen_order = order is not None and not order.predates_node
             credit = start_credit(
                 self._limits, self._num_nodes(), has_seen_order, self._random.random()
             )
--- a/src/weirscale/gateway/rollouts/facts.py
+++ b/src/weirscale/gateway/rollouts/facts.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from weirscale.domain.identifiers import ServiceName
-from weirscale.gateway.model.back_ends import TAKES_WORK, BackEnd
+from weirscale.gateway.model.back_ends import ACCEPTING_STATES, BackEnd
 from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.model.rollout_order import Epoch, RolloutOrder
 from weirscale.gateway.rollouts.plan import RolloutFacts
@@ -56,7 +56,7 @@
     def elapsed_s(self, order: RolloutOrder, record: RolloutRecord | None) -> float:
         """Return the time since an order, or since the last proof before it."""
         elapsed_s = self._clock() - order.seen_at_s
-        if record is None or not order.was_there:
+        if record is None or not order.predates_node:
             return elapsed_s
         # This node started later than the order came: the record tells how late, at least.
         return max(elapsed_s, record.elapsed_s + self.in_stage_s(record))
@@ -146,4 +146,4 @@
 
 def _working_slots(back_ends: Sequence[BackEnd]) -> int:
     """Return the slots of those that take work."""
-    return sum(one.slots for one in back_ends if one.state in TAKES_WORK)
+    return sum(one.slots for one in back_ends if one.state in ACCEPTING_STATES)
--- a/src/weirscale/gateway/rollouts/plan.py
+++ b/src/weirscale/gateway/rollouts/plan.py
@@ -190,5 +190,5 @@
     if record.stage is Stage.COMPLETED:
         return RolloutState.COMPLETED
     if record.stage is Stage.RETURNED:
-        return RolloutState.RETURNED
+        return RolloutState.ROLLED_BACK
     return RolloutState.ACTIVE
--- a/src/weirscale/gateway/rollouts/view.py
+++ b/src/weirscale/gateway/rollouts/view.py
@@ -109,7 +109,7 @@
         """Whether an order's target served before it, so that it needs no canary."""
         if record is not None:
             return _served_under(record, order.target)
-        if not order.was_there:
+        if not order.predates_node:
             return order.served_before
         # This node did not see what served before the order: what serves alone must have.
         found = {one.software for one in self._cluster.directory.of_service(order.service)}
@@ -125,7 +125,7 @@
 
 _END_STAGES = {
     RolloutState.COMPLETED: Stage.COMPLETED,
-    RolloutState.RETURNED: Stage.RETURNED,
+    RolloutState.ROLLED_BACK: Stage.RETURNED,
 }
 
 
--- a/src/weirscale/gateway/routing/back_end_notices.py
+++ b/src/weirscale/gateway/routing/back_end_notices.py
@@ -90,8 +90,8 @@
         has_changed = False
         if notice.limit_per_s is not None:
             has_changed = self._limits.stated(run, notice.limit_per_s, now_s)
-        elif notice.unlimited_since_s is not None:
-            has_changed = self._limits.not_stated(run, now_s - notice.unlimited_since_s, now_s)
+        elif notice.unlimited_for_s is not None:
+            has_changed = self._limits.not_stated(run, now_s - notice.unlimited_for_s, now_s)
         if has_changed:
             for observer in self._limit_observers:
                 observer(run, self._limits.limit_per_s(run))
@@ -137,7 +137,7 @@
         address an ended one's late entry has taken is lost to all nodes: in 3 of 4 plays of a day
         with engines that start again while weights are named, two of nine were.
         """
-        if self._cluster.back_ends.mark_other_run(meant.run_id, OwnerProof.OTHER_RUN):
+        if self._cluster.back_ends.mark_replaced(meant.run_id, OwnerProof.OTHER_RUN):
             for observer in self._ended_observers:
                 observer(meant.run_id)
 
--- a/src/weirscale/gateway/routing/back_end_ports.py
+++ b/src/weirscale/gateway/routing/back_end_ports.py
@@ -4,7 +4,7 @@
 
 from weirscale.gateway.model.back_ends import BackEnd
 from weirscale.gateway.model.identifiers import InstanceId
-from weirscale.gateway.ports.back_end import BackEndConnector, BackEndPort, TakeNotice
+from weirscale.gateway.ports.back_end import BackEndConnector, BackEndPort, NoticeHandler
 from weirscale.gateway.routing.load import NO_LOAD, FleetLoad
 from weirscale.gateway.state.cluster_state import ClusterState
 
@@ -26,7 +26,7 @@
         connect: Makes a client.
         cluster: Tells how many connections a service's back ends take.
         load: Tells what this node has at work at a back end.
-        take_notice: Called with what answers say of their back ends.
+        on_notice: Called with what answers say of their back ends.
     """
 
     def __init__(
@@ -34,12 +34,12 @@
         connect: BackEndConnector,
         cluster: ClusterState,
         load: FleetLoad,
-        take_notice: TakeNotice,
+        on_notice: NoticeHandler,
     ) -> None:
         self._connect = connect
         self._cluster = cluster
         self._load = load
-        self._take_notice = take_notice
+        self._on_notice = on_notice
         self._ports: dict[InstanceId, BackEndPort] = {}
         self._closing: dict[InstanceId, BackEndPort] = {}
 
@@ -47,7 +47,7 @@
         """Return the client of a back end; it is made at the first call."""
         port = self._ports.get(back_end.instance)
         if port is None:
-            port = self._connect(back_end, self._max_connections(back_end), self._take_notice)
+            port = self._connect(back_end, self._max_connections(back_end), self._on_notice)
             self._ports[back_end.instance] = port
         return port
 
--- a/src/weirscale/gateway/routing/back_end_upkeep.py
+++ b/src/weirscale/gateway/routing/back_end_upkeep.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from weirscale.gateway.model.back_ends import TAKES_WORK
+from weirscale.gateway.model.back_ends import ACCEPTING_STATES
 from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.routing.back_end_ports import BackEndPorts
 from weirscale.gateway.routing.back_pressure import BackPressure
@@ -64,7 +64,7 @@
         if back_end is None or table is None:
             self._health.forget(instance)
             return
-        if back_end.state not in TAKES_WORK:
+        if back_end.state not in ACCEPTING_STATES:
             return
         if not self._back_pressure.admitted([back_end], self._clock()):
             return
--- a/src/weirscale/gateway/routing/fetch_source.py
+++ b/src/weirscale/gateway/routing/fetch_source.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from weirscale.gateway.model.topology import are_apart
+from weirscale.gateway.model.topology import are_different_regions
 from weirscale.gateway.routing.candidate import Candidate, FetchSource, PromptNeed
 from weirscale.gateway.routing.choice_rules import ChoiceRules
 
@@ -61,7 +61,7 @@
                 break
             if match.source.instance == candidate.back_end.instance:
                 continue
-            if are_apart(candidate.region, match.source.region):
+            if are_different_regions(candidate.region, match.source.region):
                 continue
             if best is None or _is_near(candidate, match.source):
                 best = match
@@ -72,7 +72,9 @@
         return best.source, min(best.num_tokens, self._need.prompt.num_tokens) - cached
 
     def _store_for(self, candidate: Candidate) -> FetchSource | None:
-        near = (one for one in self._stores if not are_apart(candidate.region, one.region))
+        near = (
+            one for one in self._stores if not are_different_regions(candidate.region, one.region)
+        )
         return next(near, None)
 
     def _ranked(self, version: int | None) -> list[_Match]:
--- a/src/weirscale/gateway/routing/load.py
+++ b/src/weirscale/gateway/routing/load.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from weirscale.gateway.model.identifiers import InstanceId
-from weirscale.gateway.peers.heartbeat import PEER_SILENCE_S, SWEEP_INTERVAL_S
+from weirscale.gateway.peers.heartbeat import PEER_TIMEOUT_S, SWEEP_INTERVAL_S
 
 
 class Load(msgspec.Struct, frozen=True):
@@ -151,7 +151,7 @@
             return
         self._swept_at_s = now_s
         for source, loads in list(self._received.items()):
-            old = [one for one in loads if now_s - loads[one].received_at_s > PEER_SILENCE_S]
+            old = [one for one in loads if now_s - loads[one].received_at_s > PEER_TIMEOUT_S]
             for instance in old:
                 _add_to(self._received_sums, instance, NO_LOAD.minus(loads.pop(instance).load))
             if not loads:
--- a/src/weirscale/gateway/settings.py
+++ b/src/weirscale/gateway/settings.py
@@ -38,12 +38,12 @@
     Attributes:
         share: Largest share of the service's requests.
         tolerance: Requests beyond that share, over all nodes together.
-        return_s: Time from the 50th bad answer until nothing is sent to it any more.
+        rollback_s: Time from the 50th bad answer until nothing is sent to it any more.
     """
 
     share: float = 0.1
     tolerance: float = 0.0
-    return_s: float = 5.0
+    rollback_s: float = 5.0
 
 
 class Guarantees(msgspec.Struct, frozen=True):
--- a/src/weirscale/gateway/state/address_claims.py
+++ b/src/weirscale/gateway/state/address_claims.py
@@ -13,7 +13,7 @@
 
 from weirscale.gateway.model.back_ends import BackEnd
 from weirscale.gateway.model.identifiers import Address, InstanceId, RunId
-from weirscale.gateway.model.run_memory import RunMemory
+from weirscale.gateway.model.recent_runs import RecentRuns
 
 NEVER_ANSWERED_S = float("-inf")
 
@@ -66,7 +66,7 @@
     def __init__(self) -> None:
         self._claims: dict[InstanceId, Claim] = {}
         self._at: dict[Address, dict[InstanceId, Claim]] = {}
-        self._ended: RunMemory[Standing] = RunMemory()
+        self._ended: RecentRuns[Standing] = RecentRuns()
         """What is known of runs that have ended, should their entries come once more."""
 
     def get(self, instance: InstanceId) -> Claim | None:
--- a/src/weirscale/gateway/state/back_end_registry.py
+++ b/src/weirscale/gateway/state/back_end_registry.py
@@ -7,7 +7,7 @@
 
 from weirscale.domain.identifiers import ServiceName, SoftwareVersion
 from weirscale.gateway.model.back_ends import (
-    TAKES_WORK,
+    ACCEPTING_STATES,
     BackEnd,
     BackEndDirectory,
     BackEndState,
@@ -89,7 +89,7 @@
         self.num_displaced = 0
         """How often another run was taken for the process at an address."""
 
-    def observe_gone(self, observer: Callable[[BackEnd], None]) -> None:
+    def observe_removal(self, observer: Callable[[BackEnd], None]) -> None:
         """Have a function called with each back end that is not used any more."""
         self._observers.append(observer)
 
@@ -138,7 +138,7 @@
         self._lapsed.discard(back_end.instance)
         self._directory.put(back_end)
         for served in back_end.models:
-            self._engine_versions.learn(
+            self._engine_versions.record_version(
                 back_end.instance, served.name, served.version, "registration"
             )
         if known is None and is_restored:
@@ -158,7 +158,7 @@
             address=listed.address, proof=proof.value,
         )  # fmt: skip
 
-    def mark_other_run(self, run: RunId, proof: OwnerProof) -> bool:
+    def mark_replaced(self, run: RunId, proof: OwnerProof) -> bool:
         """Take that another run answered at the address of this one, which so has ended.
 
         Returns:
@@ -305,7 +305,7 @@
         return [
             back_end
             for back_end in self._directory.of_service(service)
-            if back_end.state in TAKES_WORK
+            if back_end.state in ACCEPTING_STATES
         ]
 
     def is_established(self, service: ServiceName, version: SoftwareVersion) -> bool:
--- a/src/weirscale/gateway/state/cluster_state.py
+++ b/src/weirscale/gateway/state/cluster_state.py
@@ -68,7 +68,7 @@
         store_outages: When the store was away for all nodes.
         has_read_all: Whether everything has been read once.
         target_changed_at_s: When this node last learnt of a new target version.
-        lacks_until_s: Until when it may lack what the store lost as it came back from a copy.
+        incomplete_until_s: Until when it may lack what the store lost as it came back from a copy.
     """
 
     def __init__(self, event_log: EventLog, clock: Callable[[], float]) -> None:
@@ -92,7 +92,7 @@
         self.revision = 0
         self.confirmed_at_s = NEVER_S
         self.target_changed_at_s = NEVER_S
-        self.lacks_until_s = NEVER_S
+        self.incomplete_until_s = NEVER_S
         self._lost_orders: set[str] = set()
         self.has_read_all = False
 
@@ -146,11 +146,11 @@
         its start knows of nothing that was lost; it waits as long before it gives orders.
         """
         now_s = self._clock()
-        self.lacks_until_s = now_s + LOST_KEPT_S
+        self.incomplete_until_s = now_s + LOST_KEPT_S
         if not self.has_read_all:
             return
         lapsed = self.back_ends.lapse_missing(present)
-        lost = self.records.lose_missing(present, self.lacks_until_s)
+        lost = self.records.lose_missing(present, self.incomplete_until_s)
         self._lost_orders.update(self._missing_orders(present))
         self._event_log.event(
             "store_restored", era=era_of(batch.revision), previous_era=self.era(),
@@ -162,7 +162,7 @@
         """Give up what the store lost and nobody has written again in time."""
         now_s = self._clock()
         self.records.forget_lost(now_s)
-        if self._lost_orders and now_s >= self.lacks_until_s:
+        if self._lost_orders and now_s >= self.incomplete_until_s:
             for key in self._lost_orders:
                 self._withdraw_rollout(key)
             self._lost_orders.clear()
@@ -190,7 +190,7 @@
         self.store_outages.prove(proved_at_s, self._clock())
         for marker in self.records.weights_age_markers():
             set_after_s = proved_at_s - marker.max_age_s
-            self.target_versions.narrow(marker.model, marker.version, set_after_s)
+            self.target_versions.tighten_bound(marker.model, marker.version, set_after_s)
 
     def age_s(self) -> float:
         """Return the proof age: how long ago this state was last proved current."""
@@ -268,14 +268,14 @@
             change.deadline_s,
             Epoch(versioned.revision),
             self.confirmed_at_s if is_live else self._clock(),
-            was_there=not is_live,
+            predates_node=not is_live,
             served_before=is_live and self.back_ends.is_established(change.service, change.target),
         )
         self._lost_orders.discard(versioned.key)
         self.rollouts.put_order(versioned.key, order)
         self._event_log.event(
             "rollout_ordered", service=order.service, target=order.target, epoch=order.epoch,
-            deadline_s=order.deadline_s, was_there=order.was_there,
+            deadline_s=order.deadline_s, was_there=order.predates_node,
             served_before=order.served_before,
         )  # fmt: skip
 
--- a/src/weirscale/gateway/state/engine_versions.py
+++ b/src/weirscale/gateway/state/engine_versions.py
@@ -28,7 +28,7 @@
         """Have a function called with each version that is learnt."""
         self._observers.append(observer)
 
-    def learn(self, instance: InstanceId, model: str, version: int, source: str) -> None:
+    def record_version(self, instance: InstanceId, model: str, version: int, source: str) -> None:
         """Take over a version that is higher than the one known.
 
         Args:
--- a/src/weirscale/gateway/state/expiring_record.py
+++ b/src/weirscale/gateway/state/expiring_record.py
@@ -11,7 +11,7 @@
 from weirscale.ports.key_value import KeyValuePort
 
 
-async def write_timed_record(
+async def write_expiring_record(
     store: KeyValuePort,
     key: str,
     value: bytes,
--- a/src/weirscale/gateway/state/store_outages.py
+++ b/src/weirscale/gateway/state/store_outages.py
@@ -31,17 +31,17 @@
 """Seconds; a node that has not looked at the time for so long was paused. It looks every 0.4 s."""
 
 
-class Span(msgspec.Struct, frozen=True):
+class AvailabilitySpan(msgspec.Struct, frozen=True):
     """Time in which the store answered, with no longer pause than `GAP_S`.
 
     Attributes:
         began_s: Its first answer.
-        proved_at_s: Its last answer so far.
+        last_answer_s: Its last answer so far.
         silent_from_s: The answer before it, if a silence that was seen awake lies between.
     """
 
     began_s: float
-    proved_at_s: float
+    last_answer_s: float
     silent_from_s: float | None = None
 
 
@@ -54,9 +54,9 @@
 
     def __init__(self) -> None:
         self.num_others: Callable[[], int] = lambda: 0
-        self._span: Span | None = None
+        self._span: AvailabilitySpan | None = None
         """What is known of all nodes; `silent_from_s` where its beginning is in doubt."""
-        self._own_span: Span | None = None
+        self._own_span: AvailabilitySpan | None = None
         self._awake_at_s = NEVER_S
         self._noticed_at_s = NEVER_S
         self._noticed_from_s = NEVER_S
@@ -70,14 +70,16 @@
         self.look(now_s)
         own = self._own_span
         if own is None:
-            self._own_span = Span(proved_at_s, proved_at_s)
-        elif proved_at_s > own.proved_at_s + GAP_S:
-            self._own_span = Span(proved_at_s, proved_at_s, own.proved_at_s)
-        elif proved_at_s > own.proved_at_s:
-            self._own_span = msgspec.structs.replace(own, proved_at_s=proved_at_s)
-        self._join(Span(proved_at_s, proved_at_s), now_s)
-
-    def receive(self, witness: str, span: Span, asked_at_s: float, now_s: float) -> None:
+            self._own_span = AvailabilitySpan(proved_at_s, proved_at_s)
+        elif proved_at_s > own.last_answer_s + GAP_S:
+            self._own_span = AvailabilitySpan(proved_at_s, proved_at_s, own.last_answer_s)
+        elif proved_at_s > own.last_answer_s:
+            self._own_span = msgspec.structs.replace(own, last_answer_s=proved_at_s)
+        self._join(AvailabilitySpan(proved_at_s, proved_at_s), now_s)
+
+    def receive(
+        self, witness: str, span: AvailabilitySpan, asked_at_s: float, now_s: float
+    ) -> None:
         """Learn from another node, asked at a time, in which time the store has answered it."""
         self.look(now_s)
         if self._span is None:
@@ -86,7 +88,7 @@
             self._witnesses.add(witness)
         self._join(span, now_s)
 
-    def own_span(self) -> Span | None:
+    def own_span(self) -> AvailabilitySpan | None:
         """Return when the store answered this node, for others; None if it never did."""
         return self._own_span
 
@@ -95,7 +97,7 @@
         self._leave_out_standstill(now_s)
         if self._is_silent(now_s):
             assert self._span is not None
-            self._notice(self._span.proved_at_s, now_s)
+            self._notice(self._span.last_answer_s, now_s)
 
     def is_doubtful(self, now_s: float) -> bool:
         """Whether there is, or was just now, a silence that others may contradict."""
@@ -106,7 +108,7 @@
         if self._span is None:
             return self._settled_s
         if self._is_silent(now_s):
-            is_noticed = self._noticed_from_s == self._span.proved_at_s
+            is_noticed = self._noticed_from_s == self._span.last_answer_s
             is_awake = now_s <= self._awake_at_s + STANDSTILL_S
             return now_s if is_noticed and is_awake and self._is_agreed() else self._settled_s
         if self._silent_from_s() is not None and self._is_agreed():
@@ -122,22 +124,22 @@
         return None if self._span is None else self._span.silent_from_s
 
     def _is_silent(self, now_s: float) -> bool:
-        return self._span is not None and now_s > self._span.proved_at_s + GAP_S
+        return self._span is not None and now_s > self._span.last_answer_s + GAP_S
 
     def _is_agreed(self) -> bool:
         return len(self._witnesses) >= min(NUM_WITNESSES, self.num_others())
 
-    def _has_seen_silence(self, span: Span, asked_at_s: float) -> bool:
+    def _has_seen_silence(self, span: AvailabilitySpan, asked_at_s: float) -> bool:
         """Whether a node was awake in the silence that is in doubt and got no answer either."""
-        is_silent = asked_at_s > span.proved_at_s + GAP_S
+        is_silent = asked_at_s > span.last_answer_s + GAP_S
         was_silent = span.silent_from_s is not None and span.began_s > self._noticed_from_s
         return is_silent or was_silent
 
     def _leave_out_standstill(self, now_s: float) -> None:
         stood_still = now_s > self._awake_at_s + STANDSTILL_S
         if stood_still and self._span is not None and not self._is_silent(self._awake_at_s):
-            proved_at_s = max(self._span.proved_at_s, now_s)
-            self._span = msgspec.structs.replace(self._span, proved_at_s=proved_at_s)
+            proved_at_s = max(self._span.last_answer_s, now_s)
+            self._span = msgspec.structs.replace(self._span, last_answer_s=proved_at_s)
             self._own_span = None
         self._awake_at_s = max(self._awake_at_s, now_s)
 
@@ -159,25 +161,25 @@
             self._settled_s = self._span.began_s
         self._span = msgspec.structs.replace(self._span, silent_from_s=None)
 
-    def _join(self, span: Span, now_s: float) -> None:
+    def _join(self, span: AvailabilitySpan, now_s: float) -> None:
         known = self._span
         if known is None:
-            self._span = Span(span.began_s, span.proved_at_s)
-        elif span.began_s > known.proved_at_s + GAP_S:
-            self._notice(known.proved_at_s, now_s)
-            self._span = Span(span.began_s, span.proved_at_s, known.proved_at_s)
+            self._span = AvailabilitySpan(span.began_s, span.last_answer_s)
+        elif span.began_s > known.last_answer_s + GAP_S:
+            self._notice(known.last_answer_s, now_s)
+            self._span = AvailabilitySpan(span.began_s, span.last_answer_s, known.last_answer_s)
         else:
             self._span = _joined(known, span)
 
 
-def _joined(known: Span, span: Span) -> Span:
+def _joined(known: AvailabilitySpan, span: AvailabilitySpan) -> AvailabilitySpan:
     """Join a span that overlaps a known one, or what was before the silence in front of it."""
-    proved_at_s = max(known.proved_at_s, span.proved_at_s)
+    proved_at_s = max(known.last_answer_s, span.last_answer_s)
     silent_from_s = known.silent_from_s
     if silent_from_s is None or span.began_s > silent_from_s + GAP_S:
-        return Span(min(known.began_s, span.began_s), proved_at_s, silent_from_s)
+        return AvailabilitySpan(min(known.began_s, span.began_s), proved_at_s, silent_from_s)
     # It begins before the silence: the store answered somebody at least at its beginning.
-    silent_from_s = max(silent_from_s, span.proved_at_s)
+    silent_from_s = max(silent_from_s, span.last_answer_s)
     if silent_from_s >= known.began_s - GAP_S:
-        return Span(known.began_s, proved_at_s)
-    return Span(known.began_s, proved_at_s, silent_from_s)
+        return AvailabilitySpan(known.began_s, proved_at_s)
+    return AvailabilitySpan(known.began_s, proved_at_s, silent_from_s)
--- a/src/weirscale/gateway/state/target_versions.py
+++ b/src/weirscale/gateway/state/target_versions.py
@@ -62,7 +62,7 @@
         del versions[:-MAX_KEPT_VERSIONS]
         return True
 
-    def narrow(self, model: str, version: int, set_after_s: float) -> None:
+    def tighten_bound(self, model: str, version: int, set_after_s: float) -> None:
         """Learn of a later moment at which a version, and all higher ones, were not set yet."""
         versions = self._targets.get(model, [])
         for index, target in enumerate(versions):
--- a/src/weirscale/gateway/weights/age_markers.py
+++ b/src/weirscale/gateway/weights/age_markers.py
@@ -5,7 +5,7 @@
 from anyio.abc import TaskGroup
 
 from weirscale.gateway.state.cluster_state import ClusterState
-from weirscale.gateway.state.expiring_record import write_timed_record
+from weirscale.gateway.state.expiring_record import write_expiring_record
 from weirscale.gateway.state.weights_age_marker import WeightsAgeMarker
 from weirscale.ports.key_value import KeyValuePort
 
@@ -56,7 +56,7 @@
             return
         marker = WeightsAgeMarker(model, target.version, life_s + WRITE_DELAY_S)
         tasks.start_soon(
-            write_timed_record,
+            write_expiring_record,
             self._store,
             marker.key(),
             marker.value(),
--- a/src/weirscale/gateway/weights/engine_load.py
+++ b/src/weirscale/gateway/weights/engine_load.py
@@ -113,7 +113,7 @@
             if num_silent >= MAX_SILENT_REPORTS:
                 self._health.unreachable(engine.instance, "report", self._clock())
                 return
-            if report is not None and not report.is_ordered:
+            if report is not None and not report.has_pending_order:
                 if self._has_version(engine, model, sent.version, report):
                     return
                 await self._order_if_due(port, engine, model, sent, report)
@@ -132,15 +132,17 @@
         )
         if outcome is None:
             return
-        if outcome is OrderOutcome.HOLDS_ALREADY:
-            self._cluster.engine_versions.learn(engine.instance, model, sent.version, "order")
+        if outcome is OrderOutcome.ALREADY_LOADED:
+            self._cluster.engine_versions.record_version(
+                engine.instance, model, sent.version, "order"
+            )
         sent.sequence = report.sequence
         sent.sent_at_s = self._clock()
 
     def _has_version(self, engine: BackEnd, model: str, wanted: int, report: EngineReport) -> bool:
         for served in report.models:
             if served.name == model:
-                self._cluster.engine_versions.learn(
+                self._cluster.engine_versions.record_version(
                     engine.instance, model, served.version, "report"
                 )
         return (self._cluster.engine_versions.version_of(engine.instance, model) or 0) >= wanted
--- a/src/weirscale/gateway/weights/order_fence.py
+++ b/src/weirscale/gateway/weights/order_fence.py
@@ -98,7 +98,7 @@
 
     def _may_be_lost(self) -> bool:
         """Whether another holder's record may be one that the store has lost."""
-        return self._clock() < self._cluster.lacks_until_s and not self.is_settled()
+        return self._clock() < self._cluster.incomplete_until_s and not self.is_settled()
 
     def is_settled(self) -> bool:
         """Whether the holders of all earlier eras have stopped."""
--- a/src/weirscale/gateway/weights/version_check.py
+++ b/src/weirscale/gateway/weights/version_check.py
@@ -84,6 +84,8 @@
         instance = back_end.instance
         for served in report.models:
             known = self._cluster.engine_versions.version_of(instance, served.name) or 0
-            self._cluster.engine_versions.learn(instance, served.name, served.version, "refusal")
+            self._cluster.engine_versions.record_version(
+                instance, served.name, served.version, "refusal"
+            )
             if served.version > known:
                 self._send_version(LoadingGossip(instance, served.name, served.version, True))
