--- a/features/steps/gateway_choice_steps.py
+++ b/features/steps/gateway_choice_steps.py
@@ -356,7 +356,7 @@
 def step_seen(context, start, requests):
     context.budget = SharedRetryBudget(context.rules, 100.0, start == "starts anew")
     for _ in range(requests):
-        context.budget.request_sent("lm", 105.0)
+        context.budget.record_request("lm", 105.0)
 
 
 @then("it may repeat at most {most:d} and at least {least:d}")
--- a/features/steps/gateway_quarantine_steps.py
+++ b/features/steps/gateway_quarantine_steps.py
@@ -9,7 +9,7 @@
 from features.support.platform_fleet import configuration, route, with_fleet
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.gateway.quarantine.record import QUARANTINE_PREFIX
-from weirscale.gateway.quarantine.suspects import SuspectBook
+from weirscale.gateway.quarantine.suspects import SuspectTracker
 
 SETTLE_S = 2.0
 COMES_AGAIN_S = 25.0
@@ -491,7 +491,7 @@
 
 @given("a book of the requests that back ends crashed under")
 def step_book(context):
-    context.book = SuspectBook()
+    context.book = SuspectTracker()
 
 
 @when('it is told "{news}"')
--- a/features/steps/gateway_store_restored_steps.py
+++ b/features/steps/gateway_store_restored_steps.py
@@ -220,7 +220,7 @@
         play.first_may_s = anyio.current_time() - play.restored_s
         # The second one finds the record of the first; that is gone once it is not renewed.
         await anyio.sleep(FENCE_LIFE_S)
-        assert second.order_fence.is_settled()
+        assert second.order_fence.is_era_settled()
         assert await second.order_fence.acquire()
 
     play.actions.append(act)
--- a/features/steps/gateway_weights_rollout_steps.py
+++ b/features/steps/gateway_weights_rollout_steps.py
@@ -22,8 +22,8 @@
 from weirscale.gateway.peers.rank_delay import rank_delay_s
 from weirscale.gateway.weights.order_fence import FENCE_KEY
 from weirscale.gateway.weights.schedule import (
+    EngineTotals,
     LaggingEngine,
-    LoadedEngines,
     LoadRules,
     engines_to_load,
 )
@@ -60,7 +60,7 @@
         LaggingEngine(str(number), NOW_S - float(age), 0)
         for number, age in enumerate(ages.split(","), start=1)
     ]
-    context.chosen = engines_to_load(lagging, LoadedEngines(*context.counts), NOW_S, context.rules)
+    context.chosen = engines_to_load(lagging, EngineTotals(*context.counts), NOW_S, context.rules)
 
 
 @given("{suspect:d} of them have failed lately")
@@ -72,7 +72,7 @@
 def step_new_requests(context, new, ago):
     num_runners, num_loading = context.counts
     suspect = context.num_suspect
-    context.others = LoadedEngines(num_runners, num_loading, suspect, new, NOW_S - ago)
+    context.others = EngineTotals(num_runners, num_loading, suspect, new, NOW_S - ago)
 
 
 @when('runners with "{old}" requests are owed since {age:g} s')
@@ -86,7 +86,7 @@
 
 @when('runners are owed since "" seconds')
 def step_owed_none(context):
-    context.chosen = engines_to_load([], LoadedEngines(*context.counts), NOW_S, context.rules)
+    context.chosen = engines_to_load([], EngineTotals(*context.counts), NOW_S, context.rules)
 
 
 @then('"{chosen}" begin to load')
--- a/features/steps/request_limit_rules_steps.py
+++ b/features/steps/request_limit_rules_steps.py
@@ -13,7 +13,7 @@
 @given("a node that knows of a limit of {limit:g}, stated {ago_s:g} seconds ago")
 def step_known(context, limit, ago_s):
     context.limits = StatedLimits(NoLog())
-    context.limits.stated(RUN, limit, NOW_S - ago_s)
+    context.limits.record_limit(RUN, limit, NOW_S - ago_s)
 
 
 @given("a node that knows of no limit")
@@ -23,25 +23,25 @@
 
 @when("an answer states {limit:g}")
 def step_states(context, limit):
-    context.limits.stated(RUN, limit, NOW_S)
+    context.limits.record_limit(RUN, limit, NOW_S)
 
 
 @when("a success names none, asked for {ago_s:g} seconds ago")
 def step_none(context, ago_s):
-    context.limits.not_stated(RUN, NOW_S - ago_s, NOW_S)
+    context.limits.record_no_limit(RUN, NOW_S - ago_s, NOW_S)
 
 
 @when("a peer tells of {limit}, stated {ago_s:g} seconds ago")
 def step_peer(context, limit, ago_s):
     limit_per_s = None if limit == "none" else float(limit)
-    context.limits.told_by_peer(RUN, LimitStatement(limit_per_s, NOW_S - ago_s))
+    context.limits.record_peer_statement(RUN, LimitStatement(limit_per_s, NOW_S - ago_s))
 
 
 @when("{num:d} runs state limits")
 def step_many(context, num):
     context.runs = [RunId(f"lm-{number}@0") for number in range(num)]
     for run in context.runs:
-        context.limits.stated(run, 1.0, NOW_S)
+        context.limits.record_limit(run, 1.0, NOW_S)
 
 
 @then("the limit is {limit}")
--- a/features/support/permit_fleet.py
+++ b/features/support/permit_fleet.py
@@ -33,7 +33,7 @@
     def __init__(self, name, names, limit_per_s, seed, clock):
         self.name = name
         self.limits = StatedLimits(NoLog())
-        self.limits.stated(RUN, limit_per_s, clock())
+        self.limits.record_limit(RUN, limit_per_s, clock())
         issuers = PermitIssuers(name, lambda: names)
         self.issuer = PermitIssuer(self.limits, issuers, clock)
         self.permits = RequestPermits(name, self.limits, issuers, self.issuer, Random(seed), clock)
--- a/features/support/quota_fleet.py
+++ b/features/support/quota_fleet.py
@@ -110,7 +110,7 @@
         source = self.relay.source_of(gossip)
         if source is not None:
             usage = [read_usage(one) for one in gossip.usage]
-            self.quotas.fleet.receive(source, gossip.num_nodes, usage, self.clock())
+            self.quotas.fleet_usage.receive(source, gossip.num_nodes, usage, self.clock())
         run(self.relay.receive(gossip))
 
 
--- a/features/support/quota_ways.py
+++ b/features/support/quota_ways.py
@@ -31,7 +31,7 @@
 class SumOnly(QuotaLedger):
     """Lets in whatever the sum has room for; nodes that see the same room all use it."""
 
-    def _chance(self, quota, bucket, name, cost, priority):
+    def _admission_probability(self, quota, bucket, name, cost, priority):
         return 1.0 if bucket.level >= cost else 0.0
 
 
@@ -41,8 +41,8 @@
     def tick(self) -> None:
         """Keep to the part."""
         self._share = 1.0 / self._num_nodes()
-        for source in self.fleet.sources():
-            self.fleet.forget_source(source, self._clock())
+        for source in self.fleet_usage.sources():
+            self.fleet_usage.forget_source(source, self._clock())
 
 
 class Homes(QuotaLedger):
--- a/src/weirscale/gateway/gossip/group_relay.py
+++ b/src/weirscale/gateway/gossip/group_relay.py
@@ -128,9 +128,9 @@
         for source in self._load.sources():
             if is_group(source) and (source == REST_SOURCE) == is_head:
                 self._load.forget_source(source)
-        for source in self._quotas.fleet.sources():
+        for source in self._quotas.fleet_usage.sources():
             if is_group(source) and (source == REST_SOURCE) == is_head:
-                self._quotas.fleet.forget_source(source, self._clock())
+                self._quotas.fleet_usage.forget_source(source, self._clock())
 
     def counts(self, source: str) -> bool:
         """Whether a source counts here: each group counts at a head, their sum at the others."""
--- a/src/weirscale/gateway/gossip/group_sums.py
+++ b/src/weirscale/gateway/gossip/group_sums.py
@@ -90,8 +90,8 @@
     def _gather_usage(
         self, to_heads: GossipOutbox, to_group: GossipOutbox, must_refresh: bool
     ) -> None:
-        fleet = self._quotas.fleet
-        since_s = self._quotas.contact_since_s()
+        fleet = self._quotas.fleet_usage
+        since_s = self._quotas.contact_cutoff_s()
         num_members, own_group = fleet.sum_of(is_member, since_s)
         num_others, others = fleet.sum_of(is_group, since_s)
         for tenant, usage in self._quotas.own_usage():
--- a/src/weirscale/gateway/gossip/inbox.py
+++ b/src/weirscale/gateway/gossip/inbox.py
@@ -104,7 +104,7 @@
             self._cluster.back_ends.mark_other_run(RunId(ended.run), OwnerProof.PEER)
         for limit in gossip.limits:
             statement = LimitStatement(limit.limit_per_s, now_s)
-            self._limits.told_by_peer(RunId(limit.run), statement)
+            self._limits.record_peer_statement(RunId(limit.run), statement)
 
     def _receive_counts(self, source: str, gossip: Gossip, now_s: float) -> None:
         """Take over loads and counts, which hold for the sender or for groups of nodes."""
@@ -112,7 +112,7 @@
             received = Load(load.num_requests, load.waiting_tokens, load.held_tokens)
             self._load.receive(source, load.instance, received, now_s)
         usage = [read_usage(one) for one in gossip.usage]
-        self._quotas.fleet.receive(source, gossip.num_nodes, usage, now_s)
+        self._quotas.fleet_usage.receive(source, gossip.num_nodes, usage, now_s)
         if gossip.canary_counts or gossip.moved_nodes:
             self._rollouts.receive(source, gossip)
 
--- a/src/weirscale/gateway/limits/isolation.py
+++ b/src/weirscale/gateway/limits/isolation.py
@@ -51,7 +51,7 @@
     def is_isolated(self) -> bool:
         """Whether neither the store nor half of the nodes have been received from recently."""
         age_s = self._cluster.age_s()
-        share = self._quotas.received_share(self._clock() - PEER_SILENCE_S)
+        share = self._quotas.contact_share(self._clock() - PEER_SILENCE_S)
         is_isolated = age_s > ISOLATION_AGE_S and share < ISOLATION_SHARE
         if is_isolated != self._was_isolated:
             self._was_isolated = is_isolated
--- a/src/weirscale/gateway/limits/quota.py
+++ b/src/weirscale/gateway/limits/quota.py
@@ -43,7 +43,7 @@
 from weirscale.gateway.peers.heartbeat import PEER_SILENCE_S, SWEEP_INTERVAL_S
 from weirscale.gateway.settings import QuotaPrecision
 
-GONE_MEMORY_S = 1.0
+ENDED_NODE_GRACE_S = 1.0
 """Seconds for which a node whose registration has ended still counts as one that may spend. It has
 not reached the store for some six seconds by then, so it has no proof of its configuration either,
 and refuses requests with keys unless another node gives it one. With 8 s the others kept to smaller
@@ -126,7 +126,7 @@
         self._share = 1.0
         self._own: dict[TenantName, OwnUsage] = {}
         """Of tenants with recent requests at this node."""
-        self.fleet = FleetUsage(self._bring_up_to)
+        self.fleet_usage = FleetUsage(self._bring_up_to)
 
     def set_precision(self, precision: QuotaPrecision) -> None:
         """Change how exactly quotas are to be kept."""
@@ -144,7 +144,7 @@
         for name in self._quotas:
             self._buckets.setdefault(name, _Bucket(0.0, now_s))
         self._own = {name: own for name, own in self._own.items() if name in self._quotas}
-        self.fleet.keep(self._quotas)
+        self.fleet_usage.keep(self._quotas)
 
     def tick(self) -> None:
         """Bring the share of the nodes up to date; to be called as often as gossip is sent."""
@@ -155,31 +155,31 @@
         if now_s - self._swept_at_s < SWEEP_INTERVAL_S:
             return
         self._swept_at_s = now_s
-        self.fleet.sweep(now_s)
-        share = self.received_share(self.contact_since_s())
+        self.fleet_usage.sweep(now_s)
+        share = self.contact_share(self.contact_cutoff_s())
         if share != self._share:
             for name in self._buckets:
                 self._bring_up_to(name, now_s)
             self._share = share
 
-    def received_share(self, since_s: float) -> float:
+    def contact_share(self, since_s: float) -> float:
         """Return the share of the nodes that were received from since a time, this one included."""
-        received = self.fleet.num_nodes_since(since_s)
+        received = self.fleet_usage.num_nodes_since(since_s)
         return min(1.0, (1 + received) / max(1, self._num_nodes()))
 
     def has_quotas(self) -> bool:
         """Whether any tenant has a quota."""
         return bool(self._quotas)
 
-    def contact_since_s(self) -> float:
+    def contact_cutoff_s(self) -> float:
         """Return since when a node must have been received from to be in contact."""
         return self._clock() - CONTACT_S
 
     def _forget_other_nodes(self, now_s: float) -> None:
         """This node was paused: it does not know what the others spent meanwhile."""
         self._swept_at_s = float("-inf")
-        for source in self.fleet.sources():
-            self.fleet.forget_source(source, now_s)
+        for source in self.fleet_usage.sources():
+            self.fleet_usage.forget_source(source, now_s)
         for bucket in self._buckets.values():
             bucket.level = min(bucket.level, 0.0)
             bucket.at_s = now_s
@@ -200,16 +200,18 @@
         cost = cost_of(quota, num_tokens)
         self._own_of(tenant.name).ask(cost, priority, now_s)
         self._bring_up_to(tenant.name, now_s)
-        chance = self._chance(quota, bucket, tenant.name, cost, min(priority, NUM_PRIORITIES - 1))
+        chance = self._admission_probability(
+            quota, bucket, tenant.name, cost, min(priority, NUM_PRIORITIES - 1)
+        )
         is_possible = cost <= in_window(quota, self._precision)
         is_admitted = is_possible and (chance >= 1.0 or self._random.random() < chance)
         retry_s = None
         if is_possible and not is_admitted:
             retry_s = self._retry_after_s(quota, bucket, tenant.name, cost)
-        age_s = self.fleet.age_s(now_s)
+        age_s = self.fleet_usage.age_s(now_s)
         return QuotaDecision(is_admitted, cost, bucket.level, self._share, age_s, retry_s)
 
-    def _chance(
+    def _admission_probability(
         self, quota: Quota, bucket: _Bucket, name: TenantName, cost: float, priority: int
     ) -> float:
         """Return the probability with which a request is admitted; 1 and more means always."""
@@ -228,7 +230,7 @@
     def _asked(self, name: TenantName) -> tuple[float, ...]:
         """Return what callers ask a second of the nodes in contact, by priority."""
         own = self._own_of(name).now(self._clock())
-        return own.plus(self.fleet.sum(name)).asked_per_s
+        return own.plus(self.fleet_usage.sum(name)).asked_per_s
 
     def _retry_after_s(self, quota: Quota, bucket: _Bucket, name: TenantName, cost: float) -> float:
         needed = max(cost, settle_s(self._gossip_interval_s()) * sum(self._asked(name)))
@@ -249,7 +251,7 @@
         quota, bucket = self._quotas.get(name), self._buckets.get(name)
         if quota is None or bucket is None:
             return
-        spent_per_s = self.fleet.sum(name).spent_per_s
+        spent_per_s = self.fleet_usage.sum(name).spent_per_s
         gained_per_s = self._share * fill_per_s(quota, self._precision) - spent_per_s
         level = bucket.level + gained_per_s * max(0.0, now_s - bucket.at_s)
         bucket.level = min(self._share * quota.burst, level)
--- a/src/weirscale/gateway/limits/retry_budget.py
+++ b/src/weirscale/gateway/limits/retry_budget.py
@@ -49,7 +49,7 @@
         """Take over changed rules."""
         self._rules = rules
 
-    def request_sent(self, service: ServiceName, now_s: float) -> None:
+    def record_request(self, service: ServiceName, now_s: float) -> None:
         """A caller's request was sent on for the first time."""
         self._requests.setdefault(service, _Window()).add(now_s)
 
@@ -61,12 +61,12 @@
             num_nodes: Nodes that share the extra, all that may run.
             now_s: Monotonic seconds.
         """
-        if self.left(service, num_nodes, now_s) < 1.0:
+        if self.remaining(service, num_nodes, now_s) < 1.0:
             return False
         self._retries.setdefault(service, _Window()).add(now_s)
         return True
 
-    def left(self, service: ServiceName, num_nodes: int, now_s: float) -> float:
+    def remaining(self, service: ServiceName, num_nodes: int, now_s: float) -> float:
         """Return how many retries may be spent now; below 0 if more were spent."""
         since_s = now_s - self._rules.window_s
         requests = self._requests.setdefault(service, _Window()).count(since_s)
--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -321,7 +321,9 @@
                 num_back_ends=len(self.cluster.directory.instances()),
                 holds_lease=self._lease.is_held(),
                 queue_shares={one: self.context.pauses.queue_limit(one).share for one in services},
-                retries_left={one: self.budget.left(one, num_nodes, now_s) for one in services},
+                retries_left={
+                    one: self.budget.remaining(one, num_nodes, now_s) for one in services
+                },
                 quota_levels=self.quotas.levels(),
                 rollout_stages=self.canary_traffic.stages(),
                 num_displaced=self.cluster.back_ends.num_displaced,
--- a/src/weirscale/gateway/node_parts.py
+++ b/src/weirscale/gateway/node_parts.py
@@ -5,7 +5,7 @@
 
 from weirscale.gateway.gossip.intervals import GossipPace
 from weirscale.gateway.limits.isolation import IsolationDetector
-from weirscale.gateway.limits.quota import GONE_MEMORY_S, QuotaLedger
+from weirscale.gateway.limits.quota import ENDED_NODE_GRACE_S, QuotaLedger
 from weirscale.gateway.limits.retry_budget import SharedRetryBudget
 from weirscale.gateway.model.back_ends import BackEnd
 from weirscale.gateway.model.identifiers import InstanceId
@@ -89,7 +89,7 @@
         settings, clock = self.settings, self._clock
         self._gossip_pace = GossipPace(self.peers)
         self.quotas = QuotaLedger(
-            settings.bounds.quota, lambda: self.peers.num_nodes(GONE_MEMORY_S),
+            settings.bounds.quota, lambda: self.peers.num_nodes(ENDED_NODE_GRACE_S),
             self._gossip_pace.interval_s, self._random, clock,
         )  # fmt: skip
         self.cluster.observe_table(
--- a/src/weirscale/gateway/quarantine/crash_check.py
+++ b/src/weirscale/gateway/quarantine/crash_check.py
@@ -29,7 +29,7 @@
 crashes of those beyond are not counted. Not measured."""
 
 
-class LostRequest(msgspec.Struct, frozen=True):
+class InterruptedRequest(msgspec.Struct, frozen=True):
     """A request whose back end may have crashed under it.
 
     Attributes:
@@ -41,7 +41,7 @@
     was_sent_after_crash: bool
 
 
-Crashed = Callable[[BackEnd, tuple[LostRequest, ...]], None]
+CrashHandler = Callable[[BackEnd, tuple[InterruptedRequest, ...]], None]
 """Takes a back end that crashed and the requests that it was at work on."""
 
 
@@ -55,15 +55,18 @@
     """
 
     def __init__(
-        self, cluster: ClusterState, port_of: Callable[[BackEnd], BackEndPort], on_crash: Crashed
+        self,
+        cluster: ClusterState,
+        port_of: Callable[[BackEnd], BackEndPort],
+        on_crash: CrashHandler,
     ) -> None:
         self._cluster = cluster
         self._port_of = port_of
         self._on_crash = on_crash
-        self._lost: dict[RunId, list[LostRequest]] = {}
+        self._lost: dict[RunId, list[InterruptedRequest]] = {}
         self._enqueue, self._queue = anyio.create_memory_object_stream[BackEnd](MAX_WAITING)
 
-    def request(self, back_end: BackEnd, lost: LostRequest) -> None:
+    def request(self, back_end: BackEnd, lost: InterruptedRequest) -> None:
         """Look at a back end whose connection ended under a request."""
         known = self._cluster.directory.get(back_end.instance)
         if known is None or known.state not in TAKES_WORK:
--- a/src/weirscale/gateway/quarantine/keeper.py
+++ b/src/weirscale/gateway/quarantine/keeper.py
@@ -13,7 +13,7 @@
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint, read_fingerprint
 from weirscale.gateway.quarantine.gossip import QuarantineGossip
 from weirscale.gateway.quarantine.record import QUARANTINE_S, QuarantineRecords
-from weirscale.gateway.quarantine.suspects import SuspectBook
+from weirscale.gateway.quarantine.suspects import SuspectTracker
 from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.gateway.ticks import sleep_to_tick
 from weirscale.ports.event_log import EventLog
@@ -56,13 +56,13 @@
         self._delay_s = delay_s
         self._event_log = event_log
         self._clock = clock
-        self._book = SuspectBook()
+        self._book = SuspectTracker()
         self._until_s: dict[RequestFingerprint, float] = {}
         """The requests that are refused."""
         self._records = QuarantineRecords(name, cluster, store, clock)
         self._gossip = QuarantineGossip()
 
-    def is_watching(self) -> bool:
+    def is_tracking_requests(self) -> bool:
         """Whether any request needs to be recognised."""
         self._take_over_records()
         return bool(self._until_s) or len(self._book) > 0
--- a/src/weirscale/gateway/quarantine/suspects.py
+++ b/src/weirscale/gateway/quarantine/suspects.py
@@ -43,7 +43,7 @@
     crashed_at_s: float
 
 
-class SuspectBook:
+class SuspectTracker:
     """The requests under which back ends crashed."""
 
     def __init__(self) -> None:
--- a/src/weirscale/gateway/request_limits/permit_exchange.py
+++ b/src/weirscale/gateway/request_limits/permit_exchange.py
@@ -65,7 +65,7 @@
         """Answer a query, and learn of the limit that it names."""
         run, now_s = RunId(query.run), self._clock()
         made_at_s = now_s - query.age_ms / MILLISECONDS_PER_S
-        self._limits.told_by_peer(run, LimitStatement(query.limit_per_s, made_at_s))
+        self._limits.record_peer_statement(run, LimitStatement(query.limit_per_s, made_at_s))
         known = self._limits.statement(run)
         if known is None:
             return
--- a/src/weirscale/gateway/request_limits/request_permits.py
+++ b/src/weirscale/gateway/request_limits/request_permits.py
@@ -166,7 +166,7 @@
         if is_repeated and not self._holds_one(permits, limit_per_s):
             self._want(run, permits)
 
-    def wait_left_s(self, run: RunId) -> float:
+    def permit_wait_s(self, run: RunId) -> float:
         """Return in how many seconds a permit may be there; 0 where it is expected at any time.
 
         A node may have to wait for many others before it asks again, but a caller may return to any
@@ -186,7 +186,7 @@
             return True
         return self._issuer_to_ask(run, permits) is not None
 
-    def expected(self, runs: Iterable[RunId], within_s: float) -> float:
+    def num_expected(self, runs: Iterable[RunId], within_s: float) -> float:
         """Return how many permits for some limited runs may be hoped for within a time.
 
         Other nodes' callers want them as well.
@@ -231,7 +231,7 @@
             return
         query, permits.query = permits.query, None
         made_at_s = query.asked_at_s - reply.age_ms / MILLISECONDS_PER_S
-        self._limits.told_by_peer(run, LimitStatement(reply.limit_per_s, made_at_s))
+        self._limits.record_peer_statement(run, LimitStatement(reply.limit_per_s, made_at_s))
         wait_s = reply.wait_ms / MILLISECONDS_PER_S
         grant = PermitGrant(reply.num_permits, wait_s)
         expires_at_s = query.asked_at_s + permit_life_s(reply.limit_per_s)
--- a/src/weirscale/gateway/request_limits/stated_limits.py
+++ b/src/weirscale/gateway/request_limits/stated_limits.py
@@ -63,12 +63,12 @@
         statement = self._statements.get(run)
         return None if statement is None else statement.limit_per_s
 
-    def stated(self, run: RunId, limit_per_s: float, now_s: float) -> bool:
+    def record_limit(self, run: RunId, limit_per_s: float, now_s: float) -> bool:
         """Take a limit that an answer states now; returns whether it changes what holds."""
         limit = None if limit_per_s >= UNLIMITED_PER_S else limit_per_s
         return self._replace(run, LimitStatement(limit, now_s), StatementSource.ANSWER)
 
-    def not_stated(self, run: RunId, asked_at_s: float, now_s: float) -> bool:
+    def record_no_limit(self, run: RunId, asked_at_s: float, now_s: float) -> bool:
         """Take an answer that states no limit; returns whether one has ended by it.
 
         Args:
@@ -82,7 +82,7 @@
             return False
         return self._replace(run, LimitStatement(None, now_s), StatementSource.ANSWER)
 
-    def told_by_peer(self, run: RunId, statement: LimitStatement) -> bool:
+    def record_peer_statement(self, run: RunId, statement: LimitStatement) -> bool:
         """Take what a run said to another node; returns whether it changes what holds.
 
         A statement seems younger than it is by its way here. So a limit of which this node has
--- a/src/weirscale/gateway/requests/attempt_records.py
+++ b/src/weirscale/gateway/requests/attempt_records.py
@@ -88,7 +88,7 @@
         self._load.request_sent(back_end.instance, choice.unread_tokens, held)
         self._unread_tokens[id(choice)] = choice.unread_tokens
         if is_unreached:
-            self._budget.request_sent(back_end.service, self._clock())
+            self._budget.record_request(back_end.service, self._clock())
         if prompt is not None and choice.scope is not None:
             self.dispatcher.prompt_sent(choice, prompt)
             self._gossip_send(choice, prompt, is_ready=False)
--- a/src/weirscale/gateway/requests/crash_reports.py
+++ b/src/weirscale/gateway/requests/crash_reports.py
@@ -6,7 +6,7 @@
 from weirscale.gateway.peers.messages import SuspectGossip
 from weirscale.gateway.peers.outbox import GossipOutbox
 from weirscale.gateway.ports.back_end import BackEndPort
-from weirscale.gateway.quarantine.crash_check import CrashCheck, LostRequest
+from weirscale.gateway.quarantine.crash_check import CrashCheck, InterruptedRequest
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint, fingerprint_of
 from weirscale.gateway.quarantine.keeper import Quarantine
 from weirscale.gateway.requests.admission import AdmittedRequest
@@ -50,7 +50,7 @@
         self._event_log = event_log
         self._clock = clock
 
-    def _report_crash(self, back_end: BackEnd, lost: tuple[LostRequest, ...]) -> None:
+    def _report_crash(self, back_end: BackEnd, lost: tuple[InterruptedRequest, ...]) -> None:
         """Send nothing more to a back end that crashed, and let the other nodes know at once."""
         self._event_log.event(
             "back_end_crashed", instance=back_end.instance, run=back_end.run_id,
@@ -85,13 +85,13 @@
 
         None if it may be sent on.
         """
-        if not self._quarantine.is_watching():
+        if not self._quarantine.is_tracking_requests():
             return None
         return self._quarantine.remaining_s(self._fingerprint())
 
     def has_known_crash(self) -> bool:
         """Whether a back end is known to have crashed under the request before it is sent on."""
-        if self._has_lost_back_end or not self._quarantine.is_watching():
+        if self._has_lost_back_end or not self._quarantine.is_tracking_requests():
             return self._has_lost_back_end
         return self._quarantine.is_suspect(self._fingerprint())
 
@@ -105,9 +105,9 @@
         """
         if verdict.reason in CONNECTION_LOST:
             self._has_lost_back_end = True
-            lost = LostRequest(self._fingerprint(), had_known_crash)
+            lost = InterruptedRequest(self._fingerprint(), had_known_crash)
             self._reports.crash_check.request(back_end, lost)
-        elif verdict == WHOLE_SUCCESS and self._quarantine.is_watching():
+        elif verdict == WHOLE_SUCCESS and self._quarantine.is_tracking_requests():
             self._quarantine.note_answered(self._fingerprint())
 
     def _fingerprint(self) -> RequestFingerprint:
--- a/src/weirscale/gateway/routing/back_end_notices.py
+++ b/src/weirscale/gateway/routing/back_end_notices.py
@@ -89,9 +89,9 @@
         run, now_s = speaker.run_id, self._clock()
         has_changed = False
         if notice.limit_per_s is not None:
-            has_changed = self._limits.stated(run, notice.limit_per_s, now_s)
+            has_changed = self._limits.record_limit(run, notice.limit_per_s, now_s)
         elif notice.unlimited_since_s is not None:
-            has_changed = self._limits.not_stated(run, now_s - notice.unlimited_since_s, now_s)
+            has_changed = self._limits.record_no_limit(run, now_s - notice.unlimited_since_s, now_s)
         if has_changed:
             for observer in self._limit_observers:
                 observer(run, self._limits.limit_per_s(run))
--- a/src/weirscale/gateway/routing/back_pressure.py
+++ b/src/weirscale/gateway/routing/back_pressure.py
@@ -80,7 +80,7 @@
         first = self.first_return(back_ends, now_s)
         if self._permits is None or first is None or not first.is_limited:
             return False
-        hoped_for = self._permits.expected((one.run_id for one in back_ends), MAX_PERMIT_WAIT_S)
+        hoped_for = self._permits.num_expected((one.run_id for one in back_ends), MAX_PERMIT_WAIT_S)
         if not 0.0 < most_s >= first.after_s or self._num_waiting >= max(1.0, hoped_for):
             return False
         self._num_waiting += 1
@@ -97,7 +97,7 @@
             return Return(rest_s, is_limited=False)
         if self._has_permit(run) or self._permits is None:
             return None
-        return Return(self._permits.wait_left_s(run), is_limited=True)
+        return Return(self._permits.permit_wait_s(run), is_limited=True)
 
     def _has_permit(self, run: RunId) -> bool:
         return self._permits is None or self._permits.admits(run)
--- a/src/weirscale/gateway/weights/order_fence.py
+++ b/src/weirscale/gateway/weights/order_fence.py
@@ -92,15 +92,15 @@
         self._lease_id = granted.ok_value
         self._is_written = False
         is_written = await self._write()
-        if is_written and not self.is_settled():
+        if is_written and not self.is_era_settled():
             await self._settle()
         return is_written
 
     def _may_be_lost(self) -> bool:
         """Whether another holder's record may be one that the store has lost."""
-        return self._clock() < self._cluster.lacks_until_s and not self.is_settled()
+        return self._clock() < self._cluster.lacks_until_s and not self.is_era_settled()
 
-    def is_settled(self) -> bool:
+    def is_era_settled(self) -> bool:
         """Whether the holders of all earlier eras have stopped."""
         era = self._cluster.era()
         return era == FIRST_ERA or self._cluster.records.get(SETTLED_KEY) == _settled_value(era)
--- a/src/weirscale/gateway/weights/rollout_task.py
+++ b/src/weirscale/gateway/weights/rollout_task.py
@@ -19,8 +19,8 @@
 from weirscale.gateway.weights.engine_load import EngineLoader
 from weirscale.gateway.weights.holder_term import HolderTerm
 from weirscale.gateway.weights.schedule import (
+    EngineTotals,
     LaggingEngine,
-    LoadedEngines,
     LoadRules,
     engines_to_load,
 )
@@ -117,7 +117,7 @@
             await self._loader.announce_end(engine, model)
 
     def _log_begin(
-        self, engine: BackEnd, model: str, lagging: Sequence[LaggingEngine], others: LoadedEngines
+        self, engine: BackEnd, model: str, lagging: Sequence[LaggingEngine], others: EngineTotals
     ) -> None:
         self._event_log.event(
             "load_begun", instance=engine.instance, model=model,
@@ -128,11 +128,11 @@
 
     def _others(
         self, model: str, engines: Sequence[BackEnd], lagging: Sequence[LaggingEngine]
-    ) -> LoadedEngines:
+    ) -> EngineTotals:
         now_s = self._clock()
         not_loading = [one.instance for one in engines if one.instance not in self._loading]
         behind = {one.instance for one in lagging}
-        return LoadedEngines(
+        return EngineTotals(
             num_engines=len(engines),
             num_loading=len(engines) - len(not_loading),
             num_suspect=sum(1 for one in not_loading if self._health.is_suspect(one, now_s)),
--- a/src/weirscale/gateway/weights/schedule.py
+++ b/src/weirscale/gateway/weights/schedule.py
@@ -92,7 +92,7 @@
     is_suspect: bool = False
 
 
-class LoadedEngines(msgspec.Struct, frozen=True):
+class EngineTotals(msgspec.Struct, frozen=True):
     """The other engines of a model.
 
     Attributes:
@@ -112,7 +112,7 @@
 
 def engines_to_load(
     lagging: Sequence[LaggingEngine],
-    others: LoadedEngines,
+    others: EngineTotals,
     now_s: float,
     rules: LoadRules,
 ) -> list[InstanceId]:
@@ -144,7 +144,7 @@
 
 
 def _is_needed(
-    order: Sequence[LaggingEngine], others: LoadedEngines, now_s: float, rules: LoadRules
+    order: Sequence[LaggingEngine], others: EngineTotals, now_s: float, rules: LoadRules
 ) -> bool:
     """Whether too many requests run on older weights."""
     if now_s < others.last_load_s + rules.settle_s:
