--- a/src/weirscale/gateway/routing/back_pressure.py
+++ b/src/weirscale/gateway/routing/back_pressure.py
@@ -82,7 +82,7 @@
         first = self.next_availability(back_ends, now_s)
         if self._permits is None or first is None or not first.is_limited:
             return False
-        hoped_for = self._permits.expected((one.run_id for one in back_ends), MAX_PERMIT_WAIT_S)
+        hoped_for = self._permits.num_expected((one.run_id for one in back_ends), MAX_PERMIT_WAIT_S)
         if not 0.0 < most_s >= first.after_s or self._num_waiting >= max(1.0, hoped_for):
             return False
         self._num_waiting += 1
@@ -99,7 +99,7 @@
             return NextAvailability(rest_s, is_limited=False)
         if self._has_permit(run) or self._permits is None:
             return None
-        return NextAvailability(self._permits.wait_left_s(run), is_limited=True)
+        return NextAvailability(self._permits.permit_wait_s(run), is_limited=True)
 
     def _has_permit(self, run: RunId) -> bool:
         return self._permits is None or self._permits.admits(run)
