--- a/features/support/attempt_records.py
+++ b/features/support/attempt_records.py
@@ -14,5 +14,5 @@
 class NoBudget:
     """A retry budget that nobody spends."""
 
-    def request_sent(self, _service, _now_s):
+    def record_request(self, _service, _now_s):
         """Take no notice."""
