--- a/features/steps/gateway_state_steps.py
+++ b/features/steps/gateway_state_steps.py
@@ -316,7 +316,7 @@
     ends_s = context.now_s + seconds
     while context.now_s < ends_s:
         context.now_s += LOOK_INTERVAL_S
-        context.cluster.store_outages.look(context.now_s)
+        context.cluster.store_outages.update(context.now_s)
     changes = tuple(VersionedChange(name, 2, BackEndGone(name)) for name in ("o-1", "o-2"))
     context.cluster.apply(StateBatch(2, changes), float("-inf"))
 
--- a/features/steps/gateway_store_silence_steps.py
+++ b/features/steps/gateway_store_silence_steps.py
@@ -20,7 +20,7 @@
     """Let the node look at the time as often as it does when it does not stand still."""
     while context.now_s < until_s:
         context.now_s = min(until_s, context.now_s + LOOK_INTERVAL_S)
-        context.store_outages.look(context.now_s)
+        context.store_outages.update(context.now_s)
 
 
 @when('it learns "{answers}"')
@@ -33,13 +33,13 @@
             continue
         stay_awake(context, float(at_s))
         if who == "own":
-            context.store_outages.prove(float(what), float(at_s))
+            context.store_outages.record_answer(float(what), float(at_s))
         else:
             asked_at_s = float(at_s)
             if "@" in what:
                 what, asked = what.split("@")
                 asked_at_s = float(asked)
-            context.store_outages.receive(who, read_span(what), asked_at_s, float(at_s))
+            context.store_outages.record_peer_span(who, read_span(what), asked_at_s, float(at_s))
 
 
 def read_span(text):
--- a/src/weirscale/gateway/model/rollout_order.py
+++ b/src/weirscale/gateway/model/rollout_order.py
@@ -61,7 +61,7 @@
     state: RolloutState
 
 
-class SeenStatus(msgspec.Struct, frozen=True):
+class VersionedStatus(msgspec.Struct, frozen=True):
     """A status as it stands in the store, and the revision at which it was written."""
 
     status: RolloutStatus
--- a/src/weirscale/gateway/replication/age_exchange.py
+++ b/src/weirscale/gateway/replication/age_exchange.py
@@ -81,7 +81,7 @@
         began_s = self._clock()
         while True:
             now_s = self._clock()
-            self._cluster.store_outages.look(now_s)
+            self._cluster.store_outages.update(now_s)
             self._cluster.store_outages.end_doubt(now_s - DOUBT_S)
             self._log_silence(now_s)
             if now_s <= began_s + DOUBT_S or self._is_doubtful(now_s):
@@ -114,7 +114,7 @@
     async def answer(self, query: AgesQuery, address: ListenAddress) -> None:
         """Answer a query; a node that has proved nothing itself is silent."""
         now_s = self._clock()
-        self._cluster.store_outages.look(now_s)
+        self._cluster.store_outages.update(now_s)
         span = self._cluster.store_outages.own_span()
         if span is None:
             return
@@ -145,7 +145,7 @@
             asked_at_s - reply.proof_age_ms / MILLISECONDS_PER_S,
             None if silent_age_ms is None else asked_at_s - silent_age_ms / MILLISECONDS_PER_S,
         )
-        self._cluster.store_outages.receive(reply.sender, span, asked_at_s, self._clock())
+        self._cluster.store_outages.record_peer_span(reply.sender, span, asked_at_s, self._clock())
         for target in reply.target_versions:
             set_after_s = asked_at_s - target.age_ms / MILLISECONDS_PER_S
             self._cluster.target_versions.tighten_bound(target.model, target.version, set_after_s)
--- a/src/weirscale/gateway/state/__init__.py
+++ b/src/weirscale/gateway/state/__init__.py
@@ -1,1 +1,1 @@
-"""What this node knows of the platform's state, and how old its proof of that is."""
+"""This node's copy of the platform's state, and when it was last proved current."""
--- a/src/weirscale/gateway/state/change_log.py
+++ b/src/weirscale/gateway/state/change_log.py
@@ -1,6 +1,6 @@
-"""The latest change of each key of the platform's state, in the order of revisions.
+"""Compacted log of the platform's state: the latest change of each key, ordered by revision.
 
-The latest change of a key makes its earlier ones needless, so the log stays as large as the state.
+The latest change of a key supersedes its earlier ones, so the log grows no larger than the state.
 """
 
 from collections import OrderedDict
@@ -8,24 +8,24 @@
 from weirscale.gateway.ports.state_feed import VersionedChange
 
 MAX_ENTRIES = 2048
-"""Keys whose latest change is kept; beyond it the oldest are dropped, and nodes that lack them
-read the store. Bounds memory; not measured."""
+"""Number of keys whose latest change is kept, to bound memory. The oldest changes are dropped
+first; nodes that lack them read the store."""
 
 
 class ChangeLog:
-    """The changes that other nodes may ask for; `ClusterState` is its only writer."""
+    """Stores the changes that other nodes may request; `ClusterState` is the only writer."""
 
     def __init__(self) -> None:
         self._latest: OrderedDict[str, VersionedChange] = OrderedDict()
         self._complete_after = 0
 
     def begin(self, revision: int) -> None:
-        """Start anew after a reading of everything: what was removed before it is not known."""
+        """Reset the log after a full read, which does not show what was removed before it."""
         self._latest.clear()
         self._complete_after = revision
 
     def add(self, change: VersionedChange) -> None:
-        """Note the latest change of a key."""
+        """Record the latest change of a key."""
         self._latest[change.key] = change
         self._latest.move_to_end(change.key)
         if len(self._latest) > MAX_ENTRIES:
@@ -33,7 +33,7 @@
             self._complete_after = max(self._complete_after, dropped.revision)
 
     def since(self, revision: int) -> tuple[VersionedChange, ...] | None:
-        """Return the changes after a revision; None if some of them may not be known."""
+        """Return the changes after a revision; None if some of them may be missing."""
         if revision < self._complete_after:
             return None
         newer: list[VersionedChange] = []
--- a/src/weirscale/gateway/state/cluster_state.py
+++ b/src/weirscale/gateway/state/cluster_state.py
@@ -1,11 +1,12 @@
-"""What a node knows of the platform's state: one owner, which all other parts read.
+"""This node's copy of the platform's state, which all other parts read.
 
-`ClusterState` takes over the changes that the store's readers bring and hands each to the part that
-owns it: registrations to `BackEndRegistry`, weights of engines to `EngineVersions`, the gateway's
-records to `StoredRecords`, rollouts to `RolloutBook`, target versions to `TargetVersions`.
+`ClusterState` applies the changes received from the store's readers and passes each to the part
+that owns it: registrations to `BackEndRegistry`, weight versions of engines to `EngineVersions`,
+the gateway's records to `StoredRecords`, rollouts to `RolloutRegistry`, target versions to
+`TargetVersions`.
 
-Nothing here ever goes back: an older revision of a key and a lower version of the configuration are
-dropped, whichever way they arrive.
+The state never moves backwards: an older revision of a key or a lower version of the configuration
+is dropped, from whatever source it arrives.
 """
 
 from collections.abc import Callable, Collection
@@ -35,46 +36,48 @@
 from weirscale.gateway.state.back_end_registry import BackEndRegistry
 from weirscale.gateway.state.change_log import ChangeLog
 from weirscale.gateway.state.engine_versions import EngineVersions
-from weirscale.gateway.state.rollout_orders import RolloutBook
+from weirscale.gateway.state.rollout_orders import RolloutRegistry
 from weirscale.gateway.state.store_outages import NEVER_S, StoreOutageDetector
 from weirscale.gateway.state.stored_records import StoredRecords
 from weirscale.gateway.state.target_versions import TargetVersion, TargetVersions
 from weirscale.ports.event_log import EventLog
 
-LOST_KEPT_S = 6.0
-"""Seconds for which what the store lost as it came back from a copy counts on. Operators and back
-ends write again what they had written, and nodes what is theirs: registrations within their life of
-6 s. It is longer than what keeps the orders of two holders apart as well."""
+LOST_RETENTION_S = 6.0
+"""Seconds for which entries stay in force that the store lost when it was restored from a backup.
+Operators, back ends and nodes write their own entries again; nodes renew their registrations within
+the 6 s that these last. The time is also longer than the minimum time between the orders of two
+lease holders."""
 
 
 class ClusterState:
-    """The platform's state as this node knows it.
+    """This node's copy of the platform's state.
 
     Args:
-        event_log: Where changes are logged.
+        event_log: Receives an event for each change.
         clock: Monotonic seconds.
 
     Attributes:
-        table: Routes, services, tenants and limits; None until a configuration was read.
-        directory: The back ends.
-        back_ends: Their registrations.
-        engine_versions: Which weights engines have.
-        target_versions: Which weights operators want.
+        table: Routes, services, tenants and limits; None until a configuration has been read.
+        directory: The back ends in use.
+        back_ends: The registrations of back ends.
+        engine_versions: Weight versions of the engines.
+        target_versions: Weight versions that operators have set as targets.
         rollouts: Orders and statuses of rollouts of service versions.
         records: The gateway's own records.
         log: The latest change of each key, for other nodes.
-        revision: Highest revision of the store that is known.
-        confirmed_at_s: Everything that the store acknowledged before this time is known.
-        store_outages: When the store was away for all nodes.
-        has_read_all: Whether everything has been read once.
-        target_changed_at_s: When this node last learnt of a new target version.
-        incomplete_until_s: Until when it may lack what the store lost as it came back from a copy.
+        revision: Highest store revision that has been received.
+        confirmed_at_s: The state includes everything that the store acknowledged before this time.
+        store_outages: Detects when the store was unavailable to all nodes.
+        has_read_all: Whether a full read has been completed.
+        target_changed_at_s: When this node last received a new target version.
+        incomplete_until_s: Until this time, the state may lack entries that the store lost when it
+            was restored from a backup.
     """
 
     def __init__(self, event_log: EventLog, clock: Callable[[], float]) -> None:
         self._event_log = event_log
         self._clock = clock
-        self._made_at_s = clock()
+        self._created_at_s = clock()
         self._first_read = anyio.Event()
         self._revisions: dict[str, int] = {}
         self._table_observers: list[Callable[[RouteTable], None]] = []
@@ -86,7 +89,7 @@
             self.directory, self.engine_versions, self.store_outages, event_log, clock
         )
         self.target_versions = TargetVersions()
-        self.rollouts = RolloutBook()
+        self.rollouts = RolloutRegistry()
         self.records = StoredRecords()
         self.log = ChangeLog()
         self.revision = 0
@@ -97,31 +100,31 @@
         self.has_read_all = False
 
     def observe_table(self, observer: Callable[[RouteTable], None]) -> None:
-        """Have a function called with the routes of each new configuration."""
+        """Call `observer` with the route table of each new configuration."""
         self._table_observers.append(observer)
 
     async def wait_until_read(self) -> None:
-        """Wait until everything has been read once."""
+        """Wait until a full read has been completed."""
         await self._first_read.wait()
 
     async def wait_for_first_read(self, timeout_s: float) -> None:
-        """Wait until everything has been read once, at most until a time after the start."""
+        """Wait for the first full read, at most until `timeout_s` after this object was created."""
         if self.has_read_all:
             return
-        left_s = self._made_at_s + timeout_s - self._clock()
+        left_s = self._created_at_s + timeout_s - self._clock()
         with anyio.move_on_after(max(0.0, left_s)):
             await self._first_read.wait()
 
     def replace_all(self, batch: StateBatch, asked_at_s: float) -> None:
-        """Take over a reading of everything; what it lacks is gone.
+        """Apply a full read; entries that are missing from it have been removed.
 
         Args:
-            batch: Everything.
-            asked_at_s: When the store was asked.
+            batch: The complete state.
+            asked_at_s: When the read was sent to the store.
         """
         present = {change.key for change in batch.changes}
         if era_of(batch.revision) > self.era():
-            self._lose_missing(batch, present)
+            self._retain_lost(batch, present)
         else:
             self._remove_missing(present)
         self.log.begin(batch.revision)
@@ -139,18 +142,19 @@
     def _missing_orders(self, present: Collection[str]) -> list[str]:
         return [key for key in self.rollouts.order_keys() if key not in present]
 
-    def _lose_missing(self, batch: StateBatch, present: Collection[str]) -> None:
-        """Keep for a while what a store that came back from a copy has lost.
+    def _retain_lost(self, batch: StateBatch, present: Collection[str]) -> None:
+        """Retain for `LOST_RETENTION_S` the entries lost by a store restored from a backup.
 
-        It was not taken away: whoever wrote it writes it again. A node that finds such a store at
-        its start knows of nothing that was lost; it waits as long before it gives orders.
+        The entries were not removed on purpose, and their writers write them again. A node that
+        starts with such a store cannot know what was lost; it waits equally long before it gives
+        orders.
         """
         now_s = self._clock()
-        self.incomplete_until_s = now_s + LOST_KEPT_S
+        self.incomplete_until_s = now_s + LOST_RETENTION_S
         if not self.has_read_all:
             return
         lapsed = self.back_ends.lapse_missing(present)
-        lost = self.records.lose_missing(present, self.incomplete_until_s)
+        lost = self.records.mark_lost(present, self.incomplete_until_s)
         self._lost_orders.update(self._missing_orders(present))
         self._event_log.event(
             "store_restored", era=era_of(batch.revision), previous_era=self.era(),
@@ -159,7 +163,7 @@
         )  # fmt: skip
 
     def forget_lost(self) -> None:
-        """Give up what the store lost and nobody has written again in time."""
+        """Remove entries that the store lost and that were not written again in time."""
         now_s = self._clock()
         self.records.forget_lost(now_s)
         if self._lost_orders and now_s >= self.incomplete_until_s:
@@ -168,90 +172,93 @@
             self._lost_orders.clear()
 
     def apply(self, batch: StateBatch, asked_at_s: float) -> None:
-        """Take over changes.
+        """Apply changes.
 
         Args:
             batch: The changes.
-            asked_at_s: When the store was asked: what it had acknowledged by then is known now.
+            asked_at_s: When the read was sent to the store. The state then includes everything that
+                the store had acknowledged by this time.
         """
         for change in batch.changes:
             if change.revision > self._revisions.get(change.key, 0):
                 self._revisions[change.key] = change.revision
                 self.log.add(change)
-                self._take(change.change, change)
+                self._apply_change(change.change, change)
         self.revision = max(self.revision, batch.revision)
         self.confirm(asked_at_s)
 
     def confirm(self, proved_at_s: float) -> None:
-        """Learn that everything is known that the store acknowledged before a time."""
+        """Record that the state includes everything that the store acknowledged before a time."""
         if proved_at_s <= self.confirmed_at_s:
             return
         self.confirmed_at_s = proved_at_s
-        self.store_outages.prove(proved_at_s, self._clock())
+        self.store_outages.record_answer(proved_at_s, self._clock())
         for marker in self.records.weights_age_markers():
             set_after_s = proved_at_s - marker.max_age_s
             self.target_versions.tighten_bound(marker.model, marker.version, set_after_s)
 
     def age_s(self) -> float:
-        """Return the proof age: how long ago this state was last proved current."""
+        """Return the proof age: seconds since this state was last proved current."""
         return self._clock() - self.confirmed_at_s
 
     def era(self) -> StoreEra:
-        """Return how often the store has come back from a copy, as far as this node knows."""
+        """Return how often the store has been restored from a backup, as far as this node knows."""
         return era_of(self.revision)
 
     def revision_of(self, key: str) -> int:
-        """Return the revision of a key's last change, 0 if it is not known."""
+        """Return the revision of a key's last change; 0 if none is known."""
         return self._revisions.get(key, 0)
 
     def outage_ended_s(self) -> float:
-        """Return when the last outage of the store for all nodes ended; now, while there is one."""
+        """Return when the last store outage for all nodes ended; the current time during one."""
         return self.store_outages.outage_ended_s(self._clock())
 
     def grace_began_s(self, target: TargetVersion) -> float:
-        """Return the time from which engines with older weights have their grace to load these.
+        """Return when the grace period begins in which engines must load the target weights.
 
-        Nobody can bring new weights to engines while the store answers no node, so the grace starts
-        anew when an outage ends. A loss of the store by this node alone does not prolong it.
+        Engines cannot get new weights while the store answers no node, so the grace period restarts
+        when an outage ends. If only this node cannot reach the store, the period is not extended.
         """
         return max(target.set_after_s, self.outage_ended_s())
 
     @singledispatchmethod
-    def _take(self, change: StateChange, versioned: VersionedChange) -> None:
-        """Take over one change; there is one function for each kind."""
+    def _apply_change(self, change: StateChange, versioned: VersionedChange) -> None:
+        """Apply one change; a handler is registered for each type."""
         raise TypeError(f"no function takes {type(change).__name__}; add one to ClusterState")
 
-    @_take.register
-    def _take_configuration(self, change: ConfigurationChanged, versioned: VersionedChange) -> None:
+    @_apply_change.register
+    def _apply_configuration(
+        self, change: ConfigurationChanged, versioned: VersionedChange
+    ) -> None:
         version = change.configuration.version
-        known = self.table.version if self.table else None
-        if known is not None and version <= known:
+        previous = self.table.version if self.table else None
+        if previous is not None and version <= previous:
             return
         self.table = RouteTable(change.configuration)
         self._event_log.event(
             "configuration_taken",
             version=version,
-            previous=known,
+            previous=previous,
             revision=versioned.revision,
             routes=len(change.configuration.routes),
         )
         for observer in self._table_observers:
             observer(self.table)
 
-    @_take.register
-    def _take_registration(self, change: BackEndRegistered, versioned: VersionedChange) -> None:
+    @_apply_change.register
+    def _apply_registration(self, change: BackEndRegistered, versioned: VersionedChange) -> None:
         self.back_ends.register(versioned.key, change.back_end, versioned.revision)
 
-    @_take.register
-    def _take_end(self, change: BackEndGone, _: VersionedChange) -> None:
+    @_apply_change.register
+    def _apply_end(self, change: BackEndGone, _: VersionedChange) -> None:
         self.back_ends.end(change.instance)
 
-    @_take.register
-    def _take_target_version(self, change: TargetVersionChanged, _: VersionedChange) -> None:
+    @_apply_change.register
+    def _apply_target_version(self, change: TargetVersionChanged, _: VersionedChange) -> None:
         previous = self.target_versions.newest(change.model)
-        # The last proof shows that it was not set then. With the time of its arrival as the
-        # bound, a node that receives it late would let older weights serve beyond their grace: 3 s
-        # in a run in which a node was paused for 4 s.
+        # At the last confirmation the version was not set yet, so that time is the bound. If the
+        # time of arrival were the bound, a node that receives the change late would let older
+        # weights serve beyond their grace period: 3 s too long when a node was paused for 4 s.
         if self.target_versions.add(change.model, change.version, self.confirmed_at_s):
             self.target_changed_at_s = self._clock()
             self._event_log.event(
@@ -259,8 +266,8 @@
                 unproved_ms=age_ms(self.age_s()),
             )  # fmt: skip
 
-    @_take.register
-    def _take_rollout(self, change: RolloutOrdered, versioned: VersionedChange) -> None:
+    @_apply_change.register
+    def _apply_rollout(self, change: RolloutOrdered, versioned: VersionedChange) -> None:
         is_live = self.has_read_all
         order = RolloutOrder(
             change.service,
@@ -279,8 +286,8 @@
             served_before=order.served_before,
         )  # fmt: skip
 
-    @_take.register
-    def _take_withdrawal(self, change: RolloutWithdrawn, _: VersionedChange) -> None:
+    @_apply_change.register
+    def _apply_withdrawal(self, change: RolloutWithdrawn, _: VersionedChange) -> None:
         self._withdraw_rollout(change.key)
 
     def _withdraw_rollout(self, key: str) -> None:
@@ -290,22 +297,26 @@
                 "rollout_withdrawn", service=order.service, target=order.target, epoch=order.epoch
             )
 
-    @_take.register
-    def _take_rollout_status(self, change: RolloutStatusSeen, versioned: VersionedChange) -> None:
+    @_apply_change.register
+    def _apply_rollout_status(self, change: RolloutStatusSeen, versioned: VersionedChange) -> None:
         self.rollouts.put_status(change.status, versioned.revision)
 
-    @_take.register
-    def _take_record(self, change: RecordChanged, _: VersionedChange) -> None:
+    @_apply_change.register
+    def _apply_record(self, change: RecordChanged, _: VersionedChange) -> None:
         self.records.put(change.key, change.value)
 
-    @_take.register
-    def _take_unreadable(self, change: Unreadable, _: VersionedChange) -> None:
+    @_apply_change.register
+    def _apply_unreadable(self, change: Unreadable, _: VersionedChange) -> None:
         is_back_end = change.instance is not None
         if change.instance is not None:
-            # Whoever stood there may have ended: as if its entry had, it gets nothing new.
+            # The back end may have ended, so it gets no new requests, as if its entry had ended.
             self.back_ends.end(change.instance)
         self._event_log.event(
             "state_unreadable", key=change.key, problem=change.problem,
-            remedy="mend the entry in the store; until then "
-            + ("nothing is sent there" if is_back_end else "the last good state stays in force"),
+            remedy="correct the entry in the store; until then "
+            + (
+                "the back end gets no new requests"
+                if is_back_end
+                else "the last valid entry stays in force"
+            ),
         )  # fmt: skip
--- a/src/weirscale/gateway/state/engine_versions.py
+++ b/src/weirscale/gateway/state/engine_versions.py
@@ -1,4 +1,4 @@
-"""Which version of each model's weights every engine is believed to have."""
+"""Tracks the latest known weight version of each model on every engine."""
 
 from collections.abc import Callable
 
@@ -7,15 +7,15 @@
 from weirscale.ports.event_log import EventLog
 
 VersionObserver = Callable[[InstanceId, str, int], None]
-"""Takes an engine, a model and the version of its weights that the engine has now."""
+"""Called with an engine, a model and the version of its weights that the engine has now."""
 
 
 class EngineVersions:
-    """Learns versions from registrations, answers and other nodes; none of them ever goes back.
+    """Stores versions reported by registrations, answers and other nodes; they never decrease.
 
     Args:
-        directory: The back ends; nothing is learnt of others.
-        event_log: Where changed versions are logged.
+        directory: The back ends in use; versions of other back ends are ignored.
+        event_log: Receives an event for each changed version.
     """
 
     def __init__(self, directory: BackEndDirectory, event_log: EventLog) -> None:
@@ -25,35 +25,35 @@
         self._observers: list[VersionObserver] = []
 
     def observe(self, observer: VersionObserver) -> None:
-        """Have a function called with each version that is learnt."""
+        """Call `observer` with each new version."""
         self._observers.append(observer)
 
     def record_version(self, instance: InstanceId, model: str, version: int, source: str) -> None:
-        """Take over a version that is higher than the one known.
+        """Record a version of an engine's weights if it is higher than the recorded one.
 
         Args:
-            instance: The engine; the versions of one instance only rise.
+            instance: The engine; the versions of one instance only increase.
             model: The model.
             version: The version of its weights.
-            source: Where it was learnt, for the log.
+            source: Where the version was reported, for the log.
         """
-        known = self._versions.get((instance, model), 0)
-        if version <= known or self._directory.get(instance) is None:
+        previous = self._versions.get((instance, model), 0)
+        if version <= previous or self._directory.get(instance) is None:
             return
         self._versions[(instance, model)] = version
         for observer in self._observers:
             observer(instance, model, version)
-        if known:
+        if previous:
             self._event_log.event(
                 "version_believed", instance=instance, model=model, version=version,
-                previous=known, source=source,
+                previous=previous, source=source,
             )  # fmt: skip
 
     def version_of(self, instance: InstanceId, model: str) -> int | None:
-        """Return the version that an engine is believed to have; None if nothing is known."""
+        """Return the recorded version of an engine's weights; None if there is none."""
         return self._versions.get((instance, model))
 
     def forget(self, instance: InstanceId) -> None:
-        """Forget an engine."""
+        """Discard the versions of an engine."""
         for key in [key for key in self._versions if key[0] == instance]:
             del self._versions[key]
--- a/src/weirscale/gateway/state/expiring_record.py
+++ b/src/weirscale/gateway/state/expiring_record.py
@@ -1,7 +1,7 @@
-"""Records that expire with a lease: a clock that survives the restart of all nodes.
+"""Records that expire with a lease, which measure time across a restart of all nodes.
 
-Nodes keep nothing and all may restart at once. A record that has expired was written longer ago
-than its life, whichever node wrote it.
+Nodes have no persistent storage, and all of them may restart at once. Once a record has expired, it
+was written longer ago than its lifetime, whichever node wrote it.
 """
 
 from collections.abc import Callable
@@ -19,15 +19,15 @@
     within_s: float,
     clock: Callable[[], float],
 ) -> int:
-    """Write a record that vanishes after `life_s`; returns its lease, 0 if it was not written.
+    """Write a record that expires after `life_s`, and return its lease id; 0 if it is not written.
 
-    It is not written either if the lease was granted later than `within_s` from now.
+    The record is not written either if granting the lease takes longer than `within_s`.
     """
     asked_at_s = clock()
     granted = await store.grant_lease(life_s)
-    # A lease runs from the call's arrival at the store. The call may wait for a connection, or its
-    # node may be paused or be suspended, for longer than a timeout: the record would then be in
-    # the store longer than the age that it stands for.
+    # A lease starts when the call reaches the store. The call may wait for a connection, or the
+    # node may be paused or suspended, for longer than any timeout. The record would then stay in
+    # the store longer than the age that it represents.
     if isinstance(granted, Err) or clock() > asked_at_s + within_s:
         return 0
     swapped = await store.compare_and_swap(key, 0, value, granted.ok_value)
--- a/src/weirscale/gateway/state/leaving_runs.py
+++ b/src/weirscale/gateway/state/leaving_runs.py
@@ -1,17 +1,17 @@
-"""Which runs of back ends have said themselves that they leave."""
+"""Runs of back ends that have announced that they are leaving."""
 
 from weirscale.gateway.model.identifiers import RunId
 from weirscale.gateway.model.recent_runs import RecentRuns
 
 
 class LeavingRuns:
-    """Remembers the runs that leave: only the next run of a back end takes new work again."""
+    """Stores the leaving runs; only the next run of such a back end accepts new requests again."""
 
     def __init__(self) -> None:
         self._runs: RecentRuns[None] = RecentRuns()
 
     def add(self, run: RunId) -> bool:
-        """Remember a run; returns whether it was not known to leave."""
+        """Add a run, and return whether it was not yet known to be leaving."""
         if run in self._runs:
             return False
         self._runs.put(run, None)
--- a/src/weirscale/gateway/state/stored_records.py
+++ b/src/weirscale/gateway/state/stored_records.py
@@ -1,4 +1,4 @@
-"""The gateway's own records in the store, as a node knows them."""
+"""This node's copy of the gateway's own records in the store."""
 
 from collections.abc import Collection, Iterable, Iterator
 
@@ -6,10 +6,10 @@
 
 
 class StoredRecords:
-    """Records by key; `ClusterState` is the only writer.
+    """Stores records by key; `ClusterState` is the only writer.
 
     Attributes:
-        num_changes: Rises with each change, for readers that keep what they made of the records.
+        num_changes: Increases with each change, so that readers can invalidate derived data.
     """
 
     def __init__(self) -> None:
@@ -19,7 +19,7 @@
         self._lost_until_s: dict[str, float] = {}
 
     def __contains__(self, key: object) -> bool:
-        """Whether there is a record with this key."""
+        """Return whether there is a record with this key."""
         return key in self._values
 
     def get(self, key: str) -> bytes | None:
@@ -27,15 +27,15 @@
         return self._values.get(key)
 
     def under(self, prefix: str) -> Iterator[tuple[str, bytes]]:
-        """Return the records whose keys begin with a prefix."""
+        """Return the keys and values of the records whose keys begin with a prefix."""
         return ((key, value) for key, value in self._values.items() if key.startswith(prefix))
 
     def weights_age_markers(self) -> Iterable[WeightsAgeMarker]:
-        """Return the markers of target versions that are new."""
+        """Return the markers that bound the age of new target versions."""
         return self._weights_age_markers.values()
 
     def put(self, key: str, value: bytes | None) -> None:
-        """Take over a record; None removes it."""
+        """Store a record; None as its value removes the record."""
         self.num_changes += 1
         self._lost_until_s.pop(key, None)
         if value is None:
@@ -47,15 +47,16 @@
         if marker is not None:
             self._weights_age_markers[key] = marker
 
-    def lose_missing(self, keys: Collection[str], until_s: float) -> list[str]:
-        """Note which records the store has lost, as it came back from a copy; returns their keys.
+    def mark_lost(self, keys: Collection[str], until_s: float) -> list[str]:
+        """Mark the records that a store restored from a backup has lost, and return their keys.
 
-        They count on until a time: their owners write them again. Without them each node would take
-        itself for the only one, and two would give orders at the same time.
+        Lost records stay in force for a limited time, in which their owners write them again.
+        Without them, each node would consider itself the only one, and two nodes would give orders
+        at the same time.
 
         Args:
-            keys: Keys of a reading of everything.
-            until_s: Until when they count, in monotonic seconds.
+            keys: Keys of a full read of the store.
+            until_s: Monotonic time in seconds until which lost records stay in force.
         """
         lost = [key for key in self._values if key not in keys]
         self._lost_until_s.update(dict.fromkeys(lost, until_s))
@@ -63,15 +64,15 @@
         return lost
 
     def is_lost(self, key: str) -> bool:
-        """Whether the store has lost a record, and nobody has written it again yet."""
+        """Return whether the store has lost a record that has not been written again yet."""
         return key in self._lost_until_s
 
     def forget_lost(self, now_s: float) -> None:
-        """Remove the lost records that nobody has written again in time."""
+        """Remove the lost records that have not been written again in time."""
         for key in [key for key, until_s in self._lost_until_s.items() if until_s <= now_s]:
             self.put(key, None)
 
     def remove_missing(self, keys: Collection[str]) -> None:
-        """Remove the records whose keys are not in a reading of everything, but not lost ones."""
+        """Remove the records that are missing from a full read, except those marked as lost."""
         for key in [key for key in self._values if key not in keys and not self.is_lost(key)]:
             self.put(key, None)
--- a/src/weirscale/gateway/state/target_versions.py
+++ b/src/weirscale/gateway/state/target_versions.py
@@ -1,8 +1,9 @@
-"""Target versions of models' weights: since when, and which older versions may still serve.
+"""Target versions of models' weights: when they were set, and which older ones may still serve.
 
-When operators set a target version is known only as a bound: *no earlier than* a moment at which
-something proved that it was not set yet. The grace of older weights counts from that bound, so a
-node that learns of the version late stops using older ones early and never late.
+The time at which operators set a target version is known only as a lower bound: the last moment at
+which the version was proved not to be set yet. The grace period of older weights starts at that
+bound, so a node that receives the version late stops using older weights too early rather than too
+late.
 """
 
 from collections.abc import Iterator
@@ -13,23 +14,23 @@
 """The lowest version that a model may have."""
 
 MAX_EARLIER_VERSIONS = 32
-"""Versions below a new target that a node adds because they may have been targets meanwhile. Bounds
-memory; not measured."""
+"""Maximum number of versions below a new target that a node adds because they may have been targets
+in the meantime. Bounds memory."""
 
 MAX_KEPT_VERSIONS = 64
-"""Versions kept for one model; with more than these within a grace, engines of the oldest are not
-used. Bounds memory; not measured."""
+"""Maximum number of versions stored for one model, to bound memory. If more are set within one
+grace period, engines with the oldest versions are not used."""
 
-LONG_AGO_S = float("-inf")
-"""The bound where nothing is known: the version may have been set at any time."""
+NO_LOWER_BOUND_S = float("-inf")
+"""The bound if nothing is known: the version may have been set at any time."""
 
 
 class TargetVersion(msgspec.Struct, frozen=True):
-    """A version that operators want the engines to have.
+    """A version that operators have set as the target for the engines.
 
     Attributes:
         version: The version.
-        set_after_s: Operators set it no earlier than this, on this node's clock.
+        set_after_s: Lower bound of the time at which the version was set, on this node's clock.
     """
 
     version: int
@@ -37,33 +38,34 @@
 
 
 class TargetVersions:
-    """The target versions of each model, newest last; their bounds rise with the versions."""
+    """Stores target versions by model, newest last; their bounds rise with the versions."""
 
     def __init__(self) -> None:
         self._targets: dict[str, list[TargetVersion]] = {}
 
     def add(self, model: str, version: int, set_after_s: float) -> bool:
-        """Note a version; False if one as high is known.
+        """Add a version; return False if the same or a higher one is already stored.
 
-        The store keeps only the newest one. Versions between it and the newest known here may have
-        been set as well since this node last knew all, and engines may lag behind one of them.
+        The store keeps only the newest version. Versions between it and the newest one stored here
+        may have been targets since this node was last up to date, and engines may lag behind any of
+        them, so they are added as well.
 
         Args:
             model: The model.
             version: The version.
-            set_after_s: When it was certainly not set yet.
+            set_after_s: Latest time at which the version is known not to have been set yet.
         """
         versions = self._targets.setdefault(model, [])
         if versions and versions[-1].version >= version:
             return False
         lowest = max(FIRST_VERSION, version - MAX_EARLIER_VERSIONS)
         first = max(lowest, versions[-1].version + 1) if versions else lowest
-        versions.extend(TargetVersion(one, set_after_s) for one in range(first, version + 1))
+        versions.extend(TargetVersion(number, set_after_s) for number in range(first, version + 1))
         del versions[:-MAX_KEPT_VERSIONS]
         return True
 
     def tighten_bound(self, model: str, version: int, set_after_s: float) -> None:
-        """Learn of a later moment at which a version, and all higher ones, were not set yet."""
+        """Raise the lower bound of the times at which a version and all higher ones were set."""
         versions = self._targets.get(model, [])
         for index, target in enumerate(versions):
             if target.version >= version and target.set_after_s < set_after_s:
@@ -75,20 +77,20 @@
         return versions[-1].version if versions else None
 
     def newest_target(self, model: str) -> TargetVersion | None:
-        """Return the newest version of a model and when it was set."""
+        """Return the newest version of a model and the bound of the time at which it was set."""
         versions = self._targets.get(model)
         return versions[-1] if versions else None
 
     def lowest_allowed(
-        self, model: str, now_s: float, grace_s: float, not_before_s: float = LONG_AGO_S
+        self, model: str, now_s: float, grace_s: float, not_before_s: float = NO_LOWER_BOUND_S
     ) -> int:
         """Return the lowest version that requests may still start on.
 
         Args:
             model: The model.
-            now_s: Time.
-            grace_s: How long an older version may serve after a newer one was set.
-            not_before_s: The grace begins no earlier than this.
+            now_s: Current time.
+            grace_s: Seconds for which an older version may serve after a newer one was set.
+            not_before_s: Earliest time at which the grace period may begin.
         """
         versions = self._targets.get(model, [])
         allowed = versions[0].version if len(versions) == MAX_KEPT_VERSIONS else 0
@@ -98,7 +100,7 @@
         return allowed
 
     def first_newer(self, model: str, version: int) -> TargetVersion | None:
-        """Return the first version newer than one; engines with that one have lagged since then."""
+        """Return the lowest target above `version`; engines at `version` lag since it was set."""
         for target in self._targets.get(model, ()):
             if target.version > version:
                 return target
--- a/src/weirscale/gateway/state/weights_age_marker.py
+++ b/src/weirscale/gateway/state/weights_age_marker.py
@@ -1,21 +1,22 @@
-"""A record in the store that bounds the age of a new target version.
+"""Records in the store that bound the age of a new target version.
 
-A starting node asks others for that age; all may restart at once, and then only the record is left.
+A starting node asks the other nodes for this age. If all nodes restart at once, only the record is
+left.
 """
 
 import msgspec
 
 WEIGHTS_AGE_PREFIX = "weirscale/young/"
-"""Of the records' keys in the store."""
+"""Prefix of the records' keys in the store."""
 
 
 class WeightsAgeMarker(msgspec.Struct, frozen=True):
-    """Proves to a starting node how old a target version is at most, while it is in the store.
+    """Proves the maximum age of a target version to a starting node, while it is in the store.
 
     Attributes:
         model: The model.
-        version: The version.
-        max_age_s: While the record is there, the version was set no longer ago than this.
+        version: The target version.
+        max_age_s: While the record exists, the version was set at most this many seconds ago.
     """
 
     model: str
@@ -32,12 +33,12 @@
 
 
 def read_weights_age_marker(key: str, value: bytes) -> WeightsAgeMarker | None:
-    """Return the record with a key; None for any other key, or a value that proves nothing."""
+    """Parse a record; return None if the key is not a marker's or the value is invalid."""
     if not key.startswith(WEIGHTS_AGE_PREFIX):
         return None
     model, _, version = key.removeprefix(WEIGHTS_AGE_PREFIX).rpartition("/")
     try:
         return WeightsAgeMarker(model, int(version), float(value))
     except ValueError:
-        # Without an age the version is taken for old, which lets no older weights serve too long.
+        # Without an age the version counts as old, so older weights do not serve for too long.
         return None
