--- a/src/weirscale/gateway/model/__init__.py
+++ b/src/weirscale/gateway/model/__init__.py
@@ -1,1 +1,1 @@
-"""Values that operators declare or back ends register, and look-ups over them; no I/O, no clock."""
+"""Data declared by operators or registered by back ends, and look-ups on it; no I/O, no clock."""
--- a/src/weirscale/gateway/model/back_ends.py
+++ b/src/weirscale/gateway/model/back_ends.py
@@ -1,4 +1,4 @@
-"""Discovered back ends: who serves, who is leaving, at which address now."""
+"""Discovered back ends: their states, addresses and models."""
 
 import enum
 from collections.abc import Iterable
@@ -10,25 +10,25 @@
 
 
 class BackEndState(enum.Enum):
-    """Whether a back end takes new work."""
+    """State of a back end, which decides whether it accepts new requests."""
 
     READY = "ready"
-    """It says so."""
+    """Registered as ready for requests."""
     LEAVING = "leaving"
-    """It says that it will end."""
+    """Announced that it is shutting down."""
     LAPSED = "lapsed"
-    """Its registration ended with an outage of the store; it has some time to register again."""
+    """The registration ended with a store outage; the back end has some time to register again."""
 
 
 class LeavingSource(enum.Enum):
-    """How a node knows that a back end leaves, for the log."""
+    """Where a node received that a back end is leaving, for the log."""
 
     REGISTRATION = "registration"
-    """Its registration says so."""
+    """The back end's registration."""
     ANSWER = "answer"
-    """It said so in an answer to this node."""
+    """An answer of the back end to this node."""
     PEER = "peer"
-    """It said so in an answer to another node."""
+    """An answer of the back end to another node."""
 
 
 ACCEPTING_STATES = frozenset({BackEndState.READY, BackEndState.LAPSED})
@@ -36,25 +36,25 @@
 
 
 class ServedModel(msgspec.Struct, frozen=True):
-    """A model on an engine and the version of its weights."""
+    """A model served by an engine, and the version of its weights."""
 
     name: str
     version: int
 
 
 class BackEnd(msgspec.Struct, frozen=True):
-    """One instance of a back end. Travels between nodes: field names are names of the wire.
+    """One instance of a back end. Sent between nodes: the field names are part of the protocol.
 
     Attributes:
         instance: Identifies this start of the process.
-        service: The service it runs.
+        service: The service that it runs.
         address: IP:PORT.
-        zone: Where it stands.
-        state: Whether it takes new work.
-        slots: Requests it works on at once.
+        zone: The zone that it runs in.
+        state: Whether it accepts new requests.
+        slots: Maximum number of requests that it processes concurrently.
         models: Models and versions, for engines.
         software: Version of its program.
-        started_ms: Unix time of its start, or None if it does not say.
+        started_ms: Unix time of its start in milliseconds, or None if not stated.
     """
 
     instance: InstanceId
@@ -69,11 +69,11 @@
 
     @property
     def run_id(self) -> RunId:
-        """This run of the process; another run under the same instance name has another id."""
+        """Identifier of this run; another run with the same instance name has another one."""
         return RunId(f"{self.instance}@{self.started_ms or 0}")
 
     def version_of(self, model: str) -> int | None:
-        """Return the version of a model's weights as last registered."""
+        """Return the registered version of a model's weights; None if the model is not served."""
         for served in self.models:
             if served.name == model:
                 return served.version
@@ -81,14 +81,14 @@
 
 
 def instance_of(run: RunId) -> InstanceId:
-    """Return the instance that a run is one of."""
+    """Return the instance that a run belongs to."""
     return InstanceId(run.rpartition("@")[0])
 
 
 class BackEndDirectory:
-    """Back ends by instance: those that own their addresses, one for each.
+    """Stores the back ends in use, one for each address.
 
-    Which of several registered instances that is, `BackEndRegistry` decides.
+    `BackEndRegistry` decides which of several instances registered at an address is in use.
     """
 
     def __init__(self) -> None:
@@ -96,10 +96,11 @@
         self._by_service: dict[ServiceName, dict[InstanceId, BackEnd]] = {}
         self._by_address: dict[Address, InstanceId] = {}
         self.num_changes = 0
-        """Rises when an instance comes or goes, for readers that keep what they made of these."""
+        """Increases when an instance is added or removed, so that readers can invalidate derived
+        data."""
 
     def put(self, back_end: BackEnd) -> None:
-        """Take an instance, or what has changed of it, in place of any other at its address."""
+        """Add or update an instance, replacing any other instance at its address."""
         other = self._by_address.get(back_end.address)
         if other is not None and other != back_end.instance:
             self.remove(other)
@@ -110,30 +111,30 @@
         self._by_address[back_end.address] = back_end.instance
 
     def remove(self, instance: InstanceId) -> BackEnd | None:
-        """Forget an instance; returns what was known of it."""
-        known = self._drop(instance)
-        if known is not None:
+        """Remove an instance, and return it; None if it is not in the directory."""
+        back_end = self._drop(instance)
+        if back_end is not None:
             self.num_changes += 1
-        return known
+        return back_end
 
     def _drop(self, instance: InstanceId) -> BackEnd | None:
-        known = self._by_instance.pop(instance, None)
-        if known is not None:
-            del self._by_service[known.service][instance]
-            del self._by_address[known.address]
-        return known
+        back_end = self._by_instance.pop(instance, None)
+        if back_end is not None:
+            del self._by_service[back_end.service][instance]
+            del self._by_address[back_end.address]
+        return back_end
 
     def get(self, instance: InstanceId) -> BackEnd | None:
-        """Return an instance."""
+        """Return an instance; None if it is not in the directory."""
         return self._by_instance.get(instance)
 
     def at(self, address: Address) -> BackEnd | None:
-        """Return the instance at an address."""
+        """Return the instance at an address; None if there is none."""
         instance = self._by_address.get(address)
         return None if instance is None else self._by_instance[instance]
 
     def of_service(self, service: ServiceName) -> Iterable[BackEnd]:
-        """Return all instances of a service, leaving ones included."""
+        """Return all instances of a service, including leaving ones."""
         return self._by_service.get(service, {}).values()
 
     def instances(self) -> tuple[InstanceId, ...]:
--- a/src/weirscale/gateway/model/configuration.py
+++ b/src/weirscale/gateway/model/configuration.py
@@ -1,7 +1,7 @@
 """The gateway's configuration: an immutable value that is replaced as a whole.
 
-It travels between nodes: its field names and enumeration values are names of the wire
-(`ports.state_feed` says how one is renamed).
+It is sent between nodes: its field names and enumeration values are part of the protocol
+(`ports.state_feed` describes how to rename one).
 """
 
 import enum
@@ -22,18 +22,18 @@
     MUTATING = "mutating"
     """Runs at most once."""
     STREAMING = "streaming"
-    """Answers with a series of events; runs at most once unless its route is resumable."""
+    """Answered by a stream of events; runs at most once unless its route is resumable."""
 
 
 class WeightedService(msgspec.Struct, frozen=True):
-    """One part of a route's traffic."""
+    """A service and its share of a route's traffic."""
 
     service: ServiceName
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Where requests of one host and path prefix go, and what is promised for them.
+    """Destination and service objectives of the requests of one host and path prefix.
 
     Attributes:
         name: Unique name.
@@ -41,13 +41,14 @@
         path_prefix: Begins and ends with a slash.
         kind: How its requests may be retried.
         parts: Services that share the traffic by weight; at least one.
-        timeout_s: Longest time that a request may be held.
-        objective_s: Time to the answer, or to a stream's first event, that earns full credit.
+        timeout_s: Maximum time that the gateway may take for a request.
+        objective_s: Maximum time to the answer, or to a stream's first event, for a request to meet
+            its objective in full.
         priority: 0 is the most urgent.
-        max_attempts: Back ends that one request may be sent to.
-        is_public: Whether no key is needed.
-        is_resumable: Whether a stream may be taken up by another back end.
-        max_pause_s: Longest pause between a stream's events that keeps it in time.
+        max_attempts: Maximum number of back ends that one request may be sent to.
+        is_public: Whether requests need no key.
+        is_resumable: Whether another back end may continue a stream.
+        max_pause_s: Maximum pause between the events of a stream that meets its objective.
     """
 
     name: str
@@ -65,18 +66,18 @@
 
     @property
     def is_retryable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         if self.kind is RequestKind.STREAMING:
             return self.is_resumable
         return self.kind is RequestKind.IDEMPOTENT
 
 
 class EngineProfile(msgspec.Struct, frozen=True):
-    """What the engines of a model service have.
+    """Capacity and models of a model service's engines.
 
     Attributes:
-        slots: Requests that an engine works on at once.
-        cache_tokens: Tokens that fit into an engine's memory.
+        slots: Maximum number of requests that an engine processes concurrently.
+        cache_tokens: Number of tokens that fit into an engine's cache.
         models: Names of the models served.
     """
 
@@ -86,12 +87,12 @@
 
 
 class KeptKvStore(msgspec.Struct, frozen=True):
-    """A store of cached prompt blocks outside the engines.
+    """A store of cached prompt blocks (KV cache) outside the engines.
 
     Attributes:
-        address: IP:PORT that engines reach it at.
-        zone: Where it stands.
-        capacity_tokens: Tokens that it keeps.
+        address: IP:PORT at which engines reach it.
+        zone: The zone that it runs in.
+        capacity_tokens: Number of tokens that it can store.
     """
 
     address: Address
@@ -100,14 +101,15 @@
 
 
 class Service(msgspec.Struct, frozen=True, rename={"kept_kv": "kept_cache"}):
-    """A service that routes may name, or a store of cached prompt blocks.
+    """A service that routes may refer to, or a store of cached prompt blocks.
 
     Attributes:
         name: Unique name.
         health_path: Path of its back ends' health check.
-        max_connections: Connections that one of its back ends accepts from all nodes together.
-        engine: What its engines have; None for a service without a model.
-        kept_kv: The store, if it is one; `kept_cache` between nodes.
+        max_connections: Maximum number of connections that one of its back ends accepts from all
+            nodes together.
+        engine: Profile of its engines; None for a service without a model.
+        kept_kv: The store of cached prompt blocks, or None; encoded as `kept_cache`.
     """
 
     name: ServiceName
@@ -118,14 +120,14 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """Limits on what callers may send and how long their connections may be unused.
+    """Limits on callers' requests and idle connections.
 
     Attributes:
-        max_header_bytes: Size of a request's head. Not in force: the server's limit is fixed
-            (`ports.http_server`).
-        max_body_bytes: Size of a request's body; a larger one is refused.
-        header_timeout_s: Time for a whole request head; a slower one is refused.
-        idle_timeout_s: Time without a request on an open connection, which then is closed.
+        max_header_bytes: Maximum size of a request's head. Not enforced: the server's limit is
+            fixed (`ports.http_server`).
+        max_body_bytes: Maximum size of a request's body; larger ones are refused.
+        header_timeout_s: Maximum time to receive a complete request head; slower ones are refused.
+        idle_timeout_s: Time without a request after which an open connection is closed.
     """
 
     max_header_bytes: int = 16_384
@@ -135,20 +137,21 @@
 
 
 class QuotaUnit(enum.Enum):
-    """What a quota counts."""
+    """The unit that a quota counts."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
 
 
 class Quota(msgspec.Struct, frozen=True):
-    """What a tenant may spend, over all nodes together.
+    """Token bucket of a tenant, shared by all nodes.
 
     Attributes:
-        rate_per_s: Units a second; above 0.
-        burst: Units on top, at once.
-        unit: What counts.
-        unnamed_tokens: What a request costs that does not name its tokens, if tokens count.
+        rate_per_s: Units per second; greater than 0.
+        burst: Additional units that may be spent at once.
+        unit: The unit that is counted.
+        unnamed_tokens: Cost of a request that does not state its number of tokens, if tokens are
+            counted.
     """
 
     rate_per_s: float
@@ -163,9 +166,9 @@
     Attributes:
         name: Unique name.
         keys: API keys that belong to it.
-        priority: Goes before the route's where given; 0 is the most urgent.
-        is_isolated: Whether it shares no cached prompt block with other tenants.
-        quota: What it may spend, or None for no limit.
+        priority: Overrides the route's priority if given; 0 is the most urgent.
+        is_isolated: Whether it shares no cached prompt blocks with other tenants.
+        quota: The tenant's quota, or None for no limit.
     """
 
     name: TenantName
@@ -176,7 +179,7 @@
 
 
 class GatewayConfiguration(msgspec.Struct, frozen=True):
-    """All that operators declare; applied as a whole, only ever to a higher version."""
+    """Everything that operators declare; replaced as a whole, and only by a higher version."""
 
     version: int
     routes: tuple[Route, ...] = ()
--- a/src/weirscale/gateway/model/identifiers.py
+++ b/src/weirscale/gateway/model/identifiers.py
@@ -1,16 +1,17 @@
-"""Identifiers of the gateway alone; the names of services, tenants and zones are in `domain`."""
+"""Identifier types used only in the gateway; those of services, tenants and zones are in
+`domain`."""
 
 from typing import NewType
 
 InstanceId = NewType("InstanceId", str)
-"""One start of a back end's process, as the platform names it."""
+"""The platform's name for one start of a back end's process."""
 
 RunId = NewType("RunId", str)
-"""One run of a back end's process: its instance with the time of its start, since an instance may
-start again under the same name."""
+"""One run of a back end's process: its instance name and start time, because an instance may start
+again under the same name."""
 
 RequestId = NewType("RequestId", str)
-"""One try of a caller's request, as the caller names it."""
+"""The caller's identifier of one attempt of a request."""
 
 Address = NewType("Address", str)
 """IP:PORT."""
--- a/src/weirscale/gateway/model/prompt.py
+++ b/src/weirscale/gateway/model/prompt.py
@@ -1,4 +1,5 @@
-"""A prompt given as blocks: identifiers with token counts, in order, most shared first."""
+"""Prompts described as ordered blocks with identifiers and token counts, most widely shared
+first."""
 
 import msgspec
 
@@ -10,7 +11,7 @@
 
     Attributes:
         block_id: Identifies the block's content and all blocks before it.
-        num_tokens: Tokens of this block alone.
+        num_tokens: Number of tokens of this block alone.
     """
 
     block_id: str
@@ -21,10 +22,10 @@
     """The outline of a prompt as its caller states it; the gateway does not read the text itself.
 
     Attributes:
-        model: Model asked for.
-        blocks: Blocks in order; the last one belongs to this request or its session alone.
-        num_tokens: Tokens of the whole prompt.
-        max_output_tokens: Most tokens to generate.
+        model: Requested model.
+        blocks: Blocks in order; the last one belongs only to this request or its session.
+        num_tokens: Number of tokens of the whole prompt.
+        max_output_tokens: Maximum number of tokens to generate.
     """
 
     model: str
@@ -34,15 +35,16 @@
 
 
 class CacheScope(msgspec.Struct, frozen=True):
-    """Within what a cached block may be reused.
+    """The scope within which a cached block may be reused.
 
-    Blocks of different scopes never match, so that nothing cached by other weights or by an
-    isolated tenant is used, not even from a store that keeps the first copy of a block for good.
+    Blocks of different scopes never match. Blocks cached with other weights or for an isolated
+    tenant are therefore never reused, even from a store that keeps the first copy of a block
+    permanently.
 
     Attributes:
         model: Name of the model.
         weight_version: Version of its weights.
-        isolated_tenant: The tenant, if it shares with nobody.
+        isolated_tenant: The tenant if it is isolated, or None.
     """
 
     model: str
@@ -50,6 +52,6 @@
     isolated_tenant: TenantName | None = None
 
     def text(self) -> str:
-        """Return the text that engines and stores compare."""
+        """Return the scope as the text that engines and stores compare."""
         shared = f"{self.model}@{self.weight_version}"
         return f"{shared}/{self.isolated_tenant}" if self.isolated_tenant else shared
--- a/src/weirscale/gateway/model/recent_runs.py
+++ b/src/weirscale/gateway/model/recent_runs.py
@@ -1,4 +1,4 @@
-"""What is remembered of runs of back ends, also of those whose registrations have ended."""
+"""Values stored for recent runs of back ends, including runs whose registrations have ended."""
 
 from typing import Generic, TypeVar
 
@@ -6,36 +6,36 @@
 
 _T = TypeVar("_T")
 
-MAX_REMEMBERED_RUNS = 4096
-"""Runs that are remembered; beyond it the oldest are forgotten. More than all back ends of the
-size designed for, some 1,700, so that a replacement of all of them fits."""
+MAX_STORED_RUNS = 4096
+"""Number of runs that are stored; the oldest are evicted first. The gateway is designed for about
+1,700 back ends, so all of them can be replaced at once without evictions."""
 
 
 class RecentRuns(Generic[_T]):
-    """A value for each run, of as many as are remembered.
+    """Stores one value for each of the most recent runs.
 
-    A run never comes back under its id once it has ended, so what is remembered of it needs no end
-    but a bound.
+    A run id is never reused after the run has ended, so values need no expiry, only a limit on
+    their number.
     """
 
     def __init__(self) -> None:
         self._values: dict[RunId, _T] = {}
 
     def put(self, run: RunId, value: _T) -> None:
-        """Remember a run's value; it is the latest run then."""
+        """Store a run's value, and make it the most recent run."""
         self._values.pop(run, None)
         self._values[run] = value
-        if len(self._values) > MAX_REMEMBERED_RUNS:
+        if len(self._values) > MAX_STORED_RUNS:
             del self._values[next(iter(self._values))]
 
     def get(self, run: RunId) -> _T | None:
-        """Return a run's value, None for one that is not remembered."""
+        """Return a run's value; None if the run is not stored."""
         return self._values.get(run)
 
     def pop(self, run: RunId) -> _T | None:
-        """Forget a run; returns its value."""
+        """Remove a run, and return its value; None if the run is not stored."""
         return self._values.pop(run, None)
 
     def __contains__(self, run: RunId) -> bool:
-        """Whether a run is remembered."""
+        """Return whether a run is stored."""
         return run in self._values
--- a/src/weirscale/gateway/model/rollout_order.py
+++ b/src/weirscale/gateway/model/rollout_order.py
@@ -1,6 +1,6 @@
-"""Rollouts of a service version: what operators order, and the status that they read.
+"""Rollouts of a service version: the operators' orders, and the status shown to operators.
 
-`RolloutStatus` travels between nodes: its field names and values are names of the wire.
+`RolloutStatus` is sent between nodes: its field names and values are part of the protocol.
 """
 
 import enum
@@ -11,20 +11,22 @@
 from weirscale.domain.identifiers import ServiceName, SoftwareVersion
 
 Epoch = NewType("Epoch", int)
-"""Names one order: the store's revision of its entry. A later order has a higher one."""
+"""Identifies an order: the store revision of its entry. A later order has a higher epoch."""
 
 
 class RolloutOrder(msgspec.Struct, frozen=True):
-    """An operator's order as a node knows it.
+    """An operator's order to roll out a service version, as received by this node.
 
     Attributes:
         service: The service.
-        target: Version that its traffic is to move to.
-        deadline_s: Time for it, from the order's acknowledgement on.
-        epoch: Names the order.
-        seen_at_s: When this node last knew that it was not there; its own start, if it was there.
-        predates_node: Whether it was there before this node, so that its age is not known.
-        served_before: Whether the target served without a canary when the order came.
+        target: Version that the service's traffic moves to.
+        deadline_s: Seconds allowed for the rollout from the acknowledgement of the order.
+        epoch: Identifies the order.
+        seen_at_s: Latest time at which this node knew that the order did not exist yet. If the
+            order predates the node, the time at which the node read it.
+        predates_node: Whether the order existed before this node started, so its age is unknown.
+        served_before: Whether the target was already established when the order arrived, so that it
+            needs no canary.
     """
 
     service: ServiceName
@@ -37,23 +39,23 @@
 
 
 class RolloutState(enum.Enum):
-    """What operators read of a rollout."""
+    """State of a rollout as shown to operators."""
 
     ACTIVE = "active"
-    """It is under way."""
+    """The rollout is in progress."""
     COMPLETED = "completed"
-    """All traffic goes to the target; its predecessors are not needed any more."""
+    """All traffic goes to the target; its predecessors are no longer needed."""
     ROLLED_BACK = "returned"
     """All traffic goes to the target's predecessors."""
 
 
 class RolloutStatus(msgspec.Struct, frozen=True):
-    """The status that operators read.
+    """Status of a rollout as shown to operators.
 
     Attributes:
         service: The service.
         target: The order's target.
-        state: How the rollout stands.
+        state: State of the rollout.
     """
 
     service: ServiceName
@@ -62,7 +64,7 @@
 
 
 class VersionedStatus(msgspec.Struct, frozen=True):
-    """A status as it stands in the store, and the revision at which it was written."""
+    """A status in the store and the revision at which it was written."""
 
     status: RolloutStatus
     revision: int
--- a/src/weirscale/gateway/model/routes.py
+++ b/src/weirscale/gateway/model/routes.py
@@ -1,4 +1,4 @@
-"""The route table of one configuration: host and longest path prefix, keys, services."""
+"""Route table of one configuration: look-ups by host and longest path prefix, key, and service."""
 
 from weirscale.domain.identifiers import ServiceName
 from weirscale.gateway.model.configuration import (
@@ -11,10 +11,10 @@
 
 
 class RouteTable:
-    """Look-ups over one configuration.
+    """Indexes one configuration for look-ups.
 
     Args:
-        configuration: Never changed afterwards; a new configuration gets a new table.
+        configuration: An immutable configuration; a new one gets a new table.
     """
 
     def __init__(self, configuration: GatewayConfiguration) -> None:
@@ -28,18 +28,19 @@
 
     @property
     def version(self) -> int:
-        """The configuration's version."""
+        """Version of the configuration."""
         return self.configuration.version
 
     @property
     def needs_keys(self) -> bool:
-        """Whether requests of routes that are not public need a key."""
+        """Return whether requests of non-public routes need a key."""
         return bool(self.configuration.tenants)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a host whose prefix is the longest that begins the path.
+        """Return the route of a host with the longest prefix of the path; None if none matches.
 
-        Prefixes end with a slash, so only the path's own slashes need to be tried.
+        Prefixes end with a slash, so only the parts of the path up to each of its slashes are
+        tried.
         """
         host_name = host.lower()
         if host_name not in self._hosts:
@@ -53,13 +54,15 @@
         return None
 
     def tenant_of(self, key: str | None) -> Tenant | None:
-        """Return the tenant that holds a key."""
+        """Return the tenant that a key belongs to; None if there is none."""
         return None if key is None else self._tenants.get(key)
 
     def service(self, name: ServiceName) -> Service | None:
-        """Return a declared service."""
+        """Return a declared service; None if there is none with this name."""
         return self._services.get(name)
 
     def kept_kv_stores(self) -> list[KeptKvStore]:
         """Return the stores of cached prompt blocks."""
-        return [one.kept_kv for one in self._services.values() if one.kept_kv is not None]
+        return [
+            service.kept_kv for service in self._services.values() if service.kept_kv is not None
+        ]
--- a/src/weirscale/gateway/model/store_positions.py
+++ b/src/weirscale/gateway/model/store_positions.py
@@ -1,22 +1,23 @@
-"""Positions in the store's history, which go on rising when the store comes back from a copy.
+"""Positions in the store's history, which keep increasing when the store is restored from a backup.
 
-A store that comes back from a copy has lost its last changes, and gives their revisions out again.
-How often that was is its era. A position is the era and then the revision, in one number: a later
-position is a larger number, also across copies. Everywhere in the gateway a revision of the store
-is a position; in era 0 the two are the same number, so that stores without eras, and nodes of
-releases that know of none, need nothing else.
+A store restored from a backup has lost its latest changes and assigns their revisions again. Its
+era counts these restores. A position combines the era (high bits) and the revision (low bits) in
+one number, so a later position is a larger number even across restores. Everywhere in the gateway,
+"revision" means such a position. In era 0 the position equals the revision, so stores without eras
+and nodes of releases without support for eras work unchanged.
 """
 
 from typing import NewType
 
 StoreEra = NewType("StoreEra", int)
-"""How often the store has come back from a copy."""
+"""How often the store has been restored from a backup."""
 
 FIRST_ERA = StoreEra(0)
 
 REVISION_BITS = 40
-"""Bits of a revision: some 10,000 changes a second for three years. With the 13 bits that are left
-for the era, a position is exact also where numbers are read as floating point."""
+"""Number of bits of a revision: enough for about 10,000 changes per second for three years. With
+the 13 bits that remain for the era, a position has 53 bits and is exact as a floating-point
+number."""
 
 
 def position(era: StoreEra, revision: int) -> int:
@@ -24,11 +25,11 @@
     return (era << REVISION_BITS) + revision
 
 
-def era_of(of_position: int) -> StoreEra:
+def era_of(store_position: int) -> StoreEra:
     """Return the era of a position."""
-    return StoreEra(of_position >> REVISION_BITS)
+    return StoreEra(store_position >> REVISION_BITS)
 
 
-def revision_at(of_position: int) -> int:
-    """Return the store's own revision at a position, for calls to it."""
-    return of_position & ((1 << REVISION_BITS) - 1)
+def revision_at(store_position: int) -> int:
+    """Return the store's own revision at a position, for calls to the store."""
+    return store_position & ((1 << REVISION_BITS) - 1)
--- a/src/weirscale/gateway/model/topology.py
+++ b/src/weirscale/gateway/model/topology.py
@@ -1,7 +1,7 @@
-"""Where machines and back ends stand: zones, and the regions that they belong to.
+"""Zones of nodes and back ends, and the regions that the zones belong to.
 
-Within a region a zone more or less costs some milliseconds; between regions links are long and
-thin. A deployment without regions counts as one region.
+Crossing zones within a region costs a few milliseconds. Links between regions have high latency and
+low bandwidth. A deployment without regions counts as a single region.
 """
 
 from collections.abc import Mapping
@@ -11,11 +11,11 @@
 from weirscale.domain.identifiers import RegionName, ZoneName
 
 NO_REGION = RegionName("")
-"""Of a zone that the settings do not name: it is near to everything."""
+"""Region of a zone that is missing from the settings; it counts as part of every region."""
 
 
 class Topology:
-    """Which zones are in which region.
+    """Maps zones to regions.
 
     Args:
         regions: The region of each zone.
@@ -25,34 +25,34 @@
         self._regions = dict(regions)
 
     def region_of(self, zone: ZoneName) -> RegionName:
-        """Return a zone's region."""
+        """Return a zone's region; `NO_REGION` if the zone is unknown."""
         return self._regions.get(zone, NO_REGION)
 
     def is_cross_region(self, zone: ZoneName, other: ZoneName) -> bool:
-        """Whether two zones are known to stand in different regions."""
+        """Return whether two zones are known to be in different regions."""
         return are_different_regions(self.region_of(zone), self.region_of(other))
 
 
 def are_different_regions(region: RegionName, other: RegionName) -> bool:
-    """Whether two regions are known and differ."""
+    """Return whether two regions are both known and differ."""
     return region != other and NO_REGION not in (region, other)
 
 
 ONE_REGION = Topology({})
-"""A deployment that names no regions."""
+"""Topology of a deployment without regions."""
 
 
 class Location(msgspec.Struct, frozen=True):
-    """Where a node stands.
+    """Location of a node.
 
     Attributes:
-        zone: Its zone.
-        topology: Which zones are far from one another.
+        zone: The node's zone.
+        topology: The regions of all zones.
     """
 
     zone: ZoneName
     topology: Topology = ONE_REGION
 
     def is_cross_region(self, zone: ZoneName) -> bool:
-        """Whether a zone is known to be in another region."""
+        """Return whether a zone is known to be in another region."""
         return self.topology.is_cross_region(self.zone, zone)
