--- a/src/weirscale/gateway/peers/__init__.py
+++ b/src/weirscale/gateway/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Who the other nodes are and the datagrams that nodes exchange."""
+"""Discovery of the other nodes, and the datagrams that nodes exchange."""
--- a/src/weirscale/gateway/peers/datagrams.py
+++ b/src/weirscale/gateway/peers/datagrams.py
@@ -1,8 +1,8 @@
-"""The socket for datagrams between nodes.
+"""UDP socket for messages between nodes.
 
-A node receives some fifty datagrams a second and sends as many. Through anyio's own socket each of
-them wakes the process and costs a lock, a guard and a turn of the event loop; here what has arrived
-is read at the next tick, and what is sent goes out at once.
+A node receives about 50 datagrams a second and sends as many. With anyio's own socket, each of them
+wakes the process and costs a lock, a guard and an iteration of the event loop. Here, received
+datagrams are read in a batch at the next tick, and outgoing ones are sent immediately.
 """
 
 import socket
@@ -10,13 +10,13 @@
 from weirscale.gateway.settings import ListenAddress
 
 MAX_DATAGRAM_BYTES = 65_535
-"""Largest datagram of UDP over IPv4."""
+"""Maximum size of a UDP datagram over IPv4."""
 
 MAX_BATCH = 256
-"""Datagrams read in one turn; the kernel keeps the rest until the next. Not measured."""
+"""Maximum number of datagrams read at once; the kernel queues the rest until the next read."""
 
 Datagram = tuple[bytes, ListenAddress]
-"""What arrived, and from where."""
+"""A datagram's data and the address of its sender."""
 
 
 class DatagramSocket:
@@ -35,11 +35,11 @@
         self._socket.bind((address.host, address.port))
 
     def send(self, data: bytes, address: ListenAddress) -> None:
-        """Send a datagram; one that does not fit the link now, or reaches nobody, is lost."""
+        """Send a datagram; it is lost if the link is saturated or nothing listens there."""
         try:
             self._socket.sendto(data, (address.host, address.port))
         except OSError:
-            # As lost as any datagram on the way: whoever needs an answer asks again.
+            # The datagram counts as lost in transit; senders that need an answer ask again.
             return
 
     def receive(self) -> list[Datagram]:
@@ -49,7 +49,7 @@
             try:
                 data, (host, port) = self._socket.recvfrom(MAX_DATAGRAM_BYTES)
             except OSError:
-                # Nothing waits any more, or an earlier datagram reached nobody.
+                # No datagram is left, or an earlier one could not be delivered.
                 break
             datagrams.append((data, ListenAddress(host, port)))
         return datagrams
--- a/src/weirscale/gateway/peers/groups.py
+++ b/src/weirscale/gateway/peers/groups.py
@@ -1,9 +1,9 @@
-"""Divides the nodes into small groups, so that what a node receives does not grow with the fleet.
+"""Divides nodes into small groups, so that a node's inbound traffic does not grow with the fleet.
 
-Within a group every node sends every other its gossip. One node of each group, its head, sends
-the sum to the heads of the other groups, and to its own group the sum of theirs
-(`gossip.group_relay`). All nodes work out the same division from the same registrations. A fleet
-that fits into one group is one group.
+Within a group, every node sends its gossip to every other node. One node of each group, the head,
+sends the sum of its group to the heads of the other groups, and the sum of the other groups to its
+own group (`gossip.group_relay`). All nodes compute the same division from the same registrations. A
+fleet that fits into one group forms a single group.
 """
 
 from collections.abc import Collection, Mapping
@@ -13,10 +13,10 @@
 
 from weirscale.domain.identifiers import ZoneName
 
-MOST_MEMBERS = 12
-"""More nodes than this are divided: by zone first, since bytes between zones are dear, then by
-hash. A node receives from this many others, some three times a second from each; measured in
-docs/design/0014-size.md."""
+MAX_GROUP_MEMBERS = 12
+"""Maximum number of nodes in a group. Larger fleets are divided by zone first, because traffic
+between zones is expensive, then by hash. A node receives messages from this many others, about
+three times a second from each (docs/design/0014-size.md)."""
 
 HASH_BITS = 64
 """Bits of `name_hash`."""
@@ -28,7 +28,8 @@
     Attributes:
         name: Its name.
         zone: Its zone.
-        capacity: How much it can do for others, in hundredths of an ordinary machine.
+        capacity: Capacity for work done on behalf of other nodes, in hundredths of an ordinary
+            machine.
     """
 
     name: str
@@ -40,28 +41,28 @@
     """All groups of a fleet.
 
     Attributes:
-        groups: Each group's members by the group's name, who should be head first.
-        group_of: The group's name by a member's name.
+        groups: Members of each group by the group's name, in order of preference as its head.
+        group_of: Name of the group by a member's name.
     """
 
     groups: Mapping[str, tuple[Member, ...]]
     group_of: Mapping[str, str]
 
     def group_members(self, name: str) -> tuple[Member, ...]:
-        """Return a node's group, itself included; empty for an unknown node."""
+        """Return the members of a node's group, including the node; empty for an unknown node."""
         group = self.group_of.get(name)
         return () if group is None else self.groups[group]
 
 
 def divide(members: Collection[Member]) -> Division:
-    """Return the division of these nodes."""
+    """Divide nodes into groups."""
     groups: dict[str, list[Member]] = {}
     for member in members:
         groups.setdefault("", []).append(member)
-    if len(members) > MOST_MEMBERS:
+    if len(members) > MAX_GROUP_MEMBERS:
         groups = _divide_by_zone(members)
     ranked = {name: tuple(sorted(group, key=head_rank)) for name, group in groups.items()}
-    group_of = {one.name: name for name, group in ranked.items() for one in group}
+    group_of = {member.name: name for name, group in ranked.items() for member in group}
     return Division(ranked, group_of)
 
 
@@ -70,21 +71,21 @@
     for member in members:
         zones.setdefault(member.zone, []).append(member)
     groups: dict[str, list[Member]] = {}
-    for zone, inhabitants in zones.items():
+    for zone, zone_members in zones.items():
         num_bits = 0
-        while len(inhabitants) > MOST_MEMBERS << num_bits:
+        while len(zone_members) > MAX_GROUP_MEMBERS << num_bits:
             num_bits += 1
-        for member in inhabitants:
-            share = name_hash(member.name) >> (HASH_BITS - num_bits)
-            groups.setdefault(f"{zone}/{num_bits}/{share}", []).append(member)
+        for member in zone_members:
+            hash_prefix = name_hash(member.name) >> (HASH_BITS - num_bits)
+            groups.setdefault(f"{zone}/{num_bits}/{hash_prefix}", []).append(member)
     return groups
 
 
 def head_rank(member: Member) -> tuple[int, int, str]:
-    """Return a sort key: the greatest capacity first, then by hash, so that duties spread."""
+    """Return a sort key: highest capacity first, then by hash, which spreads the head's work."""
     return -member.capacity, name_hash(member.name), member.name
 
 
 def name_hash(name: str) -> int:
-    """Return the hash that orders nodes; the same on all nodes."""
+    """Return the hash by which nodes are ordered; it is the same on all nodes."""
     return xxhash.xxh64_intdigest(name.encode())
--- a/src/weirscale/gateway/peers/heartbeat.py
+++ b/src/weirscale/gateway/peers/heartbeat.py
@@ -1,12 +1,12 @@
-"""How often nodes show each other that they live, and when one counts as silent."""
+"""Heartbeat intervals and the timeout after which a silent peer is ignored."""
 
 PEER_TIMEOUT_S = 1.5
-"""Seconds; a source silent for this long has stopped or is cut off, and its load counts no more.
-Sources send all their loads once a second. Not measured."""
+"""Seconds without a message after which a source counts as stopped or unreachable, and its load is
+no longer counted. Sources send all their loads once a second."""
 
 SWEEP_INTERVAL_S = 0.1
-"""Seconds between two searches for loads that have grown too old. Not measured."""
+"""Seconds between two sweeps for expired loads."""
 
 HEARTBEAT_INTERVAL_S = 0.25
-"""Seconds between two heartbeats where there are quotas; in a large fleet nodes have gossip to
-send as often as that anyway. Not measured."""
+"""Seconds between two heartbeats if quotas are configured. In a large fleet, nodes send gossip at
+least this often anyway."""
--- a/src/weirscale/gateway/peers/messages.py
+++ b/src/weirscale/gateway/peers/messages.py
@@ -1,9 +1,10 @@
-"""Messages between nodes: typed, cbor2 on the wire, as arrays whose order of fields is the wire's.
+"""Messages between nodes: cbor2 arrays, whose order of fields is part of the protocol.
 
-`Gossip` improves choices, and a lost datagram costs no more than a worse choice. Loads are absolute
-values, so a later message makes good an earlier loss. `StateQuery` and `StateReply` spread the
-platform's state from the nodes that read the store to the others (`replication.subscription`);
-`AgesQuery` and `AgesReply` carry bounds on ages (`replication.age_exchange`).
+`Gossip` improves the choice of back ends; a lost datagram causes no more than a worse choice. Loads
+are absolute values, so a later message makes up for a lost one. `StateQuery` and `StateReply`
+distribute the platform's state from the nodes that read the store to the others
+(`replication.subscription`). `AgesQuery` and `AgesReply` carry bounds on ages
+(`replication.age_exchange`).
 """
 
 from collections.abc import Awaitable, Callable, Iterable
@@ -17,7 +18,7 @@
 from weirscale.gateway.settings import ListenAddress
 
 MAX_REPLY_BYTES = 24_000
-"""Larger replies are not sent: datagrams of many fragments are lost too often. Not measured."""
+"""Larger replies are not sent, because datagrams with many fragments are lost too often."""
 
 
 class LoadGossip(msgspec.Struct, frozen=True, array_like=True):
@@ -30,7 +31,7 @@
 
 
 class SendGossip(msgspec.Struct, frozen=True, array_like=True):
-    """A prompt was sent to an engine, or (`is_ready`) has been read there."""
+    """A prompt was sent to an engine or, if `is_ready`, has been processed there."""
 
     instance: InstanceId
     scope: str
@@ -39,7 +40,7 @@
 
 
 class LoadingGossip(msgspec.Struct, frozen=True, array_like=True):
-    """An engine is about to load weights, or has them (`is_done`)."""
+    """An engine is about to load weights or, if `is_done`, has loaded them."""
 
     instance: InstanceId
     model: str
@@ -48,7 +49,7 @@
 
 
 class TargetVersionGossip(msgspec.Struct, frozen=True, array_like=True):
-    """For how long a version has been the target at most, as far as the sender knows."""
+    """The sender's upper bound on the age of a target version."""
 
     model: str
     version: int
@@ -62,7 +63,7 @@
 
 
 class LeavingGossip(msgspec.Struct, frozen=True, array_like=True):
-    """A back end has said in an answer that it leaves.
+    """A back end announced in an answer that it is leaving.
 
     Attributes:
         run: The back end's run.
@@ -82,11 +83,11 @@
 
 
 class LimitGossip(msgspec.Struct, frozen=True, array_like=True):
-    """A back end has just stated another request limit in an answer, or none any more.
+    """A back end has just changed or dropped its request limit in an answer.
 
     Attributes:
         run: The back end's run.
-        limit_per_s: Requests a second that it takes from all nodes together; None for any.
+        limit_per_s: Requests per second that it accepts from all nodes together; None for no limit.
     """
 
     run: str
@@ -94,12 +95,12 @@
 
 
 class UsageGossip(msgspec.Struct, frozen=True, array_like=True):
-    """What a tenant with a quota spends and asks for, in its quota's units a second.
+    """Usage and demand of a tenant with a quota, in the quota's units per second.
 
     Attributes:
         tenant: The tenant.
-        spent_per_s: What was sent to back ends and not proved unrun.
-        asked_per_s: What callers asked for, refused or not, by priority.
+        spent_per_s: Units sent to back ends, without requests that provably were not run.
+        asked_per_s: Units requested by callers, including refused requests, by priority.
     """
 
     tenant: str
@@ -108,16 +109,16 @@
 
 
 class CanaryGossip(msgspec.Struct, frozen=True, array_like=True):
-    """How requests of a service ended since a rollout was ordered; absolute counts.
+    """Absolute counts of a service's requests by outcome since a rollout was ordered.
 
     Attributes:
         service: The service.
-        epoch: The order.
+        epoch: The rollout order.
         route: Name of the route.
-        instance: An engine of the target, or empty for all engines of older versions.
-        num: Requests that ended there.
-        num_failed: Those without a whole sound answer.
-        num_slow: Those that were several times slower than usual.
+        instance: An engine of the target version, or empty for all engines of older versions.
+        num: Number of requests that ended there.
+        num_failed: Number of requests without a complete and valid answer.
+        num_slow: Number of requests that were several times slower than usual.
     """
 
     service: str
@@ -130,12 +131,12 @@
 
 
 class MovedGossip(msgspec.Struct, frozen=True, array_like=True):
-    """How many nodes know that a service's traffic moves and have nothing at older versions.
+    """Number of nodes that have moved a service's traffic and have no requests at older versions.
 
     Attributes:
         service: The service.
-        epoch: The order.
-        num_nodes: The nodes, the sender included.
+        epoch: The rollout order.
+        num_nodes: Number of nodes, including the sender.
     """
 
     service: str
@@ -144,12 +145,12 @@
 
 
 class CrashGossip(msgspec.Struct, frozen=True, array_like=True):
-    """A back end crashed under a request.
+    """A back end crashed while processing a request.
 
     Attributes:
         request: The request's fingerprint.
         run: The back end's run.
-        was_sent_after_crash: Whether an earlier crash under it was known when it was sent there.
+        was_sent_after_crash: Whether the request was sent there after a known earlier crash.
     """
 
     request: str
@@ -158,7 +159,7 @@
 
 
 class AnsweredGossip(msgspec.Struct, frozen=True, array_like=True):
-    """A back end answered a request under which others had crashed.
+    """A back end answered a request during which other back ends had crashed.
 
     Attributes:
         request: The request's fingerprint.
@@ -168,32 +169,31 @@
 
 
 REST_OF_FLEET = "*"
-"""Names all groups but the receiver's own in `Gossip.group`."""
+"""Value of `Gossip.group` for all groups except the receiver's own."""
 
 
 class Gossip(msgspec.Struct, frozen=True, array_like=True, tag="news"):
-    """What improves choices.
+    """Information that improves the choice of back ends.
 
     Attributes:
-        sender: The node that sends it.
+        sender: The sending node.
         loads: Loads on back ends.
-        sends: Prompts at engines.
-        loading: Engines that load weights.
-        target_versions: Always empty (`AgesReply` carries them): keeps the place of a field of
-            earlier releases.
+        sends: Prompts sent to engines.
+        loading: Engines that are loading or have loaded weights.
+        target_versions: Always empty (see `AgesReply`); reserves the position of an earlier field.
         suspects: Unreachable back ends.
-        group: Empty for the sender's own loads and counts; else they are the sum of this group's
-            members, or with `REST_OF_FLEET` of all groups but the receiver's.
-        usage: What tenants with a quota spend, of the same nodes as the loads.
-        num_nodes: How many nodes that is.
-        canary_counts: How requests under rollouts ended, at the same nodes.
-        moved_nodes: How many of these nodes have moved to the target of a rollout.
-        sender_run: Drawn at random when the sender's process starts; counts begin at 0 in each run.
-        crashes: Crashes of back ends and what they were at work on.
-        answered: Requests that crash nothing after all.
-        leaving: Back ends that said that they leave. Releases without this field ignore it.
-        ended: Back ends at whose address another run answered. As `leaving`.
-        limits: Request limits that back ends stated. As `leaving`.
+        group: Empty if the loads and counts are the sender's own. Otherwise they are the sums over
+            this group's members or, with `REST_OF_FLEET`, over all groups except the receiver's.
+        usage: Usage of tenants with a quota, at the same nodes as the loads.
+        num_nodes: Number of nodes that the loads and counts cover.
+        canary_counts: Request counts by outcome during rollouts, at the same nodes.
+        moved_nodes: Number of these nodes that have moved to the target of a rollout.
+        sender_run: Random number of the sender's process; counts start at 0 in each process.
+        crashes: Crashes of back ends and the requests being processed at the time.
+        answered: Requests that were answered, so they did not cause the crashes.
+        leaving: Back ends that announced their leaving. Releases without this field ignore it.
+        ended: Back ends at whose address another run answered. Ignored like `leaving`.
+        limits: Request limits stated by back ends. Ignored like `leaving`.
     """
 
     sender: str
@@ -216,12 +216,12 @@
 
 
 class StateQuery(msgspec.Struct, frozen=True, array_like=True, tag="query"):
-    """A node asks a reader of the store for what it lacks, and for proof that this is all.
+    """Asks a reader of the store for missing changes, and for proof that they are complete.
 
     Attributes:
-        sender: The node that asks.
-        number: Returned in the reply; the sender knows when it asked.
-        after_revision: Revision up to which the sender knows everything.
+        sender: The querying node.
+        number: Query number, returned in the reply; the sender stores the send time for it.
+        after_revision: Revision up to which the sender has the complete state.
     """
 
     sender: str
@@ -230,15 +230,15 @@
 
 
 class StateReply(msgspec.Struct, frozen=True, array_like=True, tag="reply"):
-    """The changes after a revision, or the word that they must be read from the store.
+    """The changes after a revision, or the notice that they must be read from the store.
 
     Attributes:
-        sender: The reader.
-        number: Number of the query, 0 for changes that nobody asked for.
+        sender: The reader of the store.
+        number: Number of the query; 0 for changes that were sent without a query.
         after_revision: The changes are complete after this revision.
         revision: The changes are complete up to this revision.
-        proof_age_ms: Everything acknowledged longer ago than this is in it.
-        are_changes_omitted: The changes are too old or too large to be sent.
+        proof_age_ms: Everything that the store acknowledged longer ago than this is included.
+        are_changes_omitted: Whether the changes are too old or too large to be sent.
         changes: The latest change of each key.
     """
 
@@ -252,11 +252,11 @@
 
 
 class AgesQuery(msgspec.Struct, frozen=True, array_like=True, tag="ages?"):
-    """A node asks another one for ages that it cannot know alone.
+    """Asks another node for ages that the sender cannot determine alone.
 
     Attributes:
-        sender: The node that asks.
-        number: Returned in the reply; the sender knows when it asked.
+        sender: The querying node.
+        number: Query number, returned in the reply; the sender stores the send time for it.
     """
 
     sender: str
@@ -264,15 +264,15 @@
 
 
 class AgesReply(msgspec.Struct, frozen=True, array_like=True, tag="ages"):
-    """Ages at the time of the answer, rounded up.
+    """Ages at the time of the reply, rounded up.
 
     Attributes:
-        sender: The node that answers.
+        sender: The replying node.
         number: Number of the query.
-        span_age_ms: How long ago the time began in which the store answers without a long pause.
-        proof_age_ms: How long ago the store last answered.
-        silent_age_ms: Age of the answer before that time, where the sender was awake and got
-            nothing for long in between; None otherwise.
+        span_age_ms: Age of the beginning of the span of store answers without a long pause.
+        proof_age_ms: Age of the store's last answer.
+        silent_age_ms: Age of the last answer before that span, if the sender was awake during the
+            silence in between; None otherwise.
         target_versions: Upper bounds on the age of target versions.
     """
 
@@ -285,15 +285,15 @@
 
 
 class PermitQuery(msgspec.Struct, frozen=True, array_like=True, tag="permits?"):
-    """A node asks for permits to send requests to a back end that states a limit.
+    """Asks for permits to send requests to a back end that states a request limit.
 
     Attributes:
-        sender: The node that asks.
-        number: Returned in the reply; the sender knows when it asked.
+        sender: The querying node.
+        number: Query number, returned in the reply; the sender stores the send time for it.
         run: The back end's run.
-        num_requested: Permits that it can use within their life.
-        limit_per_s: The limit that it knows of.
-        age_ms: How long ago the back end stated it.
+        num_requested: Number of permits that the sender can use before they expire.
+        limit_per_s: The latest limit received by the sender.
+        age_ms: Age of the back end's statement of this limit.
     """
 
     sender: str
@@ -305,16 +305,16 @@
 
 
 class PermitReply(msgspec.Struct, frozen=True, array_like=True, tag="permits"):
-    """Permits, or how long to wait before asking again.
+    """Grants permits, or states how long to wait before the next query.
 
     Attributes:
-        sender: The node that answers.
+        sender: The replying node.
         number: Number of the query.
         run: The back end's run.
-        num_permits: Requests that may be sent to it.
-        wait_ms: Where that is 0: time until asking again makes sense.
-        limit_per_s: The limit that the sender knows of; None if it has ended.
-        age_ms: How long ago the back end stated it.
+        num_permits: Number of requests that may be sent to the back end.
+        wait_ms: If `num_permits` is 0, time until the next query is useful.
+        limit_per_s: The latest limit received by the sender; None if the back end has dropped it.
+        age_ms: Age of the back end's statement of this limit.
     """
 
     sender: str
@@ -339,12 +339,12 @@
 
 
 def decode_message(datagram: bytes) -> PeerMessage | None:
-    """Decode a message; None for anything else than a valid one."""
+    """Decode a message; return None for an invalid one."""
     try:
         message: PeerMessage = msgspec.convert(
             cbor2.loads(datagram), PeerMessage, builtin_types=(bytes,)
         )
     except (cbor2.CBORDecodeError, msgspec.ValidationError, ValueError, TypeError):
-        # Not from a node of this fleet, or damaged: dropped like a datagram that was lost.
+        # The datagram is damaged or not from a node of this fleet; treat it as lost.
         return None
     return message
--- a/src/weirscale/gateway/peers/open_queries.py
+++ b/src/weirscale/gateway/peers/open_queries.py
@@ -1,20 +1,20 @@
-"""When queries went out whose answers are still waited for: answers count from then."""
+"""Send times of queries that still wait for an answer; answers are dated from these times."""
 
 from random import Random
 
 MAX_OPEN_QUERIES = 8
-"""Queries whose answers are waited for; beyond it the oldest are given up. Not measured."""
+"""Maximum number of open queries; beyond it, the oldest are abandoned."""
 
 NUMBER_BITS = 31
-"""Bits of the first number, which is drawn at random."""
+"""Number of bits of the first query number, which is random."""
 
 
 class OpenQueries:
-    """Numbers a node's queries and keeps the times of the last few.
+    """Numbers a node's queries and stores the send times of the latest ones.
 
     Args:
-        random: Draws the first number: an answer to the process before must not pass for one to
-            this.
+        random: Source of the first number. It is random so that an answer to a previous process of
+            this node is not taken for an answer to this one.
     """
 
     def __init__(self, random: Random) -> None:
@@ -22,7 +22,7 @@
         self._asked_at_s: dict[int, float] = {}
 
     def open(self, now_s: float) -> int:
-        """Return the number of a query that goes out now; never 0."""
+        """Open a query sent at `now_s`, and return its number, which is never 0."""
         self._number += 1
         self._asked_at_s[self._number] = now_s
         while len(self._asked_at_s) > MAX_OPEN_QUERIES:
@@ -30,9 +30,9 @@
         return self._number
 
     def asked_at_s(self, number: int) -> float | None:
-        """Return when a query went out; None if it is not open."""
+        """Return when a query was sent; None if it is not open."""
         return self._asked_at_s.get(number)
 
     def close(self, number: int) -> float | None:
-        """Return when a query went out, and wait for no further answer to it."""
+        """Close a query, and return when it was sent; None if it was not open."""
         return self._asked_at_s.pop(number, None)
--- a/src/weirscale/gateway/peers/outbox.py
+++ b/src/weirscale/gateway/peers/outbox.py
@@ -1,4 +1,4 @@
-"""Collects the gossip that a node is to send with its next message."""
+"""Collects the gossip for a node's next message."""
 
 from weirscale.gateway.model.identifiers import InstanceId
 from weirscale.gateway.peers.messages import (
@@ -18,23 +18,25 @@
 )
 
 MAX_SENDS_PER_MESSAGE = 64
-"""Sent prompts in one message; the oldest are dropped. Bounds the datagram; not measured."""
+"""Maximum number of sent prompts in one message, which bounds the datagram's size; the oldest are
+dropped."""
 
 MAX_CRASHES_PER_MESSAGE = 64
-"""Crashes in one message; the others wait for the next. Bounds the datagram; not measured."""
+"""Maximum number of crashes in one message, which bounds the datagram's size; the others wait for
+the next message."""
 
 MAX_WAITING_CRASHES = 4096
-"""Crashes that wait; beyond it the oldest are dropped. So many come at once only where a whole
-region is lost. Not measured."""
+"""Maximum number of queued crashes; beyond it, the oldest are dropped. So many crash at once only
+if a whole region fails."""
 
 
 class GossipOutbox:
-    """Collects what is to be sent, until the next message takes it.
+    """Collects gossip until the next message is taken.
 
     Args:
-        sender: This node.
-        group: Whose loads and counts it sends, as in `Gossip.group`.
-        sender_run: As in `Gossip.sender_run`.
+        sender: Name of this node.
+        group: The group whose loads and counts are sent, as in `Gossip.group`.
+        sender_run: Identifier of this process, as in `Gossip.sender_run`.
     """
 
     def __init__(self, sender: str, group: str = "", sender_run: int = 0) -> None:
@@ -46,7 +48,7 @@
         self._clear()
 
     def _clear(self) -> None:
-        """Start the next message; crashes that did not fit into the last one stay."""
+        """Start the next message; crashes that did not fit into the last one are kept."""
         self._loads: dict[InstanceId, LoadGossip] = {}
         self._sends: list[SendGossip] = []
         self._loading: list[LoadingGossip] = []
@@ -60,32 +62,32 @@
         self._limits: dict[str, LimitGossip] = {}
 
     def add_usage(self, gossip: UsageGossip) -> None:
-        """Add what a tenant spends; replaces what waits for this tenant."""
+        """Add the usage of a tenant, replacing the queued one of the same tenant."""
         self._usage[gossip.tenant] = gossip
 
     def set_num_nodes(self, num_nodes: int) -> None:
-        """Set of how many nodes the usage is."""
+        """Set the number of nodes that the usage covers."""
         self._num_nodes = num_nodes
 
     def add_canary_counts(self, gossip: CanaryGossip) -> None:
-        """Add counts of a rollout; replaces those that wait for the same back ends and route."""
+        """Add counts of a rollout, replacing the queued ones of the same back ends and route."""
         self._canary_counts[(gossip.epoch, gossip.route, gossip.instance)] = gossip
 
     def add_moved_nodes(self, gossip: MovedGossip) -> None:
-        """Add how many nodes have moved; replaces what waits for this rollout."""
+        """Add the number of nodes that have moved, replacing the queued one of this rollout."""
         self._moved_nodes[gossip.epoch] = gossip
 
     def add_load(self, gossip: LoadGossip) -> None:
-        """Add a load; replaces one that waits for this back end."""
+        """Add a load, replacing the queued one of the same back end."""
         self._loads[gossip.instance] = gossip
 
     def add_send(self, gossip: SendGossip) -> None:
-        """Add a prompt that was sent or read; the oldest are dropped when there are too many."""
+        """Add a prompt that was sent or processed; the oldest are dropped if there are too many."""
         self._sends.append(gossip)
         del self._sends[:-MAX_SENDS_PER_MESSAGE]
 
     def add_loading(self, gossip: LoadingGossip) -> None:
-        """Add that an engine loads weights, or has loaded them."""
+        """Add an engine that is loading weights or has loaded them."""
         self._loading.append(gossip)
 
     def add_suspect(self, gossip: SuspectGossip) -> None:
@@ -93,25 +95,25 @@
         self._suspects[gossip.instance] = gossip
 
     def add_crash(self, gossip: CrashGossip) -> None:
-        """Add a crash under a request; the oldest are dropped when there are too many."""
+        """Add a crash during a request; the oldest are dropped if there are too many."""
         self._crashes[(gossip.request, gossip.run)] = gossip
         if len(self._crashes) > MAX_WAITING_CRASHES:
             del self._crashes[next(iter(self._crashes))]
 
     def add_answered(self, gossip: AnsweredGossip) -> None:
-        """Add a request that was answered after crashes under it."""
+        """Add a request that was answered after back ends had crashed while processing it."""
         self._answered[gossip.request] = gossip
 
     def add_leaving(self, gossip: LeavingGossip) -> None:
-        """Add a back end that leaves."""
+        """Add a back end that is leaving."""
         self._leaving[gossip.run] = gossip
 
     def add_ended(self, gossip: EndedGossip) -> None:
-        """Add a back end in whose place another run answered."""
+        """Add a back end that has ended, because another run answered at its address."""
         self._ended[gossip.run] = gossip
 
     def add_limit(self, gossip: LimitGossip) -> None:
-        """Add a request limit; replaces one that waits for this run."""
+        """Add a request limit, replacing the queued one of the same run."""
         self._limits[gossip.run] = gossip
 
     def _take_crashes(self) -> tuple[CrashGossip, ...]:
@@ -119,10 +121,10 @@
         return tuple(self._crashes.pop(key) for key in taken)
 
     def take(self, group: str | None = None, with_empty: bool = False) -> Gossip | None:
-        """Return the message and start the next; None if it would be empty.
+        """Return the message and start the next one; None if the message would be empty.
 
         Args:
-            group: Whose loads and counts it sends, if not those of the outbox's own group.
+            group: The group whose loads and counts are sent; defaults to the outbox's own group.
             with_empty: Whether to return an empty message too, as a heartbeat.
         """
         if not with_empty and self._is_empty():
--- a/src/weirscale/gateway/peers/registrations.py
+++ b/src/weirscale/gateway/peers/registrations.py
@@ -1,4 +1,4 @@
-"""Registers this node in the store, and finds the other nodes by their registrations."""
+"""Registers this node in the store, and discovers the other nodes from their registrations."""
 
 from collections.abc import Callable
 
@@ -17,35 +17,35 @@
 
 NODE_PREFIX = "weirscale/nodes/"
 REGISTRATION_LIFE_S = 6.0
-"""Seconds that a registration lasts without renewal: some renewals may fail. Not measured."""
+"""Lease duration of a registration in seconds; long enough for some renewals to fail."""
 
 RENEWAL_INTERVAL_S = 2.0
-"""Seconds between two renewals. Not measured."""
+"""Seconds between two renewals."""
 
 REGISTRATION_RETRY_S = 0.5
-"""Seconds until a failed registration or renewal is tried again. Not measured."""
+"""Seconds until a failed registration or renewal is retried."""
 
 CALL_TIMEOUT_S = 1.5
-"""Seconds that a registration, a renewal or its end may take. Not measured."""
+"""Timeout in seconds of registering, renewing or withdrawing."""
 
-NUM_SWAPS = 3
-"""Attempts to write over an earlier run's registration, which may change meanwhile. Not
-measured."""
+MAX_SWAP_ATTEMPTS = 3
+"""Number of attempts to overwrite a registration of an earlier run, which may change in the
+meantime."""
 
-DIVISION_MEMORY_S = 20.0
-"""Seconds for which a node that left the registrations keeps its place in the groups: most come
-back. Nodes learn of a change at different times, and while their divisions differ they don't
-receive each other's gossip; so a fleet of which a third is cut off must not be divided anew. Who
-is head goes by received gossip, not by registrations. Not measured apart (docs/DECISIONS.md,
-T3)."""
+GROUP_RETENTION_S = 20.0
+"""Seconds for which a node whose registration ended keeps its place in the groups, because most
+such nodes return. Nodes receive a change at different times, and while their divisions differ, they
+do not receive each other's gossip. A partition that cuts off a third of the fleet must therefore
+not change the division. The head of a group is determined by received gossip, not by registrations
+(docs/DECISIONS.md, T3)."""
 
-REMEMBERED_PEER_S = 60.0
-"""Seconds for which a node that left the registrations still counts for shared budgets. Not
-measured."""
+BUDGET_RETENTION_S = 60.0
+"""Seconds for which a node whose registration ended still counts for shared budgets."""
 
 
 class Registration(msgspec.Struct, frozen=True, array_like=True):
-    """What a node writes into the store about itself: an array, so the order of fields counts."""
+    """A node's entry in the store, encoded as an array: the order of fields is part of the
+    format."""
 
     host: str
     port: int
@@ -54,14 +54,14 @@
 
 
 class PeerDirectory:
-    """The registered nodes.
+    """Lists the registered nodes and their division into groups.
 
     Args:
-        name: This node.
-        cluster: Where registrations are read.
+        name: Name of this node.
+        cluster: The state that contains the registrations.
         clock: Monotonic seconds.
         zone: This node's zone.
-        capacity: This node's capacity, as it registers it.
+        capacity: This node's capacity, as registered.
     """
 
     def __init__(
@@ -80,8 +80,8 @@
         self._registrations: dict[str, Registration] = {}
         self._addresses: dict[str, ListenAddress] = {}
         self._departed: dict[str, Registration] = {}
-        """Nodes that left the registrations and still have a place in the groups."""
-        self._next_given_up_s = 0.0
+        """Nodes whose registrations ended and that still have a place in the groups."""
+        self._next_expiry_s = 0.0
         self._group_addresses: dict[str, ListenAddress] = {}
         self._division = divide((self._own,))
 
@@ -96,76 +96,82 @@
         return self._group_addresses
 
     def division(self) -> Division:
-        """Return the groups of all nodes that are registered, or were of late, and this one."""
+        """Return the groups of all nodes registered now or recently, including this one."""
         self._read_changes()
         return self._division
 
     def members(self) -> list[Member]:
-        """Return all registered nodes and this one."""
+        """Return all registered nodes, including this one."""
         self._read_changes()
         return [self._own, *self._others()]
 
     def _others(self) -> list[Member]:
-        return [_member(name, one) for name, one in self._registrations.items()]
+        return [_member(name, registration) for name, registration in self._registrations.items()]
 
     def _read_changes(self) -> None:
-        """Read the registrations anew if any record has changed."""
+        """Read the registrations again if any record has changed."""
         if self._cluster.records.num_changes == self._read_at_change:
             self._forget_departed()
             return
         self._read_at_change = self._cluster.records.num_changes
-        found: dict[str, Registration] = {}
+        current: dict[str, Registration] = {}
         for key, value in self._cluster.records.under(NODE_PREFIX):
             registration = _read_registration(value)
             if registration is not None:
-                found[key.removeprefix(NODE_PREFIX)] = registration
-        found.pop(self._own.name, None)
-        if found == self._registrations:
+                current[key.removeprefix(NODE_PREFIX)] = registration
+        current.pop(self._own.name, None)
+        if current == self._registrations:
             return
         now_s = self._clock()
-        left = {name: one for name, one in self._registrations.items() if name not in found}
-        self._left_at_s.update(dict.fromkeys(left, now_s))
-        self._departed.update(left)
-        for name in found:
+        ended = {
+            name: registration
+            for name, registration in self._registrations.items()
+            if name not in current
+        }
+        self._left_at_s.update(dict.fromkeys(ended, now_s))
+        self._departed.update(ended)
+        for name in current:
             self._left_at_s.pop(name, None)
             self._departed.pop(name, None)
-        self._registrations = found
-        self._addresses = _addresses(found)
+        self._registrations = current
+        self._addresses = _addresses(current)
         self._divide()
 
     def _forget_departed(self) -> None:
-        """Give up the places of nodes that have not registered again in time."""
-        if not self._departed or self._clock() < self._next_given_up_s:
+        """Remove nodes from the groups that have not registered again in time."""
+        if not self._departed or self._clock() < self._next_expiry_s:
             return
-        since_s = self._clock() - DIVISION_MEMORY_S
-        for name in [one for one in self._departed if self._left_at_s[one] <= since_s]:
+        since_s = self._clock() - GROUP_RETENTION_S
+        for name in [name for name in self._departed if self._left_at_s[name] <= since_s]:
             del self._departed[name]
         self._divide()
 
     def _divide(self) -> None:
-        placed = self._registrations | self._departed
+        grouped = self._registrations | self._departed
         first_left_s = min((self._left_at_s[name] for name in self._departed), default=0.0)
-        self._next_given_up_s = first_left_s + DIVISION_MEMORY_S
-        self._group_addresses = _addresses(placed)
-        division = divide([self._own, *(_member(name, one) for name, one in placed.items())])
+        self._next_expiry_s = first_left_s + GROUP_RETENTION_S
+        self._group_addresses = _addresses(grouped)
+        division = divide(
+            [self._own, *(_member(name, registration) for name, registration in grouped.items())]
+        )
         if division != self._division:
             self._division = division
 
-    def num_nodes(self, remembered_s: float = REMEMBERED_PEER_S) -> int:
-        """Return how many nodes may share a budget: all seen lately, this one included.
+    def num_nodes(self, retention_s: float = BUDGET_RETENTION_S) -> int:
+        """Return how many nodes may share a budget: all seen recently, including this one.
 
         Args:
-            remembered_s: How long one that left the registrations still counts.
+            retention_s: Seconds for which a node still counts after its registration ended.
         """
         self._read_changes()
-        since_s = self._clock() - remembered_s
+        since_s = self._clock() - retention_s
         num_left = sum(1 for left_at_s in self._left_at_s.values() if left_at_s >= since_s)
         return 1 + len(self._registrations) + num_left
 
     def rank(self) -> int:
-        """Return this node's place among the registered ones: who registered last comes first.
+        """Return this node's rank among the registered nodes; the latest registration has rank 0.
 
-        While all nodes restart in turn, those that started last are the last to stop again.
+        During a rolling restart, the nodes that started last are the last to stop again.
         """
         own = self._cluster.revision_of(NODE_PREFIX + self._own.name)
         others = (self._cluster.revision_of(NODE_PREFIX + name) for name in self.addresses())
@@ -177,26 +183,29 @@
 
 
 def _addresses(registrations: dict[str, Registration]) -> dict[str, ListenAddress]:
-    return {name: ListenAddress(one.host, one.port) for name, one in registrations.items()}
+    return {
+        name: ListenAddress(registration.host, registration.port)
+        for name, registration in registrations.items()
+    }
 
 
 def _read_registration(value: bytes) -> Registration | None:
     try:
         return msgspec.convert(cbor2.loads(value), Registration)
     except (cbor2.CBORDecodeError, msgspec.ValidationError, ValueError):
-        # A node whose registration cannot be read is left out, as if it were not registered: this
-        # runs at each change of the records, so a log line each time would flood the log.
+        # A node with an unreadable registration is ignored, as if it were not registered. This runs
+        # at each change of the records, so logging it each time would flood the log.
         return None
 
 
 class RegistrationTask:
-    """Keeps this node's registration under a lease; `run` must be running.
+    """Maintains this node's registration under a lease, while `run` is running.
 
     Args:
-        name: This node.
-        registration: What is written of it.
+        name: Name of this node.
+        registration: The entry to write.
         store: The key-value service.
-        event_log: Where losses are logged.
+        event_log: Receives an event when the registration is lost.
     """
 
     def __init__(
@@ -210,7 +219,7 @@
         self._is_withdrawn = False
 
     async def run(self) -> None:
-        """Register, and renew until withdrawn or cancelled."""
+        """Register, and renew the registration until it is withdrawn or the task is cancelled."""
         while not self._is_withdrawn:
             is_registered = False
             with anyio.move_on_after(CALL_TIMEOUT_S):
@@ -218,7 +227,7 @@
             await sleep_to_tick(RENEWAL_INTERVAL_S if is_registered else REGISTRATION_RETRY_S)
 
     async def withdraw(self) -> None:
-        """End the registration; best effort."""
+        """End the registration, without a guarantee that the store receives it."""
         self._is_withdrawn = True
         lease_id, self._lease_id = self._lease_id, 0
         if lease_id:
@@ -230,7 +239,7 @@
             return await self._renew()
         granted = await self._store.grant_lease(REGISTRATION_LIFE_S)
         if isinstance(granted, Err):
-            # No lease was granted: `run` tries again.
+            # No lease was granted; `run` retries.
             return False
         if not await self._write(granted.ok_value):
             return False
@@ -249,9 +258,9 @@
         return False
 
     async def _write(self, lease_id: int) -> bool:
-        """Write under the lease; an earlier run's registration is taken over."""
+        """Write the registration under the lease, replacing that of an earlier run."""
         expected_revision = 0
-        for _ in range(NUM_SWAPS):
+        for _ in range(MAX_SWAP_ATTEMPTS):
             swapped = await self._store.compare_and_swap(
                 self._key, expected_revision, self._value, lease_id
             )
