--- a/src/weirscale/gateway/settings.py
+++ b/src/weirscale/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one gateway process, whatever file or flags they came from."""
+"""Settings of one gateway process, independent of the file or flags that they are read from."""
 
 from collections.abc import Mapping
 
@@ -8,22 +8,23 @@
 
 
 class SettingsError(Exception):
-    """The settings are missing or wrong; the message names the remedy."""
+    """The settings are missing or invalid; the message states the remedy."""
 
 
 class ListenAddress(msgspec.Struct, frozen=True):
-    """An IP number and a port to listen on."""
+    """An IP address and a port to listen on."""
 
     host: str
     port: int
 
 
 class QuotaPrecision(msgspec.Struct, frozen=True):
-    """How exactly tenants' quotas are to be kept.
+    """Allowed deviation from tenants' quotas.
 
     Attributes:
-        window_s: Seconds; in any such span a tenant may spend rate times span plus burst.
-        overage: Share of that which may be spent beyond it.
+        window_s: Length in seconds of the window for which quotas are checked: in any such window,
+            a tenant may spend the rate times the window plus the burst.
+        overage: Share of that amount that may be spent in addition.
         tolerance: Units that may be spent beyond both.
     """
 
@@ -33,12 +34,12 @@
 
 
 class CanaryLimits(msgspec.Struct, frozen=True):
-    """What an unproved version may get.
+    """Limits on the traffic of a canary, which is a version that is not established yet.
 
     Attributes:
-        share: Largest share of the service's requests.
-        tolerance: Requests beyond that share, over all nodes together.
-        rollback_s: Time from the 50th bad answer until nothing is sent to it any more.
+        share: Maximum share of the service's requests.
+        tolerance: Requests allowed beyond that share, over all nodes together.
+        rollback_s: Maximum time from the 50th bad answer until no request is sent to the version.
     """
 
     share: float = 0.1
@@ -47,17 +48,17 @@
 
 
 class Guarantees(msgspec.Struct, frozen=True):
-    """Times within which the deployment's promises hold; defaults where the settings have none.
+    """The deployment's guarantees; the defaults apply if the settings do not state a value.
 
     Attributes:
-        stop_s: From the signal to stop until the process is killed.
-        key_removal_s: Until a removed key serves no more, also at an isolated node; None where the
-            deployment does not ask for it there.
-        lease_s: Least time between orders of two holders.
-        weights_s: Until requests start on the newest target version only.
+        stop_s: Time from the stop signal until the process is killed.
+        key_removal_s: Maximum time until a removed key is refused, even by an isolated node; None
+            if the deployment does not require this of isolated nodes.
+        lease_s: Minimum time between orders of two lease holders.
+        weights_s: Maximum time until requests start only on the newest target version.
         min_lease_s: Shortest lease that the store grants.
-        quota: How exactly tenants' quotas are to be kept.
-        canary: What an unproved version of a service's program may get.
+        quota: Allowed deviation from tenants' quotas.
+        canary: Limits on the traffic of a service version that is not established yet.
     """
 
     stop_s: float = 8.0
@@ -70,14 +71,14 @@
 
 
 class RetryBudgetRules(msgspec.Struct, frozen=True):
-    """The budget of all nodes together, for each service.
+    """Retry budget for each service, shared by all nodes.
 
     Attributes:
-        share: Retries allowed for each request.
-        extra: Retries allowed on top, over all nodes.
-        window_s: Span that the rule looks at.
-        safety: Share of the budget that is used; the rest covers that nodes know of each other's
-            retries late. Not measured.
+        share: Number of retries allowed per request.
+        extra: Additional retries allowed, over all nodes.
+        window_s: Length in seconds of the window to which the budget applies.
+        safety: Share of the budget that is used. The rest is a reserve, because nodes receive each
+            other's retry counts late.
     """
 
     share: float
@@ -89,21 +90,21 @@
 ORDINARY_CORES = 1.0
 ORDINARY_MEMORY_MB = 256.0
 ORDINARY_LINK_MBPS = 50.0
-"""Processor cores, memory in MB and link in Mbit/s of a machine that is as good as any for work
-that it does for others. A group's head receives some 200 KB/s in a fleet of 200 nodes
-(docs/design/0014-size.md): a few hundredths of this link."""
+"""Processor cores, memory in MB and bandwidth in Mbit/s of an ordinary machine, which has full
+capacity for work done on behalf of other nodes. The head of a group receives about 200 KB/s in a
+fleet of 200 nodes (docs/design/0014-size.md), a few percent of this bandwidth."""
 
 FULL_CAPACITY = 100
-"""Capacity of such a machine, in hundredths."""
+"""Capacity of an ordinary machine, in hundredths."""
 
 
 class MachineSize(msgspec.Struct, frozen=True):
-    """What the machine of a node has.
+    """Resources of a node's machine.
 
     Attributes:
-        cores: Share of processor cores.
+        cores: Number of processor cores; may be a fraction.
         memory_mb: Memory for the process, in MB.
-        link_mbps: Bandwidth of its link, in Mbit/s.
+        link_mbps: Bandwidth of the machine's link, in Mbit/s.
     """
 
     cores: float = ORDINARY_CORES
@@ -111,7 +112,8 @@
     link_mbps: float = ORDINARY_LINK_MBPS
 
     def capacity(self) -> int:
-        """Return how much the machine can do for others, in hundredths of an ordinary one."""
+        """Return the capacity for work on behalf of others, in hundredths of an ordinary
+        machine."""
         shares = (
             self.cores / ORDINARY_CORES,
             self.memory_mb / ORDINARY_MEMORY_MB,
@@ -125,17 +127,18 @@
 
     Attributes:
         name: Name of the node.
-        zone: Its zone.
-        callers: Where callers connect.
-        readiness: Where readiness is asked for.
-        metrics: Where metrics are asked for, or None.
-        metrics_path: Path of the metrics as configured; every path of that address answers.
-        peers: Where other nodes' datagrams arrive.
-        is_first_start: Whether the whole system starts for the first time.
+        zone: Zone of the node.
+        callers: Address for callers.
+        readiness: Address for readiness checks.
+        metrics: Address for metrics, or None.
+        metrics_path: Configured path of the metrics; every path of that address returns them.
+        peers: Address for datagrams of other nodes.
+        is_first_start: Whether the whole system is being started for the first time.
         bounds: The deployment's guarantees.
         retry_budget: The deployment's retry budget.
-        machine: What the machine has; those with the greatest capacity do what is done for others.
-        regions: The region of each zone; empty where there is one only.
+        machine: Resources of the machine; nodes with the highest capacity do work on behalf of the
+            others.
+        regions: The region of each zone; empty if there is only one region.
     """
 
     name: str
--- a/src/weirscale/gateway/settings_watch.py
+++ b/src/weirscale/gateway/settings_watch.py
@@ -1,4 +1,4 @@
-"""Takes over changed settings while the process runs, on a signal and without one."""
+"""Applies changed settings while the process is running, on a signal and periodically."""
 
 from collections.abc import Callable
 
@@ -9,21 +9,22 @@
 from weirscale.ports.event_log import EventLog
 
 READ_INTERVAL_S = 2.0
-"""Seconds between two readings without a signal. Not measured."""
+"""Seconds between two reads of the settings without a signal."""
 
-APPLIED = frozenset({"bounds", "retry_budget"})
-"""Fields of `GatewaySettings` that are in force at once; the others count from the next start. The
-log event `settings_taken` lists changed fields by their names, so a rename there changes a log."""
+LIVE_FIELDS = frozenset({"bounds", "retry_budget"})
+"""Fields of `GatewaySettings` that take effect immediately; the others take effect at the next
+start. The log event `settings_taken` lists changed fields by name, so renaming a field changes the
+log."""
 
 
 class SettingsWatch:
-    """Reads the settings again and again; `run` must be running.
+    """Reads the settings repeatedly and applies changes, while `run` is running.
 
     Args:
-        settings: What is in force.
-        read: Reads the settings; raises `SettingsError`.
-        apply: Puts changed settings in force.
-        event_log: Where changes and faults are logged.
+        settings: The settings in force.
+        read: Reads the settings; raises `SettingsError` if they are missing or invalid.
+        apply: Applies changed settings.
+        event_log: Receives an event for each change and each new error.
     """
 
     def __init__(
@@ -41,18 +42,18 @@
         self._last_problem = ""
 
     def signal(self) -> None:
-        """Read the settings now."""
+        """Request that the settings be read now."""
         self._signalled.set()
 
     async def run(self) -> None:
-        """Read until cancelled."""
+        """Read and apply the settings until cancelled."""
         while True:
             with anyio.move_on_after(READ_INTERVAL_S):
                 await self._signalled.wait()
             self._signalled = anyio.Event()
-            self._look()
+            self._reload()
 
-    def _look(self) -> None:
+    def _reload(self) -> None:
         try:
             settings = self._read()
         except SettingsError as error:
@@ -66,12 +67,12 @@
         self._apply(settings)
         self._event_log.event(
             "settings_taken",
-            in_force=",".join(sorted(changed & APPLIED)),
-            from_next_start=",".join(sorted(changed - APPLIED)),
+            in_force=",".join(sorted(changed & LIVE_FIELDS)),
+            from_next_start=",".join(sorted(changed - LIVE_FIELDS)),
         )
 
     def _log_problem(self, problem: str) -> None:
-        """The last good settings stay in force; the same problem is logged once."""
+        """Log a problem unless it was the last one; the last valid settings stay in force."""
         if problem != self._last_problem:
             self._event_log.event("settings_unreadable", problem=problem)
         self._last_problem = problem
@@ -79,6 +80,6 @@
 
 def _changed_fields(before: GatewaySettings, after: GatewaySettings) -> set[str]:
     names = (field.name for field in msgspec.structs.fields(GatewaySettings))
-    # The platform takes this back after the first start; it says nothing of a running process.
+    # The platform resets this field after the first start; it does not affect a running process.
     names = (name for name in names if name != "is_first_start")
     return {name for name in names if getattr(before, name) != getattr(after, name)}
--- a/src/weirscale/gateway/ticks.py
+++ b/src/weirscale/gateway/ticks.py
@@ -1,8 +1,8 @@
-"""Periodic work of a node is done at common moments.
+"""Common ticks at which a node does its periodic work.
 
-A process that wakes finds its caches cold, so that waking costs more than most of what is done
-then. A node at rest woke some 110 times a second for its own timers and for single datagrams; on
-the ticks it wakes 25 times (docs/CAPACITY.md, "Processor time of a node").
+A process that wakes up finds its CPU caches cold, so waking up costs more than most of the work
+done then. With separate timers and datagrams read one by one, an idle node woke up about 110 times
+a second; with common ticks it wakes up 25 times (docs/CAPACITY.md, "Processor time of a node").
 """
 
 import math
@@ -10,12 +10,13 @@
 import anyio
 
 TICK_S = 0.04
-"""Seconds between two ticks: gossip of other nodes is some tenths of a second old anyway. On a day
-of 64 nodes a node took 0.053 of a core with 40 ms and 0.064 with 20 ms (docs/CAPACITY.md)."""
+"""Seconds between two ticks. The delay is acceptable because gossip of other nodes is some tenths
+of a second old anyway. With a day's workload on 64 nodes, a node used 0.053 of a core with 40 ms
+and 0.064 with 20 ms (docs/CAPACITY.md)."""
 
 ROUNDING_S = 1e-6
-"""Seconds; a moment that lies so little after a tick counts as on it: above the rounding of
-floating point, far below a tick."""
+"""Seconds by which a time may exceed a tick and still count as that tick. This is larger than
+floating-point rounding errors and much smaller than a tick."""
 
 
 def next_tick_s(at_s: float) -> float:
@@ -29,5 +30,5 @@
 
 
 async def sleep_to_tick(duration_s: float) -> None:
-    """Sleep for a duration and on to the next tick."""
+    """Sleep for a duration, and then until the next tick."""
     await anyio.sleep_until(next_tick_s(anyio.current_time() + duration_s))
