--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -1,4 +1,4 @@
-"""Assembles a gateway from its parts and runs its tasks."""
+"""Assembles a gateway from its components and runs its tasks."""
 
 from collections.abc import Callable, Iterable
 from random import Random
@@ -66,21 +66,21 @@
 from weirscale.ports.key_value import KeyValuePort
 
 RUN_BITS = 32
-"""Bits of the number that tells one run of a node's process from the next in its gossip."""
+"""Number of bits of the random number that identifies one run of a node's process in its gossip."""
 
 
 class GatewayNode(NodeParts):
-    """One gateway: makes its parts, subsystem by subsystem, and runs their tasks.
+    """One gateway: creates its components, subsystem by subsystem, and runs their tasks.
 
     Args:
         settings: Settings of the process.
-        feed: The platform's state.
+        feed: Feed of the platform's state.
         store: The key-value service.
-        connect: Makes clients of back ends.
-        codec: How callers' requests and refusals are written.
-        event_log: Decisions.
+        connect: Creates ports of back ends.
+        codec: Parses callers' requests and encodes refusals.
+        event_log: Receives an event for each decision.
         random: Source of randomness.
-        clock: Monotonic seconds that count suspensions of the machine.
+        clock: Monotonic seconds that include suspensions of the machine.
     """
 
     def __init__(
@@ -103,7 +103,7 @@
         self._make_holder_tasks()
 
     def _make_rollouts(self) -> None:
-        """Make this node's part in rollouts of service versions, and the quarantine."""
+        """Create the components for rollouts of service versions, and the quarantine."""
         clock = self._clock
         tallies = FleetTallies()
         self.rollout_reporter = RolloutReporter(
@@ -124,7 +124,7 @@
         )  # fmt: skip
 
     def _make_gossip(self) -> None:
-        """Make what this node sends to the others to improve choices."""
+        """Create the components that send gossip to the other nodes."""
         settings, clock = self.settings, self._clock
         self.relay = GroupRelay(
             settings.name, self.peers, self.load, self.quotas, self._send, clock,
@@ -148,7 +148,7 @@
         )
 
     def _make_replication(self) -> None:
-        """Make what brings the platform's state here, and the receiver of other nodes' messages."""
+        """Create the replication of the platform's state, and the receiver of peers' messages."""
         settings, clock, log = self.settings, self._clock, self._event_log
         self.publisher = ChangePublisher(settings.name, self.cluster, self._send, clock)
         self.subscription = StateSubscription(
@@ -178,7 +178,7 @@
         )
 
     def _make_requests(self, codec: RequestCodec) -> None:
-        """Make what serves callers."""
+        """Create the components that serve callers."""
         clock, port_of = self._clock, self._ports.port_of
         pauses = StreamPauses()
         verdicts = BackEndVerdicts(
@@ -213,7 +213,7 @@
         )  # fmt: skip
 
     def _make_holder_tasks(self) -> None:
-        """Make what this node does for all while it holds the lease: both kinds of rollouts."""
+        """Create the tasks of the lease holder: rollouts of weights and of service versions."""
         name, bounds = self.settings.name, self.settings.bounds
         clock, log, store = self._clock, self._event_log, self._store
         self._lease = new_holder_lease(
@@ -262,12 +262,12 @@
             await anyio.sleep_forever()
 
     async def leave(self) -> None:
-        """Give up duties and registration, so that others take over at once."""
+        """Release the lease and the registration, so that other nodes take over immediately."""
         await self._lease.release()
         await self.registration.withdraw()
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Put changed guarantees and a changed retry budget in force."""
+        """Apply changed guarantees and a changed retry budget."""
         bounds = settings.bounds
         self._canary_limits = bounds.canary
         self.budget.set_rules(settings.retry_budget)
@@ -279,14 +279,22 @@
         self.order_fence.set_least_gap(bounds.lease_s)
 
     def is_ready(self) -> bool:
-        """Whether new connections are welcome: a configuration is known, and none is closed."""
+        """Return whether new connections should come here.
+
+        The node needs a configuration, and must not be stopping or isolated.
+        """
         return self.cluster.table is not None and not self.closes_connections()
 
     def closes_connections(self) -> bool:
-        """Whether connections end with their answer: callers fare better at another node."""
+        """Return whether connections are closed after each answer.
+
+        This is the case while the node is stopping or isolated, because other nodes then serve
+        callers better.
+        """
         return self.is_stopping or self.isolation.is_isolated()
 
-    # The gossip task is looked up at each call: a fleet in one process replaces it before it runs.
+    # These methods read `gossip_task` at each call because a fleet that runs in one process
+    # replaces it before it runs.
 
     async def _send(self, message: PeerMessage, addresses: Iterable[ListenAddress]) -> None:
         await self.gossip_task.send(message, addresses)
@@ -297,13 +305,16 @@
     async def _announce_loading(
         self, instance: InstanceId, model: str, version: int, is_done: bool
     ) -> None:
-        """Tell all nodes that an engine loads weights, or has loaded them, before it is ordered."""
+        """Announce to all nodes that an engine is about to load weights, or has loaded them.
+
+        A load is announced before the engine is ordered to start it.
+        """
         self.dispatcher.mark_loading(instance, is_done)
         self.outbox.add_loading(LoadingGossip(instance, model, version, is_done))
         await self.gossip_task.flush()
 
     def _rollout_tallies(self) -> Tallies:
-        """Return what all nodes have counted of rollouts, as far as it was received."""
+        """Return the rollout counts of all nodes, as far as they have been received."""
         return self.rollout_reporter.fleet_tallies(self.relay.is_counted)
 
     def _add_rollout_sums(
@@ -312,9 +323,9 @@
         self.rollout_reporter.add_sums(to_heads, to_group, is_member, is_group, must_refresh)
 
     def metrics_text(self) -> bytes:
-        """Return the metrics, with figures that are read off now."""
+        """Return the metrics as text, including the current values of gauges."""
         table = self.cluster.table
-        services = {one.service for one in self.cluster.directory.all()}
+        services = {back_end.service for back_end in self.cluster.directory.all()}
         num_nodes, now_s = self.peers.num_nodes(), self._clock()
         return self.metrics.text(
             GaugeValues(
@@ -322,9 +333,12 @@
                 configuration_version=table.version if table else 0,
                 num_back_ends=len(self.cluster.directory.instances()),
                 holds_lease=self._lease.is_held(),
-                queue_shares={one: self.context.pauses.queue_limit(one).share for one in services},
+                queue_shares={
+                    service: self.context.pauses.queue_limit(service).share for service in services
+                },
                 retries_left={
-                    one: self.budget.remaining(one, num_nodes, now_s) for one in services
+                    service: self.budget.remaining(service, num_nodes, now_s)
+                    for service in services
                 },
                 quota_levels=self.quotas.levels(),
                 rollout_stages=self.canary_traffic.stages(),
--- a/src/weirscale/gateway/node_parts.py
+++ b/src/weirscale/gateway/node_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a node that hold state and choose: the platform's state, limits and routing."""
+"""Components of a node that hold state and select back ends: cluster state, limits and routing."""
 
 from collections.abc import Callable
 from random import Random
@@ -36,16 +36,18 @@
 
 
 class NodeParts:
-    """Makes the parts on which requests, gossip and rollouts rely; `GatewayNode` adds those.
+    """Creates the components that requests, gossip and rollouts depend on.
+
+    `GatewayNode` adds requests, gossip and rollouts themselves.
 
     Args:
         settings: Settings of the process.
-        feed: The platform's state.
+        feed: Feed of the platform's state.
         store: The key-value service.
-        connect: Makes clients of back ends.
-        event_log: Decisions.
+        connect: Creates ports of back ends.
+        event_log: Receives an event for each decision.
         random: Source of randomness.
-        clock: Monotonic seconds that count suspensions of the machine.
+        clock: Monotonic seconds that include suspensions of the machine.
     """
 
     def __init__(
@@ -73,7 +75,7 @@
         self._make_routing(connect)
 
     def _make_state(self) -> None:
-        """Make what is known of the platform's state, other nodes, and back ends' loads."""
+        """Create the cluster state, the peer directory, and the load and health of back ends."""
         settings, clock = self.settings, self._clock
         capacity = settings.machine.capacity()
         self.cluster = ClusterState(self._event_log, clock)
@@ -85,7 +87,7 @@
         self.health = BackEndHealth(self._event_log, self._random)
 
     def _make_limits(self) -> None:
-        """Make the quotas, the retry budget, and the detector of this node's isolation."""
+        """Create the quotas, the retry budget, and the detector of this node's isolation."""
         settings, clock = self.settings, self._clock
         self._gossip_pace = GossipPace(self.peers)
         self.quotas = QuotaLedger(
@@ -101,7 +103,7 @@
         self.isolation = IsolationDetector(self.cluster, self.quotas, self._event_log, clock)
 
     def _make_permits(self) -> None:
-        """Make what keeps the request limits that back ends state."""
+        """Create the components that enforce the request limits stated by back ends."""
         name, clock = self.settings.name, self._clock
         self.stated_limits = StatedLimits(self._event_log)
         self.permit_issuers = PermitIssuers(name, lambda: self.peers.division().group_of)
@@ -111,7 +113,7 @@
         )
 
     def _make_routing(self, connect: BackEndConnector) -> None:
-        """Make what chooses back ends, and what looks after them."""
+        """Create the components that select back ends and maintain their ports and health."""
         settings, clock = self.settings, self._clock
         self._records = RecordReader(self.cluster, self._event_log)
         self.version_gate = VersionGate(
@@ -144,13 +146,13 @@
         self.dispatcher.forget(back_end.instance)
 
     def _forget_cache(self, instance: InstanceId, model: str, version: int) -> None:
-        """Forget what an engine has cached: it has other weights now."""
+        """Discard an engine's cached blocks, because its weights have changed."""
         self.dispatcher.weights_changed(instance)
 
     def _rollback_s(self) -> float:
-        """Return the time in which nothing may be sent to a bad version any more."""
+        """Return the maximum time until no request is sent to a failing version any more."""
         return self._canary_limits.rollback_s
 
     def _num_requests(self, instance: InstanceId) -> int:
-        """Return how many requests of all nodes are at work at an instance."""
+        """Return the number of requests of all nodes in flight at an instance."""
         return self.load.total(instance, self._clock()).num_requests
--- a/src/weirscale/gateway/program.py
+++ b/src/weirscale/gateway/program.py
@@ -1,4 +1,4 @@
-"""A gateway as a process: sockets, signals, logs, and the order of a planned stop."""
+"""The gateway process: sockets, signals, logs, and graceful shutdown."""
 
 import gc
 import signal
@@ -26,37 +26,36 @@
 from weirscale.ports.key_value import KeyValuePort
 from weirscale.ports.listeners import open_listener
 
-NOTICE_S = 2.3
-"""Seconds from the first failed readiness answer until nobody sends new connections any more: two
-answers in a row take a node out. Not measured."""
+READINESS_DRAIN_S = 2.3
+"""Seconds from the first failed readiness check until no new connections arrive. Two failed checks
+in a row take a node out of service."""
 
 STOP_MARGIN_S = 0.8
-"""Seconds kept free at the end of the time for a stop: the process ends before it is killed.
-Not measured."""
+"""Seconds reserved at the end of the stop time, so that the process exits before it is killed."""
 
-YOUNG_OBJECTS_BEFORE_COLLECTION = 20_000
-"""New containers that start a garbage collection; requests are freed by their reference counts, so
-that there is little to find. Not measured by itself."""
+GC_THRESHOLD_OBJECTS = 20_000
+"""Number of new container objects that triggers a garbage collection. Requests are freed by
+reference counting, so a collection finds little."""
 
 OpenListeners = Mapping[tuple[str, int], socket.socket]
-"""Sockets that listen already, by host and port."""
+"""Sockets that are already listening, by host and port."""
 
 NO_LISTENERS: OpenListeners = {}
 
 
 class Adapter(Protocol):
-    """What an adapter to a platform provides."""
+    """Interface that an adapter to a platform implements."""
 
     def settings(self) -> GatewaySettings:
-        """Read the settings as they are now.
+        """Read the current settings.
 
         Raises:
-            SettingsError: They cannot be read or are wrong.
+            SettingsError: The settings cannot be read or are invalid.
         """
         ...
 
     def feed(self) -> StateFeed:
-        """Return the platform's state."""
+        """Return the feed of the platform's state."""
         ...
 
     def store(self) -> KeyValuePort:
@@ -64,11 +63,11 @@
         ...
 
     def connector(self) -> BackEndConnector:
-        """Return what makes ports of back ends."""
+        """Return the connector that creates ports of back ends."""
         ...
 
     def codec(self) -> RequestCodec:
-        """Return how callers write."""
+        """Return the codec of callers' requests."""
         ...
 
 
@@ -76,11 +75,11 @@
     """One gateway on real sockets.
 
     Args:
-        adapter: Makes what the node needs of the platform.
-        settings: Checked settings.
-        event_log: Decisions.
+        adapter: Adapter to the platform.
+        settings: Validated settings.
+        event_log: Receives an event for each decision.
         random: Source of randomness.
-        open_listeners: Sockets that listen already; the others are opened by `run`.
+        open_listeners: Sockets that are already listening; `run` opens the others.
     """
 
     def __init__(
@@ -102,7 +101,7 @@
             adapter.codec(),
             event_log,
             random,
-            # What was learnt before a suspension of the machine is as old as it really is.
+            # This clock includes suspensions of the machine, so that ages are correct afterwards.
             boot_time_s,
         )
         self.settings_watch = SettingsWatch(
@@ -110,7 +109,7 @@
         )
 
     async def run(self, stop: anyio.Event) -> None:
-        """Serve until `stop` is set, then end without cutting a request."""
+        """Serve until `stop` is set, then shut down after the requests in flight have ended."""
         settings = self._settings
         addresses = [settings.callers, settings.readiness]
         if settings.metrics is not None:
@@ -121,14 +120,14 @@
             tasks.start_soon(self.node.run)
             tasks.start_soon(self.settings_watch.run)
             limits = ConnectionLimits()
-            self.node.cluster.observe_table(partial(_take_limits, limits))
-            finish_s = settings.bounds.stop_s - NOTICE_S - STOP_MARGIN_S
+            self.node.cluster.observe_table(partial(_apply_limits, limits))
+            finish_s = settings.bounds.stop_s - READINESS_DRAIN_S - STOP_MARGIN_S
             async with anyio.create_task_group() as serving:
                 serving.start_soon(
                     serve_on_listeners, self.node.app, listeners, closed, finish_s, limits
                 )
                 self._event_log.event("node_started", callers=settings.callers.port)
-                _relieve_garbage_collector()
+                _tune_garbage_collector()
                 await stop.wait()
                 await self._leave(closed)
             tasks.cancel_scope.cancel()
@@ -139,17 +138,17 @@
         return opened or open_listener(address.host, address.port)
 
     async def _leave(self, closed: anyio.Event) -> None:
-        """Turn new connections away, let go of duties, then let running requests end."""
+        """Fail readiness checks, release lease and registration, then drain requests in flight."""
         self._event_log.event("node_stopping", running=self.node.app.num_running)
         self.node.is_stopping = True
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.node.leave)
-            await anyio.sleep(NOTICE_S)
+            await anyio.sleep(READINESS_DRAIN_S)
         closed.set()
 
 
-def _take_limits(limits: ConnectionLimits, table: RouteTable) -> None:
-    """Put the operators' limits on connections in force; a time that is none changes nothing."""
+def _apply_limits(limits: ConnectionLimits, table: RouteTable) -> None:
+    """Apply the operators' connection limits; timeouts that are not positive are ignored."""
     configured = table.configuration.limits
     if configured.idle_timeout_s > 0.0:
         limits.keep_alive_s = configured.idle_timeout_s
@@ -157,16 +156,16 @@
         limits.head_s = configured.header_timeout_s
 
 
-def _relieve_garbage_collector() -> None:
-    """Exempt what was made at the start from collection, and collect less often."""
+def _tune_garbage_collector() -> None:
+    """Exempt the objects created at the start from garbage collection, and collect less often."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(YOUNG_OBJECTS_BEFORE_COLLECTION)
+    gc.set_threshold(GC_THRESHOLD_OBJECTS)
 
 
-async def _follow_signals(stop: anyio.Event, reload: Callable[[], None]) -> None:
-    wanted = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-    with anyio.open_signal_receiver(*wanted) as signals:
+async def _handle_signals(stop: anyio.Event, reload: Callable[[], None]) -> None:
+    handled = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+    with anyio.open_signal_receiver(*handled) as signals:
         async for number in signals:
             if number == signal.SIGHUP:
                 reload()
@@ -183,7 +182,7 @@
     stop = anyio.Event()
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(log.run)
-        tasks.start_soon(_follow_signals, stop, program.settings_watch.signal)
+        tasks.start_soon(_handle_signals, stop, program.settings_watch.signal)
         await program.run(stop)
         tasks.cancel_scope.cancel()
     log.flush()
@@ -192,11 +191,11 @@
 def run_gateway(
     make_adapter: Callable[[], Adapter], open_listeners: OpenListeners = NO_LISTENERS
 ) -> int:
-    """Run a gateway until SIGTERM or SIGINT; returns the exit code.
+    """Run a gateway until SIGTERM or SIGINT, and return the exit code.
 
     Args:
-        make_adapter: Makes the adapter to the platform.
-        open_listeners: Sockets that listen already, by host and port.
+        make_adapter: Creates the adapter to the platform.
+        open_listeners: Sockets that are already listening, by host and port.
 
     Raises:
         OSError: An address cannot be bound.
