--- a/src/weirscale/gateway/model/back_ends.py
+++ b/src/weirscale/gateway/model/back_ends.py
@@ -21,7 +21,7 @@
 
 
 class LeavingSource(enum.Enum):
-    """Where a node received that a back end is leaving, for the log."""
+    """How a node was informed that a back end is leaving, for the log."""
 
     REGISTRATION = "registration"
     """The back end's registration."""
--- a/src/weirscale/gateway/model/identifiers.py
+++ b/src/weirscale/gateway/model/identifiers.py
@@ -1,5 +1,4 @@
-"""Identifier types used only in the gateway; those of services, tenants and zones are in
-`domain`."""
+"""Identifier types of the gateway only; those of services, tenants and zones are in `domain`."""
 
 from typing import NewType
 
--- a/src/weirscale/gateway/model/prompt.py
+++ b/src/weirscale/gateway/model/prompt.py
@@ -1,5 +1,4 @@
-"""Prompts described as ordered blocks with identifiers and token counts, most widely shared
-first."""
+"""Prompts as ordered blocks with identifiers and token counts, most widely shared first."""
 
 import msgspec
 
--- a/src/weirscale/gateway/peers/messages.py
+++ b/src/weirscale/gateway/peers/messages.py
@@ -99,7 +99,7 @@
 
     Attributes:
         tenant: The tenant.
-        spent_per_s: Units sent to back ends, without requests that provably were not run.
+        spent_per_s: Units sent to back ends, except requests that were provably not run.
         asked_per_s: Units requested by callers, including refused requests, by priority.
     """
 
--- a/src/weirscale/gateway/state/back_end_registry.py
+++ b/src/weirscale/gateway/state/back_end_registry.py
@@ -251,7 +251,7 @@
                 self.end(claim.back_end.instance)
 
     def lapse_missing(self, keys: Collection[str]) -> list[InstanceId]:
-        """Mark the registrations as lapsed that the store lost when it was restored from a backup.
+        """Mark registrations as lapsed that are missing from a store restored from a backup.
 
         Live back ends register again, as they do after an outage.
 
--- a/src/weirscale/gateway/state/cluster_state.py
+++ b/src/weirscale/gateway/state/cluster_state.py
@@ -44,8 +44,8 @@
 
 LOST_RETENTION_S = 6.0
 """Seconds for which entries stay in force that the store lost when it was restored from a backup.
-Operators, back ends and nodes write their own entries again; nodes renew their registrations within
-the 6 s that these last. The time is also longer than the minimum time between the orders of two
+Operators, back ends and nodes write their own entries again within this time: registrations within
+their lease duration of 6 s. The time is also longer than the minimum time between the orders of two
 lease holders."""
 
 
@@ -224,7 +224,7 @@
     @singledispatchmethod
     def _apply_change(self, change: StateChange, versioned: VersionedChange) -> None:
         """Apply one change; a handler is registered for each type."""
-        raise TypeError(f"no function takes {type(change).__name__}; add one to ClusterState")
+        raise TypeError(f"no handler for {type(change).__name__}; add one to ClusterState")
 
     @_apply_change.register
     def _apply_configuration(
--- a/src/weirscale/gateway/state/expiring_record.py
+++ b/src/weirscale/gateway/state/expiring_record.py
@@ -26,7 +26,7 @@
     asked_at_s = clock()
     granted = await store.grant_lease(life_s)
     # A lease starts when the call reaches the store. The call may wait for a connection, or the
-    # node may be paused or suspended, for longer than any timeout. The record would then stay in
+    # node may be paused or suspended, for longer than a timeout. The record would then stay in
     # the store longer than the age that it represents.
     if isinstance(granted, Err) or clock() > asked_at_s + within_s:
         return 0
