--- a/src/weirscale/gateway/model/rollout_order.py
+++ b/src/weirscale/gateway/model/rollout_order.py
@@ -22,8 +22,8 @@
         target: Version that the service's traffic moves to.
         deadline_s: Seconds allowed for the rollout from the acknowledgement of the order.
         epoch: Identifies the order.
-        seen_at_s: Latest time at which this node knew that the order did not exist yet. If the
-            order predates the node, the time at which the node read it.
+        seen_at_s: Latest time at which the order was known not to exist yet. If the order predates
+            the node, the time at which the node read it.
         predates_node: Whether the order existed before this node started, so its age is unknown.
         served_before: Whether the target was already established when the order arrived, so that it
             needs no canary.
--- a/src/weirscale/gateway/peers/registrations.py
+++ b/src/weirscale/gateway/peers/registrations.py
@@ -44,8 +44,7 @@
 
 
 class Registration(msgspec.Struct, frozen=True, array_like=True):
-    """A node's entry in the store, encoded as an array: the order of fields is part of the
-    format."""
+    """A node's entry in the store: an array, whose order of fields is part of the format."""
 
     host: str
     port: int
--- a/src/weirscale/gateway/ports/callers.py
+++ b/src/weirscale/gateway/ports/callers.py
@@ -24,7 +24,7 @@
         key: API key, or None.
         timeout_s: How long the caller waits, or None if not stated.
         prompt: The prompt's outline, for generation requests.
-        num_tokens: Stated number of tokens, of the prompt plus at most of the answer, or None.
+        num_tokens: Stated sum of the prompt's tokens and the answer's maximum, or None.
         resume_after: Id of the last event that the caller has received, or None.
         headers: Header fields that are forwarded to the back end.
     """
