--- a/src/weirscale/gateway/routing/__init__.py
+++ b/src/weirscale/gateway/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which back end gets a request: loads, health, cached prefixes, estimates, and the choice."""
+"""Choice of the back end for a request, by load, health, cached prefixes and estimated latency."""
--- a/src/weirscale/gateway/routing/back_end_maintenance.py
+++ b/src/weirscale/gateway/routing/back_end_maintenance.py
@@ -1,4 +1,4 @@
-"""Periodic work on back ends: probes of suspects, lapsed registrations, unused connections."""
+"""Periodic maintenance of back ends: probes of suspects, lapsed registrations, unused clients."""
 
 from collections.abc import Callable
 
@@ -13,24 +13,24 @@
 from weirscale.gateway.ticks import sleep_to_tick
 
 INTERVAL_S = 0.3
-"""Seconds between two rounds. A probe takes a slot of a back end and has a price. Not measured."""
+"""Seconds between two rounds. Each probe uses a slot of the back end and has a cost."""
 
 PROBE_TIMEOUT_S = 0.4
-"""Seconds after which a health check without an answer counts as failed. Not measured."""
+"""Timeout of a health check in seconds."""
 
 DEFAULT_HEALTH_PATH = "/"
-"""Path that is asked where the service of a back end is not declared."""
+"""Path of the health check for a back end whose service is not declared."""
 
 
 class BackEndMaintenance:
-    """Looks after the back ends; `run` must be running.
+    """Runs the periodic maintenance in `run`.
 
     Args:
         cluster: Registered back ends.
-        health: Tells whom to probe, and takes the outcome.
-        back_pressure: Back ends that ask to be spared, probes included.
+        health: Selects the back ends to probe, and records the outcomes.
+        back_pressure: Rests and request limits, which also apply to probes.
         ports: Clients of back ends.
-        clock: Monotonic seconds.
+        clock: Returns monotonic seconds.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self._clock = clock
 
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Run until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
                 await sleep_to_tick(INTERVAL_S)
--- a/src/weirscale/gateway/routing/back_end_notices.py
+++ b/src/weirscale/gateway/routing/back_end_notices.py
@@ -1,4 +1,4 @@
-"""What back ends say of themselves in their answers: one place that takes it all."""
+"""Handling of the notices about themselves that back ends send in the heads of their answers."""
 
 from collections.abc import Callable
 
@@ -12,18 +12,18 @@
 from weirscale.ports.event_log import EventLog
 
 MAX_UNKNOWN_NAMES = 64
-"""Names of unknown headers that are remembered, each of which is logged once."""
+"""Number of unknown header names that are remembered, so that each is logged only once."""
 
 
 class BackEndNotices:
-    """Takes the notices of all answers.
+    """Handles the notices in all answers.
 
     Args:
-        cluster: Learns which back ends leave, and which have ended.
-        rests: Learns which back ends want a rest.
-        limits: Learns which back ends state a request limit.
-        event_log: Where notices are logged.
-        clock: Monotonic seconds that count suspensions of the machine.
+        cluster: Records which back ends are leaving, and which runs have been replaced.
+        rests: Records the rests that back ends ask for.
+        limits: Records the request limits that back ends state.
+        event_log: Log for notices.
+        clock: Returns monotonic seconds, including the time while the machine is suspended.
     """
 
     def __init__(
@@ -44,49 +44,52 @@
         self._limit_observers: list[Callable[[RunId, float | None], None]] = []
         self._unknown_names: set[str] = set()
         self._unreadable_limits: dict[InstanceId, str] = {}
-        """The last limit of each back end that could not be read: a back end repeats it in all its
-        answers."""
+        """The last unreadable limit of each back end. Back ends repeat it in all their answers, and
+        it is logged once."""
 
     def observe_leaving(self, observer: Callable[[RunId], None]) -> None:
-        """Have a function called with each run that first tells this node that it leaves."""
+        """Register a function to call with each run that this node first finds to be leaving."""
         self._leaving_observers.append(observer)
 
     def observe_ended(self, observer: Callable[[RunId], None]) -> None:
-        """Have a function called with each run that this node first finds replaced."""
+        """Register a function to call with each run that this node first finds replaced."""
         self._ended_observers.append(observer)
 
     def observe_limit(self, observer: Callable[[RunId, float | None], None]) -> None:
-        """Have a function called with each limit that a run first states to this node, or None."""
+        """Register a function to call when a run states a new request limit to this node.
+
+        The function gets the run and the limit in requests per second, or None if the limit ended.
+        """
         self._limit_observers.append(observer)
 
     def take(self, back_end: BackEnd, notice: AnswerNotice) -> None:
-        """Take what an answer says of its back end."""
-        # A process that started again under its name answers on the client that the earlier one
-        # had: the run that speaks is the one that is registered now.
-        speaker = self._cluster.directory.get(back_end.instance) or back_end
+        """Handle what the head of an answer says about its back end."""
+        # A process that restarted under the same instance name answers through the client of the
+        # previous run. So the notice belongs to the run that is registered now.
+        sender = self._cluster.directory.get(back_end.instance) or back_end
         if notice.is_other_run:
-            self._take_other_run(speaker)
+            self._handle_other_run(sender)
             return
         if notice.is_leaving:
-            self._take_leaving(speaker)
+            self._handle_leaving(sender)
         if notice.rest_s > 0.0:
-            self._take_rest(speaker, notice.rest_s)
+            self._handle_rest(sender, notice.rest_s)
         if notice.unreadable_rest:
             self._event_log.event(
-                "back_end_rest_unreadable", instance=speaker.instance,
-                value=notice.unreadable_rest, remedy="have the back end write seconds",
+                "back_end_rest_unreadable", instance=sender.instance,
+                value=notice.unreadable_rest, remedy="have the back end send the rest in seconds",
             )  # fmt: skip
-        self._take_limit(speaker, notice)
+        self._handle_limit(sender, notice)
         for name in notice.unknown_names:
-            self._log_unknown(speaker, name)
+            self._log_unknown_header(sender, name)
 
-    def _take_limit(self, speaker: BackEnd, notice: AnswerNotice) -> None:
-        """Send a back end no more than it states, and tell the other nodes, for whom it holds too.
+    def _handle_limit(self, sender: BackEnd, notice: AnswerNotice) -> None:
+        """Record the request limit of a back end, and inform the other nodes of a change.
 
-        Otherwise each of them would send on until its own next answer from it: as many requests
-        too many as there are nodes.
+        The limit holds for all nodes together. Otherwise each other node would keep sending until
+        its own next answer from the back end: one excess request per node.
         """
-        run, now_s = speaker.run_id, self._clock()
+        run, now_s = sender.run_id, self._clock()
         has_changed = False
         if notice.limit_per_s is not None:
             has_changed = self._limits.record_limit(run, notice.limit_per_s, now_s)
@@ -96,59 +99,60 @@
             for observer in self._limit_observers:
                 observer(run, self._limits.limit_per_s(run))
         value = notice.unreadable_limit
-        if value and self._unreadable_limits.get(speaker.instance) != value:
-            self._unreadable_limits[speaker.instance] = value
+        if value and self._unreadable_limits.get(sender.instance) != value:
+            self._unreadable_limits[sender.instance] = value
             self._event_log.event(
-                "back_end_limit_unreadable", instance=speaker.instance, value=value,
-                remedy="have the back end write requests a second",
+                "back_end_limit_unreadable", instance=sender.instance, value=value,
+                remedy="have the back end send the limit in requests per second",
             )  # fmt: skip
 
     def forget(self, instance: InstanceId) -> None:
-        """Forget a back end that is gone."""
+        """Drop the state of a back end that was removed."""
         self._unreadable_limits.pop(instance, None)
 
-    def _log_unknown(self, speaker: BackEnd, name: str) -> None:
-        """Tell once of a header by which back ends say what this release does not know.
+    def _log_unknown_header(self, sender: BackEnd, name: str) -> None:
+        """Log a notice header that this release does not support, once for each name.
 
-        Nobody would see it otherwise: what is not known goes on to the caller.
+        Such headers are passed on to the caller, so that operators would not notice them.
         """
         if name in self._unknown_names or len(self._unknown_names) >= MAX_UNKNOWN_NAMES:
             return
         self._unknown_names.add(name)
         self._event_log.event(
-            "back_end_header_unknown", instance=speaker.instance, header=name,
-            remedy="see whether a newer release knows it",
+            "back_end_header_unknown", instance=sender.instance, header=name,
+            remedy="check whether a newer release supports the header",
         )  # fmt: skip
 
-    def _take_leaving(self, speaker: BackEnd) -> None:
-        """Keep new work from a back end at once, and tell the other nodes.
+    def _handle_leaving(self, sender: BackEnd) -> None:
+        """Stop sending new requests to a leaving back end, and inform the other nodes.
 
-        Its registration cannot say so while the store is away, and a node that was not answered by
-        it since would go on sending to a process that is about to end.
+        While the store is unavailable, the registration cannot show that the back end is leaving.
+        Nodes without a recent answer would keep sending to a process that is about to end.
         """
-        if self._cluster.back_ends.mark_leaving(speaker.run_id, LeavingSource.ANSWER):
+        if self._cluster.back_ends.mark_leaving(sender.run_id, LeavingSource.ANSWER):
             for observer in self._leaving_observers:
-                observer(speaker.run_id)
+                observer(sender.run_id)
 
-    def _take_other_run(self, meant: BackEnd) -> None:
-        """Use a run no more at whose address another one answers, and tell the other nodes.
+    def _handle_other_run(self, expected: BackEnd) -> None:
+        """Stop using a run whose address is answered by another run, and inform the other nodes.
 
-        Whoever else is registered there takes its place at once. Otherwise a live back end whose
-        address an ended one's late entry has taken is lost to all nodes: in 3 of 4 plays of a day
-        with engines that start again while weights are named, two of nine were.
+        Another run that is registered for the address replaces it at once. Otherwise a late
+        registration of an ended run, which takes over the address, would make the live back end
+        there unreachable for all nodes. In 3 of 4 simulated days in which engines restarted during
+        weight rollouts, this cost 2 of 9 engines.
         """
-        if self._cluster.back_ends.mark_replaced(meant.run_id, OwnerProof.OTHER_RUN):
+        if self._cluster.back_ends.mark_replaced(expected.run_id, OwnerProof.OTHER_RUN):
             for observer in self._ended_observers:
-                observer(meant.run_id)
+                observer(expected.run_id)
 
-    def _take_rest(self, speaker: BackEnd, asked_s: float) -> None:
-        """Send nothing to a back end that has turned a request away until the time it names.
+    def _handle_rest(self, sender: BackEnd, asked_s: float) -> None:
+        """Start the rest that a back end asks for.
 
-        The other nodes are not told: a back end answers each of them by itself.
+        The other nodes are not informed, since the back end answers each of them itself.
         """
-        rest_s = self._rests.begin(speaker.run_id, asked_s, self._clock())
+        rest_s = self._rests.begin(sender.run_id, asked_s, self._clock())
         if rest_s is not None:
             self._event_log.event(
-                "back_end_rest", instance=speaker.instance, address=speaker.address,
+                "back_end_rest", instance=sender.instance, address=sender.address,
                 asked_s=asked_s, rest_s=rest_s,
             )  # fmt: skip
--- a/src/weirscale/gateway/routing/back_end_ports.py
+++ b/src/weirscale/gateway/routing/back_end_ports.py
@@ -1,4 +1,4 @@
-"""The clients of back ends: one for each instance, closed once nothing runs there any more."""
+"""Clients of back ends, one for each instance. A client is closed once its requests have ended."""
 
 from anyio.abc import TaskGroup
 
@@ -9,24 +9,24 @@
 from weirscale.gateway.state.cluster_state import ClusterState
 
 DEFAULT_MAX_CONNECTIONS = 100
-"""Connections that a back end takes where its service is not declared; the default of a service."""
+"""Maximum connections to a back end whose service is not declared; also the service default."""
 
 CONNECTION_SHARE = 0.4
-"""Share of a back end's connections that one node may use. A back end's limit holds for all nodes
-together, and most of them may be gone. Not measured."""
+"""Share of a back end's connections that one node may use. The limit of a back end holds for all
+nodes together, but most of them may have failed."""
 
 MIN_CONNECTIONS = 4
-"""Connections that a node may always open to a back end. Not measured."""
+"""Connections that a node may always open to a back end."""
 
 
 class BackEndPorts:
     """Owns the clients of back ends.
 
     Args:
-        connect: Makes a client.
-        cluster: Tells how many connections a service's back ends take.
-        load: Tells what this node has at work at a back end.
-        on_notice: Called with what answers say of their back ends.
+        connect: Creates a client.
+        cluster: Supplies the connection limits of services.
+        load: Supplies the load of this node on a back end.
+        on_notice: Called with the notices in answers.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self._closing: dict[InstanceId, BackEndPort] = {}
 
     def port_of(self, back_end: BackEnd) -> BackEndPort:
-        """Return the client of a back end; it is made at the first call."""
+        """Return the client of a back end. The first call creates it."""
         port = self._ports.get(back_end.instance)
         if port is None:
             port = self._connect(back_end, self._max_connections(back_end), self._on_notice)
@@ -58,15 +58,15 @@
         return max(MIN_CONNECTIONS, int(limit * CONNECTION_SHARE))
 
     def retire(self, instance: InstanceId) -> None:
-        """Have the client of a back end that is gone closed by a later `close_unused`."""
+        """Mark the client of a removed back end to be closed by a later `close_unused`."""
         port = self._ports.pop(instance, None)
         if port is not None:
             self._closing[instance] = port
 
     def close_unused(self, tasks: TaskGroup) -> None:
-        """Close connections to back ends that are gone, once nothing runs there any more.
+        """Close the clients of removed back ends that have no requests of this node left.
 
-        A back end's registration may end long before its last answer does.
+        The registration of a back end may end long before its last answer does.
         """
         for instance in list(self._closing):
             if self._load.own(instance) == NO_LOAD:
--- a/src/weirscale/gateway/routing/back_pressure.py
+++ b/src/weirscale/gateway/routing/back_pressure.py
@@ -1,4 +1,4 @@
-"""What back ends ask this node to spare them: rests, and request limits for all nodes together."""
+"""Back pressure from back ends: rests, and request limits that hold for all nodes together."""
 
 from collections.abc import Iterable, Sequence
 
@@ -11,17 +11,17 @@
 from weirscale.gateway.routing.back_end_rests import BackEndRests
 
 MAX_PERMIT_WAIT_S = 0.3
-"""Seconds that a request may wait until a back end with a request limit takes one more, where no
-other one is there. About what it takes to ask another node; a caller that is refused returns
-later."""
+"""Maximum seconds that a request waits for a permit if only back ends with an exhausted request
+limit could serve it. This is about the time of a query to another node. A caller that is refused
+retries later."""
 
 
 class NextAvailability(msgspec.Struct, frozen=True):
-    """When a back end that may not be sent a request now may be sent one again.
+    """The time after which a back end under back pressure can be sent a request again.
 
     Attributes:
-        after_s: In how many seconds; 0 if that may be any moment.
-        is_limited: Whether it is its request limit that holds it back, not a rest.
+        after_s: Seconds from now; 0 if it may be at any moment.
+        is_limited: Whether the cause is a request limit, not a rest.
     """
 
     after_s: float
@@ -29,71 +29,85 @@
 
 
 class BackPressure:
-    """Tells whom this node may send a request now, and when it may again.
+    """Decides which back ends this node may send a request now, and when it may do so again.
 
     Args:
-        rests: Back ends that want nothing from this node.
-        permits: What this node may send to those that state a limit; None where none do.
+        rests: Rests of back ends.
+        permits: Permits for back ends that state a request limit; None to ignore request limits.
     """
 
     def __init__(self, rests: BackEndRests, permits: RequestPermits | None) -> None:
         self.rests = rests
         self._permits = permits
         self._num_waiting = 0
-        """Requests that wait for a permit at this node."""
+        """Number of requests of this node that wait for a permit."""
 
     def admitted(self, back_ends: Iterable[BackEnd], now_s: float) -> list[BackEnd]:
-        """Return those that may be sent a request now; permits are fetched for limited ones.
+        """Return the back ends that may be sent a request now.
 
-        One that runs little looks idle and would be tried first all the time: while it rests, only
-        to turn callers away whom others would have served; with a limit, as often as without one.
-        Neither is tried for want of others: it has said when, or how often.
+        If this node lacks a permit for a back end with a request limit, it asks for one.
+
+        A back end that runs few requests looks idle and would always be tried first. If it were
+        tried while it rests, it would turn away requests that other back ends could have served. If
+        its limit were ignored, it would be sent as many requests as without one. It is left out
+        even if no other back end is left, since it has stated when or how often it takes requests.
         """
         resting = self.rests.resting(now_s)
         return [
-            one for one in back_ends if one.run_id not in resting and self._has_permit(one.run_id)
+            back_end
+            for back_end in back_ends
+            if back_end.run_id not in resting and self._has_permit(back_end.run_id)
         ]
 
     def request_sent(self, run: RunId) -> None:
-        """Use a permit for a request that is sent to a run now, if it takes one."""
+        """Use a permit for a request that is sent to a run now, if the run has a request limit."""
         if self._permits is not None:
             self._permits.take(run)
 
     def next_availability(
         self, back_ends: Iterable[BackEnd], now_s: float
     ) -> NextAvailability | None:
-        """Return who comes back first of those that may be sent nothing now; None without any."""
-        returns = [self._return(one.run_id, now_s) for one in back_ends]
-        found = [one for one in returns if one is not None]
-        return min(found, key=lambda one: one.after_s, default=None)
+        """Return the earliest availability of the back ends that may not be sent a request now.
+
+        Returns None if there is no such back end.
+        """
+        times = [self._availability(back_end.run_id, now_s) for back_end in back_ends]
+        later = [availability for availability in times if availability is not None]
+        return min(later, key=lambda availability: availability.after_s, default=None)
 
     async def wait_for_permit(
-        self, back_ends: Sequence[BackEnd], now_s: float, most_s: float
+        self, back_ends: Sequence[BackEnd], now_s: float, max_wait_s: float
     ) -> bool:
-        """Wait until a permit may be there; returns whether that was worth trying.
+        """Wait until a permit may have arrived.
 
-        As many requests wait as permits may be hoped for, or one: the others are not held.
+        The number of waiting requests is limited to the number of expected permits, but at least
+        one may wait.
 
         Args:
-            back_ends: Those that might be sent the request.
-            now_s: The time.
-            most_s: Longest wait in seconds that makes sense.
+            back_ends: Back ends that could serve the request.
+            now_s: Current time.
+            max_wait_s: Maximum wait in seconds.
+
+        Returns:
+            Whether the request has waited and a back end should be chosen again.
         """
         first = self.next_availability(back_ends, now_s)
         if self._permits is None or first is None or not first.is_limited:
             return False
-        hoped_for = self._permits.num_expected((one.run_id for one in back_ends), MAX_PERMIT_WAIT_S)
-        if not 0.0 < most_s >= first.after_s or self._num_waiting >= max(1.0, hoped_for):
+        num_expected = self._permits.num_expected(
+            (back_end.run_id for back_end in back_ends), MAX_PERMIT_WAIT_S
+        )
+        if not 0.0 < max_wait_s >= first.after_s or self._num_waiting >= max(1.0, num_expected):
             return False
         self._num_waiting += 1
         try:
-            with anyio.move_on_after(first.after_s or most_s):
+            with anyio.move_on_after(first.after_s or max_wait_s):
                 await self._permits.wait_for_reply()
         finally:
             self._num_waiting -= 1
         return True
 
-    def _return(self, run: RunId, now_s: float) -> NextAvailability | None:
+    def _availability(self, run: RunId, now_s: float) -> NextAvailability | None:
         rest_s = self.rests.left_s(run, now_s)
         if rest_s > 0.0:
             return NextAvailability(rest_s, is_limited=False)
--- a/src/weirscale/gateway/routing/candidates.py
+++ b/src/weirscale/gateway/routing/candidates.py
@@ -18,7 +18,7 @@
 from weirscale.gateway.model.prompt import Prompt
 from weirscale.gateway.model.topology import Location
 from weirscale.gateway.rollouts.gate import Track
-from weirscale.gateway.routing.attempt_learning import AttemptLearning
+from weirscale.gateway.routing.attempt_statistics import AttemptStatistics
 from weirscale.gateway.routing.back_pressure import BackPressure, NextAvailability
 from weirscale.gateway.routing.cache_index import CacheIndex
 from weirscale.gateway.routing.candidate import Candidate
@@ -80,7 +80,7 @@
         load: FleetLoad,
         health: BackEndHealth,
         cache_index: CacheIndex,
-        learning: AttemptLearning,
+        statistics: AttemptStatistics,
         weights_grace_s: float,
         versions: VersionRules,
         engines_of_other_groups: Callable[[], Collection[InstanceId]],
@@ -91,7 +91,7 @@
         self._load = load
         self._health = health
         self._cache_index = cache_index
-        self._learning = learning
+        self._statistics = statistics
         self.weights_grace_s = weights_grace_s
         self._versions = versions
         self._engines_of_other_groups = engines_of_other_groups
@@ -226,4 +226,4 @@
         return began_s + self.weights_grace_s + START_MARGIN_S - now_s
 
     def _recent_wait_s(self, back_end: BackEnd, now_s: float) -> float:
-        return self._learning.longest_wait_s(back_end.service, now_s)
+        return self._statistics.longest_wait_s(back_end.service, now_s)
--- a/src/weirscale/gateway/routing/dispatcher.py
+++ b/src/weirscale/gateway/routing/dispatcher.py
@@ -18,7 +18,7 @@
 from weirscale.gateway.model.topology import Location
 from weirscale.gateway.request_limits.request_permits import RequestPermits
 from weirscale.gateway.rollouts.gate import Track
-from weirscale.gateway.routing.attempt_learning import AttemptLearning
+from weirscale.gateway.routing.attempt_statistics import AttemptStatistics
 from weirscale.gateway.routing.back_end_rests import BackEndRests
 from weirscale.gateway.routing.back_pressure import BackPressure, NextAvailability
 from weirscale.gateway.routing.cache_index import CacheIndex
@@ -89,10 +89,10 @@
         self._start_rules = rules or ChoiceRules()
         self._peers = peers
         self.cache_index = CacheIndex(cluster, location.topology)
-        self.learning = AttemptLearning(self._start_rules, self.cache_index)
+        self.statistics = AttemptStatistics(self._start_rules, self.cache_index)
         self.back_pressure = BackPressure(BackEndRests(random), peers.permits)
         self.candidates = Candidates(
-            location, cluster, load, health, self.cache_index, self.learning, weights_grace_s,
+            location, cluster, load, health, self.cache_index, self.statistics, weights_grace_s,
             versions or AllVersions(), peers.engines_of_other_groups,
             self.back_pressure,
         )  # fmt: skip
@@ -100,7 +100,7 @@
     def choose(self, query: DispatchQuery) -> Choice | None:
         """Return the best back end, or None if none may serve."""
         now_s = self._clock()
-        self.learning.learn_from_overdue(now_s)
+        self.statistics.record_overdue(now_s)
         table = self._cluster.table
         service = table.service(query.service) if table else None
         candidates = self.candidates.find(query, service, now_s)
@@ -136,7 +136,7 @@
         delay_s = self._peers.gossip_delay_s()
         return msgspec.structs.replace(
             start,
-            rates=self.learning.rates(service),
+            rates=self.statistics.rates(service),
             tie_s=start.tie_s + start.tie_share * delay_s,
             other_group_s=start.other_group_share * delay_s,
         )
@@ -182,7 +182,7 @@
                 region=self._location.topology.region_of(store.zone),
             )
             for store in self.cache_index.stores()
-            if not self.learning.is_slow(store.address, now_s)
+            if not self.statistics.is_slow(store.address, now_s)
         ]
 
     def set_weights_grace(self, weights_grace_s: float) -> None:
@@ -191,7 +191,7 @@
 
     def prompt_sent(self, choice: Choice, prompt: Prompt) -> None:
         """A prompt goes to an engine."""
-        self.learning.attempt_sent(choice, self._clock())
+        self.statistics.attempt_sent(choice, self._clock())
         instance = choice.candidate.back_end.instance
         self.record_blocks(instance, choice.scope, prompt.blocks, False)
 
@@ -225,7 +225,7 @@
 
     def event_received(self, instance: InstanceId) -> None:
         """An engine has made an event, so it lives."""
-        self.learning.event_received(instance, self._clock())
+        self.statistics.event_received(instance, self._clock())
 
     def is_busy_with_others(self, choice: Choice, own_tokens: int, since_s: float) -> bool:
         """Return whether an engine has made an event since a time and has others' prompts to read.
@@ -236,17 +236,17 @@
             since_s: The time.
         """
         instance = choice.candidate.back_end.instance
-        if not self.learning.has_worked_since(instance, since_s):
+        if not self.statistics.has_emitted_since(instance, since_s):
             return False
         return self._load.total(instance, self._clock()).waiting_tokens > own_tokens
 
     def first_event_received(self, choice: Choice, took_s: float) -> None:
         """Learn how long a first event took."""
-        self.learning.first_event_received(choice, took_s, self._clock())
+        self.statistics.first_event_received(choice, took_s, self._clock())
 
     def wait_ended(self, choice: Choice) -> None:
         """An attempt has had its first event, or has ended without one."""
-        self.learning.wait_ended(choice)
+        self.statistics.wait_ended(choice)
 
     def request_refused(self, instance: InstanceId) -> None:
         """A back end refused a request without running it."""
@@ -268,7 +268,7 @@
         """Forget a back end that is gone."""
         self.cache_index.forget_engine(instance)
         self.candidates.forget(instance)
-        self.learning.forget_engine(instance)
+        self.statistics.forget_engine(instance)
         self._load.forget(instance)
         self._health.forget(instance)
 
