--- a/src/weirscale/gateway/routing/attempt_statistics.py
+++ b/src/weirscale/gateway/routing/attempt_statistics.py
@@ -56,7 +56,7 @@
 
     def has_emitted_since(self, instance: InstanceId, since_s: float) -> bool:
         """Return whether this node has recorded an event of an engine after a time."""
-        return self._overdue.is_alive_since(instance, since_s)
+        return self._overdue.has_event_since(instance, since_s)
 
     def wait_ended(self, choice: Choice) -> None:
         """Record that an attempt received its first event, or ended without one."""
--- a/src/weirscale/gateway/routing/cache_index.py
+++ b/src/weirscale/gateway/routing/cache_index.py
@@ -1,7 +1,7 @@
-"""What this node believes every engine and kept-KV store keeps: the one owner of these beliefs.
+"""Index of the prompt blocks that are presumably cached at each engine and kept-KV store.
 
-Beliefs come from this node's sends and from gossip. What an engine has read is also believed to be
-in the store of its region, since every node has engines save what they read.
+The index is built from this node's sends and from gossip. Blocks that an engine has prefilled are
+also recorded for the store of its region, since every node has engines save what they prefill.
 """
 
 from weirscale.domain.identifiers import ZoneName
@@ -13,16 +13,16 @@
 from weirscale.gateway.state.cluster_state import ClusterState
 
 CACHE_SHARE = 0.8
-"""Share of an engine's memory that is believed to keep blocks; running requests take the rest. Not
-measured."""
+"""Share of an engine's memory that is assumed to hold cached blocks. Running requests use the
+rest."""
 
 
 class CacheIndex:
-    """Beliefs about caches, by engine and by store.
+    """Owns the estimated cache contents of engines and stores.
 
     Args:
-        cluster: Which engines and stores there are.
-        topology: Which store is near to which engine.
+        cluster: Engines and stores.
+        topology: Region of each zone.
     """
 
     def __init__(self, cluster: ClusterState, topology: Topology) -> None:
@@ -32,23 +32,28 @@
         self._stores: dict[Address, CachedBlocks] = {}
 
     def at_engine(self, instance: InstanceId, capacity_tokens: int) -> CachedBlocks:
-        """Return what is believed of an engine whose memory has a capacity."""
-        belief = self._engines.get(instance)
-        if belief is None:
-            belief = CachedBlocks(int(capacity_tokens * CACHE_SHARE))
-            self._engines[instance] = belief
-        return belief
+        """Return the cached blocks of an engine.
+
+        Args:
+            instance: The engine.
+            capacity_tokens: Capacity of its memory in tokens; used at the first call.
+        """
+        cached = self._engines.get(instance)
+        if cached is None:
+            cached = CachedBlocks(int(capacity_tokens * CACHE_SHARE))
+            self._engines[instance] = cached
+        return cached
 
     def at_tracked_engine(self, instance: InstanceId) -> CachedBlocks | None:
-        """Return what is believed of an engine; None if nothing was ever believed of it."""
+        """Return the cached blocks of an engine; None if nothing has been recorded for it."""
         return self._engines.get(instance)
 
     def at_store(self, store: KeptKvStore) -> CachedBlocks:
-        """Return what is believed of a store."""
-        belief = self._stores.get(store.address)
-        if belief is None:
-            belief = self._stores[store.address] = CachedBlocks(store.capacity_tokens)
-        return belief
+        """Return the cached blocks of a store."""
+        cached = self._stores.get(store.address)
+        if cached is None:
+            cached = self._stores[store.address] = CachedBlocks(store.capacity_tokens)
+        return cached
 
     def stores(self) -> list[KeptKvStore]:
         """Return the kept-KV stores of the configuration."""
@@ -56,11 +61,11 @@
         return table.kept_kv_stores() if table else []
 
     def is_store(self, address: Address) -> bool:
-        """Whether a kept-KV store has an address."""
+        """Return whether an address is that of a kept-KV store."""
         return any(store.address == address for store in self.stores())
 
-    def store_near(self, zone: ZoneName) -> KeptKvStore | None:
-        """Return the store that the engines of a zone's region use: the same on all nodes."""
+    def regional_store(self, zone: ZoneName) -> KeptKvStore | None:
+        """Return the store used by the engines of a zone's region; it is the same on all nodes."""
         for store in self.stores():
             if not self._topology.is_cross_region(zone, store.zone):
                 return store
@@ -73,49 +78,49 @@
         blocks: tuple[PromptBlock, ...],
         is_ready: bool,
     ) -> None:
-        """Record that a prompt goes to an engine, or (`is_ready`) has been read there.
+        """Record that a prompt was sent to an engine, or (`is_ready`) prefilled there.
 
-        The last block of a prompt is its own alone: it is not saved in a store.
+        The last block belongs to this prompt alone and is not saved in a store.
         """
-        belief = self._at_declared_engine(instance)
-        if belief is None:
+        cached = self._at_declared_engine(instance)
+        if cached is None:
             return
-        belief.record(scope, blocks, is_ready)
+        cached.record(scope, blocks, is_ready)
         if is_ready:
             self._record_saved(instance, scope, blocks[:-1])
 
     def record_shared(
         self, instance: InstanceId, scope: str, shared: tuple[PromptBlock, ...]
     ) -> None:
-        """Record the shared blocks of a prompt that an engine has read for another group."""
-        belief = self._at_declared_engine(instance)
-        if belief is not None:
-            belief.record(scope, shared, is_ready=True)
+        """Record shared blocks of a prompt that an engine prefilled for another group of nodes."""
+        cached = self._at_declared_engine(instance)
+        if cached is not None:
+            cached.record(scope, shared, is_ready=True)
             self._record_saved(instance, scope, shared)
 
     def forget_unread(
         self, instance: InstanceId, scope: str, blocks: tuple[PromptBlock, ...]
     ) -> None:
-        """Forget blocks that were sent to an engine and not read there."""
-        belief = self.at_tracked_engine(instance)
-        if belief is not None:
-            belief.forget(scope, blocks)
+        """Remove blocks that were recorded as sent to an engine and were not prefilled."""
+        cached = self.at_tracked_engine(instance)
+        if cached is not None:
+            cached.forget(scope, blocks)
 
     def clear_engine(self, instance: InstanceId) -> None:
-        """Forget all blocks of an engine that has taken new weights."""
-        belief = self.at_tracked_engine(instance)
-        if belief is not None:
-            belief.clear()
+        """Remove all blocks of an engine that has loaded new weights."""
+        cached = self.at_tracked_engine(instance)
+        if cached is not None:
+            cached.clear()
 
     def forget_engine(self, instance: InstanceId) -> None:
-        """Forget an engine that is gone."""
+        """Drop the state of an engine that was removed."""
         self._engines.pop(instance, None)
 
     def _at_declared_engine(self, instance: InstanceId) -> CachedBlocks | None:
-        """Return what is believed of an engine; None if the platform lists no such engine."""
-        belief = self.at_tracked_engine(instance)
-        if belief is not None:
-            return belief
+        """Return the cached blocks of an engine; None if the platform lists no such engine."""
+        cached = self.at_tracked_engine(instance)
+        if cached is not None:
+            return cached
         back_end = self._cluster.directory.get(instance)
         table = self._cluster.table
         service = table.service(back_end.service) if table and back_end else None
@@ -127,6 +132,6 @@
         self, instance: InstanceId, scope: str, shared: tuple[PromptBlock, ...]
     ) -> None:
         back_end = self._cluster.directory.get(instance)
-        store = None if back_end is None else self.store_near(back_end.zone)
+        store = None if back_end is None else self.regional_store(back_end.zone)
         if store is not None:
             self.at_store(store).record(scope, shared, is_ready=True)
--- a/src/weirscale/gateway/routing/candidate.py
+++ b/src/weirscale/gateway/routing/candidate.py
@@ -1,4 +1,4 @@
-"""Types of a choice: the back ends to compare, what is wanted of them, and what was chosen."""
+"""Types of a choice: candidates, fetch sources, the prompt with its scopes, and the result."""
 
 import math
 
@@ -19,19 +19,20 @@
 
     Attributes:
         back_end: The back end.
-        load: Work of all nodes there.
-        is_suspect: Whether it is being tried again after failures.
-        cache: What it is believed to keep, or None for other services.
-        capacity_tokens: Tokens that fit into its memory.
-        weight_version: Version of the weights asked for, or None.
-        load_age_s: Age of the oldest gossip in the load; known for the chosen one only.
-        newest_version: The newest weights wanted, where its own are older; None otherwise.
-        weights_behind_s: For how long weights newer than its own have been wanted.
-        begins_within_s: Until its weights are too old for a request to begin on.
-        recent_wait_s: This node's longest recent wait for a first event, at any engine.
+        load: Load of all nodes on it.
+        is_suspect: Whether its circuit is not closed.
+        cache: Blocks that it presumably has cached; None without a prompt, or if it is no engine.
+        capacity_tokens: Capacity of its memory in tokens.
+        weight_version: Version of its weights for the requested model, or None.
+        load_age_s: Age of the oldest gossip in the load; set for the chosen back end only.
+        newest_version: The newest target version if its own is older; None otherwise.
+        weights_behind_s: Upper bound of the time since a newer version became a target.
+        max_start_delay_s: Time until its weights are too old for a request to start on them.
+        recent_wait_s: This node's longest recent wait for a first event, at any engine of the
+            service; 0 if the weights are not outdated.
         belongs_to_other_group: Whether another group of nodes prefers it.
-        region: Its region.
-        is_cross_region: Whether it stands in another region than this node.
+        region: Region of the back end.
+        is_cross_region: Whether it is in another region than this node.
     """
 
     back_end: BackEnd
@@ -51,13 +52,19 @@
 
     @property
     def has_old_weights(self) -> bool:
-        """Whether newer weights than its own are wanted."""
+        """Return whether the weights are older than the newest target version."""
         return self.newest_version is not None
 
     def prefill_work(
         self, read_tokens: int, fetched_tokens: int, is_from_store: bool
     ) -> PrefillWork:
-        """Return what a request that has some tokens to read and to fetch meets here."""
+        """Return the work until the first event of a request that is sent to this back end.
+
+        Args:
+            read_tokens: Prompt tokens to prefill.
+            fetched_tokens: Prompt tokens to fetch.
+            is_from_store: Whether they are fetched from a kept-KV store.
+        """
         return PrefillWork(
             read_tokens,
             self.load.waiting_tokens,
@@ -68,15 +75,15 @@
 
 
 class FetchSource(msgspec.Struct, frozen=True):
-    """Where cached blocks can be fetched.
+    """An engine or kept-KV store from which cached blocks can be fetched.
 
     Attributes:
         address: IP:PORT.
-        zone: Where it stands.
-        cache: What it is believed to keep.
-        weight_version: Version that its blocks are of; None for a store, which keeps all.
+        zone: Zone of the source.
+        cache: Blocks that it presumably has cached.
+        weight_version: Weight version of its blocks; None for a store, which holds all versions.
         instance: The engine, or None for a store.
-        region: Where it stands: moves between regions take longer than reading again.
+        region: Region of the source. Transfers between regions take longer than prefilling again.
     """
 
     address: Address
@@ -88,11 +95,11 @@
 
 
 class ScopedPrompt(msgspec.Struct, frozen=True):
-    """A prompt and the scope of its blocks for each version of the weights.
+    """A prompt with its cache scope for each version of the weights.
 
     Attributes:
         prompt: The prompt.
-        scopes: Scope text by weight version.
+        scopes: Text of the cache scope by weight version.
     """
 
     prompt: Prompt
@@ -100,22 +107,23 @@
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """The chosen back end and what decided it.
+    """The chosen back end and the reasons for the choice.
 
     Attributes:
         candidate: The back end.
         scope: Cache scope, or None without a prompt.
-        cached_tokens: Leading tokens that it is believed to keep.
-        fetched_tokens: Further tokens that it is to fetch.
-        read_tokens: Tokens that it has to read whether the fetch comes or not.
-        missed_tokens: Tokens to fetch that it is expected to read, as fetches came of late.
-        fetch_from: Address of the source of the fetch, or None.
-        is_from_store: Whether that is a kept-KV store, not an engine.
-        estimate_s: Estimated time to the first event.
-        idle_s: The same, were nothing else at work there.
-        num_candidates: How many back ends were compared.
-        idle_share: Share of these without any prompt to read.
-        is_canary: Whether it tries a version of the service's program that is not proved.
+        cached_tokens: Leading tokens that are presumably cached there.
+        fetched_tokens: Further tokens that it is told to fetch.
+        read_tokens: Tokens that it has to prefill even if the fetch succeeds.
+        missed_tokens: Tokens to fetch that it will probably have to prefill, according to recent
+            fetches.
+        fetch_from: Address of the fetch source, or None.
+        is_from_store: Whether the source is a kept-KV store, not an engine.
+        estimate_s: Estimated time to the first event in seconds.
+        idle_s: The same estimate for an idle back end.
+        num_candidates: Number of back ends that were compared.
+        idle_share: Share of these that have no prompts waiting for prefill.
+        is_canary: Whether the request is for the canary version of the service's program.
     """
 
     candidate: Candidate
@@ -134,5 +142,5 @@
 
     @property
     def unread_tokens(self) -> int:
-        """Tokens that the engine is expected to read."""
+        """Return the number of tokens that the engine is expected to prefill."""
         return self.read_tokens + self.missed_tokens
--- a/src/weirscale/gateway/routing/candidate_cost.py
+++ b/src/weirscale/gateway/routing/candidate_cost.py
@@ -1,7 +1,7 @@
-"""Cost of a candidate in seconds: the wait for its first event, and what the choice adds to that.
+"""Cost of a candidate in seconds: the estimated time to the first event, plus penalties.
 
-What must be read again is weighed beyond the time that it takes, because reading it costs the whole
-engine; fetching a block from another place costs little.
+Tokens to prefill count beyond the time that they take, because prefill occupies the whole engine.
+Fetching a block from another place costs little.
 """
 
 import msgspec
@@ -19,15 +19,15 @@
 )
 
 HASH_RANGE = 2**32
-"""Values of the 32-bit hash that shares prompts out."""
+"""Number of values of the 32-bit hash that assigns prompts to engines."""
 
 
 class Estimate(msgspec.Struct, frozen=True):
-    """What choosing a candidate would come to.
+    """The estimated result of choosing a candidate.
 
     Attributes:
-        choice: The choice, were it this candidate.
-        cost_s: What is compared; the least is chosen.
+        choice: The choice if this candidate is taken.
+        cost_s: Cost in seconds. The candidate of least cost is taken.
     """
 
     choice: Choice
@@ -36,26 +36,26 @@
 
 def estimate(
     candidate: Candidate,
-    need: ScopedPrompt | None,
+    scoped_prompt: ScopedPrompt | None,
     finder: SourceFinder | None,
     zone: ZoneName,
     rules: ChoiceRules,
 ) -> Estimate:
-    """Return the cost of a candidate, and the choice that it would be.
+    """Return the cost of a candidate, and the resulting choice.
 
     Args:
         candidate: The back end.
-        need: The prompt, for generations.
-        finder: Finds where its cached blocks can be fetched; given with a prompt.
-        zone: The node's zone.
-        rules: Weights.
+        scoped_prompt: The prompt of a generation; None for other requests.
+        finder: Finds the fetch source of its cached blocks; None without a prompt.
+        zone: Zone of this node.
+        rules: Weights of the choice.
     """
     common_s = _common_cost_s(candidate, zone, rules)
-    is_known = candidate.cache is not None and candidate.weight_version is not None
-    if need is None or finder is None or not is_known:
+    has_cache = candidate.cache is not None and candidate.weight_version is not None
+    if scoped_prompt is None or finder is None or not has_cache:
         busy_s = rules.queue_s * candidate.load.num_requests / max(1, candidate.back_end.slots)
         return Estimate(Choice(candidate, estimate_s=busy_s), common_s + busy_s)
-    return _estimate_generation(candidate, need, finder, common_s, rules)
+    return _estimate_generation(candidate, scoped_prompt, finder, common_s, rules)
 
 
 def _common_cost_s(candidate: Candidate, zone: ZoneName, rules: ChoiceRules) -> float:
@@ -68,29 +68,29 @@
         cost_s += rules.other_zone_s
     if candidate.belongs_to_other_group:
         cost_s += rules.other_group_s
-    num_over = candidate.load.num_requests + 1 - candidate.back_end.slots
-    return cost_s + rules.queue_s * max(0, num_over)
+    num_queued = candidate.load.num_requests + 1 - candidate.back_end.slots
+    return cost_s + rules.queue_s * max(0, num_queued)
 
 
 def _estimate_generation(
     candidate: Candidate,
-    need: ScopedPrompt,
+    scoped_prompt: ScopedPrompt,
     finder: SourceFinder,
     common_s: float,
     rules: ChoiceRules,
 ) -> Estimate:
     assert candidate.cache is not None
     assert candidate.weight_version is not None
-    prompt = need.prompt
-    scope = need.scopes[candidate.weight_version]
+    prompt = scoped_prompt.prompt
+    scope = scoped_prompt.scopes[candidate.weight_version]
     cached = min(candidate.cache.matched_tokens(scope, prompt.blocks), prompt.num_tokens)
     source, fetched = finder.best(candidate, cached)
     read = prompt.num_tokens - cached - fetched
     is_from_store = source is not None and source.instance is None
     work = candidate.prefill_work(read, fetched, is_from_store)
     setup_s = rules.fetch_setup_s if fetched else 0.0
-    alone = PrefillWork(read, 0, 0, work.num_from_engine, work.num_from_store)
-    idle_s = first_event_s(rules.rates, alone) + setup_s
+    idle_work = PrefillWork(read, 0, 0, work.num_from_engine, work.num_from_store)
+    idle_s = first_event_s(rules.rates, idle_work) + setup_s
     wait_s = first_event_s(rules.rates, work) + setup_s
     wait_s += _memory_delay_s(candidate, prompt, rules)
     missed = round(fetched * missed_share(rules.rates, is_from_store)) if fetched else 0
@@ -113,7 +113,7 @@
 
 
 def _affinity(scope: str, prompt: Prompt, candidate: Candidate) -> float:
-    """Return from 0 to 1 how much a prompt's shared blocks belong to an engine, by their hash."""
+    """Return the affinity of a prompt's shared blocks to an engine, from 0 to 1, by their hash."""
     shared = prompt.blocks[-2] if len(prompt.blocks) > 1 else prompt.blocks[-1]
     text = f"{scope}|{shared.block_id}|{candidate.back_end.instance}"
     share = xxhash.xxh32_intdigest(text.encode()) / HASH_RANGE
--- a/src/weirscale/gateway/routing/candidates.py
+++ b/src/weirscale/gateway/routing/candidates.py
@@ -1,9 +1,9 @@
-"""Which back ends may get a request now, and what is known of each.
+"""Selection of the candidates for a request, with the state of each.
 
-A back end may get a request if the platform lists it as ready, its version of the program is one
-that the request may go to, its weights are new enough, and it has not asked to be spared it.
-Of these, engines that load weights are left out; so are those that have just refused and those
-whose circuit is open, unless no other is left.
+A back end may be sent a request if the platform lists it as ready, its program version is allowed
+for the request, its weights are new enough, and neither a rest nor its request limit prevents it.
+Of these, engines that are loading weights are left out. Back ends that have just refused a request
+and those with an open circuit are also left out, unless no others remain.
 """
 
 import math
@@ -30,22 +30,22 @@
 from weirscale.gateway.state.target_versions import TargetVersion
 
 LOADING_MARK_LIFE_S = 7.0
-"""Seconds after which an engine that was announced to load is used again, should the announcement
-of the end be lost. Not measured."""
+"""Seconds after which an engine that was announced to load weights is used again, in case the
+announcement of the end is lost."""
 
 REFUSAL_PAUSE_S = 0.15
-"""Seconds in which a back end that refused a request unrun, and did not say when to come back, gets
-none, unless nothing else serves: it may be full, about to leave, or loading weights, and its load
-looks small meanwhile. Not measured apart from the changes that came with it."""
+"""Seconds for which a back end gets no requests after it refused one without running it and without
+stating when to retry, unless no other back end is left. It may be full, about to leave, or loading
+weights, and in that time its load looks small."""
 
 
 class DispatchQuery(msgspec.Struct, frozen=True):
-    """What a choice is asked for.
+    """A request for a choice of back end.
 
     Attributes:
         service: The service.
-        prompt: The prompt, for generations.
-        tenant: The tenant, if the route is keyed.
+        prompt: The prompt of a generation; None for other requests.
+        tenant: The tenant if the route is keyed; None otherwise.
         excluded: Instances that may not be chosen.
         track: Which versions of the service's program may be chosen.
     """
@@ -58,19 +58,21 @@
 
 
 class Candidates:
-    """Finds the candidates of a request; owns the marks of engines that load or have refused.
+    """Selects the candidates for a request.
+
+    Owns the marks of engines that are loading weights and of back ends that have refused a request.
 
     Args:
-        location: Where the node stands.
-        cluster: Back ends and versions.
-        load: Work at each back end.
-        health: Circuits.
-        beliefs: What each engine is believed to keep.
-        learning: Recent waits.
-        weights_grace_s: How long older weights may be sent requests.
-        versions: Which versions of a service's program may be chosen.
+        location: Location of this node.
+        cluster: Back ends and their versions.
+        load: Load on each back end.
+        health: Circuits of the back ends.
+        cache_index: Blocks that are presumably cached at each engine.
+        statistics: Recent waits.
+        weights_grace_s: Seconds for which older weights may be sent requests.
+        versions: Selects the program versions that may be chosen.
         engines_of_other_groups: Returns the engines that other groups of nodes prefer.
-        back_pressure: Back ends that ask to be spared.
+        back_pressure: Rests and request limits of back ends.
     """
 
     def __init__(
@@ -100,83 +102,90 @@
         self._refused_until_s: dict[InstanceId, float] = {}
 
     def find(self, query: DispatchQuery, service: Service | None, now_s: float) -> list[Candidate]:
-        """Return the back ends that may get a request now."""
+        """Return the back ends that may be sent a request now."""
         usable = self._back_pressure.admitted(self.usable(query, now_s), now_s)
-        settled = [one for one in usable if not self.is_loading(one.instance, now_s)]
-        calm = [one for one in settled if not self._has_refused(one.instance, now_s)]
-        admitted = [one for one in calm if self._health.admits(one.instance, now_s)]
-        # With every circuit open, a bad network is likelier than so many bad back ends.
-        found = admitted or calm or settled
+        loaded = [end for end in usable if not self.is_loading(end.instance, now_s)]
+        not_refusing = [end for end in loaded if not self._has_refused(end.instance, now_s)]
+        admitted = [end for end in not_refusing if self._health.admits(end.instance, now_s)]
+        # If all circuits are open, a network fault is more likely than a fault of all back ends.
+        selected = admitted or not_refusing or loaded
         others = self._engines_of_other_groups()
-        return [self._candidate(one, query.prompt, service, others, now_s) for one in found]
+        return [self._candidate(end, query.prompt, service, others, now_s) for end in selected]
 
     def next_availability(self, query: DispatchQuery, now_s: float) -> NextAvailability | None:
-        """Return when the first of those that ask to be spared a request takes one again."""
+        """Return the earliest time at which a back end under back pressure can be used again.
+
+        Returns None if no back end is under back pressure.
+        """
         return self._back_pressure.next_availability(self.usable(query, now_s), now_s)
 
     def usable(self, query: DispatchQuery, now_s: float) -> list[BackEnd]:
-        """Return the ready back ends of a version and with weights that the request may go to."""
+        """Return the ready back ends with a program version and weights allowed for the request."""
         ready = self._cluster.back_ends.ready(query.service)
-        lowest = 0 if query.prompt is None else self._lowest_version(query.prompt.model, now_s)
+        lowest_version = (
+            0 if query.prompt is None else self._lowest_version(query.prompt.model, now_s)
+        )
         return [
             back_end
             for back_end in self._versions.usable(query.service, ready, query.track)
             if back_end.instance not in query.excluded
-            and self._has_usable_weights(back_end, query.prompt, lowest)
+            and self._has_usable_weights(back_end, query.prompt, lowest_version)
         ]
 
     def of_other_versions(
         self, query: DispatchQuery, service: Service, now_s: float
     ) -> list[Candidate]:
-        """Return the engines whose version of the program the request may not go to.
+        """Return the engines whose program version is not allowed for the request.
 
-        They may keep cached blocks that it wants.
+        They may have cached blocks that the request can use.
         """
         ready = self._cluster.back_ends.ready(query.service)
         usable = self._versions.usable(query.service, ready, query.track)
         if len(usable) == len(ready):
             return []
-        kept = {one.instance for one in usable}
+        usable_instances = {back_end.instance for back_end in usable}
         return [
-            self._candidate(one, query.prompt, service, (), now_s)
-            for one in ready
-            if one.instance not in kept
+            self._candidate(back_end, query.prompt, service, (), now_s)
+            for back_end in ready
+            if back_end.instance not in usable_instances
         ]
 
     def mark_loading(self, instance: InstanceId, now_s: float) -> None:
-        """Mark that an engine is about to load weights."""
+        """Mark an engine that is about to load weights."""
         self._loading_until_s[instance] = now_s + LOADING_MARK_LIFE_S
 
     def unmark_loading(self, instance: InstanceId) -> None:
-        """Mark that an engine has loaded its weights."""
+        """Remove the mark of an engine that has loaded its weights."""
         self._loading_until_s.pop(instance, None)
 
     def is_loading(self, instance: InstanceId, now_s: float) -> bool:
-        """Whether an engine is marked as loading weights."""
+        """Return whether an engine is marked as loading weights."""
         return self._loading_until_s.get(instance, 0.0) > now_s
 
     def request_refused(self, instance: InstanceId, now_s: float) -> None:
-        """A back end refused a request without running it."""
+        """Record that a back end refused a request without running it."""
         self._refused_until_s[instance] = now_s + REFUSAL_PAUSE_S
 
     def forget(self, instance: InstanceId) -> None:
-        """Forget a back end that is gone."""
+        """Drop the state of a back end that was removed."""
         self._loading_until_s.pop(instance, None)
         self._refused_until_s.pop(instance, None)
 
     def _has_refused(self, instance: InstanceId, now_s: float) -> bool:
         return self._refused_until_s.get(instance, 0.0) > now_s
 
-    def _has_usable_weights(self, back_end: BackEnd, prompt: Prompt | None, lowest: int) -> bool:
+    def _has_usable_weights(
+        self, back_end: BackEnd, prompt: Prompt | None, lowest_version: int
+    ) -> bool:
         if prompt is None or not back_end.models:
             return True
         version = self._cluster.engine_versions.version_of(back_end.instance, prompt.model)
         if version is None:
             return False
-        return version >= lowest
+        return version >= lowest_version
 
     def _lowest_version(self, model: str, now_s: float) -> int:
-        """Return the oldest weights that may be used."""
+        """Return the oldest weight version that requests may start on."""
         return self._cluster.target_versions.lowest_allowed(
             model, now_s, self.weights_grace_s, self._cluster.outage_ended_s()
         )
@@ -215,15 +224,15 @@
         )
 
     def _first_newer(self, model: str, version: int | None) -> TargetVersion | None:
-        """Return the first target version newer than an engine's, or None."""
+        """Return the first target version newer than an engine's version; None if there is none."""
         if version is None:
             return None
         return self._cluster.target_versions.first_newer(model, version)
 
     def _max_start_delay_s(self, newer: TargetVersion, now_s: float) -> float:
-        """Return the time until requests may not begin any more on weights older than a version."""
-        began_s = self._cluster.grace_began_s(newer)
-        return began_s + self.weights_grace_s + START_MARGIN_S - now_s
+        """Return the seconds until requests may no longer start on weights older than a version."""
+        grace_start_s = self._cluster.grace_began_s(newer)
+        return grace_start_s + self.weights_grace_s + START_MARGIN_S - now_s
 
     def _recent_wait_s(self, back_end: BackEnd, now_s: float) -> float:
         return self._statistics.longest_wait_s(back_end.service, now_s)
--- a/src/weirscale/gateway/routing/choice.py
+++ b/src/weirscale/gateway/routing/choice.py
@@ -1,4 +1,4 @@
-"""Chooses the back end of least cost: it answers soon and reads little of the prompt again."""
+"""Chooses the back end of least cost: a short wait, and few tokens to prefill again."""
 
 from collections.abc import Sequence
 from random import Random
@@ -14,34 +14,40 @@
 
 def choose(
     candidates: Sequence[Candidate],
-    need: ScopedPrompt | None,
+    scoped_prompt: ScopedPrompt | None,
     sources: Sequence[FetchSource],
     zone: ZoneName,
     rules: ChoiceRules,
     random: Random,
 ) -> Choice | None:
-    """Return the candidate of least cost; among near equals, any; None if none can begin in time.
+    """Return the candidate of least cost, or None if none can start the request in time.
+
+    Candidates whose costs differ by at most `rules.tie_s` count as equal.
 
     Args:
-        candidates: Back ends that may serve.
-        need: The prompt, for generations.
-        sources: Where cached blocks may be fetched.
-        zone: The node's zone.
-        rules: Weights.
-        random: Breaks ties, so that nodes do not all pick the same.
+        candidates: Back ends that may serve the request.
+        scoped_prompt: The prompt of a generation; None for other requests.
+        sources: Engines and stores from which cached blocks may be fetched.
+        zone: Zone of this node.
+        rules: Weights of the choice.
+        random: Breaks ties, so that the nodes do not all choose the same back end.
     """
-    finder = None if need is None else SourceFinder(need, sources, rules)
-    found = (estimate(one, need, finder, zone, rules) for one in candidates)
-    estimates = [one for one in found if _begins_in_time(one.choice)]
-    if not estimates:
+    finder = None if scoped_prompt is None else SourceFinder(scoped_prompt, sources, rules)
+    all_options = (
+        estimate(candidate, scoped_prompt, finder, zone, rules) for candidate in candidates
+    )
+    options = [option for option in all_options if _starts_in_time(option.choice)]
+    if not options:
         return None
-    least_s = min(one.cost_s for one in estimates)
-    near = [one for one in estimates if one.cost_s <= least_s + rules.tie_s]
-    if need is not None and all(one.choice.read_tokens == need.prompt.num_tokens for one in near):
-        # Nobody keeps any of it: the hash decides, not chance, so that all nodes choose alike.
-        near = [min(near, key=lambda one: one.cost_s)]
-    chosen = near[0] if len(near) == 1 else random.choice(near)
-    num_idle = sum(one.load.waiting_tokens <= 0 for one in candidates)
+    least_s = min(option.cost_s for option in options)
+    tied = [option for option in options if option.cost_s <= least_s + rules.tie_s]
+    if scoped_prompt is not None and all(
+        option.choice.read_tokens == scoped_prompt.prompt.num_tokens for option in tied
+    ):
+        # Nothing of the prompt is cached: the hash breaks the tie, so that all nodes choose alike.
+        tied = [min(tied, key=lambda option: option.cost_s)]
+    chosen = tied[0] if len(tied) == 1 else random.choice(tied)
+    num_idle = sum(candidate.load.waiting_tokens <= 0 for candidate in candidates)
     return msgspec.structs.replace(
         chosen.choice,
         num_candidates=len(candidates),
@@ -49,8 +55,8 @@
     )
 
 
-def _begins_in_time(choice: Choice) -> bool:
-    """Whether a request would begin before its engine's weights are too old."""
+def _starts_in_time(choice: Choice) -> bool:
+    """Return whether a request would start before its engine's weights are too old."""
     candidate = choice.candidate
     wait_s = max(START_FACTOR * choice.estimate_s, RECENT_FACTOR * candidate.recent_wait_s)
     return wait_s <= candidate.max_start_delay_s
--- a/src/weirscale/gateway/routing/dispatcher.py
+++ b/src/weirscale/gateway/routing/dispatcher.py
@@ -1,9 +1,9 @@
-"""Chooses back ends for requests, and learns from their attempts and from gossip.
+"""Chooses back ends for requests, and updates the state for later choices.
 
-The decision has one place for each of its questions: who may get the request (`candidates`), what
-is cached where (`cache_index`), what was learnt of waits (`attempt_learning`), what a candidate
-costs (`candidate_cost`, with the weights of `choice_rules`), where cached blocks are fetched from
-(`fetch_source`), and which candidate is taken (`choice`).
+Each part of the decision has its own module: which back ends may be sent the request
+(`candidates`), which blocks are cached where (`cache_index`), the statistics of past attempts
+(`attempt_statistics`), the cost of a candidate (`candidate_cost`, with the weights in
+`choice_rules`), the source of cached blocks (`fetch_source`), and the final choice (`choice`).
 """
 
 from collections.abc import Callable, Collection
@@ -33,13 +33,12 @@
 
 
 class PeerView(msgspec.Struct, frozen=True):
-    """What a choice has to know of the other nodes.
+    """Information about the other nodes that a choice uses.
 
     Attributes:
-        gossip_delay_s: Returns how many seconds late other nodes' loads are known.
+        gossip_delay_s: Returns the delay, in seconds, with which other nodes' loads arrive.
         engines_of_other_groups: Returns the engines that other groups of nodes prefer.
-        permits: What this node may send to back ends that state a request limit; None for a node
-            that knows of none.
+        permits: Permits for back ends that state a request limit; None to ignore request limits.
     """
 
     gossip_delay_s: Callable[[], float] = lambda: 0.0
@@ -48,23 +47,23 @@
 
 
 NO_PEERS = PeerView()
-"""A node alone."""
+"""For a node without peers."""
 
 
 class Dispatcher:
     """Chooses back ends.
 
     Args:
-        location: Where the node stands.
-        cluster: Back ends, configuration, versions.
-        load: Work at each back end.
-        health: Circuits.
-        weights_grace_s: How long older weights may be sent requests.
+        location: Location of this node.
+        cluster: Back ends, configuration and versions.
+        load: Load on each back end.
+        health: Circuits of the back ends.
+        weights_grace_s: Seconds for which older weights may be sent requests.
         random: Breaks ties.
-        clock: Monotonic seconds.
+        clock: Returns monotonic seconds.
         rules: Weights of the choice.
-        versions: Which versions of a service's program may be chosen.
-        peers: What has to be known of the other nodes.
+        versions: Selects the program versions that may be chosen; all by default.
+        peers: Information about the other nodes.
     """
 
     def __init__(
@@ -98,7 +97,7 @@
         )  # fmt: skip
 
     def choose(self, query: DispatchQuery) -> Choice | None:
-        """Return the best back end, or None if none may serve."""
+        """Return the best back end, or None if none can be sent the request."""
         now_s = self._clock()
         self.statistics.record_overdue(now_s)
         table = self._cluster.table
@@ -106,31 +105,40 @@
         candidates = self.candidates.find(query, service, now_s)
         if not candidates:
             return None
-        need = None
+        scoped_prompt = None
         sources: list[FetchSource] = []
         if query.prompt is not None and service is not None and service.engine is not None:
-            need = _need(query.prompt, query.tenant, candidates)
+            scoped_prompt = _scoped_prompt(query.prompt, query.tenant, candidates)
             others = self.candidates.of_other_versions(query, service, now_s)
             sources = self._store_sources(now_s) + self._engine_sources(candidates + others, now_s)
         rules = self.rules(query.service)
-        choice = choose(candidates, need, sources, self._location.zone, rules, self._random)
+        choice = choose(
+            candidates, scoped_prompt, sources, self._location.zone, rules, self._random
+        )
         return None if choice is None else self._with_load_age(choice, query.track, now_s)
 
-    async def wait_for_permit(self, query: DispatchQuery, most_s: float) -> bool:
-        """Wait for a back end that states a request limit; returns whether to choose again."""
+    async def wait_for_permit(self, query: DispatchQuery, max_wait_s: float) -> bool:
+        """Wait at most `max_wait_s` for a permit of a back end that states a request limit.
+
+        Returns:
+            Whether a back end should be chosen again.
+        """
         now_s = self._clock()
         back_ends = self.candidates.usable(query, now_s)
-        return await self.back_pressure.wait_for_permit(back_ends, now_s, most_s)
+        return await self.back_pressure.wait_for_permit(back_ends, now_s, max_wait_s)
 
     def next_availability(self, query: DispatchQuery) -> NextAvailability | None:
-        """Return when the first of those that ask to be spared a request takes one again."""
+        """Return the earliest time at which a back end under back pressure can be used again.
+
+        Returns None if no back end is under back pressure.
+        """
         return self.candidates.next_availability(query, self._clock())
 
     def rules(self, service: ServiceName) -> ChoiceRules:
-        """Return the weights of the choice as they are now.
+        """Return the current weights of the choice for a service.
 
-        The rates are those learnt of the service's engines; ties and the cost of engines of other
-        groups grow with the gossip delay.
+        The rates are those learnt from the service's engines. The tolerance for ties and the cost
+        of engines of other groups grow with the gossip delay.
         """
         start = self._start_rules
         delay_s = self._peers.gossip_delay_s()
@@ -142,19 +150,20 @@
         )
 
     def save_address(self, choice: Choice, prompt: Prompt) -> Address | None:
-        """Return the address of the store that gets what this engine reads, if it lacks it.
+        """Return the address of the store in which the chosen engine should save the prompt.
 
-        The last block of a prompt is its own; saving it alone is not worth the move.
+        Returns None if there is no such store, or if it presumably has all shared blocks. The last
+        block belongs to the prompt alone, and saving only this block is not worth the transfer.
         """
         shared = prompt.blocks[:-1]
-        store = self.cache_index.store_near(choice.candidate.back_end.zone)
+        store = self.cache_index.regional_store(choice.candidate.back_end.zone)
         if store is None or not shared or choice.scope is None:
             return None
-        kept_tokens = self.cache_index.at_store(store).matched_tokens(choice.scope, shared)
-        return store.address if kept_tokens < sum(one.num_tokens for one in shared) else None
+        saved_tokens = self.cache_index.at_store(store).matched_tokens(choice.scope, shared)
+        return store.address if saved_tokens < sum(block.num_tokens for block in shared) else None
 
     def _with_load_age(self, choice: Choice, track: Track, now_s: float) -> Choice:
-        """Add the age of the gossip in the load; only the chosen back end's is worked out."""
+        """Add the age of the gossip in the load, which is computed for the chosen back end only."""
         age_s = self._load.age_s(choice.candidate.back_end.instance, now_s)
         candidate = msgspec.structs.replace(choice.candidate, load_age_s=age_s)
         return msgspec.structs.replace(choice, candidate=candidate, is_canary=track is Track.CANARY)
@@ -162,15 +171,16 @@
     def _engine_sources(self, engines: list[Candidate], now_s: float) -> list[FetchSource]:
         return [
             FetchSource(
-                one.back_end.address,
-                one.back_end.zone,
-                one.cache,
-                one.weight_version,
-                one.back_end.instance,
-                one.region,
+                engine.back_end.address,
+                engine.back_end.zone,
+                engine.cache,
+                engine.weight_version,
+                engine.back_end.instance,
+                engine.region,
             )
-            for one in engines
-            if one.cache is not None and not self._health.is_suspect(one.back_end.instance, now_s)
+            for engine in engines
+            if engine.cache is not None
+            and not self._health.is_suspect(engine.back_end.instance, now_s)
         ]
 
     def _store_sources(self, now_s: float) -> list[FetchSource]:
@@ -186,22 +196,22 @@
         ]
 
     def set_weights_grace(self, weights_grace_s: float) -> None:
-        """Change how long older weights may be sent requests."""
+        """Set the seconds for which older weights may be sent requests."""
         self.candidates.weights_grace_s = weights_grace_s
 
     def prompt_sent(self, choice: Choice, prompt: Prompt) -> None:
-        """A prompt goes to an engine."""
+        """Record that a prompt was sent to an engine."""
         self.statistics.attempt_sent(choice, self._clock())
         instance = choice.candidate.back_end.instance
         self.record_blocks(instance, choice.scope, prompt.blocks, False)
 
     def prompt_read(self, choice: Choice, prompt: Prompt) -> None:
-        """An engine has read a prompt."""
+        """Record that an engine has prefilled a prompt."""
         instance = choice.candidate.back_end.instance
         self.record_blocks(instance, choice.scope, prompt.blocks, True)
 
     def prompt_not_read(self, choice: Choice, prompt: Prompt) -> None:
-        """An engine did not read a prompt after all."""
+        """Record that an engine did not prefill a prompt that was sent to it."""
         if choice.scope is not None:
             instance = choice.candidate.back_end.instance
             self.cache_index.forget_unread(instance, choice.scope, prompt.blocks)
@@ -213,27 +223,27 @@
         blocks: tuple[PromptBlock, ...],
         is_ready: bool,
     ) -> None:
-        """Record blocks at an engine, from this node's own sends or a peer's."""
+        """Record blocks at an engine that were sent to it by this node or by a peer."""
         if scope is not None:
             self.cache_index.record(instance, scope, blocks, is_ready)
 
     def record_shared_blocks(
         self, instance: InstanceId, scope: str, shared: tuple[PromptBlock, ...]
     ) -> None:
-        """Record the shared blocks of a prompt that an engine has read for another group."""
+        """Record shared blocks of a prompt that an engine prefilled for another group of nodes."""
         self.cache_index.record_shared(instance, scope, shared)
 
     def event_received(self, instance: InstanceId) -> None:
-        """An engine has made an event, so it lives."""
+        """Record that an engine emitted an event, which shows that it is alive."""
         self.statistics.event_received(instance, self._clock())
 
     def is_busy_with_others(self, choice: Choice, own_tokens: int, since_s: float) -> bool:
-        """Return whether an engine has made an event since a time and has others' prompts to read.
+        """Return whether an engine is alive and has prompts of other requests to prefill.
 
         Args:
-            choice: The engine, as a request chose it.
-            own_tokens: Prompt tokens of that request itself that are still to be read.
-            since_s: The time.
+            choice: The choice of the engine for a request.
+            own_tokens: Prompt tokens of that request that are still to be prefilled.
+            since_s: Time since which the engine must have emitted an event.
         """
         instance = choice.candidate.back_end.instance
         if not self.statistics.has_emitted_since(instance, since_s):
@@ -241,31 +251,31 @@
         return self._load.total(instance, self._clock()).waiting_tokens > own_tokens
 
     def first_event_received(self, choice: Choice, took_s: float) -> None:
-        """Learn how long a first event took."""
+        """Record the seconds from the sending of an attempt to its first event."""
         self.statistics.first_event_received(choice, took_s, self._clock())
 
     def wait_ended(self, choice: Choice) -> None:
-        """An attempt has had its first event, or has ended without one."""
+        """Record that an attempt received its first event, or ended without one."""
         self.statistics.wait_ended(choice)
 
     def request_refused(self, instance: InstanceId) -> None:
-        """A back end refused a request without running it."""
+        """Record that a back end refused a request without running it."""
         self.candidates.request_refused(instance, self._clock())
 
     def mark_loading(self, instance: InstanceId, is_done: bool) -> None:
-        """Mark that an engine is about to load weights, or has done so."""
+        """Record that an engine is about to load weights, or (`is_done`) has loaded them."""
         if is_done:
             self.candidates.unmark_loading(instance)
         else:
             self.candidates.mark_loading(instance, self._clock())
 
     def weights_changed(self, instance: InstanceId) -> None:
-        """An engine has new weights: what it kept is gone."""
+        """Record that an engine has loaded new weights, which empties its cache."""
         self.cache_index.clear_engine(instance)
         self.candidates.unmark_loading(instance)
 
     def forget(self, instance: InstanceId) -> None:
-        """Forget a back end that is gone."""
+        """Drop the state of a back end that was removed."""
         self.cache_index.forget_engine(instance)
         self.candidates.forget(instance)
         self.statistics.forget_engine(instance)
@@ -273,8 +283,12 @@
         self._health.forget(instance)
 
 
-def _need(prompt: Prompt, tenant: Tenant | None, candidates: list[Candidate]) -> ScopedPrompt:
+def _scoped_prompt(
+    prompt: Prompt, tenant: Tenant | None, candidates: list[Candidate]
+) -> ScopedPrompt:
     isolated = tenant.name if tenant is not None and tenant.is_isolated else None
-    versions = {one.weight_version for one in candidates if one.weight_version is not None}
+    versions = {
+        candidate.weight_version for candidate in candidates if candidate.weight_version is not None
+    }
     scopes = {version: CacheScope(prompt.model, version, isolated).text() for version in versions}
     return ScopedPrompt(prompt, scopes)
--- a/src/weirscale/gateway/routing/engine_assignment.py
+++ b/src/weirscale/gateway/routing/engine_assignment.py
@@ -1,9 +1,9 @@
 """Assigns each engine to one group of nodes, which prefers it.
 
-Gossip about loads is fresh within a group and some tenths of a second old beyond it
-(`peers.groups`): meanwhile nodes of several groups would see the same engine idle and send it their
-long prompts together. So each group prefers engines of its own, and its nodes know each other's
-sends at once. It is only a preference, with the cost `ChoiceRules.other_group_share`.
+Gossip about loads is fresh within a group, but some tenths of a second old between groups
+(`peers.groups`). In that time, nodes of several groups would see the same engine as idle, and send
+it their long prompts together. So each group prefers its own engines, and its nodes learn of each
+other's sends at once. This is only a preference, with the cost `ChoiceRules.other_group_share`.
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -15,12 +15,12 @@
 
 
 class EngineAssignment:
-    """Keeps the engines that other groups prefer, worked out anew when groups or engines change.
+    """Caches the engines that other groups prefer, until the groups or the engines change.
 
     Args:
-        name: This node.
-        peers: The groups.
-        directory: The back ends.
+        name: Name of this node.
+        peers: Nodes and their groups.
+        directory: Back ends.
     """
 
     def __init__(self, name: str, peers: PeerDirectory, directory: BackEndDirectory) -> None:
@@ -37,18 +37,21 @@
         if division is not self._division or self._directory.num_changes != self._num_changes:
             self._division = division
             self._num_changes = self._directory.num_changes
-            engines = [one for one in self._directory.all() if one.models]
+            engines = [back_end for back_end in self._directory.all() if back_end.models]
             owners = assign_engines(engines, division)
             own_group = division.group_of.get(self._name)
-            self._of_other_groups = frozenset(one for one in owners if owners[one] != own_group)
+            self._of_other_groups = frozenset(
+                instance for instance in owners if owners[instance] != own_group
+            )
         return self._of_other_groups
 
 
 def assign_engines(back_ends: Iterable[BackEnd], division: Division) -> dict[InstanceId, str]:
-    """Return the group that each engine belongs to; the same on all nodes that know the same.
+    """Return the group that each engine is assigned to.
 
-    Within a zone every group gets about as many as the others, by rendezvous hashing, so that few
-    change hands when one comes or goes. A zone without nodes leaves its back ends to all groups.
+    Nodes with the same back ends and groups get the same result. Within a zone, rendezvous hashing
+    gives every group about the same number of engines, so that few engines move when one is added
+    or removed. Engines in a zone without nodes are divided among all groups.
     """
     if len(division.groups) < 2:
         return {}
@@ -58,8 +61,8 @@
     for back_end in back_ends:
         by_zone.setdefault(back_end.zone, []).append(back_end)
     owners: dict[InstanceId, str] = {}
-    for zone, inhabitants in by_zone.items():
-        owners.update(_share_out(inhabitants, groups.get(zone, every_group)))
+    for zone, zone_back_ends in by_zone.items():
+        owners.update(_assign_in_zone(zone_back_ends, groups.get(zone, every_group)))
     return owners
 
 
@@ -70,11 +73,11 @@
     return groups
 
 
-def _share_out(back_ends: list[BackEnd], groups: list[str]) -> dict[InstanceId, str]:
+def _assign_in_zone(back_ends: list[BackEnd], groups: list[str]) -> dict[InstanceId, str]:
     fair = len(back_ends) // len(groups)
     num_owned = dict.fromkeys(groups, 0)
     owners: dict[InstanceId, str] = {}
-    for back_end in sorted(back_ends, key=lambda one: name_hash(one.instance)):
+    for back_end in sorted(back_ends, key=lambda engine: name_hash(engine.instance)):
         short = [group for group in groups if num_owned[group] < fair]
         free = short or [group for group in groups if num_owned[group] == fair]
         owner = max(free, key=lambda group: _score(group, back_end.instance))
--- a/src/weirscale/gateway/routing/fetch_source.py
+++ b/src/weirscale/gateway/routing/fetch_source.py
@@ -1,7 +1,7 @@
-"""Choice of the place that an engine fetches a prompt's cached blocks from.
+"""Choice of the source from which an engine fetches a prompt's cached blocks.
 
-Sources are the other engines and the kept-KV stores, as far as they are believed to keep more of
-the prompt than the engine itself.
+Sources are the other engines and the kept-KV stores that presumably have more of the prompt cached
+than the engine itself.
 """
 
 from collections.abc import Sequence
@@ -14,12 +14,12 @@
 
 
 class _Match(msgspec.Struct, frozen=True):
-    """What a source keeps of a prompt.
+    """The part of a prompt that a source has cached.
 
     Attributes:
-        num_tokens: Leading tokens that it keeps.
-        is_ready: Whether it has certainly read all of them.
-        is_engine: Whether it is an engine, not a store.
+        num_tokens: Number of leading tokens that are cached.
+        is_ready: Whether the source certainly has all of them.
+        is_engine: Whether the source is an engine, not a store.
         source: The source.
     """
 
@@ -29,29 +29,34 @@
     source: FetchSource
 
     def rank(self) -> tuple[int, bool, bool]:
-        """Return what puts one source before another, wherever the candidate stands."""
+        """Return the sort key of the source, apart from its distance to the candidate."""
         return self.num_tokens, self.is_ready, self.is_engine
 
 
 class SourceFinder:
-    """Finds the best source of a prompt's cached blocks; each source is looked up once."""
+    """Finds the best source of a prompt's cached blocks; each source is matched only once."""
 
     def __init__(
-        self, need: ScopedPrompt, sources: Sequence[FetchSource], rules: ChoiceRules
+        self, scoped_prompt: ScopedPrompt, sources: Sequence[FetchSource], rules: ChoiceRules
     ) -> None:
-        self._need = need
+        self._scoped_prompt = scoped_prompt
         self._sources = sources
         self._min_tokens = rules.min_fetch_tokens
         self._matches: dict[int, list[_Match]] = {}
         self._stores = [source for source in sources if source.instance is None]
 
     def best(self, candidate: Candidate, cached: int) -> tuple[FetchSource | None, int]:
-        """Return the source that has most beyond what is cached, and how many tokens.
+        """Return the source with the most tokens beyond those cached, and the number to fetch.
 
-        A store is named as the source even if nothing is believed to be there: a miss costs a
-        millisecond, and beliefs are lost with each restart. Among equals an engine that has
-        certainly read its blocks goes first, then an engine before a store, then the nearer one: a
-        source that does not answer delays the request.
+        Without such a source, a store of the region is returned with 0 tokens, even if nothing is
+        presumed to be there: a miss costs a millisecond, and a node loses its cache index with each
+        restart. Among equal sources, one that certainly has its blocks goes first, then an engine
+        before a store, then a source in the candidate's zone, since a source that does not answer
+        delays the request.
+
+        Args:
+            candidate: The engine that would fetch.
+            cached: Number of leading tokens that it has cached itself.
         """
         best: _Match | None = None
         for match in self._ranked(candidate.weight_version):
@@ -63,28 +68,30 @@
                 continue
             if are_different_regions(candidate.region, match.source.region):
                 continue
-            if best is None or _is_near(candidate, match.source):
+            if best is None or _is_same_zone(candidate, match.source):
                 best = match
-            if _is_near(candidate, best.source):
+            if _is_same_zone(candidate, best.source):
                 break
         if best is None:
             return self._store_for(candidate), 0
-        return best.source, min(best.num_tokens, self._need.prompt.num_tokens) - cached
+        return best.source, min(best.num_tokens, self._scoped_prompt.prompt.num_tokens) - cached
 
     def _store_for(self, candidate: Candidate) -> FetchSource | None:
-        near = (
-            one for one in self._stores if not are_different_regions(candidate.region, one.region)
+        in_region = (
+            store
+            for store in self._stores
+            if not are_different_regions(candidate.region, store.region)
         )
-        return next(near, None)
+        return next(in_region, None)
 
     def _ranked(self, version: int | None) -> list[_Match]:
-        """Return the sources of blocks made by a version of the weights, the best first."""
+        """Return the matches for a version of the weights, best first."""
         if version is None:
             return []
         ranked = self._matches.get(version)
         if ranked is None:
-            found = (self._match(source, version) for source in self._sources)
-            ranked = [one for one in found if one.num_tokens >= self._min_tokens]
+            matches = (self._match(source, version) for source in self._sources)
+            ranked = [match for match in matches if match.num_tokens >= self._min_tokens]
             ranked.sort(key=_Match.rank, reverse=True)
             self._matches[version] = ranked
         return ranked
@@ -92,7 +99,7 @@
     def _match(self, source: FetchSource, version: int) -> _Match:
         if source.weight_version not in (None, version):
             return _Match(0, False, False, source)
-        scope, blocks = self._need.scopes[version], self._need.prompt.blocks
+        scope, blocks = self._scoped_prompt.scopes[version], self._scoped_prompt.prompt.blocks
         matched = source.cache.matched_tokens(scope, blocks)
         is_ready = matched > 0 and (
             source.cache.matched_tokens(scope, blocks, only_ready=True) == matched
@@ -100,5 +107,5 @@
         return _Match(matched, is_ready, source.instance is not None, source)
 
 
-def _is_near(candidate: Candidate, source: FetchSource) -> bool:
+def _is_same_zone(candidate: Candidate, source: FetchSource) -> bool:
     return source.zone == candidate.back_end.zone
--- a/src/weirscale/gateway/routing/first_event_model.py
+++ b/src/weirscale/gateway/routing/first_event_model.py
@@ -1,48 +1,49 @@
-"""How long an engine takes to its first event, learnt from the first events that are observed.
-
-The time is modelled as linear in the prompt tokens to read, in those that wait before them, in the
-requests at work, and in the tokens to fetch from other engines and from kept-KV stores. Waiting
-tokens weigh less: some of them have been read since the gossip about them was sent, and more urgent
-requests go first. Where fetches do not come, engines read those tokens, and a fetched token costs
-as much as one that is read. The coefficients are learnt by recursive least squares with forgetting
-(S. Haykin, Adaptive Filter Theory, chapter on the RLS algorithm). The error of an observation is
-bounded, so that an engine that lost its memory does not spoil the rates.
-
-Measured on the first events of three logged runs of a fleet, median and 95th percentile of the
-error: 15.4 and 127 ms, 18.0 and 163 ms, 20.3 and 156 ms; with the rates of the start 22.5 and 262,
-19.9 and 226, 20.2 and 255 ms (`docs/DECISIONS.md`, "Prediction of the time to a first event").
+"""Linear model of the time to an engine's first event, learnt from observed first events.
+
+The time is linear in the prompt tokens to prefill, the tokens waiting for prefill before them, the
+active requests, and the tokens to fetch from other engines and from kept-KV stores. Waiting tokens
+cost less: some of them have been prefilled since the gossip about them was sent, and more urgent
+requests are served first. If fetches fail, engines prefill those tokens, so that a fetched token
+costs as much as a prefilled one. The coefficients are learnt by recursive least squares with
+forgetting (S. Haykin, Adaptive Filter Theory, chapter on the RLS algorithm). The error of an
+observation is bounded, so that an engine that lost its memory does not distort the rates.
+
+On the first events of three logged runs of a fleet, the median and 95th percentile of the error are
+15.4 and 127 ms, 18.0 and 163 ms, and 20.3 and 156 ms. With the initial rates they are 22.5 and
+262 ms, 19.9 and 226 ms, and 20.2 and 255 ms (`docs/DECISIONS.md`, "Prediction of the time to a
+first event").
 """
 
 from collections.abc import Sequence
 
 import msgspec
 
-FORGETTING = 0.99
-"""Weight of the past at each observation, without unit: some 100 observations count."""
+FORGETTING_FACTOR = 0.99
+"""Weight, without unit, of past observations at each new one: about 100 observations count."""
 
-LEAST_NOISE_S = 0.02
-"""Fixed part, in seconds, of the spread of the times about the line. Measured together with
-`NOISE_SHARE`: without it the median error of the three runs was 21.7, 27.1 and 27.7 ms."""
+MIN_NOISE_S = 0.02
+"""Fixed part, in seconds, of the expected deviation from the model. Without this part, the median
+error in the three runs is 21.7, 27.1 and 27.7 ms."""
 
 NOISE_SHARE = 0.3
-"""Further part of the spread, as a share of the expected time: long prompts vary by more than short
-ones. An error counts up to the whole spread. Measured: with one spread for all the median error of
-the three runs was 20.8, 25.6 and 25.7 ms."""
+"""Proportional part of the expected deviation, as a share of the expected time, since long prompts
+vary more than short ones. Errors are limited to the sum of both parts. With a fixed deviation only,
+the median error in the three runs is 20.8, 25.6 and 25.7 ms."""
 
 Vector = tuple[float, ...]
 Matrix = list[list[float]]
 
 
 class FirstEventRates(msgspec.Struct, frozen=True):
-    """What makes up the time to a first event.
+    """Coefficients of the time to the first event.
 
     Attributes:
-        base_s: Seconds without any prompt to read.
-        token_s: Seconds for each prompt token to read.
-        waiting_token_s: Seconds for each prompt token that waits there already.
-        active_s: Seconds for each request at work.
-        engine_token_s: Seconds for each prompt token that another engine is believed to keep.
-        store_token_s: Seconds for each prompt token that a kept-KV store is believed to keep.
+        base_s: Seconds without any prompt to prefill.
+        token_s: Seconds per prompt token to prefill.
+        waiting_token_s: Seconds per prompt token of other requests that waits for prefill.
+        active_s: Seconds per active request.
+        engine_token_s: Seconds per prompt token to fetch from another engine.
+        store_token_s: Seconds per prompt token to fetch from a kept-KV store.
     """
 
     base_s: float = 0.02
@@ -54,30 +55,32 @@
 
 
 START_RATES = FirstEventRates()
-"""Rates before anything is learnt: 20 ms, 38,000 and 50,000 tokens a second, 1.5 ms a request.
-Assumed. Measured on one deployment after some 30 s: 46,000 to 50,000 tokens a second, 27 to 41 ms,
-0.4 to 0.8 ms a request (`docs/DECISIONS.md`)."""
+"""Assumed rates before any observation: 20 ms, 38,000 and 50,000 tokens/s, 1.5 ms per request. On
+one deployment, the learnt rates after about 30 s are 46,000 to 50,000 tokens/s, 27 to 41 ms, and
+0.4 to 0.8 ms per request (`docs/DECISIONS.md`)."""
 
-SPREAD = FirstEventRates(0.02, 1 / 60_000.0, 1 / 60_000.0, 0.002, 1 / 20_000.0, 1 / 20_000.0)
-"""How far the rates of a deployment may be from those of the start: standard deviations, in the
-units of the rates. Widest for tokens to fetch: engines that do not fetch read them."""
+RATE_DEVIATION = FirstEventRates(
+    0.02, 1 / 60_000.0, 1 / 60_000.0, 0.002, 1 / 20_000.0, 1 / 20_000.0
+)
+"""Standard deviation of a deployment's rates from the initial ones, in the units of the rates. It
+is largest for tokens to fetch, since engines prefill them if fetches fail."""
 
 MIN_RATES = FirstEventRates(0.0, 1 / 400_000.0, 1 / 800_000.0, 0.0, 1 / 800_000.0, 1 / 800_000.0)
-"""Lower bounds of the rates, whatever is observed."""
+"""Lower bounds of the learnt rates."""
 
 MAX_RATES = FirstEventRates(0.2, 1 / 4_000.0, 1 / 4_000.0, 0.02, 1 / 4_000.0, 1 / 4_000.0)
-"""Upper bounds of the rates, whatever is observed."""
+"""Upper bounds of the learnt rates."""
 
 
 class PrefillWork(msgspec.Struct, frozen=True):
-    """What a request meets at an engine.
+    """Work of an engine until the first event of a request.
 
     Attributes:
-        num_tokens: Prompt tokens of its own to read.
-        num_waiting: Prompt tokens of others that wait there.
-        num_requests: Requests at work there.
-        num_from_engine: Prompt tokens that it is to fetch from another engine.
-        num_from_store: Prompt tokens that it is to fetch from a kept-KV store.
+        num_tokens: Prompt tokens of the request to prefill.
+        num_waiting: Prompt tokens of other requests that wait for prefill there.
+        num_requests: Requests that are active there.
+        num_from_engine: Prompt tokens of the request to fetch from another engine.
+        num_from_store: Prompt tokens of the request to fetch from a kept-KV store.
     """
 
     num_tokens: int
@@ -88,8 +91,8 @@
 
 
 def first_event_s(rates: FirstEventRates, work: PrefillWork) -> float:
-    """Return the expected seconds to the first event."""
-    # Written out instead of a loop, as each choice calls this for every engine.
+    """Return the expected time to the first event in seconds."""
+    # Unrolled, since each choice calls this for every engine.
     return (
         rates.base_s
         + rates.token_s * work.num_tokens
@@ -101,7 +104,7 @@
 
 
 def missed_share(rates: FirstEventRates, is_from_store: bool) -> float:
-    """Return from 0 to 1 the share of the tokens to fetch that engines read after all."""
+    """Return the share, from 0 to 1, of the tokens to fetch that engines prefill after all."""
     fetch_s = START_RATES.store_token_s if is_from_store else START_RATES.engine_token_s
     learnt_s = rates.store_token_s if is_from_store else rates.engine_token_s
     if rates.token_s <= fetch_s:
@@ -110,42 +113,44 @@
 
 
 class FirstEventModel:
-    """Learns the rates of the engines of one service."""
+    """Learns the rates of the engines of one service by recursive least squares."""
 
     def __init__(self, start: FirstEventRates = START_RATES) -> None:
         self.rates = start
-        spread = _vector(SPREAD)
+        deviation = _vector(RATE_DEVIATION)
         self._covariance: Matrix = [
-            [spread[row] ** 2 if row == column else 0.0 for column in range(len(spread))]
-            for row in range(len(spread))
+            [deviation[row] ** 2 if row == column else 0.0 for column in range(len(deviation))]
+            for row in range(len(deviation))
         ]
 
     def observe(self, work: PrefillWork, took_s: float) -> None:
-        """Learn from one first event.
+        """Update the rates with one observation.
 
         Args:
-            work: What the request met when it was sent.
-            took_s: Time from the sending to the first event.
+            work: Work at the engine when the request was sent.
+            took_s: Seconds from sending the request to its first event.
         """
         inputs = _inputs(work)
         expected_s = first_event_s(self.rates, work)
-        noise_s = LEAST_NOISE_S + NOISE_SHARE * expected_s
+        noise_s = MIN_NOISE_S + NOISE_SHARE * expected_s
         error_s = max(-noise_s, min(noise_s, took_s - expected_s))
         gain = self._gain(inputs, noise_s)
         rates = _vector(self.rates)
-        self.rates = _bounded([a + share * error_s for a, share in zip(rates, gain, strict=True)])
+        self.rates = _clamp(
+            [rate + factor * error_s for rate, factor in zip(rates, gain, strict=True)]
+        )
 
     def _gain(self, inputs: Vector, noise_s: float) -> list[float]:
-        """Return the weight of an error for each coefficient, and narrow the covariance."""
-        spread = [_product(row, inputs) for row in self._covariance]
-        total = _product(inputs, spread) + noise_s**2
-        gain = [one / total for one in spread]
-        limits = _vector(SPREAD)
+        """Return the gain of each coefficient, and update the covariance."""
+        spread = [_dot_product(row, inputs) for row in self._covariance]
+        total = _dot_product(inputs, spread) + noise_s**2
+        gain = [component / total for component in spread]
+        limits = _vector(RATE_DEVIATION)
         for row in range(len(limits)):
             for column in range(len(limits)):
-                narrowed = self._covariance[row][column] - gain[row] * spread[column]
-                most = limits[row] * limits[column]
-                self._covariance[row][column] = max(-most, min(most, narrowed / FORGETTING))
+                updated = self._covariance[row][column] - gain[row] * spread[column]
+                bound = limits[row] * limits[column]
+                self._covariance[row][column] = max(-bound, min(bound, updated / FORGETTING_FACTOR))
         return gain
 
 
@@ -164,13 +169,13 @@
     )
 
 
-def _product(left: Sequence[float], right: Sequence[float]) -> float:
+def _dot_product(left: Sequence[float], right: Sequence[float]) -> float:
     return sum(a * b for a, b in zip(left, right, strict=True))
 
 
-def _bounded(learnt: list[float]) -> FirstEventRates:
-    least, most = _vector(MIN_RATES), _vector(MAX_RATES)
+def _clamp(learnt: list[float]) -> FirstEventRates:
+    lows, highs = _vector(MIN_RATES), _vector(MAX_RATES)
     bounded = [
-        max(low, min(high, rate)) for rate, low, high in zip(learnt, least, most, strict=True)
+        max(low, min(high, rate)) for rate, low, high in zip(learnt, lows, highs, strict=True)
     ]
     return FirstEventRates(*bounded)
--- a/src/weirscale/gateway/routing/health.py
+++ b/src/weirscale/gateway/routing/health.py
@@ -1,6 +1,6 @@
-"""Health of back ends as this node finds it: one circuit each, fed by requests and probes.
+"""Health of back ends as observed by this node: one circuit breaker each, for requests and probes.
 
-The rules of a circuit are `domain.health.circuit`; here are their figures and the log lines.
+The circuit logic is in `domain.health.circuit`. This module holds the thresholds, and logs changes.
 """
 
 from random import Random
@@ -32,16 +32,16 @@
     slow_return_s=1.0,
     min_weight=0.15,
 )
-"""Thresholds, with units as in `HealthRules`. They are tighter and shorter than its defaults, so
-that circuits open soon and are tried again soon: each node sends many requests. Not measured."""
+"""Thresholds, with units as in `HealthRules`. They are stricter and shorter than its defaults, so
+that circuits open soon and are tried again soon, since each node sends many requests."""
 
 
 class BackEndHealth:
-    """One circuit for each back end.
+    """Owns one circuit for each back end.
 
     Args:
-        event_log: Where openings and closings are logged.
-        random: Jitter and trials.
+        event_log: Log for openings and closings.
+        random: Source of jitter, and of trial requests to recovering back ends.
         rules: Thresholds.
     """
 
@@ -54,31 +54,31 @@
         self._circuits: dict[InstanceId, Circuit] = {}
 
     def succeeded(self, instance: InstanceId, now_s: float) -> None:
-        """A request was answered."""
+        """Record an answered request."""
         circuit = self._circuits.get(instance)
         if circuit is not None:
             self._set(instance, after_success(circuit, self._rules, now_s), now_s)
 
     def failed(self, instance: InstanceId, reason: str, now_s: float) -> None:
-        """A request failed."""
+        """Record a failed request."""
         circuit = self._circuits.get(instance, HEALTHY)
         after = after_failure(circuit, self._rules, now_s, self._random, reason)
         self._set(instance, after, now_s)
 
     def unreachable(self, instance: InstanceId, reason: str, now_s: float) -> None:
-        """No connection could be made, or a probe went unanswered."""
+        """Record a failed connection or an unanswered probe."""
         circuit = self._circuits.get(instance, HEALTHY)
         after = after_probe_failure(circuit, self._rules, now_s, self._random, reason)
         self._set(instance, after, now_s)
 
     def probe_succeeded(self, instance: InstanceId, now_s: float) -> None:
-        """A probe was answered."""
+        """Record an answered probe."""
         circuit = self._circuits.get(instance)
         if circuit is not None:
             self._set(instance, after_probe_success(circuit, now_s), now_s)
 
     def admits(self, instance: InstanceId, now_s: float) -> bool:
-        """Whether a request may go there now; by chance while the back end returns."""
+        """Return whether a request may be sent now; at random while the back end recovers."""
         circuit = self._circuits.get(instance)
         if circuit is None:
             return True
@@ -86,12 +86,12 @@
         return weight >= 1.0 or self._random.random() < weight
 
     def is_suspect(self, instance: InstanceId, now_s: float) -> bool:
-        """Whether the circuit is not closed."""
+        """Return whether the circuit of a back end is not closed."""
         circuit = self._circuits.get(instance)
         return circuit is not None and state_at(circuit, now_s) is not CircuitState.CLOSED
 
     def to_probe(self, now_s: float) -> tuple[InstanceId, ...]:
-        """Return the back ends whose circuit a probe can close now."""
+        """Return the back ends whose circuit a probe could close now."""
         return tuple(
             instance
             for instance, circuit in self._circuits.items()
@@ -99,7 +99,7 @@
         )
 
     def forget(self, instance: InstanceId) -> None:
-        """Forget a back end that is gone."""
+        """Drop the state of a back end that was removed."""
         self._circuits.pop(instance, None)
 
     def _set(self, instance: InstanceId, circuit: Circuit, now_s: float) -> None:
--- a/src/weirscale/gateway/routing/version_rules.py
+++ b/src/weirscale/gateway/routing/version_rules.py
@@ -1,4 +1,4 @@
-"""Which versions of a service's program a request may go to."""
+"""Selection of the program versions of a service that a request may be sent to."""
 
 from typing import Protocol
 
@@ -8,15 +8,15 @@
 
 
 class VersionRules(Protocol):
-    """Tells which versions of a service's program may be chosen."""
+    """Selects the back ends whose program version may be chosen."""
 
     def usable(self, service: ServiceName, back_ends: list[BackEnd], track: Track) -> list[BackEnd]:
-        """Return those of some back ends that a request of a track may go to."""
+        """Return the back ends of a list that a request on a track may be sent to."""
         ...
 
 
 class AllVersions:
-    """Lets every version be chosen."""
+    """Allows every version."""
 
     def usable(self, service: ServiceName, back_ends: list[BackEnd], track: Track) -> list[BackEnd]:
         """Return all back ends."""
