--- a/src/weirscale/gateway/routing/back_end_notices.py
+++ b/src/weirscale/gateway/routing/back_end_notices.py
@@ -44,8 +44,8 @@
         self._limit_observers: list[Callable[[RunId, float | None], None]] = []
         self._unknown_names: set[str] = set()
         self._unreadable_limits: dict[InstanceId, str] = {}
-        """The last unreadable limit of each back end. Back ends repeat it in all their answers, and
-        it is logged once."""
+        """The last unreadable limit of each back end. Back ends repeat it in all their answers, but
+        it should be logged only once."""
 
     def observe_leaving(self, observer: Callable[[RunId], None]) -> None:
         """Register a function to call with each run that this node first finds to be leaving."""
@@ -77,7 +77,7 @@
         if notice.unreadable_rest:
             self._event_log.event(
                 "back_end_rest_unreadable", instance=sender.instance,
-                value=notice.unreadable_rest, remedy="have the back end send the rest in seconds",
+                value=notice.unreadable_rest, remedy="have the back end state rests in seconds",
             )  # fmt: skip
         self._handle_limit(sender, notice)
         for name in notice.unknown_names:
@@ -113,7 +113,7 @@
     def _log_unknown_header(self, sender: BackEnd, name: str) -> None:
         """Log a notice header that this release does not support, once for each name.
 
-        Such headers are passed on to the caller, so that operators would not notice them.
+        Such headers are passed on to the caller, and operators would not notice them otherwise.
         """
         if name in self._unknown_names or len(self._unknown_names) >= MAX_UNKNOWN_NAMES:
             return
@@ -138,8 +138,8 @@
 
         Another run that is registered for the address replaces it at once. Otherwise a late
         registration of an ended run, which takes over the address, would make the live back end
-        there unreachable for all nodes. In 3 of 4 simulated days in which engines restarted during
-        weight rollouts, this cost 2 of 9 engines.
+        there unreachable for all nodes. In 3 of 4 runs of a day in which engines restarted during
+        weight rollouts, 2 of 9 engines were lost in this way.
         """
         if self._cluster.back_ends.mark_replaced(expected.run_id, OwnerProof.OTHER_RUN):
             for observer in self._ended_observers:
--- a/src/weirscale/gateway/routing/candidate_cost.py
+++ b/src/weirscale/gateway/routing/candidate_cost.py
@@ -121,6 +121,6 @@
 
 
 def _memory_delay_s(candidate: Candidate, prompt: Prompt, rules: ChoiceRules) -> float:
-    fits = max(1.0, rules.memory_share * candidate.capacity_tokens)
-    needed = candidate.load.held_tokens + prompt.num_tokens + prompt.max_output_tokens
-    return rules.memory_s * max(0.0, needed / fits - 1.0)
+    usable_tokens = max(1.0, rules.memory_share * candidate.capacity_tokens)
+    needed_tokens = candidate.load.held_tokens + prompt.num_tokens + prompt.max_output_tokens
+    return rules.memory_s * max(0.0, needed_tokens / usable_tokens - 1.0)
--- a/src/weirscale/gateway/routing/choice_rules.py
+++ b/src/weirscale/gateway/routing/choice_rules.py
@@ -1,7 +1,8 @@
 """Weights of the choice of a back end, each with its unit and reason.
 
 The choice compares costs in seconds. A cost is the estimated time to the first event, plus the
-penalties below. Scores are those of simulated fleets (`docs/DECISIONS.md`).
+penalties below. The worth of a run of a fleet is the value of its answers less the cost of
+resources, as a share of the achievable value.
 """
 
 import msgspec
@@ -20,7 +21,7 @@
 """Multiple, without unit, of the estimated wait that must be left until an engine's weights are too
 old. The estimate lacks queues that other nodes have just caused. At three times the usual load,
 with all weight loads delayed, half this factor let 1 to 6 of about 3,300 requests start too late in
-each of three simulated days; with this factor none did."""
+each of three days; with this factor none did."""
 
 RECENT_FACTOR = 1.2
 """Multiple, without unit, of this node's longest recent wait that must also be left. The estimate
@@ -49,7 +50,7 @@
     reread_weight: float = 0.5
     """Share of a prompt's prefill time that is added to the wait, since prefill occupies the engine
     for all its requests, not only for this one. With learnt rates, more is prefilled again than
-    with fixed ones (0.008 of the score, `docs/DECISIONS.md`)."""
+    with fixed ones (0.008 of worth, `docs/DECISIONS.md`)."""
 
     other_zone_s: float = 0.003
     """Seconds added for a back end in another zone. The request and its first event each cross a
@@ -59,7 +60,7 @@
     """Seconds added for a back end in another region. A new connection and the request each cross a
     link of 12 ms twice, the first event crosses it once, and traffic between regions is expensive.
     In a fleet over two regions, this cost, together with fetching within a region only, raised the
-    score from 0.321 to 0.454 (`docs/DECISIONS.md`, N4)."""
+    worth from 0.321 to 0.454 (`docs/DECISIONS.md`, N4)."""
 
     suspect_s: float = 0.3
     """Seconds added for a back end that is being tried again after failures."""
@@ -67,7 +68,7 @@
     old_weights_s: float = 0.25
     """Seconds added for an engine whose weights are older than the newest target version. This is
     less than a latency objective, since an answer on older weights is better than a late one. Over
-    24 paired runs, 0.45 s with a longer wait before weight loads lowered the score by
+    24 paired runs, 0.45 s with a longer wait before weight loads lowered the worth by
     0.0118 ± 0.0088, since the few engines with new weights got all requests (`docs/DECISIONS.md`,
     "Tried and not kept")."""
 
@@ -77,13 +78,13 @@
     tie_share: float = 0.15
     """Share of the gossip delay that is added to `tie_s`. Until nodes learn of each other's sends,
     many of them see the same engine as the best one, and would all choose it. In a fleet of 195
-    nodes this raised the score from 0.433 to 0.515 (`docs/DECISIONS.md`, W1)."""
+    nodes this raised the worth from 0.433 to 0.515 (`docs/DECISIONS.md`, W1)."""
 
     other_group_share: float = 0.3
     """Share of the gossip delay that is added for an engine preferred by another group of nodes,
     since the requests that the group sends it in that time are unknown. In paired runs of a large
-    fleet, this raised the score from 0.492 to 0.531. In a fleet of three groups, shares of 0, 0.3
-    and 0.8 scored 0.532, 0.505 and 0.527, which is within the variation of single runs
+    fleet, this raised the worth from 0.492 to 0.531. In a fleet of three groups, shares of 0, 0.3
+    and 0.8 gave 0.532, 0.505 and 0.527, which is within the variation of single runs
     (`docs/design/0017-shifted-work.md`)."""
 
     other_group_s: float = 0.0
--- a/src/weirscale/gateway/routing/engine_assignment.py
+++ b/src/weirscale/gateway/routing/engine_assignment.py
@@ -74,13 +74,13 @@
 
 
 def _assign_in_zone(back_ends: list[BackEnd], groups: list[str]) -> dict[InstanceId, str]:
-    fair = len(back_ends) // len(groups)
+    fair_share = len(back_ends) // len(groups)
     num_owned = dict.fromkeys(groups, 0)
     owners: dict[InstanceId, str] = {}
     for back_end in sorted(back_ends, key=lambda engine: name_hash(engine.instance)):
-        short = [group for group in groups if num_owned[group] < fair]
-        free = short or [group for group in groups if num_owned[group] == fair]
-        owner = max(free, key=lambda group: _score(group, back_end.instance))
+        below_share = [group for group in groups if num_owned[group] < fair_share]
+        eligible = below_share or [group for group in groups if num_owned[group] == fair_share]
+        owner = max(eligible, key=lambda group: _score(group, back_end.instance))
         num_owned[owner] += 1
         owners[back_end.instance] = owner
     return owners
--- a/src/weirscale/gateway/routing/overdue.py
+++ b/src/weirscale/gateway/routing/overdue.py
@@ -2,8 +2,9 @@
 
 A missing first event shows that it takes at least as long as the wait so far. Learning only from
 received first events would favour the fastest ones, and a queue of several seconds would be noticed
-only seconds later. With engines that prefill at half their rate, this raised the score from 0.311
-to 0.357 (`docs/DECISIONS.md`, O4).
+only seconds later. With engines that prefill at half their rate, this raised the worth (value of
+answers less cost, as a share of the achievable value) from 0.311 to 0.357 (`docs/DECISIONS.md`,
+O4).
 """
 
 import msgspec
