--- a/src/weirscale/gateway/limits/__init__.py
+++ b/src/weirscale/gateway/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits that all nodes share, quotas and the retry budget, and whether this node is isolated."""
+"""Limits shared by all nodes (tenant quotas and the retry budget) and detection of isolation."""
--- a/src/weirscale/gateway/limits/quota.py
+++ b/src/weirscale/gateway/limits/quota.py
@@ -1,21 +1,22 @@
-"""Tenants' quotas over all nodes, decided without asking anybody while a request waits.
-
-**What is shared.** All nodes together may spend a tenant's rate and burst. Each node keeps a bucket
-for each tenant with a quota. It fills as `quota_rules` computes, up to the burst. What this node
-spends is taken out at once, what the others spend as gossip reports it (`usage`). Gossip is some
-tenths of a second old, so a bucket may fall below zero; that debt is paid back before more is
-admitted, so the quota holds in the long run whatever the delay, and the deployment's tolerance
-covers the moment.
-
-**The rule.** Near the limit all nodes would see room for the same request and all admit one. So a
-request is admitted with a probability: what the bucket holds, over what all nodes are asked for
-while gossip travels. What more urgent requests of the tenant need is taken off first.
-
-**Alone or cut off.** A node without contact to some of the others keeps to its share: its bucket
-fills at the rate times the share of the nodes that it receives from, itself included, and holds as
-much of the burst. However the fleet falls apart, the shares of the parts never add up to more than
-one. A node that starts, or that was paused, begins with an empty bucket: what was spent before, by
-whichever process, was at most the burst and the rate until then.
+"""Tenants' quotas over all nodes, enforced without a remote call while a request waits.
+
+**Shared state.** All nodes together may spend a tenant's rate and burst. Each node keeps a token
+bucket for each tenant with a quota. The bucket fills as `quota_rules` computes, up to the burst.
+What this node spends is deducted at once, what the other nodes spend as gossip reports it
+(`usage`). Gossip is some tenths of a second old, so a bucket's level may become negative. That debt
+is repaid before more requests are admitted, so the quota holds in the long run at any delay. The
+deployment's tolerance covers short-term excess.
+
+**Rule.** Near the limit, all nodes would see room for the same request and each would admit one. So
+a request is admitted with a probability: the level of the bucket, divided by the demand at all
+nodes while gossip travels. The demand of the tenant's more urgent requests is deducted first.
+
+**Partitions.** A node without contact to some of the other nodes limits itself to its share. Its
+bucket fills at the rate times the share of the nodes that it receives messages from, itself
+included, and holds at most the same share of the burst. However the fleet is partitioned, the
+shares of the parts never add up to more than one. A node that starts, or resumes after a
+suspension, begins with an empty bucket: what all processes spent before was at most the burst plus
+the rate until then.
 """
 
 from collections.abc import Callable, Iterator
@@ -28,9 +29,9 @@
     MIN_RETRY_S,
     cost_of,
     fill_per_s,
-    in_window,
+    gossip_convergence_s,
     partition_slack,
-    settle_s,
+    window_allowance,
 )
 from weirscale.gateway.limits.usage import (
     NO_USAGE,
@@ -44,31 +45,32 @@
 from weirscale.gateway.settings import QuotaPrecision
 
 ENDED_NODE_GRACE_S = 1.0
-"""Seconds for which a node whose registration has ended still counts as one that may spend. It has
-not reached the store for some six seconds by then, so it has no proof of its configuration either,
-and refuses requests with keys unless another node gives it one. With 8 s the others kept to smaller
-shares for 14 s after a cut, though nodes that are cut off refuse keys from 4.6 s on. Other figures
-were not measured."""
-
-CONTACT_S = 0.8
-"""Seconds for which a node that was received from counts as in contact: nodes send each 0.25 s at
-least, so two messages may be lost. Not measured against other figures; the schedules of quotas hold
-with it (`docs/design/0016-quotas.md`)."""
-
-LEAST_DIVISOR = 1e-9
+"""Seconds for which a node whose registration has ended still counts as one that may spend. By then
+it has not reached the store for some 6 s, so it has no proof of its configuration either, and
+refuses requests with keys unless another node sends it a proof. With 8 s, the other nodes limited
+themselves to smaller shares for 14 s after a partition, although nodes that are cut off refuse keys
+from 4.6 s on."""
+
+CONTACT_TIMEOUT_S = 0.8
+"""Seconds without a message after which a node no longer counts as in contact. Nodes send at least
+every 0.25 s, so two messages in a row may be lost. The schedules in `docs/design/0016-quotas.md`
+hold with this value."""
+
+MIN_DIVISOR = 1e-9
 """Keeps the probability finite for a request that costs nothing."""
 
 
 class QuotaDecision(msgspec.Struct, frozen=True):
-    """Whether a request is admitted, and what decided it.
+    """Whether a request is admitted, and the values that decided it.
 
     Attributes:
-        is_admitted: Whether it is.
-        cost: What it costs, in the unit of the quota.
-        level: What the bucket held, in the unit of the quota.
-        share: Share of the nodes that this one has contact to, itself included.
-        age_s: Seconds since the source that has been silent longest was received from.
-        retry_after_s: Seconds until it would be admitted if nobody else spent; None if never.
+        is_admitted: Whether the request is admitted.
+        cost: Cost of the request, in the unit of the quota.
+        level: Level of the bucket, in the unit of the quota.
+        share: Share of the nodes that this node is in contact with, itself included.
+        age_s: Seconds since the last message of the source that has been silent longest.
+        retry_after_s: Seconds until the request would be admitted if no other request spent
+            anything; None if it is admitted, or will never be.
     """
 
     is_admitted: bool
@@ -80,29 +82,29 @@
 
 
 ADMITTED = QuotaDecision(True)
-"""Where there is no quota."""
+"""Decision for tenants without a quota."""
 
 
 class _Bucket(msgspec.Struct):
-    """What is left of one tenant's quota, as this node sees it.
+    """This node's view of what is left of one tenant's quota.
 
     Attributes:
         level: Tokens or requests; below 0 in debt.
-        at_s: Time up to which it has been worked out.
+        updated_at_s: Time for which `level` was computed.
     """
 
     level: float
-    at_s: float
+    updated_at_s: float
 
 
 class QuotaLedger:
-    """Owns the buckets of a node.
+    """Owns the buckets of a node and decides which requests are admitted.
 
     Args:
-        precision: How exactly the deployment wants quotas kept.
-        num_nodes: Returns how many nodes may spend, this one included.
-        gossip_interval_s: Returns the time between a node's messages.
-        random: Decides near the limit.
+        precision: How exactly quotas must hold in this deployment.
+        num_nodes: Returns the number of nodes that may spend, this one included.
+        gossip_interval_s: Returns the seconds between two gossip messages of a node.
+        random: Draws whether a request is admitted near the limit.
         clock: Monotonic seconds.
     """
 
@@ -121,37 +123,39 @@
         self._clock = clock
         self._quotas: dict[TenantName, Quota] = {}
         self._buckets: dict[TenantName, _Bucket] = {}
-        self._awake_at_s = clock()
+        self._ticked_at_s = clock()
         self._swept_at_s = float("-inf")
         self._share = 1.0
-        self._own: dict[TenantName, OwnUsage] = {}
-        """Of tenants with recent requests at this node."""
-        self.fleet_usage = FleetUsage(self._bring_up_to)
+        self._own_usage: dict[TenantName, OwnUsage] = {}
+        """Usage at this node, of tenants with recent requests."""
+        self.fleet_usage = FleetUsage(self._advance)
 
     def set_precision(self, precision: QuotaPrecision) -> None:
-        """Change how exactly quotas are to be kept."""
+        """Change how exactly quotas must hold."""
         self._precision = precision
 
     def set_tenants(self, tenants: tuple[Tenant, ...]) -> None:
-        """Put the quotas of a configuration in force; what was spent stays spent."""
+        """Apply the quotas of a configuration; recorded spending is kept."""
         now_s = self._clock()
         for name in self._buckets:
-            self._bring_up_to(name, now_s)
-        self._quotas = {one.name: one.quota for one in tenants if one.quota is not None}
+            self._advance(name, now_s)
+        self._quotas = {tenant.name: tenant.quota for tenant in tenants if tenant.quota is not None}
         self._buckets = {
             name: self._buckets[name] for name in self._buckets if name in self._quotas
         }
         for name in self._quotas:
             self._buckets.setdefault(name, _Bucket(0.0, now_s))
-        self._own = {name: own for name, own in self._own.items() if name in self._quotas}
-        self.fleet_usage.keep(self._quotas)
+        self._own_usage = {
+            name: own for name, own in self._own_usage.items() if name in self._quotas
+        }
+        self.fleet_usage.retain_tenants(self._quotas)
 
     def tick(self) -> None:
-        """Bring the share of the nodes up to date; to be called as often as gossip is sent."""
+        """Update the share of the nodes in contact; call this whenever gossip is sent."""
         now_s = self._clock()
-        if now_s - self._awake_at_s > PEER_TIMEOUT_S:
+        if now_s - self._ticked_at_s > PEER_TIMEOUT_S:
             self._forget_other_nodes(now_s)
-        self._awake_at_s = now_s
+        self._ticked_at_s = now_s
         if now_s - self._swept_at_s < SWEEP_INTERVAL_S:
             return
         self._swept_at_s = now_s
@@ -159,38 +163,38 @@
         share = self.contact_share(self.contact_cutoff_s())
         if share != self._share:
             for name in self._buckets:
-                self._bring_up_to(name, now_s)
+                self._advance(name, now_s)
             self._share = share
 
     def contact_share(self, since_s: float) -> float:
-        """Return the share of the nodes that were received from since a time, this one included."""
+        """Return the share of the nodes that sent a message since a time, this one included."""
         received = self.fleet_usage.num_nodes_since(since_s)
         return min(1.0, (1 + received) / max(1, self._num_nodes()))
 
     def has_quotas(self) -> bool:
-        """Whether any tenant has a quota."""
+        """Return whether any tenant has a quota."""
         return bool(self._quotas)
 
     def contact_cutoff_s(self) -> float:
-        """Return since when a node must have been received from to be in contact."""
-        return self._clock() - CONTACT_S
+        """Return the earliest time of its last message at which a node counts as in contact."""
+        return self._clock() - CONTACT_TIMEOUT_S
 
     def _forget_other_nodes(self, now_s: float) -> None:
-        """This node was paused: it does not know what the others spent meanwhile."""
+        """Discard other nodes' usage and all credit: this node was suspended and missed gossip."""
         self._swept_at_s = float("-inf")
         for source in self.fleet_usage.sources():
             self.fleet_usage.forget_source(source, now_s)
         for bucket in self._buckets.values():
             bucket.level = min(bucket.level, 0.0)
-            bucket.at_s = now_s
+            bucket.updated_at_s = now_s
 
     def admit(self, tenant: Tenant, num_tokens: int | None, priority: int) -> QuotaDecision:
-        """Decide on a request that arrived; `spend` follows once it is sent.
+        """Decide whether a request is admitted; call `spend` once it is sent.
 
         Args:
-            tenant: Who asks.
-            num_tokens: Tokens that the request names, in and out; None if it names none.
-            priority: Of its route, 0 first.
+            tenant: The tenant.
+            num_tokens: Input and output tokens that the request names; None if it names none.
+            priority: Priority of its route; 0 is the most urgent.
         """
         quota, bucket = self._quotas.get(tenant.name), self._buckets.get(tenant.name)
         if quota is None or bucket is None:
@@ -198,13 +202,13 @@
         self.tick()
         now_s = self._clock()
         cost = cost_of(quota, num_tokens)
-        self._own_of(tenant.name).ask(cost, priority, now_s)
-        self._bring_up_to(tenant.name, now_s)
-        chance = self._admission_probability(
+        self._own_usage_of(tenant.name).record_request(cost, priority, now_s)
+        self._advance(tenant.name, now_s)
+        probability = self._admission_probability(
             quota, bucket, tenant.name, cost, min(priority, NUM_PRIORITIES - 1)
         )
-        is_possible = cost <= in_window(quota, self._precision)
-        is_admitted = is_possible and (chance >= 1.0 or self._random.random() < chance)
+        is_possible = cost <= window_allowance(quota, self._precision)
+        is_admitted = is_possible and (probability >= 1.0 or self._random.random() < probability)
         retry_s = None
         if is_possible and not is_admitted:
             retry_s = self._retry_after_s(quota, bucket, tenant.name, cost)
@@ -214,62 +218,67 @@
     def _admission_probability(
         self, quota: Quota, bucket: _Bucket, name: TenantName, cost: float, priority: int
     ) -> float:
-        """Return the probability with which a request is admitted; 1 and more means always."""
-        shared_out_s = settle_s(self._gossip_interval_s())
-        asked = self._asked(name)
+        """Return the probability of admission; 1 or more means always."""
+        convergence_s = gossip_convergence_s(self._gossip_interval_s())
+        demand_per_s = self._demand_per_s(name)
         slack = partition_slack(quota, self._precision, self._num_nodes(), self._share)
-        room = max(0.0, bucket.level + slack) - shared_out_s * sum(asked[:priority])
-        return room / max(cost, shared_out_s * asked[priority], LEAST_DIVISOR)
+        room = max(0.0, bucket.level + slack) - convergence_s * sum(demand_per_s[:priority])
+        return room / max(cost, convergence_s * demand_per_s[priority], MIN_DIVISOR)
 
-    def _own_of(self, name: TenantName) -> OwnUsage:
-        own = self._own.get(name)
+    def _own_usage_of(self, name: TenantName) -> OwnUsage:
+        own = self._own_usage.get(name)
         if own is None:
-            own = self._own[name] = OwnUsage()
+            own = self._own_usage[name] = OwnUsage()
         return own
 
-    def _asked(self, name: TenantName) -> tuple[float, ...]:
-        """Return what callers ask a second of the nodes in contact, by priority."""
-        own = self._own_of(name).now(self._clock())
+    def _demand_per_s(self, name: TenantName) -> tuple[float, ...]:
+        """Return callers' demand per second at the nodes in contact, by priority."""
+        own = self._own_usage_of(name).rates(self._clock())
         return own.plus(self.fleet_usage.sum(name)).asked_per_s
 
     def _retry_after_s(self, quota: Quota, bucket: _Bucket, name: TenantName, cost: float) -> float:
-        needed = max(cost, settle_s(self._gossip_interval_s()) * sum(self._asked(name)))
+        needed = max(
+            cost, gossip_convergence_s(self._gossip_interval_s()) * sum(self._demand_per_s(name))
+        )
         missing = needed - bucket.level
         return max(MIN_RETRY_S, missing / fill_per_s(quota, self._precision))
 
     def spend(self, tenant: Tenant, cost: float) -> None:
-        """A request is sent to a back end; a negative cost was proved unrun."""
+        """Record the cost of a request sent to a back end.
+
+        A negative cost refunds a request that a back end proved not to have run.
+        """
         bucket = self._buckets.get(tenant.name)
         if bucket is not None and cost:
             now_s = self._clock()
-            self._bring_up_to(tenant.name, now_s)
+            self._advance(tenant.name, now_s)
             bucket.level -= cost
-            self._own_of(tenant.name).spend(cost, now_s)
+            self._own_usage_of(tenant.name).spend(cost, now_s)
 
-    def _bring_up_to(self, name: TenantName, now_s: float) -> None:
-        """Bring a bucket up to a time, by the rates that held until then."""
+    def _advance(self, name: TenantName, now_s: float) -> None:
+        """Compute a bucket's level at a time from the rates that applied until then."""
         quota, bucket = self._quotas.get(name), self._buckets.get(name)
         if quota is None or bucket is None:
             return
         spent_per_s = self.fleet_usage.sum(name).spent_per_s
         gained_per_s = self._share * fill_per_s(quota, self._precision) - spent_per_s
-        level = bucket.level + gained_per_s * max(0.0, now_s - bucket.at_s)
+        level = bucket.level + gained_per_s * max(0.0, now_s - bucket.updated_at_s)
         bucket.level = min(self._share * quota.burst, level)
-        bucket.at_s = max(now_s, bucket.at_s)
+        bucket.updated_at_s = max(now_s, bucket.updated_at_s)
 
     def own_usage(self) -> Iterator[tuple[TenantName, TenantUsage]]:
-        """Return what this node spends and is asked for, of tenants with recent requests."""
+        """Yield spending and demand at this node, for tenants with recent requests."""
         now_s = self._clock()
-        for name, own in tuple(self._own.items()):
-            usage = own.now(now_s)
+        for name, own in tuple(self._own_usage.items()):
+            usage = own.rates(now_s)
             if usage == NO_USAGE:
-                del self._own[name]
+                del self._own_usage[name]
             else:
                 yield name, usage
 
     def levels(self) -> dict[TenantName, float]:
-        """Return what each bucket holds now."""
+        """Return the current level of each bucket."""
         now_s = self._clock()
         for name in self._buckets:
-            self._bring_up_to(name, now_s)
+            self._advance(name, now_s)
         return {name: bucket.level for name, bucket in self._buckets.items()}
--- a/src/weirscale/gateway/limits/quota_rules.py
+++ b/src/weirscale/gateway/limits/quota_rules.py
@@ -1,37 +1,36 @@
-"""The arithmetic of tenants' quotas: what a request costs, how buckets fill, what the rule
-tolerates.
+"""The arithmetic of tenants' quotas: request costs, fill rates of buckets, and tolerances.
 
-Amounts are in the unit of the quota: tokens or requests. The rule, from the deployment: in any
-window at most (rate x window + burst) x (1 + overage) + tolerance may be spent at all nodes
-together.
+Amounts are in the unit of the quota: tokens or requests. The deployment's rule: in any window, all
+nodes together may spend at most (rate x window + burst) x (1 + overage) + tolerance.
 """
 
 from weirscale.gateway.model.configuration import Quota, QuotaUnit
 from weirscale.gateway.settings import QuotaPrecision
 
-SETTLE_INTERVALS = 2.5
-"""Gossip intervals over which a bucket is shared out among the nodes. With fewer, nodes admit more
-than there is before they learn of each other; with more, a burst is refused though there is room.
-Measured by simulation of 79 nodes at 7.5 times the usual load, one seed: 2.0 gave a worst window of
-0.94 of the rule; with 3.3 a tenant whose load comes in bursts was refused at 0.87 of its room."""
+CONVERGENCE_INTERVALS = 2.5
+"""Gossip intervals after which all nodes are taken to have received a node's usage. With fewer,
+nodes admit more than the bucket holds before they receive each other's usage. With more, a burst is
+refused although there is room. In a simulation of 79 nodes at 7.5 times the usual load, one seed,
+2.0 gave a worst window of 0.94 of the rule; with 3.3, a tenant with bursty load was refused at 0.87
+of its room."""
 
-MIN_SETTLE_S = 0.25
-"""Seconds over which a bucket is shared out at least, however short the interval. Not measured."""
+MIN_CONVERGENCE_S = 0.25
+"""Lower bound in seconds of the convergence time, however short the gossip interval."""
 
 PARTITION_SLACK_FACTOR = 2.5
-"""Multiple, without unit, of its part of what the rule tolerates that a node without contact to the
-others may spend beyond its own part: requests cannot be divided, so that part alone would be too
-small for one. The tolerance bears it while at most 1 / 2.5 of the nodes are alone at once. Measured
-by simulation with 60 % of the nodes alone: worst windows of 0.61 to 0.75 of the rule at 79 nodes,
-of 0.97 to 1.03 at 8 (`docs/design/0016-quotas.md`)."""
+"""Multiple of a node's equal part of the tolerated amount that a node without contact to the other
+nodes may spend beyond its share of the bucket. Requests cannot be divided, so that share alone
+would be too small for a single request. The tolerance covers this while at most 1 / 2.5 of the
+nodes are alone at once. In simulations with 60 % of the nodes alone, the worst windows were 0.61 to
+0.75 of the rule at 79 nodes, and 0.97 to 1.03 at 8 nodes (`docs/design/0016-quotas.md`)."""
 
 BURST_SLACK_SHARE = 0.6
-"""Share of the tolerance that a burst may use that comes on top of a full window; the rest is for
-the delay of gossip. Without any of it a tenant that asks without end was refused 579 instead of 333
-times on one run of a large fleet (`docs/DECISIONS.md`, T1). Other shares were not tried."""
+"""Share of the tolerance available to a burst on top of a full window; the rest covers the delay of
+gossip. Without this share, a tenant that requests without pause was refused 579 instead of 333
+times in one run of a large fleet (`docs/DECISIONS.md`, T1)."""
 
 MIN_RETRY_S = 0.05
-"""Seconds after which a refused caller is asked back at the earliest. Not measured."""
+"""Minimum seconds after which a refused caller is asked to retry."""
 
 
 def cost_of(quota: Quota, num_tokens: int | None) -> float:
@@ -41,40 +40,40 @@
     return float(quota.unnamed_tokens if num_tokens is None else num_tokens)
 
 
-def settle_s(gossip_interval_s: float) -> float:
-    """Return the seconds over which a bucket is shared out among the nodes."""
-    return max(MIN_SETTLE_S, SETTLE_INTERVALS * gossip_interval_s)
+def gossip_convergence_s(gossip_interval_s: float) -> float:
+    """Return the seconds until all nodes are taken to have received a node's usage."""
+    return max(MIN_CONVERGENCE_S, CONVERGENCE_INTERVALS * gossip_interval_s)
 
 
-def in_window(quota: Quota, precision: QuotaPrecision) -> float:
-    """Return the amount that a quota allows in one window."""
+def window_allowance(quota: Quota, precision: QuotaPrecision) -> float:
+    """Return the amount that a quota allows in one window, without tolerances."""
     return quota.rate_per_s * precision.window_s + quota.burst
 
 
-def tolerated(quota: Quota, precision: QuotaPrecision) -> float:
-    """Return the amount that the rule tolerates in a window beyond the quota."""
-    return precision.overage * in_window(quota, precision) + precision.tolerance
+def tolerated_excess(quota: Quota, precision: QuotaPrecision) -> float:
+    """Return the amount beyond the quota that the rule tolerates in a window."""
+    return precision.overage * window_allowance(quota, precision) + precision.tolerance
 
 
 def fill_per_s(quota: Quota, precision: QuotaPrecision) -> float:
-    """Return the amount a second by which all nodes' buckets together fill.
+    """Return the amount per second by which the buckets of all nodes together fill.
 
-    The quota allows the rate and one burst in each window, so who asks without end may have a
-    part of the burst in each. A window that begins with a full bucket then holds up to a burst
-    more than the quota: no more than the tolerance bears.
+    The quota allows the rate and one burst in each window, so a tenant that requests without pause
+    regains part of the burst in each window. A window that begins with a full bucket may then
+    exceed the quota by up to a burst, which is limited to what the tolerance covers.
     """
-    regained = min(quota.burst, BURST_SLACK_SHARE * tolerated(quota, precision))
-    return quota.rate_per_s + regained / precision.window_s
+    regained_burst = min(quota.burst, BURST_SLACK_SHARE * tolerated_excess(quota, precision))
+    return quota.rate_per_s + regained_burst / precision.window_s
 
 
 def partition_slack(quota: Quota, precision: QuotaPrecision, num_nodes: int, share: float) -> float:
-    """Return the amount that a node may spend beyond its part of the bucket.
+    """Return the amount that a node may spend beyond its share of the bucket.
 
     Args:
         quota: The tenant's quota.
-        precision: How exactly quotas are to be kept.
-        num_nodes: Nodes that may spend.
-        share: Share of them that this node has contact to, itself included.
+        precision: How exactly quotas must hold.
+        num_nodes: Number of nodes that may spend.
+        share: Share of those nodes that this node is in contact with, itself included.
     """
-    part = tolerated(quota, precision) / max(1, num_nodes)
-    return (1.0 - share) * PARTITION_SLACK_FACTOR * part
+    equal_part = tolerated_excess(quota, precision) / max(1, num_nodes)
+    return (1.0 - share) * PARTITION_SLACK_FACTOR * equal_part
--- a/src/weirscale/gateway/limits/usage_reporter.py
+++ b/src/weirscale/gateway/limits/usage_reporter.py
@@ -1,4 +1,4 @@
-"""Puts tenants' usage into gossip: what has changed, and all of it at each refresh."""
+"""Adds tenants' usage to gossip: changes at once, and everything at each refresh."""
 
 from collections.abc import Mapping
 
@@ -9,7 +9,7 @@
 
 
 class UsageReporter:
-    """Remembers what was sent last."""
+    """Reports usage that differs from what it reported last."""
 
     def __init__(self) -> None:
         self._sent: dict[TenantName, UsageGossip] = {}
@@ -17,16 +17,16 @@
     def add_to(
         self, outbox: GossipOutbox, usage: Mapping[TenantName, TenantUsage], must_refresh: bool
     ) -> None:
-        """Put into an outbox what is to be sent.
+        """Add changed usage to an outbox, or all usage if a refresh is due.
 
         Args:
-            outbox: Where it goes.
-            usage: What each tenant spends and asks for now; who is not in it does neither.
-            must_refresh: Whether to send also what has not changed.
+            outbox: Collects the next message.
+            usage: Current usage by tenant; a missing tenant has none.
+            must_refresh: Whether to add unchanged usage as well.
         """
         sent: dict[TenantName, UsageGossip] = {}
-        for tenant, one in usage.items():
-            gossip = _to_gossip(tenant, one)
+        for tenant, tenant_usage in usage.items():
+            gossip = _to_gossip(tenant, tenant_usage)
             sent[tenant] = gossip
             if must_refresh or gossip != self._sent.get(tenant):
                 outbox.add_usage(gossip)
@@ -42,5 +42,5 @@
 
 
 def read_usage(gossip: UsageGossip) -> tuple[TenantName, TenantUsage]:
-    """Read what another node sent."""
+    """Return the tenant and usage in another node's gossip."""
     return TenantName(gossip.tenant), TenantUsage(gossip.spent_per_s, gossip.asked_per_s)
