--- a/src/weirscale/gateway/request_limits/__init__.py
+++ b/src/weirscale/gateway/request_limits/__init__.py
@@ -1,1 +1,1 @@
-"""Request limits that back ends state: what is known of them, and who may send within them."""
+"""Request limits that back ends state in their answers, and the permits that enforce them."""
--- a/src/weirscale/gateway/request_limits/issuers.py
+++ b/src/weirscale/gateway/request_limits/issuers.py
@@ -1,4 +1,4 @@
-"""Which nodes issue the permits for a back end that states a request limit."""
+"""Selects the nodes that issue the permits for a back end that states a request limit."""
 
 import heapq
 from collections.abc import Callable, Collection
@@ -7,63 +7,64 @@
 from weirscale.gateway.model.identifiers import RunId
 
 NUM_ISSUERS = 2
-"""Nodes that issue permits for a run. Each has an equal, fixed share of the limit, so that the sum
-holds whatever they know of one another; one that is dead or cut off costs its share until it has
-lost its place."""
+"""Number of nodes that issue permits for a run of a back end. Each has an equal, fixed share of the
+limit, so the sum holds even if they have no contact. The share of an issuer that is dead or cut off
+is lost until that node is removed from the fleet."""
 
-OWN_PART = 0.5
-"""Part of a high limit that nodes may use without asking."""
+OWN_SHARE = 0.5
+"""Share of a high limit that the nodes may use without permits."""
 
 
 class PermitIssuers:
-    """Finds the issuers by rendezvous hashing: all nodes that know the same nodes agree.
+    """Selects issuers by rendezvous hashing, so nodes with the same list of nodes agree.
 
     Args:
-        name: This node.
-        node_names: Returns the names of all nodes that have a place in the fleet, the same object
-            until they change. Nodes that left the registrations of late have one: an outage of the
-            store lets all registrations end, and each node would take itself for the only issuer.
+        name: Name of this node.
+        node_names: Returns the names of all nodes in the fleet, as the same object until they
+            change. Must include nodes whose registration ended recently: an outage of the store
+            ends all registrations, and each node would consider itself the only issuer.
     """
 
     def __init__(self, name: str, node_names: Callable[[], Collection[str]]) -> None:
         self._name = name
         self._node_names = node_names
-        self._known_names: Collection[str] = ()
-        self._found: dict[RunId, list[str]] = {}
-        """Issuers that were worked out for the known names."""
+        self._cached_names: Collection[str] = ()
+        self._issuers_by_run: dict[RunId, list[str]] = {}
+        """Issuers computed for `_cached_names`."""
 
     def issuers(self, run: RunId) -> list[str]:
-        """Return the names of the nodes that issue permits for a run."""
+        """Return the names of the nodes that issue permits for a run of a back end."""
         names = self._node_names()
-        if names is not self._known_names:
-            self._known_names = names
-            self._found = {}
-        if run not in self._found:
+        if names is not self._cached_names:
+            self._cached_names = names
+            self._issuers_by_run = {}
+        if run not in self._issuers_by_run:
             key = rendezvous_key(run)
             ranked = heapq.nlargest(NUM_ISSUERS, names, lambda name: rendezvous_weight(name, key))
-            self._found[run] = ranked
-        return self._found[run]
+            self._issuers_by_run[run] = ranked
+        return self._issuers_by_run[run]
 
-    def issues(self, run: RunId) -> bool:
-        """Whether this node is one of them."""
+    def is_issuer(self, run: RunId) -> bool:
+        """Return whether this node issues permits for a run."""
         return self._name in self.issuers(run)
 
     def rate_per_s(self, limit_per_s: float) -> float:
-        """Return the permits that each issuer may issue in a second under a limit."""
+        """Return the permits per second that each issuer may issue under a limit."""
         issued_per_s = limit_per_s - self.num_nodes() * self.own_rate_per_s(limit_per_s)
         return issued_per_s / min(NUM_ISSUERS, self.num_nodes())
 
     def own_rate_per_s(self, limit_per_s: float) -> float:
-        """Return the requests a second that each node may send without a permit.
+        """Return the requests per second that each node may send without a permit.
 
-        Under a limit of a request a second for each node, half of it is divided equally: nobody
-        has to ask there while the limit is far above the traffic. Under a lower one, nodes that
-        each send one request at the same moment would exceed it.
+        If the limit allows at least one request per second for each node, half of it is divided
+        equally among the nodes, so no node needs permits while the limit is far above the
+        traffic. Under a lower limit the result is 0: nodes that each send one request at the same
+        moment would exceed it.
         """
         if limit_per_s < self.num_nodes():
             return 0.0
-        return OWN_PART * limit_per_s / self.num_nodes()
+        return OWN_SHARE * limit_per_s / self.num_nodes()
 
     def num_nodes(self) -> int:
-        """Return how many nodes have a place in the fleet."""
+        """Return the number of nodes in the fleet."""
         return max(1, len(self._node_names()))
--- a/src/weirscale/gateway/request_limits/permit_bucket.py
+++ b/src/weirscale/gateway/request_limits/permit_bucket.py
@@ -1,34 +1,34 @@
-"""The token bucket from which an issuer gives out its share of a back end's request limit."""
+"""The token bucket from which an issuer grants its share of a back end's request limit."""
 
 import msgspec
 
-BURST = 1.5
-"""Permits that a bucket gathers, whatever the limit. A bucket that held no more than one would lose
-what gathers between the moment at which it is full and the next asker."""
+BASE_BURST = 1.5
+"""Permits that a bucket can accumulate, whatever the limit. A bucket that held at most one would
+lose the permits that accrue between the moment it is full and the next query."""
 
 BURST_S = 0.75
-"""Seconds for which it gathers beyond that. The bursts of all issuers, and the permits that are
-out, stay below what a back end bears beyond its limit for some seconds: half as much again and 5
-requests."""
+"""Seconds of the rate that a bucket can accumulate in addition. The bursts of all issuers, plus the
+permits already granted, stay below what a back end tolerates beyond its limit for some seconds:
+half of the limit plus 5 requests."""
 
 WAIT_FACTOR = 0.05
-"""Multiple, without unit, of the time in which all who wait before an asker are served that the
-asker is told to wait: some of them will not come back."""
+"""Factor for the time in which all requesters that already wait would be served; a new requester is
+told to wait for that part of it. The factor is low because some of them will not query again."""
 
 MIN_WAIT_S = 0.02
-"""Shortest time in seconds that an asker is told to wait: with none it would ask over and over for
-a permit that is all but there."""
+"""Minimum wait in seconds in a reply without permits. Without it, a requester would repeat its
+query in a tight loop when the next permit is almost available."""
 
 MAX_WAIT_S = 15.0
-"""Longest time in seconds that an asker is told to wait."""
+"""Maximum wait in seconds in a reply without permits."""
 
 
 class PermitGrant(msgspec.Struct, frozen=True):
-    """What an issuer answers.
+    """An issuer's response to a node that needs permits.
 
     Attributes:
-        num_permits: Requests that may be sent.
-        wait_s: Where that is 0: seconds until asking again makes sense.
+        num_permits: Number of requests that the node may send.
+        wait_s: Seconds until the node should query again; 0 if `num_permits` is above 0.
     """
 
     num_permits: int
@@ -36,62 +36,67 @@
 
 
 class PermitBucket:
-    """Owns the permits of one run that this node may still issue.
+    """Owns the permits that this node may issue for one run of a back end.
 
-    It begins empty: the node may have issued some before it started again, or another node may
-    have, in whose place it issues now.
+    A bucket begins empty, because this node may have issued permits before a restart, or another
+    node may have done so before this node became an issuer.
 
     Args:
-        now_s: When it is made.
+        now_s: Current time.
     """
 
     def __init__(self, now_s: float) -> None:
         self._level = 0.0
-        self._at_s = now_s
+        self._updated_at_s = now_s
         self._waiting_until_s: dict[str, float] = {}
 
-    def take(self, asker: str, num_wanted: int, rate_per_s: float, now_s: float) -> PermitGrant:
-        """Take permits for a node, as many as are there of those that it wants.
+    def take(
+        self, requester: str, num_requested: int, rate_per_s: float, now_s: float
+    ) -> PermitGrant:
+        """Grant a node the permits that it requested, as far as they are available.
 
         Args:
-            asker: Name of the node.
-            num_wanted: How many it wants.
-            rate_per_s: Permits that the bucket gathers in a second, above 0.
-            now_s: The time.
+            requester: Name of the requesting node.
+            num_requested: Number of permits requested.
+            rate_per_s: Permits per second that the bucket gains; must be above 0.
+            now_s: Current time.
         """
-        if self.holds_one(rate_per_s, now_s):
-            num = min(max(1, num_wanted), int(self._level))
-            self._level -= num
-            self._waiting_until_s.pop(asker, None)
-            return PermitGrant(num)
-        return PermitGrant(0, self._wait_s(asker, rate_per_s, now_s))
-
-    def holds_one(self, rate_per_s: float, now_s: float) -> bool:
-        """Whether a permit could be taken now."""
+        if self.has_permit(rate_per_s, now_s):
+            num_granted = min(max(1, num_requested), int(self._level))
+            self._level -= num_granted
+            self._waiting_until_s.pop(requester, None)
+            return PermitGrant(num_granted)
+        return PermitGrant(0, self._wait_s(requester, rate_per_s, now_s))
+
+    def has_permit(self, rate_per_s: float, now_s: float) -> bool:
+        """Return whether the bucket holds at least one permit now."""
         self._fill(rate_per_s, now_s)
         return self._level >= 1.0
 
     def take_one(self, rate_per_s: float, now_s: float) -> bool:
-        """Take a permit if there is one; `rate_per_s` may be 0."""
-        if not self.holds_one(rate_per_s, now_s):
+        """Take a permit if there is one, and return whether there was; `rate_per_s` may be 0."""
+        if not self.has_permit(rate_per_s, now_s):
             return False
         self._level -= 1.0
         return True
 
     def _fill(self, rate_per_s: float, now_s: float) -> None:
-        filled = self._level + rate_per_s * max(0.0, now_s - self._at_s)
-        self._level = min(filled, BURST + BURST_S * rate_per_s)
-        self._at_s = now_s
+        filled = self._level + rate_per_s * max(0.0, now_s - self._updated_at_s)
+        self._level = min(filled, BASE_BURST + BURST_S * rate_per_s)
+        self._updated_at_s = now_s
 
-    def _wait_s(self, asker: str, rate_per_s: float, now_s: float) -> float:
-        """Have an asker come back behind those that wait already, so that not all ask at once."""
-        others = {
+    def _wait_s(self, requester: str, rate_per_s: float, now_s: float) -> float:
+        """Return a wait that places a requester after those already waiting.
+
+        This keeps them from all sending their queries at once.
+        """
+        other_waits = {
             name: until_s
             for name, until_s in self._waiting_until_s.items()
-            if until_s > now_s and name != asker
+            if until_s > now_s and name != requester
         }
-        next_s = (1.0 - self._level) / rate_per_s
-        after_others_s = next_s + WAIT_FACTOR * len(others) / rate_per_s
-        wait_s = min(MAX_WAIT_S, max(MIN_WAIT_S, after_others_s))
-        self._waiting_until_s = others | {asker: now_s + wait_s}
+        next_permit_s = (1.0 - self._level) / rate_per_s
+        queue_wait_s = next_permit_s + WAIT_FACTOR * len(other_waits) / rate_per_s
+        wait_s = min(MAX_WAIT_S, max(MIN_WAIT_S, queue_wait_s))
+        self._waiting_until_s = other_waits | {requester: now_s + wait_s}
         return wait_s
--- a/src/weirscale/gateway/request_limits/permit_exchange.py
+++ b/src/weirscale/gateway/request_limits/permit_exchange.py
@@ -1,4 +1,4 @@
-"""Asks other nodes for permits, and answers those that ask this one."""
+"""Sends queries for permits to other nodes, and answers their queries."""
 
 from collections.abc import Callable, Mapping
 
@@ -18,10 +18,10 @@
     """Sends and answers queries for permits; `run` must be running.
 
     Args:
-        name: This node.
-        limits: The limits that back ends state; queries and replies tell of them, too.
-        permits: What this node wants and holds.
-        issuer: What it issues.
+        name: Name of this node.
+        limits: The limits that back ends state; queries and replies carry them as well.
+        permits: Permits that this node holds and needs.
+        issuer: Issues permits at this node.
         addresses: Returns the other nodes' addresses, by name.
         send: Sends a message to several nodes.
         clock: Monotonic seconds.
@@ -46,28 +46,31 @@
         self._clock = clock
 
     async def run(self) -> None:
-        """Ask for what is wanted, until cancelled; a node without limited back ends sleeps."""
+        """Send queries while permits are needed, until cancelled.
+
+        A node without limited back ends sleeps.
+        """
         while True:
-            await self._permits.wait_until_wanted()
-            while self._permits.is_asking():
-                await self._ask()
+            await self._permits.wait_until_needed()
+            while self._permits.is_fetching():
+                await self._send_due_queries()
                 with anyio.move_on_after(TICK_S):
-                    await self._permits.wait_until_wanted()
+                    await self._permits.wait_until_needed()
 
-    async def _ask(self) -> None:
+    async def _send_due_queries(self) -> None:
         addresses = self._addresses()
-        for due in self._permits.due_queries():
-            address = addresses.get(due.issuer)
+        for addressed in self._permits.due_queries():
+            address = addresses.get(addressed.issuer)
             if address is not None:
-                await self._send(due.query, (address,))
+                await self._send(addressed.query, (address,))
 
     async def answer(self, query: PermitQuery, address: ListenAddress) -> None:
-        """Answer a query, and learn of the limit that it names."""
+        """Answer a query, and record the limit that it carries."""
         run, now_s = RunId(query.run), self._clock()
         made_at_s = now_s - query.age_ms / MILLISECONDS_PER_S
         self._limits.record_peer_statement(run, LimitStatement(query.limit_per_s, made_at_s))
-        known = self._limits.statement(run)
-        if known is None:
+        statement = self._limits.statement(run)
+        if statement is None:
             return
         grant = self._issuer.issue(run, query.sender, query.num_requested)
         reply = PermitReply(
@@ -76,7 +79,7 @@
             run,
             grant.num_permits,
             round(grant.wait_s * MILLISECONDS_PER_S),
-            known.limit_per_s,
-            round((now_s - known.made_at_s) * MILLISECONDS_PER_S),
+            statement.limit_per_s,
+            round((now_s - statement.made_at_s) * MILLISECONDS_PER_S),
         )
         await self._send(reply, (address,))
--- a/src/weirscale/gateway/request_limits/permit_issuer.py
+++ b/src/weirscale/gateway/request_limits/permit_issuer.py
@@ -1,4 +1,4 @@
-"""Issues permits for the back ends whose request limits this node has a share of."""
+"""Issues this node's share of the permits for back ends that state a request limit."""
 
 from collections.abc import Callable
 
@@ -9,20 +9,20 @@
 from weirscale.gateway.request_limits.stated_limits import StatedLimits
 
 MIN_LIMIT_PER_S = 0.1
-"""Least requests a second that are sent, whatever is stated: a back end that takes none could not
-say that it takes some again."""
+"""Minimum limit in requests per second, whatever a back end states. A back end that gets no
+requests could not state a higher limit in an answer."""
 
-NO_ISSUER_WAIT_S = 1.0
-"""Seconds that an asker waits which takes this node for an issuer and is wrong: by then both have
-read the same registrations."""
+NOT_ISSUER_WAIT_S = 1.0
+"""Wait in seconds for a requester that wrongly considers this node an issuer. By then both nodes
+have read the same registrations."""
 
 
 class PermitIssuer:
-    """Owns the buckets.
+    """Owns a permit bucket for each limited run of a back end that this node issues permits for.
 
     Args:
-        limits: The limits.
-        issuers: Tells whether this node issues permits for a run.
+        limits: The limits that back ends state.
+        issuers: Decides whether this node issues permits for a run.
         clock: Monotonic seconds.
     """
 
@@ -34,16 +34,16 @@
         self._clock = clock
         self._buckets: RecentRuns[PermitBucket] = RecentRuns()
 
-    def issue(self, run: RunId, asker: str, num_wanted: int) -> PermitGrant:
-        """Return the permits that a node gets for a run; none are needed where it has no limit."""
+    def issue(self, run: RunId, requester: str, num_requested: int) -> PermitGrant:
+        """Return the permits granted to a node for a run; 0 without a wait if it has no limit."""
         limit_per_s = self._limits.limit_per_s(run)
         if limit_per_s is None:
             self._buckets.pop(run)
             return PermitGrant(0)
-        if not self._issuers.issues(run):
-            return PermitGrant(0, NO_ISSUER_WAIT_S)
+        if not self._issuers.is_issuer(run):
+            return PermitGrant(0, NOT_ISSUER_WAIT_S)
         rate_per_s = self._issuers.rate_per_s(max(MIN_LIMIT_PER_S, limit_per_s))
-        return self._bucket(run).take(asker, num_wanted, rate_per_s, self._clock())
+        return self._bucket(run).take(requester, num_requested, rate_per_s, self._clock())
 
     def _bucket(self, run: RunId) -> PermitBucket:
         bucket = self._buckets.get(run)
--- a/src/weirscale/gateway/request_limits/request_permits.py
+++ b/src/weirscale/gateway/request_limits/request_permits.py
@@ -1,13 +1,15 @@
-"""What this node may send to back ends that state a request limit.
-
-**What is shared.** A back end's limit holds for all nodes together. **The rule.** A node sends it a
-request only with a permit, and permits are issued by a few nodes that each own an equal part of the
-limit. So the sum holds at any number of nodes, however uneven their callers are, and whatever is
-lost: a lost message loses permits and adds none. A permit is fetched ahead, by the first request
-that could use one; that request goes to another back end meanwhile, or waits if there is no other.
-
-A permit lasts a short time, so that permits do not gather and are used all at once. Under a limit
-far above the traffic each node has a small share of its own, and seldom asks (`issuers.py`).
+"""Limits what this node sends to back ends that state a request limit.
+
+**Shared limit.** A back end's limit applies to all nodes together. **Rule.** A node sends such a
+back end a request only with a permit. Permits are issued by a few nodes, each of which owns an
+equal share of the limit. So the sum holds at any number of nodes, however unevenly callers are
+distributed, and despite lost messages: a lost message loses permits and adds none. The first
+request that could use a permit causes the query for it. Meanwhile that request goes to another back
+end, or waits if there is none.
+
+A permit expires after a short time, so nodes cannot accumulate permits and use them all at once.
+Under a limit far above the traffic, each node has a small share of its own and seldom needs a query
+(`issuers.py`).
 """
 
 from collections import deque
@@ -26,88 +28,88 @@
 from weirscale.gateway.request_limits.permit_issuer import PermitIssuer
 from weirscale.gateway.request_limits.stated_limits import LimitStatement, StatedLimits
 
-MIN_PERMIT_LIFE_S = 1.0
-"""Seconds from the query in which a permit may be used, at the least."""
+MIN_PERMIT_LIFETIME_S = 1.0
+"""Minimum lifetime of a permit in seconds, from its query on."""
 
-MAX_PERMIT_LIFE_S = 6.0
-"""Longest life of a permit in seconds. In between it lasts for as long as it takes until the limit
-allows one more request: a permit that nobody uses is lost to all."""
+MAX_PERMIT_LIFETIME_S = 6.0
+"""Maximum lifetime of a permit in seconds. Between the two bounds, the lifetime includes the time
+until the limit allows one more request, because an unused permit is lost to all nodes."""
 
-WANT_LIFE_S = 1.0
-"""Seconds for which this node goes on asking after a request that wanted a permit."""
+NEED_DURATION_S = 1.0
+"""Seconds for which this node continues to send queries after a request needed a permit."""
 
 QUERY_TIMEOUT_S = 0.3
-"""Seconds until an issuer counts as silent: two ticks, and the way there and back."""
+"""Seconds without a reply after which a query has failed: two ticks plus the round trip."""
 
-SILENCE_S = 1.0
-"""Seconds for which an issuer that was silent is not asked."""
+SILENT_ISSUER_PAUSE_S = 1.0
+"""Seconds for which an issuer gets no queries after it left one unanswered."""
 
-AHEAD_S = 0.25
-"""Seconds of requests for which permits are fetched ahead where requests follow one another."""
+PREFETCH_S = 0.25
+"""A query fetches as many permits ahead as were used in this many seconds, plus the one needed."""
 
 
 class OpenPermitQuery(msgspec.Struct, frozen=True):
-    """A query whose reply is waited for.
+    """A query without a reply so far.
 
     Attributes:
-        number: Its number.
-        issuer: Who was asked.
-        asked_at_s: When.
+        number: Number of the query.
+        issuer: Name of the issuer that it was sent to.
+        sent_at_s: When it was sent.
     """
 
     number: int
     issuer: str
-    asked_at_s: float
+    sent_at_s: float
 
 
 class AddressedQuery(msgspec.Struct, frozen=True):
-    """A query and the node that it is for."""
+    """A query and the name of the issuer to send it to."""
 
     issuer: str
     query: PermitQuery
 
 
 class _RunPermits(msgspec.Struct):
-    """What this node holds and does for one limited run.
+    """This node's permits and queries for one limited run of a back end.
 
     Attributes:
-        limit_per_s: The limit that the rest belongs to.
-        own: What it may send without a permit.
-        expire_at_s: When the permits that it holds expire, the first one first.
-        taken_at_s: When permits were used of late.
-        wanted_until_s: Until when it asks for permits.
-        query: The open query.
-        ask_after_s: By issuer: when it may be asked again.
+        limit_per_s: The limit for which the other attributes apply.
+        own_bucket: Requests that this node may send without a permit.
+        expire_at_s: Expiry times of the permits held, earliest first.
+        used_at_s: Times at which permits were used recently.
+        needed_until_s: Time until which this node sends queries.
+        query: The open query, if any.
+        query_after_s: Earliest time of the next query, by issuer.
     """
 
     limit_per_s: float
-    own: PermitBucket
+    own_bucket: PermitBucket
     expire_at_s: deque[float] = msgspec.field(default_factory=deque)
-    taken_at_s: deque[float] = msgspec.field(default_factory=deque)
-    wanted_until_s: float = 0.0
+    used_at_s: deque[float] = msgspec.field(default_factory=deque)
+    needed_until_s: float = 0.0
     query: OpenPermitQuery | None = None
-    ask_after_s: dict[str, float] = msgspec.field(default_factory=dict)
+    query_after_s: dict[str, float] = msgspec.field(default_factory=dict)
 
     def num_held(self, now_s: float) -> int:
-        """Return how many permits may be used now."""
+        """Discard expired permits and return how many are left."""
         while self.expire_at_s and self.expire_at_s[0] <= now_s:
             self.expire_at_s.popleft()
         return len(self.expire_at_s)
 
-    def num_taken(self, since_s: float) -> int:
-        """Return how many permits were used since a time, at the most `AHEAD_S` ago."""
-        return sum(at_s >= since_s for at_s in self.taken_at_s)
+    def num_used(self, since_s: float) -> int:
+        """Return how many permits were used since a time that is at most `PREFETCH_S` ago."""
+        return sum(at_s >= since_s for at_s in self.used_at_s)
 
 
 class RequestPermits:
-    """Owns this node's permits.
+    """Owns the permits that this node may use.
 
     Args:
-        name: This node.
+        name: Name of this node.
         limits: The limits that back ends state.
-        issuers: Who issues permits.
-        own_issuer: This node's part in that.
-        random: Draws the first number of a query and whom to ask first.
+        issuers: Selects the nodes that issue permits.
+        own_issuer: Issues permits at this node.
+        random: Draws the number of the first query, and the issuer for each query.
         clock: Monotonic seconds.
     """
 
@@ -127,162 +129,169 @@
         self._random = random
         self._clock = clock
         self._last_number: int | None = None
-        """Number of the last query; None until the first is sent."""
+        """Number of the last query; None until the first one."""
         self._runs: dict[RunId, _RunPermits] = {}
-        self._wanted = anyio.Event()
+        self._needed = anyio.Event()
         self._changed = anyio.Event()
 
     def admits(self, run: RunId) -> bool:
-        """Whether a request may be sent to a run now; if not, a permit is asked for."""
+        """Return whether a request may be sent to a run now; if not, fetch a permit."""
         limit_per_s = self._limits.limit_per_s(run)
         if limit_per_s is None:
             return True
         permits = self._permits_of(run, limit_per_s)
-        if self._holds_one(permits, limit_per_s):
+        if self._has_permit(permits, limit_per_s):
             return True
-        self._want(run, permits)
-        return self._holds_one(permits, limit_per_s)
+        self._fetch_permit(run, permits)
+        return self._has_permit(permits, limit_per_s)
 
-    def _holds_one(self, permits: _RunPermits, limit_per_s: float) -> bool:
+    def _has_permit(self, permits: _RunPermits, limit_per_s: float) -> bool:
         now_s = self._clock()
         own_rate_per_s = self._issuers.own_rate_per_s(limit_per_s)
-        return bool(permits.num_held(now_s)) or permits.own.holds_one(own_rate_per_s, now_s)
+        return bool(permits.num_held(now_s)) or permits.own_bucket.has_permit(own_rate_per_s, now_s)
 
     def take(self, run: RunId) -> None:
-        """Use a permit for a request that is sent to a run now."""
+        """Use a permit for a request that is being sent to a run."""
         limit_per_s = self._limits.limit_per_s(run)
         if limit_per_s is None:
             return
         now_s, permits = self._clock(), self._permits_of(run, limit_per_s)
         own_rate_per_s = self._issuers.own_rate_per_s(limit_per_s)
-        if permits.own.take_one(own_rate_per_s, now_s):
+        if permits.own_bucket.take_one(own_rate_per_s, now_s):
             return
         if permits.num_held(now_s):
             permits.expire_at_s.popleft()
-        while permits.taken_at_s and permits.taken_at_s[0] < now_s - MIN_PERMIT_LIFE_S:
-            permits.taken_at_s.popleft()
-        is_repeated = bool(permits.taken_at_s)
-        permits.taken_at_s.append(now_s)
-        if is_repeated and not self._holds_one(permits, limit_per_s):
-            self._want(run, permits)
+        while permits.used_at_s and permits.used_at_s[0] < now_s - MIN_PERMIT_LIFETIME_S:
+            permits.used_at_s.popleft()
+        was_used_recently = bool(permits.used_at_s)
+        permits.used_at_s.append(now_s)
+        if was_used_recently and not self._has_permit(permits, limit_per_s):
+            self._fetch_permit(run, permits)
 
     def permit_wait_s(self, run: RunId) -> float:
-        """Return in how many seconds a permit may be there; 0 where it is expected at any time.
+        """Return the seconds until a permit may be available; 0 if one may arrive at any time.
 
-        A node may have to wait for many others before it asks again, but a caller may return to any
-        node: one more request is taken somewhere as soon as the limit allows it.
+        The result is at most the lifetime of a permit. This node may have to wait for many other
+        nodes before its next query, but a caller may retry at any node, and some node can send one
+        more request as soon as the limit allows it.
         """
         limit_per_s = self._limits.limit_per_s(run)
-        if limit_per_s is None or self.is_expected(run):
+        if limit_per_s is None or self.is_permit_expected(run):
             return 0.0
-        ask_after_s = self._runs[run].ask_after_s
-        ask_at_s = min(ask_after_s.get(issuer, 0.0) for issuer in self._issuers.issuers(run))
-        return min(max(0.0, ask_at_s - self._clock()), permit_life_s(limit_per_s))
+        query_after_s = self._runs[run].query_after_s
+        query_at_s = min(query_after_s.get(issuer, 0.0) for issuer in self._issuers.issuers(run))
+        return min(max(0.0, query_at_s - self._clock()), permit_lifetime_s(limit_per_s))
 
-    def is_expected(self, run: RunId) -> bool:
-        """Whether the reply to a query for a run is waited for, or there is an issuer to ask."""
+    def is_permit_expected(self, run: RunId) -> bool:
+        """Return whether a query for a run is open, or could be sent now."""
         permits = self._runs.get(run)
         if permits is None or permits.query is not None:
             return True
-        return self._issuer_to_ask(run, permits) is not None
+        return self._available_issuer(run, permits) is not None
 
     def num_expected(self, runs: Iterable[RunId], within_s: float) -> float:
-        """Return how many permits for some limited runs may be hoped for within a time.
+        """Return how many permits for some limited runs this node can expect within a time.
 
-        Other nodes' callers want them as well.
+        The result is an equal part, because the other nodes' callers need permits as well.
         """
         limits = [self._limits.limit_per_s(run) or 0.0 for run in runs]
         return within_s * sum(limits) / self._issuers.num_nodes()
 
-    async def wait_until_wanted(self) -> None:
-        """Wait until a permit is wanted."""
-        await self._wanted.wait()
+    async def wait_until_needed(self) -> None:
+        """Wait until a permit is needed."""
+        await self._needed.wait()
 
     async def wait_for_reply(self) -> None:
-        """Wait until an issuer has answered, or was given up."""
+        """Wait until an issuer has replied, or a query has failed."""
         await self._changed.wait()
 
-    def is_asking(self) -> bool:
-        """Whether permits are wanted or waited for."""
+    def is_fetching(self) -> bool:
+        """Return whether permits are needed or a query is open."""
         now_s = self._clock()
         return any(
-            one.wanted_until_s > now_s or one.query is not None for one in self._runs.values()
+            permits.needed_until_s > now_s or permits.query is not None
+            for permits in self._runs.values()
         )
 
     def due_queries(self) -> list[AddressedQuery]:
-        """Return the queries that are to be sent now."""
-        self._wanted = anyio.Event()
+        """Return the queries to send now; expire unanswered ones and drop runs without a limit."""
+        self._needed = anyio.Event()
         self._runs = {
-            run: one for run, one in self._runs.items() if self._limits.limit_per_s(run) is not None
+            run: permits
+            for run, permits in self._runs.items()
+            if self._limits.limit_per_s(run) is not None
         }
         queries = []
         for run, permits in self._runs.items():
-            self._give_up_silent(permits)
+            self._expire_query(permits)
             query = self._next_query(run, permits)
             if query is not None:
                 queries.append(query)
         return queries
 
     def receive(self, reply: PermitReply) -> None:
-        """Take over the reply to an open query; a late one is void."""
+        """Apply the reply to an open query; ignore late replies."""
         run = RunId(reply.run)
         permits = self._runs.get(run)
         if permits is None or permits.query is None or permits.query.number != reply.number:
             return
         query, permits.query = permits.query, None
-        made_at_s = query.asked_at_s - reply.age_ms / MILLISECONDS_PER_S
+        made_at_s = query.sent_at_s - reply.age_ms / MILLISECONDS_PER_S
         self._limits.record_peer_statement(run, LimitStatement(reply.limit_per_s, made_at_s))
         wait_s = reply.wait_ms / MILLISECONDS_PER_S
         grant = PermitGrant(reply.num_permits, wait_s)
-        expires_at_s = query.asked_at_s + permit_life_s(reply.limit_per_s)
-        self._take_grant(permits, query.issuer, grant, expires_at_s)
+        expires_at_s = query.sent_at_s + permit_lifetime_s(reply.limit_per_s)
+        self._store_grant(permits, query.issuer, grant, expires_at_s)
 
-    def _take_grant(
+    def _store_grant(
         self, permits: _RunPermits, issuer: str, grant: PermitGrant, expires_at_s: float
     ) -> None:
         permits.expire_at_s.extend([expires_at_s] * grant.num_permits)
-        permits.ask_after_s[issuer] = self._clock() + grant.wait_s
+        permits.query_after_s[issuer] = self._clock() + grant.wait_s
         if grant.num_permits:
-            permits.wanted_until_s = 0.0
-        self._tell_change()
+            permits.needed_until_s = 0.0
+        self._notify_change()
 
-    def _want(self, run: RunId, permits: _RunPermits) -> None:
-        """Ask for permits: this node itself at once, others when `due_queries` is called next."""
+    def _fetch_permit(self, run: RunId, permits: _RunPermits) -> None:
+        """Get a permit from this node's own issuer if possible; otherwise note that one is needed.
+
+        `due_queries` then returns a query to another issuer.
+        """
         now_s = self._clock()
-        if self._issuers.issues(run) and permits.ask_after_s.get(self._name, 0.0) <= now_s:
-            grant = self._own_issuer.issue(run, self._name, self._num_wanted(permits))
-            expires_at_s = now_s + permit_life_s(self._limits.limit_per_s(run))
-            self._take_grant(permits, self._name, grant, expires_at_s)
+        if self._issuers.is_issuer(run) and permits.query_after_s.get(self._name, 0.0) <= now_s:
+            grant = self._own_issuer.issue(run, self._name, self._num_to_fetch(permits))
+            expires_at_s = now_s + permit_lifetime_s(self._limits.limit_per_s(run))
+            self._store_grant(permits, self._name, grant, expires_at_s)
             if grant.num_permits:
                 return
-        permits.wanted_until_s = now_s + WANT_LIFE_S
-        self._wanted.set()
+        permits.needed_until_s = now_s + NEED_DURATION_S
+        self._needed.set()
 
-    def _num_wanted(self, permits: _RunPermits) -> int:
-        return 1 + permits.num_taken(self._clock() - AHEAD_S)
+    def _num_to_fetch(self, permits: _RunPermits) -> int:
+        return 1 + permits.num_used(self._clock() - PREFETCH_S)
 
     def _permits_of(self, run: RunId, limit_per_s: float) -> _RunPermits:
         permits = self._runs.get(run)
         if permits is None:
             permits = self._runs[run] = _RunPermits(limit_per_s, PermitBucket(self._clock()))
         elif permits.limit_per_s != limit_per_s:
-            # How long to wait before asking again was worked out for the limit of before.
+            # The waits before the next queries were computed for the previous limit.
             permits.limit_per_s = limit_per_s
-            permits.ask_after_s.clear()
+            permits.query_after_s.clear()
         return permits
 
-    def _give_up_silent(self, permits: _RunPermits) -> None:
+    def _expire_query(self, permits: _RunPermits) -> None:
         query, now_s = permits.query, self._clock()
-        if query is not None and now_s >= query.asked_at_s + QUERY_TIMEOUT_S:
+        if query is not None and now_s >= query.sent_at_s + QUERY_TIMEOUT_S:
             permits.query = None
-            permits.ask_after_s[query.issuer] = now_s + SILENCE_S
-            self._tell_change()
+            permits.query_after_s[query.issuer] = now_s + SILENT_ISSUER_PAUSE_S
+            self._notify_change()
 
     def _next_query(self, run: RunId, permits: _RunPermits) -> AddressedQuery | None:
         now_s = self._clock()
-        if permits.query is not None or permits.wanted_until_s <= now_s:
+        if permits.query is not None or permits.needed_until_s <= now_s:
             return None
-        issuer = self._issuer_to_ask(run, permits)
+        issuer = self._available_issuer(run, permits)
         statement = self._limits.statement(run)
         if issuer is None or statement is None or statement.limit_per_s is None:
             return None
@@ -290,36 +299,37 @@
         permits.query = OpenPermitQuery(number, issuer, now_s)
         age_ms = round((now_s - statement.made_at_s) * MILLISECONDS_PER_S)
         query = PermitQuery(
-            self._name, number, run, self._num_wanted(permits), statement.limit_per_s, age_ms
+            self._name, number, run, self._num_to_fetch(permits), statement.limit_per_s, age_ms
         )
         return AddressedQuery(issuer, query)
 
     def _next_number(self) -> int:
-        """Return the number of the next query; the first is drawn anew in each run of the process.
+        """Return the number of the next query.
 
-        A reply to the process before must not pass for one to this.
+        Each process draws its first number at random, so it does not accept a reply to a query of
+        the previous process.
         """
         if self._last_number is None:
             self._last_number = self._random.getrandbits(NUMBER_BITS)
         self._last_number += 1
         return self._last_number
 
-    def _issuer_to_ask(self, run: RunId, permits: _RunPermits) -> str | None:
+    def _available_issuer(self, run: RunId, permits: _RunPermits) -> str | None:
         now_s = self._clock()
-        free = [
+        available = [
             issuer
             for issuer in self._issuers.issuers(run)
-            if issuer != self._name and permits.ask_after_s.get(issuer, 0.0) <= now_s
+            if issuer != self._name and permits.query_after_s.get(issuer, 0.0) <= now_s
         ]
-        return self._random.choice(free) if free else None
+        return self._random.choice(available) if available else None
 
-    def _tell_change(self) -> None:
+    def _notify_change(self) -> None:
         changed, self._changed = self._changed, anyio.Event()
         changed.set()
 
 
-def permit_life_s(limit_per_s: float | None) -> float:
-    """Return for how many seconds from its query a permit may be used under a limit."""
+def permit_lifetime_s(limit_per_s: float | None) -> float:
+    """Return the lifetime of a permit under a limit, in seconds from its query on."""
     if not limit_per_s:
-        return MAX_PERMIT_LIFE_S
-    return min(MAX_PERMIT_LIFE_S, MIN_PERMIT_LIFE_S + 1.0 / limit_per_s)
+        return MAX_PERMIT_LIFETIME_S
+    return min(MAX_PERMIT_LIFETIME_S, MIN_PERMIT_LIFETIME_S + 1.0 / limit_per_s)
--- a/src/weirscale/gateway/request_limits/stated_limits.py
+++ b/src/weirscale/gateway/request_limits/stated_limits.py
@@ -1,8 +1,8 @@
-"""Which back ends have stated a request limit, as far as this node knows.
+"""The request limits that back ends have stated, as received by this node.
 
-A back end states its limit in its answers, for as long as it holds. Answers reach a node out of
-order, and the other nodes tell what they were answered. So each statement counts by when it was
-made: a later one replaces an earlier one, whatever the order in which they come.
+A back end states its limit in its answers for as long as the limit holds. Answers reach a node out
+of order, and other nodes forward the limits from theirs. So statements are ordered by when they
+were made: a later statement replaces an earlier one, whatever the order of arrival.
 """
 
 import enum
@@ -15,28 +15,28 @@
 from weirscale.ports.event_log import EventLog
 
 UNLIMITED_PER_S = 1e6
-"""Requests a second from which a limit is none: no fleet sends so many to one back end."""
+"""Requests per second from which a limit counts as none: no fleet sends one back end as many."""
 
 PEER_DELAY_S = 1.0
-"""Seconds that a statement may have been on its way from another node, over two heads of groups. By
-as much it may be older than it seems."""
+"""Maximum delay in seconds of a statement forwarded by another node through two group heads. The
+statement may be older than it appears by as much."""
 
 
 class StatementSource(enum.Enum):
-    """How a node knows of a limit, for the log."""
+    """Where a statement came from, for the log."""
 
     ANSWER = "answer"
-    """The back end's answer to this node."""
+    """An answer to this node."""
     PEER = "peer"
-    """Its answer to another node."""
+    """An answer to another node."""
 
 
 class LimitStatement(msgspec.Struct, frozen=True):
-    """What a back end said last.
+    """A back end's statement of its request limit.
 
     Attributes:
-        limit_per_s: Requests a second that it takes from all nodes together; None for no limit.
-        made_at_s: When it said so, in monotonic seconds of this node.
+        limit_per_s: Requests per second accepted from all nodes together; None for no limit.
+        made_at_s: When the back end stated it, in monotonic seconds of this node.
     """
 
     limit_per_s: float | None
@@ -44,10 +44,10 @@
 
 
 class StatedLimits:
-    """Owns the statements, the latest of each run of a back end.
+    """Owns the latest statement of each run of a back end.
 
     Args:
-        event_log: Where limits that begin, change or end are logged.
+        event_log: Logs limits that begin, change or end.
     """
 
     def __init__(self, event_log: EventLog) -> None:
@@ -55,44 +55,44 @@
         self._statements: RecentRuns[LimitStatement] = RecentRuns()
 
     def statement(self, run: RunId) -> LimitStatement | None:
-        """Return what a run said last; None if it never stated a limit."""
+        """Return the latest statement of a run; None if it never stated a limit."""
         return self._statements.get(run)
 
     def limit_per_s(self, run: RunId) -> float | None:
-        """Return the requests a second that a run takes from all nodes together; None for any."""
+        """Return the limit of a run in requests per second; None if it has none."""
         statement = self._statements.get(run)
         return None if statement is None else statement.limit_per_s
 
     def record_limit(self, run: RunId, limit_per_s: float, now_s: float) -> bool:
-        """Take a limit that an answer states now; returns whether it changes what holds."""
+        """Record the limit in an answer; return whether the limit in force changed."""
         limit = None if limit_per_s >= UNLIMITED_PER_S else limit_per_s
         return self._replace(run, LimitStatement(limit, now_s), StatementSource.ANSWER)
 
-    def record_no_limit(self, run: RunId, asked_at_s: float, now_s: float) -> bool:
-        """Take an answer that states no limit; returns whether one has ended by it.
+    def record_no_limit(self, run: RunId, request_sent_at_s: float, now_s: float) -> bool:
+        """Record an answer that states no limit; return whether this ended a limit.
 
         Args:
-            run: Who answered.
-            asked_at_s: When its request was sent. An answer to one that was sent before the limit
-                was last stated may have been begun before it, and says nothing of it.
+            run: Run of the back end that answered.
+            request_sent_at_s: When the request was sent. If that was before the limit was last
+                stated, the answer may have begun before the limit and is ignored.
             now_s: When the answer was read.
         """
-        known = self._statements.get(run)
-        if known is None or asked_at_s <= known.made_at_s:
+        current = self._statements.get(run)
+        if current is None or request_sent_at_s <= current.made_at_s:
             return False
         return self._replace(run, LimitStatement(None, now_s), StatementSource.ANSWER)
 
     def record_peer_statement(self, run: RunId, statement: LimitStatement) -> bool:
-        """Take what a run said to another node; returns whether it changes what holds.
+        """Record a statement to another node; return whether the limit in force changed.
 
-        A statement seems younger than it is by its way here. So a limit of which this node has
-        heard meanwhile is not ended by another node's older word.
+        A statement appears younger than it is by the time it took to arrive. `PEER_DELAY_S`
+        prevents an older statement of no limit from ending a limit stated since.
         """
-        known = self._statements.get(run)
-        if known is not None:
-            is_end = statement.limit_per_s is None and known.limit_per_s is not None
-            since_s = known.made_at_s + (PEER_DELAY_S if is_end else 0.0)
-            if statement.made_at_s <= since_s:
+        current = self._statements.get(run)
+        if current is not None:
+            ends_limit = statement.limit_per_s is None and current.limit_per_s is not None
+            newer_than_s = current.made_at_s + (PEER_DELAY_S if ends_limit else 0.0)
+            if statement.made_at_s <= newer_than_s:
                 return False
         elif statement.limit_per_s is None:
             return False
