--- a/src/weirscale/gateway/quarantine/__init__.py
+++ b/src/weirscale/gateway/quarantine/__init__.py
@@ -1,6 +1,7 @@
-"""Requests that crash back ends: recognised when they are sent again, and refused for a time.
+"""Recognises requests that repeatedly crash back ends, and refuses them for a time.
 
-`fingerprint` recognises a request, `crash_check` tells a crash from other ends, `suspects` holds
-the rule of which request is the cause, `keeper` which requests are refused now, with `gossip` and
-`record` for the other nodes. Design and costs: docs/design/0022-quarantine.md.
+`fingerprint` identifies a request. `crash_check` distinguishes a crash from other reasons why a
+connection ends. `suspects` holds the rule that decides which request causes crashes. `keeper`
+decides which requests are refused now, and shares this with the other nodes through `gossip` and
+`record`. Design and costs: docs/design/0022-quarantine.md.
 """
--- a/src/weirscale/gateway/quarantine/crash_check.py
+++ b/src/weirscale/gateway/quarantine/crash_check.py
@@ -1,8 +1,8 @@
-"""Finds out whether a back end crashed when a connection to it ended before the answer did.
+"""Determines whether a back end crashed when a connection to it ended before the answer did.
 
-Answers are lost, spoilt and reset by back ends that live, and those that leave cut what they have
-not finished. A crash is told apart by two things: the back end had not said that it would leave,
-and nobody answers at its address any more, or another run of a process does.
+Running back ends may also lose, corrupt or reset answers, and those that leave cut off what they
+have not finished. Two conditions identify a crash: the back end had not announced that it would
+leave, and its address no longer answers or belongs to another run of a process.
 """
 
 from collections.abc import Callable
@@ -17,24 +17,25 @@
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint
 from weirscale.gateway.state.cluster_state import ClusterState
 
-CHECK_PAUSES_S = (0.0, 0.1, 0.2, 0.4, 0.8, 0.8)
-"""Seconds before each look: a process that has just ended may take a moment to free its address. An
-end that stays unclear after all of them counts for nothing. Not measured."""
+PROBE_PAUSES_S = (0.0, 0.1, 0.2, 0.4, 0.8, 0.8)
+"""Seconds before each probe: a process that has just ended may take a moment to free its address.
+If the cause is still unclear after all probes, the end of the connection counts as no crash."""
 
-CHECK_TIMEOUT_S = 0.3
-"""Seconds to wait for an answer to a look. Not measured."""
+PROBE_TIMEOUT_S = 0.3
+"""Seconds to wait for the answer to a probe."""
 
-MAX_WAITING = 256
-"""Back ends that may wait for a look; more are gone at once only where a whole region is, and the
-crashes of those beyond are not counted. Not measured."""
+MAX_QUEUED = 256
+"""Maximum number of back ends in the queue for a check. More fail at once only if a whole region
+does; crashes of those beyond the maximum are not counted."""
 
 
 class InterruptedRequest(msgspec.Struct, frozen=True):
-    """A request whose back end may have crashed under it.
+    """A request whose back end may have crashed while serving it.
 
     Attributes:
-        fingerprint: The request.
-        was_sent_after_crash: Whether an earlier crash under it was known when it was sent.
+        fingerprint: Fingerprint of the request.
+        was_sent_after_crash: Whether an earlier crash during the request was known when it was
+            sent to this back end.
     """
 
     fingerprint: RequestFingerprint
@@ -42,14 +43,14 @@
 
 
 CrashHandler = Callable[[BackEnd, tuple[InterruptedRequest, ...]], None]
-"""Takes a back end that crashed and the requests that it was at work on."""
+"""Called with a back end that crashed and the requests that it was serving."""
 
 
 class CrashCheck:
-    """Looks at back ends; `run` must be running.
+    """Checks back ends for crashes; `run` must be running.
 
     Args:
-        cluster: Registrations.
+        cluster: Provides the registrations of back ends.
         port_of: Returns the port of a back end.
         on_crash: Called for each crash.
     """
@@ -63,52 +64,52 @@
         self._cluster = cluster
         self._port_of = port_of
         self._on_crash = on_crash
-        self._lost: dict[RunId, list[InterruptedRequest]] = {}
-        self._enqueue, self._queue = anyio.create_memory_object_stream[BackEnd](MAX_WAITING)
-
-    def request(self, back_end: BackEnd, lost: InterruptedRequest) -> None:
-        """Look at a back end whose connection ended under a request."""
-        known = self._cluster.directory.get(back_end.instance)
-        if known is None or known.state not in ACCEPTING_STATES:
-            # It left, or its registration ended, before the connection did.
+        self._interrupted: dict[RunId, list[InterruptedRequest]] = {}
+        self._enqueue, self._queue = anyio.create_memory_object_stream[BackEnd](MAX_QUEUED)
+
+    def request(self, back_end: BackEnd, interrupted: InterruptedRequest) -> None:
+        """Schedule a check of a back end whose connection ended during a request."""
+        registered = self._cluster.directory.get(back_end.instance)
+        if registered is None or registered.state not in ACCEPTING_STATES:
+            # The back end left, or its registration ended, before the connection did.
             return
-        if back_end.run_id in self._lost:
-            self._lost[back_end.run_id].append(lost)
+        if back_end.run_id in self._interrupted:
+            self._interrupted[back_end.run_id].append(interrupted)
             return
         try:
             self._enqueue.send_nowait(back_end)
         except anyio.WouldBlock:
-            return  # Too many wait (`MAX_WAITING`): this end counts for nothing.
-        self._lost[back_end.run_id] = [lost]
+            return  # The queue is full (`MAX_QUEUED`): do not count a crash.
+        self._interrupted[back_end.run_id] = [interrupted]
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Check queued back ends until cancelled."""
         async with anyio.create_task_group() as tasks:
             async for back_end in self._queue:
-                self._check_in(tasks, back_end)
+                self._start_check(tasks, back_end)
 
-    def _check_in(self, tasks: TaskGroup, back_end: BackEnd) -> None:
+    def _start_check(self, tasks: TaskGroup, back_end: BackEnd) -> None:
         tasks.start_soon(self._check, back_end)
 
     async def _check(self, back_end: BackEnd) -> None:
         state = RunState.UNKNOWN
-        for pause_s in CHECK_PAUSES_S:
+        for pause_s in PROBE_PAUSES_S:
             await anyio.sleep(pause_s)
-            state = await self._look(back_end)
+            state = await self._probe(back_end)
             if state is not RunState.UNKNOWN:
                 break
-        lost = tuple(self._lost.pop(back_end.run_id))
+        interrupted = tuple(self._interrupted.pop(back_end.run_id))
         if state is RunState.ENDED:
-            self._on_crash(back_end, lost)
+            self._on_crash(back_end, interrupted)
 
-    async def _look(self, back_end: BackEnd) -> RunState:
-        known = self._cluster.directory.get(back_end.instance)
-        if known is None or known.run_id != back_end.run_id:
-            # It took work when its connection ended, so it did not leave as planned.
+    async def _probe(self, back_end: BackEnd) -> RunState:
+        registered = self._cluster.directory.get(back_end.instance)
+        if registered is None or registered.run_id != back_end.run_id:
+            # The back end took work when its connection ended, so this was not a planned departure.
             return RunState.ENDED
-        if known.state is BackEndState.LEAVING:
+        if registered.state is BackEndState.LEAVING:
             return RunState.RUNNING
         table = self._cluster.table
-        service = table.service(known.service) if table else None
+        service = table.service(registered.service) if table else None
         path = service.health_path if service else "/"
-        return await self._port_of(known).run_state(path, CHECK_TIMEOUT_S)
+        return await self._port_of(registered).run_state(path, PROBE_TIMEOUT_S)
--- a/src/weirscale/gateway/quarantine/fingerprint.py
+++ b/src/weirscale/gateway/quarantine/fingerprint.py
@@ -1,6 +1,6 @@
-"""The digest by which a request is recognised at any node, whatever its id.
+"""The digest that identifies a request at any node, independent of its id.
 
-Costs 6 us for 200 B and 67 us for 20 kB of body (docs/design/0022-quarantine.md).
+Costs 6 us for a body of 200 B and 67 us for 20 kB (docs/design/0022-quarantine.md).
 """
 
 from hashlib import blake2b
@@ -10,13 +10,13 @@
 from weirscale.gateway.ports.callers import CallerRequest
 
 RequestFingerprint = NewType("RequestFingerprint", str)
-"""Digest of what a caller asks, in hexadecimal: the same for all its retries, on all nodes."""
+"""Hexadecimal digest of a caller's request; identical for all retries and on all nodes."""
 
 FINGERPRINT_BYTES = 16
-"""Size of the digest: collisions cannot be made for 128 bits of blake2b."""
+"""Size of the digest in bytes: no collisions can be constructed for 128 bits of blake2b."""
 
 LENGTH_BYTES = 8
-"""Size of the length before each part of the digested text."""
+"""Size in bytes of the length prefix of each digested part."""
 
 
 def fingerprint_of(
@@ -24,8 +24,8 @@
 ) -> RequestFingerprint:
     """Return the fingerprint of a request.
 
-    The caller is part of it, so that nobody can have another's requests refused; therefore the
-    digest is one that collisions cannot be made for.
+    The caller is part of the fingerprint, so a caller cannot cause another caller's requests to be
+    refused. For the same reason the digest must be collision-resistant.
     """
     caller = tenant.name if tenant is not None else request.key or ""
     digest = blake2b(digest_size=FINGERPRINT_BYTES)
@@ -37,15 +37,15 @@
 
 
 def _add(digest: blake2b, part: bytes) -> None:
-    # With its length before it no part can pass for the end of the one before.
+    # The length prefix keeps a part from being read as the end of the previous one.
     digest.update(len(part).to_bytes(LENGTH_BYTES))
     digest.update(part)
 
 
 def read_fingerprint(text: str) -> RequestFingerprint | None:
-    """Return a fingerprint that was written as text; None for any other text."""
+    """Return the fingerprint in a text; None if the text is not a fingerprint."""
     try:
-        is_whole = len(bytes.fromhex(text)) == FINGERPRINT_BYTES
+        has_full_length = len(bytes.fromhex(text)) == FINGERPRINT_BYTES
     except ValueError:
         return None
-    return RequestFingerprint(text) if is_whole else None
+    return RequestFingerprint(text) if has_full_length else None
--- a/src/weirscale/gateway/quarantine/record.py
+++ b/src/weirscale/gateway/quarantine/record.py
@@ -1,4 +1,4 @@
-"""The records of quarantines in the store, which outlive the nodes that know of the crashes."""
+"""The records of quarantines in the store, which outlast the nodes that saw the crashes."""
 
 from collections.abc import Callable, Iterable, Sequence
 
@@ -14,57 +14,57 @@
 QUARANTINE_PREFIX = "weirscale/quarantine/"
 
 QUARANTINE_S = 600.0
-"""Seconds for which a request is refused. Then it is sent on again, and one more crash begins the
-next quarantine. The longest life that the store gives a lease."""
+"""Seconds for which a request is refused. After that it is sent to back ends again, and one more
+crash begins the next quarantine. This is the longest lifetime that the store gives a lease."""
 
 WRITE_WITHIN_S = 2.0
-"""Seconds within which the lease must be granted for the record to be written. Not measured."""
+"""Seconds within which the lease must be granted; otherwise the record is not written."""
 
 RETRY_S = 1.0
-"""Seconds until a write or a deletion without a visible effect is done again. Not measured."""
+"""Seconds after which a write or deletion without a visible effect is repeated."""
 
 
 def quarantine_key(fingerprint: RequestFingerprint) -> str:
-    """Return the key of a request's quarantine."""
+    """Return the key of the record of a request's quarantine."""
     return QUARANTINE_PREFIX + fingerprint
 
 
 def read_quarantine_key(key: str) -> RequestFingerprint | None:
-    """Return the request that a key stands for; None for any other key."""
+    """Return the fingerprint in a key; None if the key is not that of a quarantine."""
     if not key.startswith(QUARANTINE_PREFIX):
         return None
     return read_fingerprint(key.removeprefix(QUARANTINE_PREFIX))
 
 
 class RecordChanges(msgspec.Struct, frozen=True):
-    """What has changed in the store since the last look.
+    """Changes of the records since the previous call.
 
     Attributes:
         added: Requests that have a record now.
-        gone: Requests that have none any more: its time is over, or it was deleted.
-        lost: Requests whose record the store lost as it came back from a copy.
+        removed: Requests whose record expired or was deleted.
+        lost: Requests whose record the store lost when it was restored from a backup.
     """
 
     added: frozenset[RequestFingerprint] = frozenset()
-    gone: frozenset[RequestFingerprint] = frozenset()
+    removed: frozenset[RequestFingerprint] = frozenset()
     lost: frozenset[RequestFingerprint] = frozenset()
 
 
 NO_CHANGES = RecordChanges()
 
 
-def _requests(keys: Iterable[str]) -> frozenset[RequestFingerprint]:
-    found = (read_quarantine_key(key) for key in keys)
-    return frozenset(one for one in found if one is not None)
+def _read_fingerprints(keys: Iterable[str]) -> frozenset[RequestFingerprint]:
+    fingerprints = (read_quarantine_key(key) for key in keys)
+    return frozenset(fingerprint for fingerprint in fingerprints if fingerprint is not None)
 
 
 class QuarantineRecords:
     """Reads, writes and deletes the records.
 
     Args:
-        name: This node, written into the records for operators.
-        cluster: Where the records are seen.
-        store: Where they are written.
+        name: Name of this node, written into the records for operators.
+        cluster: Provides the records in the store.
+        store: Where records are written and deleted.
         clock: Monotonic seconds.
     """
 
@@ -81,37 +81,37 @@
         self._delete_at_s: dict[RequestFingerprint, float] = {}
 
     def take_changes(self) -> RecordChanges:
-        """Return what has changed since the last call; a record that is seen needs no write."""
+        """Return the changes since the previous call; cancel writes of records that now exist."""
         if self._num_changes_seen == self._cluster.records.num_changes:
             return NO_CHANGES
         self._num_changes_seen = self._cluster.records.num_changes
         records = self._cluster.records
         keys = [key for key, _ in records.under(QUARANTINE_PREFIX)]
-        lost = _requests(key for key in keys if records.is_lost(key))
-        before, self._recorded = self._recorded, _requests(keys) - lost
-        gone = before - self._recorded
-        changes = RecordChanges(self._recorded - before, gone - lost, gone & lost)
+        lost = _read_fingerprints(key for key in keys if records.is_lost(key))
+        previous, self._recorded = self._recorded, _read_fingerprints(keys) - lost
+        removed = previous - self._recorded
+        changes = RecordChanges(self._recorded - previous, removed - lost, removed & lost)
         for fingerprint in changes.added:
             self.cancel_write(fingerprint)
         return changes
 
     def write_after(self, fingerprint: RequestFingerprint, wait_s: float) -> None:
-        """Write a record once `wait_s` has passed, unless it is seen or cancelled before."""
+        """Write a record after `wait_s`, unless it appears in the store or is cancelled before."""
         self._write_at_s[fingerprint] = self._clock() + wait_s
 
     def cancel_write(self, fingerprint: RequestFingerprint) -> None:
-        """Write no record of a request, if none was written yet."""
+        """Cancel the pending write of a request's record, if there is one."""
         self._write_at_s.pop(fingerprint, None)
 
     def delete(self, fingerprint: RequestFingerprint) -> None:
         """Delete the record of a request, if there is one."""
         self._delete_at_s[fingerprint] = self._clock()
 
-    async def carry_out(self, crashes: Callable[[RequestFingerprint], Sequence[RunId]]) -> None:
-        """Write and delete what is due.
+    async def apply_due(self, crashes: Callable[[RequestFingerprint], Sequence[RunId]]) -> None:
+        """Write and delete the records that are due.
 
         Args:
-            crashes: Returns the runs that ended under a request, for the record.
+            crashes: Returns the runs that crashed during a request, for the record.
         """
         for fingerprint in self._due(self._write_at_s):
             await self._write(fingerprint, crashes(fingerprint))
@@ -120,7 +120,7 @@
 
     def _due(self, at_s: dict[RequestFingerprint, float]) -> Sequence[RequestFingerprint]:
         now_s = self._clock()
-        return [one for one, due_s in at_s.items() if due_s <= now_s]
+        return [fingerprint for fingerprint, due_s in at_s.items() if due_s <= now_s]
 
     async def _write(self, fingerprint: RequestFingerprint, crashes: Sequence[RunId]) -> None:
         self._write_at_s[fingerprint] = self._clock() + RETRY_S
