--- a/src/weirscale/gateway/weights/__init__.py
+++ b/src/weirscale/gateway/weights/__init__.py
@@ -1,5 +1,5 @@
-"""Rollout of model weights: which engines load a target version, when, and by whose orders.
+"""Rollout of model weights: decides which engines load a target version when, and orders the loads.
 
-Rollouts of a service's software versions are another matter (`gateway.rollouts`). Both are carried
-out by the holder of one lease (`holder_lease`).
+Rollouts of a service's software versions are separate (`gateway.rollouts`). The holder of one lease
+carries out both (`holder_lease`).
 """
--- a/src/weirscale/gateway/weights/age_markers.py
+++ b/src/weirscale/gateway/weights/age_markers.py
@@ -1,4 +1,4 @@
-"""Writes the markers that bound the age of a target version, for nodes that start meanwhile."""
+"""Writes the markers that bound the age of a target version for nodes that start later."""
 
 from collections.abc import Callable
 
@@ -9,24 +9,24 @@
 from weirscale.gateway.state.weights_age_marker import WeightsAgeMarker
 from weirscale.ports.key_value import KeyValuePort
 
-MIN_MARKER_LIFE_S = 1.5
-"""Seconds. Markers with less life left are not worth their calls. Not measured."""
+MIN_MARKER_LIFETIME_S = 1.5
+"""Minimum remaining lifetime in seconds. A marker with less is not worth its calls to the store."""
 
-MARKER_LIFE_SHARE = 0.7
-"""Share of older weights' grace for which a marker lives. A node that starts lets them serve while
-the latest proof of the marker, up to a second old, leaves them grace. Not measured."""
+MARKER_LIFETIME_SHARE = 0.7
+"""Lifetime of a marker, as a share of the grace period of older weights. A node that starts lets
+older weights serve while its latest proof of the marker, up to 1 s old, leaves them grace."""
 
 WRITE_DELAY_S = 1.0
-"""Seconds by which a marker may vanish later than worked out; one whose lease is granted later than
-that is not written. The longest wait for an answer of the store."""
+"""Maximum seconds by which a marker may expire later than computed. A marker whose lease is granted
+later than that is not written. This is the longest wait for an answer of the store."""
 
 
 class AgeMarkerWriter:
     """Writes one marker for each new target version.
 
     Args:
-        cluster: Target versions.
-        store: Where the markers are written.
+        cluster: Provides the target versions.
+        store: Where markers are written.
         clock: Monotonic seconds.
     """
 
@@ -36,10 +36,10 @@
         self._cluster = cluster
         self._store = store
         self._clock = clock
-        self._marked: dict[str, int] = {}
+        self._marked_versions: dict[str, int] = {}
 
     def write(self, model: str, grace_s: float, tasks: TaskGroup) -> None:
-        """Begin to write the marker of a model's target version, unless that was done before.
+        """Start writing the marker of a model's target version, unless this was done before.
 
         Args:
             model: The model.
@@ -47,20 +47,20 @@
             tasks: Runs the write.
         """
         target = self._cluster.target_versions.newest_target(model)
-        if target is None or self._marked.get(model, 0) >= target.version:
+        if target is None or self._marked_versions.get(model, 0) >= target.version:
             return
-        self._marked[model] = target.version
-        life_s = MARKER_LIFE_SHARE * grace_s
-        left_s = target.set_after_s + life_s - self._clock()
-        if left_s <= MIN_MARKER_LIFE_S:
+        self._marked_versions[model] = target.version
+        marker_lifetime_s = MARKER_LIFETIME_SHARE * grace_s
+        remaining_s = target.set_after_s + marker_lifetime_s - self._clock()
+        if remaining_s <= MIN_MARKER_LIFETIME_S:
             return
-        marker = WeightsAgeMarker(model, target.version, life_s + WRITE_DELAY_S)
+        marker = WeightsAgeMarker(model, target.version, marker_lifetime_s + WRITE_DELAY_S)
         tasks.start_soon(
             write_expiring_record,
             self._store,
             marker.key(),
             marker.value(),
-            left_s,
+            remaining_s,
             WRITE_DELAY_S,
             self._clock,
         )
--- a/src/weirscale/gateway/weights/engine_load.py
+++ b/src/weirscale/gateway/weights/engine_load.py
@@ -1,4 +1,4 @@
-"""One engine's load of new weights: announced to peers, ordered, and watched to its end."""
+"""One engine's load of new weights: announced to peers, ordered, and watched until it ends."""
 
 from collections.abc import Awaitable, Callable
 
@@ -13,39 +13,40 @@
 from weirscale.gateway.weights.order_sender import OrderSender
 
 REPORT_INTERVAL_S = 0.2
-"""Seconds between two reports of an engine that loads: reports lag by some 0.1 s. Not measured."""
+"""Seconds between two reports from an engine that loads. Reports lag by some 0.1 s."""
 
 REPORT_TIMEOUT_S = 0.8
-"""Seconds to wait for a report. Not measured."""
+"""Seconds to wait for a report."""
 
 ANNOUNCE_LEAD_S = 0.06
-"""Seconds between the announcement and the order, in which peers receive the gossip and send the
-engine no more requests. Not measured."""
+"""Seconds between the announcement and the order, in which peers receive the gossip and stop
+sending requests to the engine."""
 
-REQUESTS_END_S = 0.4
-"""Seconds for which the order waits for the engine's requests to end: what they make after it is
-of mixed weights. Taken with the first wave (docs/DECISIONS.md); not measured by itself."""
+DRAIN_TIMEOUT_S = 0.4
+"""Maximum seconds to wait before the order for the engine's requests to end, because their output
+after the order comes from mixed weights. Belongs to the decision on the first wave
+(docs/DECISIONS.md)."""
 
-REQUESTS_POLL_S = 0.05
-"""Seconds between two looks at the engine's requests. Not measured."""
+DRAIN_POLL_INTERVAL_S = 0.05
+"""Seconds between two checks of the engine's number of requests."""
 
 MAX_LOAD_S = 6.0
-"""Seconds after which a load that has not ended is given up, to be planned anew. Not measured."""
+"""Seconds after which a load that has not ended is abandoned and planned again."""
 
-MAX_SILENT_REPORTS = 2
-"""Unanswered reports in a row after which an engine is down, and others load in its place. A
-crashed engine held one of three places for 6 s before."""
+MAX_UNANSWERED_REPORTS = 2
+"""Consecutive report requests without an answer after which an engine counts as down, so that other
+engines load in its place. Without this limit, a crashed engine held one of three places for 6 s."""
 
-ORDER_EFFECT_S = 1.0
-"""Seconds after which an order that shows no effect in the reports is sent again. Not measured."""
+ORDER_RETRY_S = 1.0
+"""Seconds after which an order without an effect in the reports is last_order again."""
 
 AnnounceLoad = Callable[[InstanceId, str, int, bool], Awaitable[None]]
-"""Tells peers of an engine's load of a model: the version it has (0 at the beginning) and whether
-the load is done."""
+"""Announces an engine's load of a model to peers. Takes the engine, the model, the engine's version
+(0 at the beginning of the load), and whether the load has ended."""
 
 
 class _SentOrder(msgspec.Struct):
-    """The latest order of a load; `sequence` is None before the first."""
+    """The latest order of a load; `sequence` is None before the first order."""
 
     version: int
     sequence: int | None = None
@@ -53,14 +54,14 @@
 
 
 class EngineLoader:
-    """Has single engines load the target version of a model.
+    """Makes single engines load the target version of a model.
 
     Args:
         orders: Sends the orders.
-        cluster: Engines and versions; learns the versions that engines report.
+        cluster: Provides engines and versions; stores the versions that engines report.
         port_of: Returns the port of a back end.
-        announce: Tells peers of a load.
-        num_requests: Returns how many requests are at work at an instance.
+        announce: Announces a load to peers.
+        num_requests: Returns how many requests an instance is serving.
         health: Marks engines that leave reports unanswered as unreachable.
         clock: Monotonic seconds.
     """
@@ -84,68 +85,84 @@
         self._clock = clock
 
     async def load(self, engine: BackEnd, model: str) -> None:
-        """Announce a load and carry it out; ends early if the engine goes or the term ends."""
+        """Announce a load and carry it out.
+
+        Return early if the engine is removed or this node's term ends.
+        """
         await self._announce(engine.instance, model, 0, False)
         await anyio.sleep(ANNOUNCE_LEAD_S)
-        await self._wait_for_requests(engine)
+        await self._drain(engine)
         with anyio.move_on_after(MAX_LOAD_S):
             await self._order_until_done(engine, model)
 
     async def announce_end(self, engine: BackEnd, model: str) -> None:
-        """Tell peers the version that an engine has after its load, also when cancelled."""
+        """Announce the version that an engine has after its load, even when cancelled."""
         version = self._cluster.engine_versions.version_of(engine.instance, model) or 0
         with anyio.CancelScope(shield=True):
             await self._announce(engine.instance, model, version, True)
 
-    async def _wait_for_requests(self, engine: BackEnd) -> None:
-        with anyio.move_on_after(REQUESTS_END_S):
+    async def _drain(self, engine: BackEnd) -> None:
+        with anyio.move_on_after(DRAIN_TIMEOUT_S):
             while self._num_requests(engine.instance) > 0:  # noqa: ASYNC110 - load has no event
-                await anyio.sleep(REQUESTS_POLL_S)
+                await anyio.sleep(DRAIN_POLL_INTERVAL_S)
 
     async def _order_until_done(self, engine: BackEnd, model: str) -> None:
-        """Order the target version and wait for it; a later target is another load."""
+        """Order the target version and wait until the engine has it.
+
+        A target version that is set later is left to another load.
+        """
         port = self._port_of(engine)
-        sent = _SentOrder(self._target(model))
-        num_silent = 0
+        last_order = _SentOrder(self._target_version(model))
+        num_unanswered = 0
         while self._orders.may_send() and self._cluster.directory.get(engine.instance) is not None:
             report = await port.report(REPORT_TIMEOUT_S)
-            num_silent = num_silent + 1 if report is None else 0
-            if num_silent >= MAX_SILENT_REPORTS:
+            num_unanswered = num_unanswered + 1 if report is None else 0
+            if num_unanswered >= MAX_UNANSWERED_REPORTS:
                 self._health.unreachable(engine.instance, "report", self._clock())
                 return
             if report is not None and not report.has_pending_order:
-                if self._has_version(engine, model, sent.version, report):
+                if self._record_report(engine, model, last_order.version, report):
                     return
-                await self._order_if_due(port, engine, model, sent, report)
+                await self._order_if_due(port, engine, model, last_order, report)
             await anyio.sleep(REPORT_INTERVAL_S)
 
     async def _order_if_due(
-        self, port: BackEndPort, engine: BackEnd, model: str, sent: _SentOrder, report: EngineReport
+        self,
+        port: BackEndPort,
+        engine: BackEnd,
+        model: str,
+        last_order: _SentOrder,
+        report: EngineReport,
     ) -> None:
-        """Send an order, unless the latest one may still take effect."""
-        has_waited = self._clock() - sent.sent_at_s >= ORDER_EFFECT_S
-        if sent.sequence == report.sequence and not has_waited:
+        """Send an order, unless the latest order may still take effect."""
+        is_retry_due = self._clock() - last_order.sent_at_s >= ORDER_RETRY_S
+        if last_order.sequence == report.sequence and not is_retry_due:
             return
-        sent.version = self._target(model)
+        last_order.version = self._target_version(model)
         outcome = await self._orders.send(
-            port, engine.instance, model, sent.version, report.sequence
+            port, engine.instance, model, last_order.version, report.sequence
         )
         if outcome is None:
             return
         if outcome is OrderOutcome.ALREADY_LOADED:
             self._cluster.engine_versions.record_version(
-                engine.instance, model, sent.version, "order"
+                engine.instance, model, last_order.version, "order"
             )
-        sent.sequence = report.sequence
-        sent.sent_at_s = self._clock()
+        last_order.sequence = report.sequence
+        last_order.sent_at_s = self._clock()
 
-    def _has_version(self, engine: BackEnd, model: str, wanted: int, report: EngineReport) -> bool:
+    def _record_report(
+        self, engine: BackEnd, model: str, ordered_version: int, report: EngineReport
+    ) -> bool:
+        """Record the version in a report; return whether the engine has the ordered version."""
         for served in report.models:
             if served.name == model:
                 self._cluster.engine_versions.record_version(
                     engine.instance, model, served.version, "report"
                 )
-        return (self._cluster.engine_versions.version_of(engine.instance, model) or 0) >= wanted
+        return (
+            self._cluster.engine_versions.version_of(engine.instance, model) or 0
+        ) >= ordered_version
 
-    def _target(self, model: str) -> int:
+    def _target_version(self, model: str) -> int:
         return self._cluster.target_versions.newest(model) or 0
--- a/src/weirscale/gateway/weights/holder_lease.py
+++ b/src/weirscale/gateway/weights/holder_lease.py
@@ -1,6 +1,6 @@
-"""The lease on the duty that orders loads of weights and carries rollouts of service versions on.
+"""The lease on the duty of ordering weight loads and advancing rollouts of service versions.
 
-One lease serves both, so that they cost the store no more calls than one of them.
+One lease covers both, so the store gets no more calls than for one of them.
 """
 
 from collections.abc import Callable
@@ -17,31 +17,31 @@
 from weirscale.ports.key_value import KeyValuePort
 
 HOLDER_LEASE_S = 3.0
-"""Seconds for which a holder that was killed keeps others from the duty. Four renewals may fail: a
-lease of 2 s did not outlast two lost ones, and no orders were sent for 7 s."""
+"""Seconds for which the lease of a killed holder blocks other nodes. Four renewals in a row may
+fail: a lease of 2 s expired after two lost renewals, and no orders were sent for 7 s."""
 
 RENEWAL_INTERVAL_S = 0.5
-"""Seconds between two renewals; a lost one leaves time for the next. Not measured by itself."""
+"""Seconds between two renewals; after a lost one there is time for the next."""
 
 RETRY_INTERVAL_S = 0.1
-"""Seconds until a call that failed is made again. Not measured."""
+"""Seconds until a failed call is repeated."""
 
 STANDBY_INTERVAL_S = 0.5
-"""Seconds between two looks at a duty that another node holds. Not measured."""
+"""Seconds between two checks of a duty that another node holds."""
 
 CLOCK_MARGIN_S = 0.2
-"""Seconds by which a holder stops before its lease ends: clocks run at different speeds and calls
-take time. Not measured."""
+"""Seconds by which a holder stops before its lease ends, because clocks run at different speeds and
+calls take time."""
 
 LEASE_CALL_TIMEOUT_S = 0.6
-"""Seconds after which a call for the lease has failed. A slow store takes some 0.4 s to answer."""
+"""Timeout in seconds of calls for the lease. A slow store takes some 0.4 s to answer."""
 
 
 def holder_lease_rules(min_lease_s: float) -> LeaseRules:
-    """Return the times of the lease.
+    """Return the timing rules of the lease.
 
     Args:
-        min_lease_s: Shortest life in seconds that the store gives a lease.
+        min_lease_s: Shortest lifetime in seconds that the store gives a lease.
     """
     return LeaseRules(
         time_to_live_s=max(min_lease_s, HOLDER_LEASE_S),
@@ -53,11 +53,11 @@
 
 
 class HolderEligibility:
-    """Lets a node try for the duty once its key is gone, later by rank.
+    """Decides when this node may try to acquire the duty: after its key is gone, delayed by rank.
 
     Args:
-        cluster: Where the duty's key is seen.
-        peers: This node's rank.
+        cluster: Provides the duty's key in the store.
+        peers: Provides this node's rank.
         duty: The duty.
         clock: Monotonic seconds.
     """
@@ -72,7 +72,7 @@
         self._free_since_s: float | None = None
 
     def is_own(self, duty: Duty, count: int, /) -> bool:
-        """Whether this node should try now."""
+        """Return whether this node should try to acquire the duty now."""
         if not self._cluster.has_read_all or self._key in self._cluster.records:
             self._free_since_s = None
             return False
@@ -90,15 +90,15 @@
     random: Random,
     clock: Callable[[], float],
 ) -> DutyLeaseTask:
-    """Return the task that holds the lease while this node is the holder.
+    """Return the task that acquires the lease and keeps it while this node is the holder.
 
     Args:
-        name: This node.
-        min_lease_s: Shortest life in seconds that the store gives a lease.
-        store: Where the lease is.
-        cluster: Where the duty's key is seen.
-        peers: This node's rank.
-        random: Spreads retries.
+        name: Name of this node.
+        min_lease_s: Shortest lifetime in seconds that the store gives a lease.
+        store: Grants the lease.
+        cluster: Provides the duty's key in the store.
+        peers: Provides this node's rank.
+        random: Adds jitter to retries.
         clock: Monotonic seconds.
     """
     duty = Duty(DutyKind.PLACEMENT_PLANNER)
--- a/src/weirscale/gateway/weights/holder_term.py
+++ b/src/weirscale/gateway/weights/holder_term.py
@@ -1,27 +1,27 @@
-"""This node's term as the holder: the fencing token that its orders carry."""
+"""This node's term as the holder, with the fencing token that its orders carry."""
 
 from weirscale.leases.lease_task import DutyLeaseTask
 from weirscale.ports.event_log import EventLog
 
 
 class HolderTerm:
-    """Follows the lease; what is done in a term checks that it goes on before each order.
+    """Tracks the terms in which this node holds the lease; check the term before each order.
 
     Args:
         holder: Name of this node.
-        lease: Lease on the duty.
-        event_log: Logs the beginning of each term.
+        lease: The lease on the duty.
+        event_log: Logs the start of each term.
     """
 
     def __init__(self, holder: str, lease: DutyLeaseTask, event_log: EventLog) -> None:
         self.holder = holder
         self.token = 0
-        """Fencing token of the latest term; 0 before the first one."""
+        """Fencing token of the latest term; 0 before the first term."""
         self._lease = lease
         self._event_log = event_log
 
-    def begin(self) -> bool:
-        """Whether this node holds the lease now; a new token begins a new term."""
+    def refresh(self) -> bool:
+        """Return whether this node holds the lease now; start a new term if the token is new."""
         token = self._lease.token()
         if token is None:
             return False
@@ -31,6 +31,6 @@
         return True
 
     def is_current(self) -> bool:
-        """Whether the latest term goes on."""
+        """Return whether the latest term has not ended."""
         token = self._lease.token()
         return token is not None and token == self.token
--- a/src/weirscale/gateway/weights/order_fence.py
+++ b/src/weirscale/gateway/weights/order_fence.py
@@ -1,12 +1,14 @@
-"""The order fence: a record in the store that keeps the weight orders of two holders apart.
+"""The order fence: a record in the store that separates the weight orders of two holders.
 
-A holder renews the record before it sends orders, and the record outlives its last order by the
-least time between the orders of two holders. The next holder waits until the record is gone. Owns
-the record and its lease; relies on the store's leases and on `ClusterState` to see the record.
+A holder renews the record before it sends orders, and the record outlasts its last order by the
+minimum time between the orders of two holders. The next holder waits until the record is gone. This
+module owns the record and its lease. It relies on the store's leases, and on `ClusterState` to
+observe the record.
 
-A store that comes back from a copy has lost the record. So nobody orders until what was lost counts
-no more, by when the holder of before has stopped and its last order is old enough. Whoever orders
-first then writes that the store's era is settled: nodes that start later need not wait.
+A store that was restored from a backup has lost the record. So no node sends orders until the lost
+records no longer count. By then the previous holder has stopped, and enough time has passed since
+its last order. The first node that sends orders afterwards writes that the store's era is settled,
+so nodes that start later need not wait.
 """
 
 from collections.abc import Callable
@@ -18,24 +20,25 @@
 from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.ports.key_value import KeyValueFailureKind, KeyValuePort
 
-RENEWAL_LIFE_S = 0.4
-"""Seconds for which one renewal permits orders: one renewal serves all loads of a wave. Not
-measured."""
+RENEWAL_VALIDITY_S = 0.4
+"""Seconds for which one renewal permits orders; it serves all loads of a wave."""
 
 FENCE_KEY = "weirscale/orders"
 
 SETTLED_KEY = "weirscale/settled_era"
-"""Names the last era of the store whose first orders were given as they should be."""
+"""Key of the record with the last settled era of the store: before its first orders, the holder
+waited until holders of earlier eras had stopped."""
 
 
 class OrderFence:
-    """Permits this node's orders while no other holder's can be under way.
+    """Permits this node's orders while no order of another holder can be in flight.
 
     Args:
         holder: Name of this node.
         store: The key-value service.
-        cluster: Where the record is seen.
-        least_gap_s: Least seconds between orders of two holders, from the deployment's settings.
+        cluster: Provides the record in the store.
+        least_gap_s: Minimum seconds between the orders of two holders, from the deployment's
+            settings.
         clock: Monotonic seconds.
     """
 
@@ -56,21 +59,22 @@
         self._lease_id = 0
         self._is_written = False
         self._renewed_at_s = float("-inf")
-        self._renewing = anyio.Lock()
+        self._renewal_lock = anyio.Lock()
 
     def set_least_gap(self, least_gap_s: float) -> None:
-        """Change the least seconds between two holders' orders, from the next record on."""
-        # An order may be sent one renewal's life after the renewal, and be a call under way then.
-        self._life_s = least_gap_s + 2 * RENEWAL_LIFE_S
+        """Change the minimum seconds between two holders' orders, from the next lease on."""
+        # An order may be sent up to RENEWAL_VALIDITY_S after a renewal, and its call may still be
+        # in flight then.
+        self._life_s = least_gap_s + 2 * RENEWAL_VALIDITY_S
 
     async def acquire(self) -> bool:
-        """Whether an order may be sent within the next `RENEWAL_LIFE_S`.
+        """Renew the record if necessary; return whether an order may be sent now.
 
-        Loads that begin together ask together; one of them renews the record for all. Without the
-        lock each would make a lease, and the record would belong to another lease than the one
-        that is renewed.
+        Loads that begin together call this concurrently, and one of them renews the record for
+        all. Without the lock, each would create a lease, and the record would be attached to
+        another lease than the one that is renewed.
         """
-        async with self._renewing:
+        async with self._renewal_lock:
             return self._is_renewed() or await self._renew()
 
     async def _renew(self) -> bool:
@@ -97,16 +101,19 @@
         return is_written
 
     def _may_be_lost(self) -> bool:
-        """Whether another holder's record may be one that the store has lost."""
+        """Return whether the store may have lost a record of another holder."""
         return self._clock() < self._cluster.incomplete_until_s and not self.is_era_settled()
 
     def is_era_settled(self) -> bool:
-        """Whether the holders of all earlier eras have stopped."""
+        """Return whether the holders of all earlier eras have stopped."""
         era = self._cluster.era()
         return era == FIRST_ERA or self._cluster.records.get(SETTLED_KEY) == _settled_value(era)
 
     async def _settle(self) -> None:
-        """Write that they have; without it nodes that start wait longer, and nothing else."""
+        """Write that the current era is settled.
+
+        If the write fails, nodes that start later wait longer; it has no other effect.
+        """
         records, value = self._cluster.records, _settled_value(self._cluster.era())
         revision = self._cluster.revision_of(SETTLED_KEY) if SETTLED_KEY in records else 0
         await self._store.compare_and_swap(SETTLED_KEY, revision, value)
@@ -122,8 +129,9 @@
     async def _write(self) -> bool:
         """Write the record under the lease.
 
-        The value names the lease, so that a write whose answer was lost is recognised as this
-        node's own; taken for another holder's, it kept the holder out until it expired.
+        The value contains the lease, so the node recognises its own write if the answer was lost.
+        Otherwise the holder would take the record for another holder's, and send no orders until
+        the record expired.
         """
         if self._is_written:
             return True
@@ -135,7 +143,7 @@
         if isinstance(swapped, Err):
             return False
         if era_of(swapped.ok_value.revision) > self._cluster.era():
-            # The store came back from a copy, and this node has not seen what it lacks.
+            # The store was restored from a backup, and this node has not seen yet what it lost.
             self._lease_id = 0
             return False
         current = swapped.ok_value.current
@@ -143,7 +151,7 @@
         return self._is_written
 
     def _is_renewed(self) -> bool:
-        return self._clock() - self._renewed_at_s <= RENEWAL_LIFE_S
+        return self._clock() - self._renewed_at_s <= RENEWAL_VALIDITY_S
 
 
 def _settled_value(era: StoreEra) -> bytes:
--- a/src/weirscale/gateway/weights/order_sender.py
+++ b/src/weirscale/gateway/weights/order_sender.py
@@ -1,7 +1,7 @@
-"""Sends weight orders to engines, fenced against those of any other holder.
+"""Sends weight orders to engines, fenced against orders of any other holder.
 
-An order carries the token of the holder's term, the instance that is meant and the number of orders
-that the engine has taken, so one that is carried out late changes nothing.
+An order carries the token of the holder's term, the intended instance and the number of orders that
+the engine has taken, so an order that arrives late has no effect.
 """
 
 from weirscale.gateway.model.identifiers import InstanceId
@@ -11,7 +11,7 @@
 from weirscale.ports.event_log import EventLog
 
 ORDER_TIMEOUT_S = 0.8
-"""Seconds to wait for an engine's answer to an order. Not measured."""
+"""Seconds to wait for an engine's answer to an order."""
 
 
 class OrderSender:
@@ -19,7 +19,7 @@
 
     Args:
         term: This node's term.
-        fence: Keeps the orders apart from another holder's.
+        fence: Separates the orders from those of another holder.
         event_log: Logs each order and its outcome.
     """
 
@@ -29,23 +29,23 @@
         self._event_log = event_log
 
     def may_send(self) -> bool:
-        """Whether this node's term goes on."""
+        """Return whether this node's term has not ended."""
         return self._term.is_current()
 
     async def send(
         self, port: BackEndPort, instance: InstanceId, model: str, version: int, sequence: int
     ) -> OrderOutcome | None:
-        """Order an engine to load a version; None if no order may be sent now.
+        """Order an engine to load a version; return None if no order may be sent now.
 
         Args:
-            port: The engine.
-            instance: The instance that is meant.
-            model: The model.
+            port: Port of the engine.
+            instance: Intended instance.
+            model: Name of the model.
             version: The version to load.
-            sequence: How many orders the engine has taken.
+            sequence: Number of orders that the engine has taken so far.
         """
         term = self._term
-        # Without the lease the fence must not be renewed either: it keeps the next holder out.
+        # Do not renew the fence without the lease either: this would block the next holder.
         if not term.is_current() or not await self._fence.acquire() or not term.is_current():
             return None
         token = term.token
--- a/src/weirscale/gateway/weights/rollout_task.py
+++ b/src/weirscale/gateway/weights/rollout_task.py
@@ -1,7 +1,7 @@
 """Plans which engines load target versions, while this node holds the lease on that duty.
 
-Owns which engines load now and when the last load of each model ended. The rule is in `schedule`,
-one engine's load in `engine_load`, the orders in `order_sender`.
+Owns the set of engines that load now, and when the last load of each model ended. The rule is in
+`schedule`, the load of one engine in `engine_load`, the orders in `order_sender`.
 """
 
 import math
@@ -27,21 +27,21 @@
 from weirscale.ports.event_log import EventLog
 
 PLAN_INTERVAL_S = 0.1
-"""Seconds between two plans, small against the 1.3 s of a load. Not measured."""
+"""Seconds between two plans; short compared with the 1.3 s of a load."""
 
 
 class WeightsRolloutTask:
-    """Begins loads; `run` must be running.
+    """Starts loads; `run` must be running.
 
     Args:
         term: This node's term as the holder.
-        cluster: Engines, versions.
+        cluster: Provides engines and versions.
         loader: Carries out single loads.
         age_markers: Writes the markers of new target versions.
-        num_requests: Returns how many requests are at work at an instance.
-        health: Tells which engines have failed lately.
-        serves: Whether a back end gets requests; the others are loaded apart from them.
-        event_log: Logs the beginning of each load.
+        num_requests: Returns how many requests an instance is serving.
+        health: Provides which engines failed recently.
+        serves: Returns whether a back end gets requests. Other back ends load in separate waves.
+        event_log: Logs the start of each load.
         rules: Times and shares of the plan.
         clock: Monotonic seconds.
     """
@@ -70,17 +70,17 @@
         self._rules = rules
         self._clock = clock
         self._loading: set[InstanceId] = set()
-        self._last_load_s: dict[str, float] = {}
+        self._last_load_at_s: dict[str, float] = {}
 
     def set_rules(self, rules: LoadRules) -> None:
-        """Change the times."""
+        """Replace the times and shares of the plan."""
         self._rules = rules
 
     async def run(self) -> None:
-        """Plan and load until cancelled."""
+        """Plan and start loads until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
-                if self._term.begin():
+                if self._term.refresh():
                     for model in self._cluster.target_versions.models():
                         self._age_markers.write(model, self._rules.unusable_after_s, tasks)
                         self._begin_loads(model, tasks)
@@ -92,20 +92,23 @@
             for engine in self._cluster.directory.all()
             if engine.version_of(model) is not None and engine.state is BackEndState.READY
         ]
-        # Waves are as large as the serving engines can spare; those of a canary don't count.
-        self._begin_waves(model, [one for one in engines if self._serves(one)], tasks)
-        self._begin_waves(model, [one for one in engines if not self._serves(one)], tasks)
+        # Separate waves: their size depends on what the serving engines can spare, and engines of a
+        # canary do not count for that.
+        self._begin_waves(model, [engine for engine in engines if self._serves(engine)], tasks)
+        self._begin_waves(model, [engine for engine in engines if not self._serves(engine)], tasks)
 
     def _begin_waves(self, model: str, engines: list[BackEnd], tasks: TaskGroup) -> None:
         lagging = [
-            one for one in (self._lag(engine, model) for engine in engines) if one is not None
+            candidate
+            for candidate in (self._lagging_engine(engine, model) for engine in engines)
+            if candidate is not None
         ]
-        others = self._others(model, engines, lagging)
-        for instance in engines_to_load(lagging, others, self._clock(), self._rules):
+        totals = self._totals(model, engines, lagging)
+        for instance in engines_to_load(lagging, totals, self._clock(), self._rules):
             engine = self._cluster.directory.get(instance)
             if engine is not None:
                 self._loading.add(instance)
-                self._log_begin(engine, model, lagging, others)
+                self._log_begin(engine, model, lagging, totals)
                 tasks.start_soon(self._load, engine, model)
 
     async def _load(self, engine: BackEnd, model: str) -> None:
@@ -113,44 +116,53 @@
             await self._loader.load(engine, model)
         finally:
             self._loading.discard(engine.instance)
-            self._last_load_s[model] = self._clock()
+            self._last_load_at_s[model] = self._clock()
             await self._loader.announce_end(engine, model)
 
     def _log_begin(
-        self, engine: BackEnd, model: str, lagging: Sequence[LaggingEngine], others: EngineTotals
+        self, engine: BackEnd, model: str, lagging: Sequence[LaggingEngine], totals: EngineTotals
     ) -> None:
         self._event_log.event(
             "load_begun", instance=engine.instance, model=model,
             newest=self._cluster.target_versions.newest(model), lagging=len(lagging),
-            loading=others.num_loading, old_requests=sum(one.num_requests for one in lagging),
-            new_requests=others.num_requests,
+            loading=totals.num_loading,
+            old_requests=sum(candidate.num_requests for candidate in lagging),
+            new_requests=totals.num_requests,
         )  # fmt: skip
 
-    def _others(
+    def _totals(
         self, model: str, engines: Sequence[BackEnd], lagging: Sequence[LaggingEngine]
     ) -> EngineTotals:
         now_s = self._clock()
-        not_loading = [one.instance for one in engines if one.instance not in self._loading]
-        behind = {one.instance for one in lagging}
+        not_loading = [
+            engine.instance for engine in engines if engine.instance not in self._loading
+        ]
+        lagging_instances = {candidate.instance for candidate in lagging}
         return EngineTotals(
             num_engines=len(engines),
             num_loading=len(engines) - len(not_loading),
-            num_suspect=sum(1 for one in not_loading if self._health.is_suspect(one, now_s)),
-            num_requests=sum(self._num_requests(one) for one in not_loading if one not in behind),
-            last_load_s=self._last_load_s.get(model, -math.inf),
+            num_suspect=sum(
+                1 for instance in not_loading if self._health.is_suspect(instance, now_s)
+            ),
+            num_requests=sum(
+                self._num_requests(instance)
+                for instance in not_loading
+                if instance not in lagging_instances
+            ),
+            last_load_at_s=self._last_load_at_s.get(model, -math.inf),
         )
 
-    def _lag(self, engine: BackEnd, model: str) -> LaggingEngine | None:
-        """Return an engine's lag; None if it has the target version or loads already."""
+    def _lagging_engine(self, engine: BackEnd, model: str) -> LaggingEngine | None:
+        """Return the state of a lagging engine; None if it is up to date or is loading already."""
         version = self._cluster.engine_versions.version_of(engine.instance, model)
         if version is None or engine.instance in self._loading:
             return None
-        missed = self._cluster.target_versions.first_newer(model, version)
-        if missed is None:
+        first_missed = self._cluster.target_versions.first_newer(model, version)
+        if first_missed is None:
             return None
         return LaggingEngine(
             engine.instance,
-            self._cluster.grace_began_s(missed),
+            self._cluster.grace_began_s(first_missed),
             self._num_requests(engine.instance),
             self._health.is_suspect(engine.instance, self._clock()),
         )
--- a/src/weirscale/gateway/weights/version_check.py
+++ b/src/weirscale/gateway/weights/version_check.py
@@ -1,7 +1,7 @@
-"""Asks an engine for its weights when it refuses a request because it has another version.
+"""Requests a report from an engine that refuses a request because its weight version differs.
 
-After an outage of the store many nodes know older versions than the engines have. One report
-corrects that, and it is sent on to the peers, so that one refusal is enough for all nodes.
+After an outage of the store, many nodes hold older versions than the engines have. One report
+corrects this and is forwarded to the peers, so a single refusal is enough for all nodes.
 """
 
 from collections.abc import Callable
@@ -16,24 +16,24 @@
 from weirscale.gateway.state.cluster_state import ClusterState
 
 REPORT_TIMEOUT_S = 0.5
-"""Seconds to wait for a report. Not measured."""
+"""Seconds to wait for a report."""
 
-MIN_INTERVAL_S = 0.4
-"""Seconds between two questions to one engine. Its report lags by some hundred milliseconds, so
-asking sooner brings nothing new. Not measured by itself."""
+MIN_REPORT_INTERVAL_S = 0.4
+"""Minimum seconds between two report requests to one engine. Its reports lag by some hundred
+milliseconds, so an earlier request returns nothing new."""
 
-MAX_WAITING = 64
-"""Engines that may wait for a question; the next refusal asks again for those beyond. Not
-measured."""
+MAX_QUEUED = 64
+"""Maximum number of engines in the queue for a report request. For any beyond, the next refusal
+triggers a new attempt."""
 
 
 class VersionCheck:
-    """Asks for reports; `run` must be running.
+    """Requests reports from engines; `run` must be running.
 
     Args:
-        cluster: Where versions are learnt.
+        cluster: Stores the reported versions.
         port_of: Returns the port of a back end.
-        send: Sends peers a version.
+        send: Sends a version to peers.
         clock: Monotonic seconds.
     """
 
@@ -48,44 +48,44 @@
         self._port_of = port_of
         self._send_version = send
         self._clock = clock
-        self._asked_at_s: dict[InstanceId, float] = {}
-        self._asked, self._to_ask = anyio.create_memory_object_stream[InstanceId](MAX_WAITING)
+        self._requested_at_s: dict[InstanceId, float] = {}
+        self._enqueue, self._queue = anyio.create_memory_object_stream[InstanceId](MAX_QUEUED)
 
     def request(self, instance: InstanceId) -> None:
-        """Ask an engine soon, unless it was asked just now."""
+        """Schedule a report request to an engine, unless one was scheduled just before."""
         now_s = self._clock()
-        if now_s - self._asked_at_s.get(instance, float("-inf")) < MIN_INTERVAL_S:
+        if now_s - self._requested_at_s.get(instance, float("-inf")) < MIN_REPORT_INTERVAL_S:
             return
         try:
-            self._asked.send_nowait(instance)
+            self._enqueue.send_nowait(instance)
         except anyio.WouldBlock:
-            return  # Too many wait; the engine's next refusal asks again.
-        self._asked_at_s[instance] = now_s
+            return  # The queue is full; the engine's next refusal tries again.
+        self._requested_at_s[instance] = now_s
 
     def forget(self, instance: InstanceId) -> None:
-        """Forget an engine that is gone."""
-        self._asked_at_s.pop(instance, None)
+        """Forget an engine that was removed."""
+        self._requested_at_s.pop(instance, None)
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Request the scheduled reports until cancelled."""
         async with anyio.create_task_group() as tasks:
-            async for instance in self._to_ask:
-                self._ask_in(tasks, instance)
+            async for instance in self._queue:
+                self._start_check(tasks, instance)
 
-    def _ask_in(self, tasks: TaskGroup, instance: InstanceId) -> None:
+    def _start_check(self, tasks: TaskGroup, instance: InstanceId) -> None:
         back_end = self._cluster.directory.get(instance)
         if back_end is not None:
-            tasks.start_soon(self._ask, back_end)
+            tasks.start_soon(self._check, back_end)
 
-    async def _ask(self, back_end: BackEnd) -> None:
+    async def _check(self, back_end: BackEnd) -> None:
         report = await self._port_of(back_end).report(REPORT_TIMEOUT_S)
         if report is None:
             return
         instance = back_end.instance
         for served in report.models:
-            known = self._cluster.engine_versions.version_of(instance, served.name) or 0
+            previous_version = self._cluster.engine_versions.version_of(instance, served.name) or 0
             self._cluster.engine_versions.record_version(
                 instance, served.name, served.version, "refusal"
             )
-            if served.version > known:
+            if served.version > previous_version:
                 self._send_version(LoadingGossip(instance, served.name, served.version, True))
