--- a/src/weirscale/gateway/limits/isolation.py
+++ b/src/weirscale/gateway/limits/isolation.py
@@ -1,4 +1,4 @@
-"""Detects that this node is isolated: it reaches neither the store nor half of the other nodes.
+"""Detects whether this node is isolated: it reaches neither the store nor half of the other nodes.
 
 A node without proof that its configuration is current refuses requests with keys. If it still
 receives messages from the other nodes, they lack the proof as well: the store is down, and callers
--- a/src/weirscale/gateway/limits/quota.py
+++ b/src/weirscale/gateway/limits/quota.py
@@ -176,7 +176,7 @@
         return bool(self._quotas)
 
     def contact_cutoff_s(self) -> float:
-        """Return the earliest time of its last message at which a node counts as in contact."""
+        """Return the time since which a node must have sent a message to count as in contact."""
         return self._clock() - CONTACT_TIMEOUT_S
 
     def _forget_other_nodes(self, now_s: float) -> None:
--- a/src/weirscale/gateway/limits/retry_budget.py
+++ b/src/weirscale/gateway/limits/retry_budget.py
@@ -3,8 +3,8 @@
 **Shared limit.** In any window, all nodes together may retry, for each service, a share of its
 requests plus a fixed extra. The deployment sets both. **Rule.** Each node spends the share of its
 own requests and its equal part of the extra. So the sum holds whatever the other nodes do, and a
-node that is cut off continues as before. A node that starts cannot know what its previous run
-spent, so it does not use the extra for one window.
+node that is cut off continues as before. A restarted node has no record of what its previous
+process spent, so it does not use the extra for one window.
 """
 
 from collections import deque
--- a/src/weirscale/gateway/limits/usage.py
+++ b/src/weirscale/gateway/limits/usage.py
@@ -96,7 +96,7 @@
         self._asked[min(priority, NUM_PRIORITIES - 1)].add(amount, now_s)
 
     def spend(self, amount: float, now_s: float) -> None:
-        """Record a cost sent to a back end; a negative one was proved not to have run."""
+        """Record the cost of a request sent to a back end; a negative cost is a refund."""
         self._spent.add(amount, now_s)
 
     def rates(self, now_s: float) -> TenantUsage:
--- a/src/weirscale/gateway/weights/schedule.py
+++ b/src/weirscale/gateway/weights/schedule.py
@@ -39,8 +39,8 @@
 """Seconds after a load until requests are spread over the loaded engines."""
 
 OLD_REQUESTS_SHARE = 0.2
-"""Share of a model's requests on older weights above which the next wave begins. It weighs the loss
-by requests on older weights against the loss by a load (docs/DECISIONS.md)."""
+"""Share of a model's requests on older weights above which the next wave begins. Balances
+the loss from requests on older weights against the loss from a load (docs/DECISIONS.md)."""
 
 
 class LoadRules(msgspec.Struct, frozen=True):
