--- a/src/weirscale/gateway/rollouts/__init__.py
+++ b/src/weirscale/gateway/rollouts/__init__.py
@@ -1,12 +1,14 @@
-"""Rollouts of a service version: the program of a service's back ends, replaced under traffic.
+"""Rollouts of a service version: the software of a service's back ends is replaced under traffic.
 
-Versions of model weights are another thing (`gateway.weights`). An order names the target version.
-A *canary* of few requests goes to it, the verdict on their answers moves all requests there or
-returns them, and the rollout ends once no node uses the other versions.
+Versions of model weights are rolled out separately (`gateway.weights`). An operator's order names
+the target version. A small share of the requests, the *canary*, goes to the target. The verdict on
+their answers either moves all requests to the target or returns them to the older versions. The
+rollout ends once no node uses the other versions any more.
 
-On each node: `view` (what is known), `gate` (which back ends may be chosen), `canary_traffic` with
-`allowance` and `pace` (which requests go to the canary, how their answers count), `tallies`,
-`reporter` and `barrier` (counts of all nodes). On the holder of the lease: `facts`, `plan`,
-`record_writer`, `holder_task`. The rule of the verdict: `verdict`, `exact_test`. Design and
-figures: docs/design/0019-version-rollouts.md.
+On each node: `view` (state of each rollout as this node knows it), `gate` (which back ends may be
+chosen), `canary_traffic` with `allowance` and `pace` (which requests go to the canary, and how
+their answers count), `alarms` (this node's own verdict), and `tallies`, `reporter` and `barrier`
+(counts of all nodes). On the lease holder: `facts`, `plan`, `record_writer`, `holder_task`. The
+statistics of the verdict: `verdict`, `exact_test`. Design and figures:
+docs/design/0019-version-rollouts.md.
 """
--- a/src/weirscale/gateway/rollouts/allowance.py
+++ b/src/weirscale/gateway/rollouts/allowance.py
@@ -1,85 +1,85 @@
-"""The rule of how many canary attempts a node may make; all nodes together stay within a share.
+"""How many canary attempts a node may make, so that all nodes together stay within a share.
 
-Input: `CanaryLimits`, the share of a service's requests and the tolerance in attempts. Each request
-that a node sends on for the first time earns `SAFETY` times the share of one attempt, and each
-attempt at the target costs one. A node begins with a random part of one, so that rounding has no
-bias whatever the number of nodes, starts and kills; docs/design/0019-version-rollouts.md bounds
-how far the sum may be off by that.
+Works as a token bucket. `CanaryLimits` gives the share of a service's requests and the tolerance in
+attempts. Each request that a node forwards for the first time adds `SHARE_SAFETY_FACTOR` times the
+share as credit, and each attempt at the target costs 1. A node starts with a random credit below 1,
+so that rounding has no bias whatever the number of nodes, starts and kills;
+docs/design/0019-version-rollouts.md bounds the resulting deviation of the sum.
 """
 
 import math
 
 from weirscale.gateway.settings import CanaryLimits
 
-SAFETY = 0.9
-"""Part of the allowed share that is used: nodes see the same requests a little apart. Not
-measured."""
+SHARE_SAFETY_FACTOR = 0.9
+"""Fraction of the allowed share that is used, since nodes see the same requests at slightly
+different times."""
 
-MOST_SAVED = 3.0
-"""Attempts that may be saved up: more at once would be no ordinary load of an engine. Not
-measured."""
+MAX_SAVED_ATTEMPTS = 3.0
+"""Attempts that may be saved up. A larger burst would not be an ordinary load for an engine."""
 
-SPREAD_ERRORS = 5.0
+TOLERANCE_STANDARD_ERRORS = 5.0
 """Standard errors of the sum over all nodes that the tolerance must cover for a random start. The
-sum is then off by more with a probability below 1e-10 (docs/design/0019-version-rollouts.md)."""
+probability of a larger deviation is below 1e-10 (docs/design/0019-version-rollouts.md)."""
 
-LARGEST_SPREAD = 0.5
-"""Largest standard error, in attempts, that one node's random start can have: of two values one
-apart."""
+MAX_START_STANDARD_ERROR = 0.5
+"""Largest standard error, in attempts, of one node's random start: that of a choice between two
+values that differ by 1."""
 
-TOLERANCE_SHARE = 0.5
-"""Part of the tolerance that is handed out at the start; the rest bears the rounding. Not
-measured."""
+START_TOLERANCE_SHARE = 0.5
+"""Fraction of the tolerance that is handed out at the start. The rest absorbs the rounding."""
 
 
-def start_credit(limits: CanaryLimits, num_nodes: int, has_seen_order: bool, drawn: float) -> float:
-    """Return how many attempts a node begins with.
+def start_credit(
+    limits: CanaryLimits, num_nodes: int, has_seen_order: bool, random_fraction: float
+) -> float:
+    """Return how many attempts a node starts with.
 
     Args:
-        limits: What is allowed.
-        num_nodes: Nodes that may be running.
-        has_seen_order: Whether this node ran when the order came. One that did not may follow on a
-            run that has spent its part.
-        drawn: Drawn evenly from 0 to 1.
+        limits: Allowed share and tolerance.
+        num_nodes: Number of nodes that may be running.
+        has_seen_order: Whether this node was running when the order arrived. Otherwise it may be
+            the restart of a process that has already spent its part of the tolerance.
+        random_fraction: Drawn uniformly from 0 to 1.
     """
-    spread = LARGEST_SPREAD * math.sqrt(max(1, num_nodes))
-    if limits.tolerance < SPREAD_ERRORS * spread:
+    standard_error = MAX_START_STANDARD_ERROR * math.sqrt(max(1, num_nodes))
+    if limits.tolerance < TOLERANCE_STANDARD_ERRORS * standard_error:
         return 0.0
-    extra = TOLERANCE_SHARE * limits.tolerance / max(1, num_nodes)
-    return drawn + (min(1.0, extra) if has_seen_order else 0.0)
+    extra = START_TOLERANCE_SHARE * limits.tolerance / max(1, num_nodes)
+    return random_fraction + (min(1.0, extra) if has_seen_order else 0.0)
 
 
 class Allowance:
-    """How many attempts at one rollout's target this node may make.
+    """Credit of this node for attempts at one rollout's target.
 
     Args:
-        share: Of the service's requests.
-        credit: Attempts to begin with.
+        share: Allowed share of the service's requests.
+        credit: Attempts to start with.
     """
 
     def __init__(self, share: float, credit: float) -> None:
-        self._share = SAFETY * share
+        self._share = SHARE_SAFETY_FACTOR * share
         self._credit = credit
 
     def accrue(self) -> None:
-        """A request is sent on for the first time."""
-        self._credit = min(max(MOST_SAVED, self._credit), self._credit + self._share)
+        """Add the credit for a request that is forwarded for the first time."""
+        self._credit = min(max(MAX_SAVED_ATTEMPTS, self._credit), self._credit + self._share)
 
     def cancel_accrual(self) -> None:
-        """A request that was sent on reached nobody."""
+        """Remove the credit of a forwarded request that reached no back end."""
         self._credit -= self._share
 
     def try_take(self) -> bool:
-        """Spend one attempt; False if there is none."""
+        """Spend one attempt and return True; return False if the credit is below 1."""
         if self._credit < 1.0:
             return False
         self._credit -= 1.0
         return True
 
     def is_full(self) -> bool:
-        """Whether as much is saved up as an attempt can wait for."""
-        return self._credit >= MOST_SAVED - 1.0
+        """Return whether at most one more attempt can be saved up."""
+        return self._credit >= MAX_SAVED_ATTEMPTS - 1.0
 
     def refund(self) -> None:
-        """An attempt was not made after all."""
+        """Return the credit of an attempt that was not made."""
         self._credit += 1.0
--- a/src/weirscale/gateway/rollouts/barrier.py
+++ b/src/weirscale/gateway/rollouts/barrier.py
@@ -1,7 +1,7 @@
-"""How many nodes have moved: know that a service's traffic moves, and have no request left at its
-older versions.
+"""Counts the nodes that have moved to a rollout's target.
 
-Gossip carries the numbers by source; a later message replaces an earlier one.
+A node has moved once it has seen that the service's traffic moves and has no request left at the
+older versions. Gossip carries the counts by source; a later message replaces an earlier one.
 """
 
 from collections.abc import Callable
@@ -21,23 +21,26 @@
 
 
 class MoveBarrier:
-    """Counts the nodes that have moved."""
+    """Counts of moved nodes by rollout and source."""
 
     def __init__(self) -> None:
         self._received: dict[MovedKey, dict[str, _Received]] = {}
 
     def receive(self, source: str, key: MovedKey, num_nodes: int, now_s: float) -> None:
-        """Take over how many nodes of a source have moved."""
+        """Record how many nodes of a source have moved."""
         self._received.setdefault(key, {})[source] = _Received(num_nodes, now_s)
 
-    def num_moved(self, key: MovedKey, is_wanted: Callable[[str], bool], now_s: float) -> int:
-        """Return how many nodes of some sources have moved, by their latest gossip."""
+    def num_moved(self, key: MovedKey, is_counted: Callable[[str], bool], now_s: float) -> int:
+        """Return how many nodes have moved, by the latest gossip of the selected sources.
+
+        Sources that have been silent for longer than `PEER_TIMEOUT_S` are left out.
+        """
         return sum(
             received.num_nodes
             for source, received in self._received.get(key, {}).items()
-            if is_wanted(source) and now_s - received.received_at_s <= PEER_TIMEOUT_S
+            if is_counted(source) and now_s - received.received_at_s <= PEER_TIMEOUT_S
         )
 
     def keep(self, keys: set[MovedKey]) -> None:
-        """Forget all rollouts but these."""
+        """Drop the counts of all rollouts except the given ones."""
         self._received = {key: received for key, received in self._received.items() if key in keys}
--- a/src/weirscale/gateway/rollouts/exact_test.py
+++ b/src/weirscale/gateway/rollouts/exact_test.py
@@ -1,104 +1,108 @@
-"""Binomial arithmetic of the verdict: how likely some bad answers are, given the share of bad ones.
+"""Binomial statistics of the verdict: probability of bad answers, given the share of bad answers.
 
-Pure: no random numbers, no state. Shares are from 0 to 1, counts are of answers.
+Pure functions: no random numbers, no state. Shares are from 0 to 1, counts are of answers.
 """
 
 import math
 from functools import lru_cache
 
-LIMIT_STEPS = 20
-"""Halvings of the range of a share in `upper_limit`: 2**-20 is a millionth."""
+BISECTION_STEPS = 20
+"""Bisections of the range of a share in `upper_limit`: 2**-20 is a millionth."""
 
-MOST_STEPS = 200
-"""Steps of the continued fraction at most. Some 20 are enough for shares near the middle, more are
-needed near the ends."""
+MAX_FRACTION_STEPS = 200
+"""Largest number of steps of the continued fraction. About 20 suffice for shares near 0.5; shares
+near 0 or 1 need more."""
 
-CLOSE_ENOUGH = 1e-10
-"""Relative change of the continued fraction at which it ends; far below any error rate used."""
+FRACTION_TOLERANCE = 1e-10
+"""Relative change at which the continued fraction ends; far below any error rate used."""
 
-TINY = 1e-30
-"""Stands for 0 in a denominator of the continued fraction (Lentz's method)."""
+MIN_DENOMINATOR = 1e-30
+"""Replaces 0 in a denominator of the continued fraction (Lentz's method)."""
 
-LEAST_SHARE = 1e-6
-"""Least and, taken from 1, greatest share in `log_evidence`: keeps logarithms finite."""
+MIN_SHARE = 1e-6
+"""`log_likelihood_ratio` limits shares to this and 1 minus this, to keep logarithms finite."""
 
 
-def binomial_head(bad: int, num: int, share: float) -> float:
-    """Return how likely at most `bad` bad ones among `num` are, where each is so by a share."""
-    if bad >= num or share <= 0.0:
+def binomial_cdf(num_bad: int, num: int, share: float) -> float:
+    """Return the probability of at most `num_bad` bad answers among `num`.
+
+    Args:
+        num_bad: Number of bad answers.
+        num: Number of answers.
+        share: Probability that an answer is bad.
+    """
+    if num_bad >= num or share <= 0.0:
         return 1.0
     if share >= 1.0:
         return 0.0
-    return incomplete_beta(num - bad, bad + 1.0, 1.0 - share)
+    return incomplete_beta(num - num_bad, num_bad + 1.0, 1.0 - share)
 
 
-def incomplete_beta(first: float, second: float, at: float) -> float:
+def incomplete_beta(a: float, b: float, x: float) -> float:
     """Return the regularized incomplete beta function, by its continued fraction.
 
-    W. H. Press et al., Numerical Recipes, section 6.4; Lentz's method. Its cost does not grow with
-    the numbers, as that of a sum over all of them would.
+    See W. H. Press et al., Numerical Recipes, section 6.4 (Lentz's method). Unlike a sum over all
+    counts, its cost does not grow with them.
     """
-    log_front = (
-        math.lgamma(first + second)
-        - math.lgamma(first)
-        - math.lgamma(second)
-        + first * math.log(at)
-        + second * math.log1p(-at)
+    log_prefactor = (
+        math.lgamma(a + b) - math.lgamma(a) - math.lgamma(b) + a * math.log(x) + b * math.log1p(-x)
     )
-    front = math.exp(log_front)
-    if at < (first + 1.0) / (first + second + 2.0):
-        return min(1.0, front * _beta_fraction(first, second, at) / first)
-    return max(0.0, 1.0 - front * _beta_fraction(second, first, 1.0 - at) / second)
+    prefactor = math.exp(log_prefactor)
+    if x < (a + 1.0) / (a + b + 2.0):
+        return min(1.0, prefactor * _beta_fraction(a, b, x) / a)
+    return max(0.0, 1.0 - prefactor * _beta_fraction(b, a, 1.0 - x) / b)
 
 
-def _beta_fraction(first: float, second: float, at: float) -> float:
+def _beta_fraction(a: float, b: float, x: float) -> float:
     ratio = 1.0
-    inverse = 1.0 / _not_zero(1.0 - (first + second) * at / (first + 1.0))
-    whole = inverse
-    for step in range(1, MOST_STEPS):
-        even = step * (second - step) * at
-        even /= (first + 2 * step - 1.0) * (first + 2 * step)
-        odd = -(first + step) * (first + second + step) * at
-        odd /= (first + 2 * step) * (first + 2 * step + 1.0)
+    inverse = 1.0 / _not_zero(1.0 - (a + b) * x / (a + 1.0))
+    fraction = inverse
+    for step in range(1, MAX_FRACTION_STEPS):
+        even = step * (b - step) * x
+        even /= (a + 2 * step - 1.0) * (a + 2 * step)
+        odd = -(a + step) * (a + b + step) * x
+        odd /= (a + 2 * step) * (a + 2 * step + 1.0)
         change = 1.0
         for part in (even, odd):
             inverse = 1.0 / _not_zero(1.0 + part * inverse)
             ratio = _not_zero(1.0 + part / ratio)
             change = inverse * ratio
-            whole *= change
-        if abs(change - 1.0) < CLOSE_ENOUGH:
+            fraction *= change
+        if abs(change - 1.0) < FRACTION_TOLERANCE:
             break
-    return whole
+    return fraction
 
 
 def _not_zero(value: float) -> float:
-    return value if abs(value) > TINY else TINY
+    return value if abs(value) > MIN_DENOMINATOR else MIN_DENOMINATOR
 
 
 @lru_cache(maxsize=512)
-def upper_limit(bad: int, num: int, error: float) -> float:
-    """Return the share at which so few bad ones, or fewer, would be as unlikely as `error`.
+def upper_limit(num_bad: int, num: int, error_rate: float) -> float:
+    """Return the share of bad answers at which `num_bad` or fewer have probability `error_rate`.
 
-    Clopper and Pearson's one-sided limit, by bisection.
+    This is the one-sided Clopper-Pearson limit, found by bisection.
     """
     low, high = 0.0, 1.0
-    for _ in range(LIMIT_STEPS):
+    for _ in range(BISECTION_STEPS):
         middle = (low + high) / 2.0
-        if binomial_head(bad, num, middle) > error:
+        if binomial_cdf(num_bad, num, middle) > error_rate:
             low = middle
         else:
             high = middle
     return high
 
 
-def log_evidence(bad: int, num: int, usual: float) -> float:
-    """Return the logarithm of how much likelier some answers are for an unknown share of bad ones.
+def log_likelihood_ratio(num_bad: int, num: int, baseline_share: float) -> float:
+    """Return the log likelihood ratio of an unknown share of bad answers to the baseline share.
 
-    All shares from 0 to 1, mixed evenly, are compared with the usual one. Where the usual share
-    holds, the ratio passes 1 / error at any time with a probability below that error (Ville's
-    inequality), so it may be looked at after each answer.
+    The alternative is a uniform mixture of all shares from 0 to 1. Where the baseline share holds,
+    the probability that the ratio ever exceeds 1 / error_rate is below error_rate (Ville's
+    inequality), so the ratio may be tested after each answer.
     """
-    sound = num - bad
-    mixed = math.lgamma(bad + 1) + math.lgamma(sound + 1) - math.lgamma(num + 2)
-    usual = min(1.0 - LEAST_SHARE, max(LEAST_SHARE, usual))
-    return mixed - bad * math.log(usual) - sound * math.log(1.0 - usual)
+    num_good = num - num_bad
+    log_mixture = math.lgamma(num_bad + 1) + math.lgamma(num_good + 1) - math.lgamma(num + 2)
+    baseline_share = min(1.0 - MIN_SHARE, max(MIN_SHARE, baseline_share))
+    return (
+        log_mixture - num_bad * math.log(baseline_share) - num_good * math.log(1.0 - baseline_share)
+    )
--- a/src/weirscale/gateway/rollouts/facts.py
+++ b/src/weirscale/gateway/rollouts/facts.py
@@ -1,4 +1,4 @@
-"""Gathers what the holder of the lease knows of a rollout into the facts that its plan goes by."""
+"""Collects the facts about a rollout on which the lease holder bases its plan."""
 
 from collections.abc import Callable, Sequence
 
@@ -22,15 +22,15 @@
 
 
 class FleetSources(msgspec.Struct, frozen=True):
-    """Where the holder reads what the nodes of the fleet know.
+    """Sources of the fleet-wide values that the lease holder needs.
 
     Attributes:
-        tallies: Returns what all nodes have counted, as far as it was received.
-        alarm_of: Returns this node's alarm about an epoch, if there is one.
+        tallies: Returns the tallies of all nodes, as far as they were received.
+        alarm_of: Returns this node's alarm about an epoch, if it has raised one.
         num_moved: Returns how many nodes have moved for a service and an epoch.
-        num_nodes: Returns how many nodes are registered.
-        num_requests: Returns the requests of all nodes at a back end.
-        rollback_s: Returns the seconds allowed for a return.
+        num_nodes: Returns the number of registered nodes.
+        num_requests: Returns the number of requests that all nodes have in flight at a back end.
+        rollback_s: Returns the seconds allowed for a rollback.
     """
 
     tallies: Callable[[], Tallies]
@@ -42,46 +42,50 @@
 
 
 class RolloutClock:
-    """How long rollouts and their stages have lasted, as far as this node knows; in seconds.
+    """Measures how long rollouts and their stages have lasted, as observed by this node.
 
     Args:
-        clock: Monotonic seconds.
+        clock: Returns monotonic seconds.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._entered_s: dict[tuple[Epoch, Stage], float] = {}
-        self._moved_s: dict[Epoch, float] = {}
+        self._entered_at_s: dict[tuple[Epoch, Stage], float] = {}
+        self._all_moved_since_s: dict[Epoch, float] = {}
 
     def elapsed_s(self, order: RolloutOrder, record: RolloutRecord | None) -> float:
-        """Return the time since an order, or since the last proof before it."""
+        """Return the seconds since an order.
+
+        Counts from the last time at which the order was known not to exist yet. If the order is
+        older than this node, the result is a lower bound.
+        """
         elapsed_s = self._clock() - order.seen_at_s
         if record is None or not order.predates_node:
             return elapsed_s
-        # This node started later than the order came: the record tells how late, at least.
+        # This node started after the order arrived. The record gives a lower bound on its age.
         return max(elapsed_s, record.elapsed_s + self.in_stage_s(record))
 
     def in_stage_s(self, record: RolloutRecord) -> float:
-        """Return the time since this node first saw a record at its stage."""
-        entered_s = self._entered_s.setdefault((record.epoch, record.stage), self._clock())
+        """Return the seconds since this node first saw a record at its stage."""
+        entered_s = self._entered_at_s.setdefault((record.epoch, record.stage), self._clock())
         return self._clock() - entered_s
 
     def all_moved_for_s(self, record: RolloutRecord, has_moved: bool) -> float:
-        """Return for how long all nodes are known to have moved."""
+        """Return for how many seconds all nodes have been known to have moved."""
         if not has_moved:
-            self._moved_s.pop(record.epoch, None)
+            self._all_moved_since_s.pop(record.epoch, None)
             return 0.0
-        return self._clock() - self._moved_s.setdefault(record.epoch, self._clock())
+        return self._clock() - self._all_moved_since_s.setdefault(record.epoch, self._clock())
 
 
 class FactsReader:
-    """Reads the facts of one rollout.
+    """Reads the facts of one rollout at a time.
 
     Args:
-        cluster: Back ends.
-        reader: What is known of rollouts.
-        sources: What the nodes of the fleet know.
-        times: How long rollouts and stages have lasted.
+        cluster: Holds the back ends.
+        reader: Reads the state of rollouts.
+        sources: Provides the fleet-wide values.
+        times: Measures how long rollouts and stages have lasted.
     """
 
     def __init__(
@@ -97,16 +101,21 @@
         self._times = times
 
     def note_stage(self, record: RolloutRecord) -> None:
-        """Begin to count how long a record has been at its stage."""
+        """Start to measure how long a record has been at its stage."""
         self._times.in_stage_s(record)
 
     def facts(self, order: RolloutOrder, record: RolloutRecord | None) -> RolloutFacts:
-        """Return what is known now of an order and its record, None before anybody began it."""
-        known = tuple(self._cluster.directory.of_service(order.service))
-        old = [one for one in known if one.software != order.target]
-        target = [one for one in known if one.software == order.target]
-        # Those that leave take no new work, but what runs there must end too.
-        old_requests = sum(self._sources.num_requests(one.instance) for one in old)
+        """Return the current facts of an order.
+
+        Args:
+            order: The order.
+            record: Its record, or None if no node has started the rollout.
+        """
+        back_ends = tuple(self._cluster.directory.of_service(order.service))
+        old = [back_end for back_end in back_ends if back_end.software != order.target]
+        target = [back_end for back_end in back_ends if back_end.software == order.target]
+        # Leaving back ends accept no new requests, but their running requests must end too.
+        old_requests = sum(self._sources.num_requests(back_end.instance) for back_end in old)
         verdict, evidence = self._judge(order, record)
         view = self._reader.view(order.service)
         all_moved_for_s, in_stage_s = self._move_times(record, old_requests)
@@ -116,16 +125,19 @@
             evidence=evidence,
             target_slots=_working_slots(target),
             old_slots=_working_slots(old),
-            old_versions=tuple(sorted({one.software for one in old})),
+            old_versions=tuple(sorted({back_end.software for back_end in old})),
             all_moved_for_s=all_moved_for_s,
             in_stage_s=in_stage_s,
             rollback_s=self._sources.rollback_s(),
             old_requests=old_requests,
-            target_serves=view is not None and view.target_serves,
+            target_served_before=view is not None and view.target_served_before,
         )
 
     def _move_times(self, record: RolloutRecord | None, old_requests: int) -> tuple[float, float]:
-        """Return for how long all have moved, and how long the move has lasted; 0 without one."""
+        """Return for how many seconds all nodes have moved, and how long the move has lasted.
+
+        Both are 0 unless the rollout is at the moving stage.
+        """
         if record is None or record.stage is not Stage.MOVING:
             return 0.0, 0.0
         num_moved = self._sources.num_moved(record.service, record.epoch)
@@ -133,7 +145,11 @@
         return self._times.all_moved_for_s(record, has_moved), self._times.in_stage_s(record)
 
     def _judge(self, order: RolloutOrder, record: RolloutRecord | None) -> tuple[Verdict, Evidence]:
-        """Judge by the nodes' tallies, or by the record's evidence while that counts more."""
+        """Return the verdict on the nodes' tallies, and the evidence to record.
+
+        The recorded evidence is kept while it has more answers than the tallies, as after a restart
+        of the nodes; the target is then not called good.
+        """
         routes = by_route(self._sources.tallies(), order.service, order.epoch)
         verdict = judge_completion(routes, self._sources.alarm_of(order.epoch))
         evidence = evidence_of(routes)
@@ -145,5 +161,5 @@
 
 
 def _working_slots(back_ends: Sequence[BackEnd]) -> int:
-    """Return the slots of those that take work."""
-    return sum(one.slots for one in back_ends if one.state in ACCEPTING_STATES)
+    """Return the total slots of the back ends that accept requests."""
+    return sum(back_end.slots for back_end in back_ends if back_end.state in ACCEPTING_STATES)
--- a/src/weirscale/gateway/rollouts/gate.py
+++ b/src/weirscale/gateway/rollouts/gate.py
@@ -1,8 +1,9 @@
-"""The rule of which back ends a request may go to during a rollout, by their service version.
+"""Decides which back ends a request may go to during a rollout, by their service version.
 
-Inputs: what this node knows of the rollout (`view`), the age of its proof in seconds and the
-request's track. The table of stages is in docs/design/0019-version-rollouts.md. A node whose proof
-is too old sends nothing to versions that may have been returned or replaced meanwhile.
+Inputs: the state of the rollout as this node knows it (`view`), the age of this node's cluster
+state in seconds, and the request's track. The table of stages is in
+docs/design/0019-version-rollouts.md. A node whose state is stale sends nothing to versions that may
+have been rolled back or replaced meanwhile.
 """
 
 import enum
@@ -18,33 +19,34 @@
 from weirscale.gateway.rollouts.view import RecordReader, RolloutView
 from weirscale.gateway.state.cluster_state import ClusterState
 
-PROOF_SHARE = 0.3
-"""Part of the time for a return for which a proof of the record holds. The rest is for the gossip
-of the bad answers, the decision and its way here. With 5 s a proof is at most 1.5 s old and a
-return takes 2.1 s (docs/design/0019-version-rollouts.md)."""
+MAX_STATE_AGE_SHARE = 0.3
+"""Fraction of the time allowed for a rollback up to which cluster state counts as fresh. The rest
+covers the gossip of the bad answers, the decision and its distribution. With 5 s allowed, state is
+fresh up to an age of 1.5 s and a rollback takes 2.1 s (docs/design/0019-version-rollouts.md)."""
 
 MIN_CANARY_ENGINES = 3
-"""Engines of the target that get canary requests, at least. With fewer a single bad engine could
-not be told from a bad version. Not measured."""
+"""Smallest number of the target's engines that get canary requests. With fewer, a single bad engine
+could not be told from a bad version."""
 
 
 class Track(enum.Enum):
-    """Which versions a request is for."""
+    """Selects the versions that a request may go to."""
 
     STABLE = "usual"
-    """Those that serve."""
+    """The versions that serve regular traffic."""
     CANARY = "trial"
-    """The target version, while its canary runs."""
+    """The target version, during its canary stage."""
 
 
 class VersionGate:
-    """Tells which back ends may be chosen.
+    """Decides which back ends may be chosen.
 
     Args:
-        reader: Records of rollouts.
-        cluster: How old the proof of what is known is.
-        rollback_s: Returns the time allowed for a return.
-        is_isolated: Whether this node reaches neither the store nor half of the other nodes.
+        reader: Reads the state of rollouts.
+        cluster: Provides the age of this node's state.
+        rollback_s: Returns the seconds allowed for a rollback.
+        is_isolated: Returns whether this node reaches neither the store nor half of the other
+            nodes.
         share: Returns the share of requests that may go to a canary.
     """
 
@@ -63,48 +65,50 @@
         self._share = share
 
     def usable(self, service: ServiceName, back_ends: list[BackEnd], track: Track) -> list[BackEnd]:
-        """Return those of a service's back ends that a request of a track may go to."""
+        """Return the back ends of a service that a request of a track may go to."""
         view = self._reader.view(service)
         if view is None:
-            return back_ends if self._may_serve_unproved() else []
+            return back_ends if self._cannot_have_missed_rollout() else []
         if track is Track.CANARY:
-            return self._canary(view, back_ends) if self.allows_canary(view) else []
+            return self._canary_engines(view, back_ends) if self.allows_canary(view) else []
         if not self._may_serve(view):
             return []
-        return [one for one in back_ends if view.is_stable(one.software)]
+        return [back_end for back_end in back_ends if view.is_stable(back_end.software)]
 
     def allows_canary(self, view: RolloutView) -> bool:
-        """Whether the target may get canary requests now, by what is known of the record."""
-        return view.stage is Stage.CANARY and self._is_proved()
+        """Return whether the target may get canary requests now."""
+        return view.stage is Stage.CANARY and self._is_state_fresh()
 
     def serves(self, back_end: BackEnd) -> bool:
-        """Whether a back end gets requests of the stable track."""
+        """Return whether a back end gets requests of the stable track."""
         view = self._reader.view(back_end.service)
         return view is None or view.is_stable(back_end.software)
 
-    def _is_proved(self) -> bool:
-        return self._cluster.age_s() <= PROOF_SHARE * self._rollback_s()
+    def _is_state_fresh(self) -> bool:
+        return self._cluster.age_s() <= MAX_STATE_AGE_SHARE * self._rollback_s()
 
     def _may_serve(self, view: RolloutView) -> bool:
-        """Whether the proof is fresh enough to know which versions serve."""
+        """Return whether the state is fresh enough to decide which versions serve."""
         if view.stage is Stage.MOVING:
-            # It may have been returned; at the predecessors nobody may begin any more.
-            return self._is_proved()
+            # The target may have been rolled back, and no new request may go to the predecessors.
+            return self._is_state_fresh()
         if view.is_open():
             return self._cluster.age_s() <= self._rollback_s()
-        return self._may_serve_unproved()
+        return self._cannot_have_missed_rollout()
 
-    def _may_serve_unproved(self) -> bool:
-        """Whether there may be no rollout that this node has missed from order to end."""
+    def _cannot_have_missed_rollout(self) -> bool:
+        """Return whether this node cannot have missed a whole rollout, from order to end."""
         return self._cluster.age_s() <= self._rollback_s() or not self._is_isolated()
 
-    def _canary(self, view: RolloutView, back_ends: list[BackEnd]) -> list[BackEnd]:
+    def _canary_engines(self, view: RolloutView, back_ends: list[BackEnd]) -> list[BackEnd]:
         """Return the few engines of the target that get canary requests, the same on all nodes."""
-        targets = [one for one in back_ends if one.software == view.target]
-        num_old = sum(1 for one in back_ends if view.is_stable(one.software))
-        num = max(MIN_CANARY_ENGINES, round(self._share() * num_old))
-        return sorted(targets, key=lambda one: _rank(view.epoch, one.instance))[:num]
+        targets = [back_end for back_end in back_ends if back_end.software == view.target]
+        num_old = sum(1 for back_end in back_ends if view.is_stable(back_end.software))
+        num_engines = max(MIN_CANARY_ENGINES, round(self._share() * num_old))
+        return sorted(targets, key=lambda target: _engine_order(view.epoch, target.instance))[
+            :num_engines
+        ]
 
 
-def _rank(epoch: Epoch, instance: InstanceId) -> int:
+def _engine_order(epoch: Epoch, instance: InstanceId) -> int:
     return xxhash.xxh64_intdigest(f"{epoch}|{instance}".encode())
--- a/src/weirscale/gateway/rollouts/holder_task.py
+++ b/src/weirscale/gateway/rollouts/holder_task.py
@@ -1,8 +1,8 @@
-"""Carries rollouts from stage to stage, while this node holds the lease on that duty.
+"""Moves rollouts from stage to stage while this node holds the lease on that duty.
 
-The rule is in `plan`, the facts that it goes by in `facts`. Each stage is one write of the record
-(`record_writer`); the status is written from the record, so an end is in the record first. The
-lease is the one under which loads of weights are ordered (`gateway.weights.holder_lease`).
+`plan` decides, based on the facts from `facts`. Each stage is one write of the record
+(`record_writer`). The status is derived from the record, so the end of a rollout is in the record
+first. The lease is also the one for ordering loads of weights (`gateway.weights.holder_lease`).
 """
 
 from weirscale.domain.identifiers import ServiceName
@@ -25,19 +25,19 @@
 from weirscale.ports.event_log import EventLog
 
 PLAN_INTERVAL_S = 0.2
-"""Seconds between two plans; gossip of the tallies comes no more often. Not measured."""
+"""Seconds between two plans. Gossip of the tallies arrives no more often."""
 
 
 class RolloutHolderTask:
-    """Gives rollouts their stages; `run` must be running.
+    """Moves rollouts from stage to stage; requires `run` to be running.
 
     Args:
-        lease: Lease on the duty; asked before each write.
-        cluster: Orders, back ends.
-        reader: Records.
+        lease: Lease on the duty; checked before each write.
+        cluster: Holds orders and back ends.
+        reader: Reads the records.
         facts: Reads the facts of a rollout.
         writer: Writes records and statuses.
-        event_log: Logs each stage that is entered.
+        event_log: Logs each entered stage.
     """
 
     def __init__(
@@ -61,15 +61,15 @@
         while True:
             for order in tuple(self._cluster.rollouts.orders.values()):
                 await self._advance(order)
-            await self._close_withdrawn()
+            await self._roll_back_withdrawn()
             await sleep_to_tick(PLAN_INTERVAL_S)
 
     async def _advance(self, order: RolloutOrder) -> None:
-        """Bring one rollout further, by one write at most."""
+        """Advance one rollout, by one write of its record at most."""
         latest = self._reader.record(order.service)
         record = latest if latest is not None and latest.epoch == order.epoch else None
         if record is not None:
-            # Also without the lease: a new holder knows how long the stage has lasted.
+            # Also done without the lease, so that a new holder has the duration of the stage.
             self._facts.note_stage(record)
         if not self._may_write(order.service) or (latest and latest.epoch > order.epoch):
             return
@@ -78,19 +78,19 @@
         facts = self._facts.facts(order, record)
         step = next_step(order, record, facts)
         if step is not None:
-            await self._enter(order, latest, step, facts)
+            await self._enter_stage(order, latest, step, facts)
         elif record is not None:
             await self._writer.write_status(record)
 
     def _has_end_status(self, order: RolloutOrder) -> bool:
-        """Whether the status says that an order without a record has ended."""
+        """Return whether the status shows that an order without a record has ended."""
         view = self._reader.view(order.service)
         return view is not None and not view.is_open()
 
     def _may_write(self, service: ServiceName) -> bool:
-        return self._writer.is_free(service) and self._lease.token() is not None
+        return self._writer.has_settled(service) and self._lease.token() is not None
 
-    async def _enter(
+    async def _enter_stage(
         self,
         order: RolloutOrder,
         latest: RolloutRecord | None,
@@ -111,10 +111,10 @@
         if is_written:
             await self._writer.write_status(record)
 
-    async def _close_withdrawn(self) -> None:
-        """Return the rollouts whose order was withdrawn."""
+    async def _roll_back_withdrawn(self) -> None:
+        """Roll back the rollouts whose order was withdrawn."""
         orders = self._cluster.rollouts.orders
-        for service in {one.service for one in self._cluster.directory.all()}:
+        for service in {back_end.service for back_end in self._cluster.directory.all()}:
             record = self._reader.record(service)
             if record is None or service in orders or not self._may_write(service):
                 continue
--- a/src/weirscale/gateway/rollouts/pace.py
+++ b/src/weirscale/gateway/rollouts/pace.py
@@ -1,8 +1,8 @@
-"""The rule of when an answer counts as slow, against the usual times of older versions.
+"""Decides whether an answer counts as slow, compared with the usual times of older versions.
 
-Inputs: the seconds to the first event, what was expected of them, and the seconds between events.
-Both sides of a rollout are judged by the same limit, so it need not be exact: a version that is
-several times slower exceeds it several times as often.
+Inputs: the seconds to the first event, their expected value, and the seconds between events. Both
+sides of a rollout are judged by the same limit, so it need not be exact: a version that is several
+times slower exceeds it several times as often.
 """
 
 import msgspec
@@ -10,43 +10,43 @@
 from weirscale.domain.identifiers import ServiceName
 
 SLOW_FACTOR = 2.0
-"""An answer that takes longer than this multiple of the usual time is slow. Not measured by itself;
-what a verdict finds with it is in docs/design/0019-version-rollouts.md, "Verdict"."""
+"""An answer that takes longer than this multiple of the usual time is slow. The detection rates of
+the verdict with this value are in docs/design/0019-version-rollouts.md, "Verdict"."""
 
-LEAST_TIME_S = 0.02
-"""Seconds to the first event below which times do not differ: the network alone takes some
-milliseconds. Not measured."""
+MIN_FIRST_EVENT_S = 0.02
+"""Shorter times to the first event count as this, since the network alone takes some
+milliseconds."""
 
-LEAST_PACE_S = 0.005
-"""Seconds between two events below which times do not differ. Not measured."""
+MIN_EVENT_INTERVAL_S = 0.005
+"""Shorter times between two events count as this."""
 
-LEARNING_WEIGHT = 0.05
-"""Weight of one answer in the usual time: the last 20 or so count. Not measured."""
+MIN_ANSWER_WEIGHT = 0.05
+"""Weight of one answer in the usual time, so that about the last 20 answers count."""
 
-NUM_TO_KNOW = 5
-"""Answers before a usual time is used. Not measured."""
+MIN_ANSWERS = 5
+"""Answers required before a usual time is used."""
 
 
 class AnswerTimes(msgspec.Struct, frozen=True):
-    """What one attempt took, in seconds.
+    """Times of a completed attempt, in seconds.
 
     Attributes:
-        first_event_s: Until the first event, or the whole answer.
-        expected_s: What was expected of that, or None where nothing is.
-        pace_s: Time from one event to the next on average, or None without several.
+        first_event_s: Time to the first event, or to the whole answer if there were no events.
+        expected_s: Expected value of `first_event_s`, or None if there is no estimate.
+        event_interval_s: Mean time between events, or None if there were fewer than two.
     """
 
     first_event_s: float
     expected_s: float | None = None
-    pace_s: float | None = None
+    event_interval_s: float | None = None
 
 
 class AttemptTimes(msgspec.Struct):
-    """What an attempt has taken so far; its exchange updates it.
+    """Times of an attempt in progress; updated while its answer arrives.
 
     Attributes:
-        first_event_s: Until the first event, or None before it.
-        num_parts: Parts of the answer with whole events.
+        first_event_s: Time to the first event, or None before it.
+        num_parts: Received parts of the answer that contained whole events.
     """
 
     first_event_s: float | None = None
@@ -56,19 +56,19 @@
         """Return the times of an attempt that has ended.
 
         Args:
-            ended_s: When, since its beginning.
-            expected_s: What was expected of its first event, or None where nothing is.
+            ended_s: Seconds from the start of the attempt to its end.
+            expected_s: Expected time to its first event, or None if there is no estimate.
         """
         if self.first_event_s is None:
             return AnswerTimes(ended_s, expected_s)
-        pace_s = None
+        event_interval_s = None
         if self.num_parts > 1:
-            pace_s = (ended_s - self.first_event_s) / (self.num_parts - 1)
-        return AnswerTimes(self.first_event_s, expected_s, pace_s)
+            event_interval_s = (ended_s - self.first_event_s) / (self.num_parts - 1)
+        return AnswerTimes(self.first_event_s, expected_s, event_interval_s)
 
 
-class _Usual:
-    """A mean that forgets."""
+class _MovingAverage:
+    """Exponential moving average of times in seconds."""
 
     def __init__(self) -> None:
         self._mean_s = 0.0
@@ -76,42 +76,42 @@
 
     def learn(self, took_s: float) -> None:
         self._num += 1
-        weight = max(LEARNING_WEIGHT, 1.0 / self._num)
+        weight = max(MIN_ANSWER_WEIGHT, 1.0 / self._num)
         self._mean_s += weight * (took_s - self._mean_s)
 
-    def known_s(self) -> float | None:
-        return self._mean_s if self._num >= NUM_TO_KNOW else None
+    def value_s(self) -> float | None:
+        return self._mean_s if self._num >= MIN_ANSWERS else None
 
 
-class UsualPace:
-    """Learns what answers of older versions take, by route."""
+class BaselineTimes:
+    """Usual answer times of older versions, by service and route."""
 
     def __init__(self) -> None:
-        self._first: dict[tuple[ServiceName, str], _Usual] = {}
-        self._pace: dict[tuple[ServiceName, str], _Usual] = {}
+        self._first_event: dict[tuple[ServiceName, str], _MovingAverage] = {}
+        self._event_interval: dict[tuple[ServiceName, str], _MovingAverage] = {}
 
     def learn(self, service: ServiceName, route: str, times: AnswerTimes) -> None:
-        """Learn from an answer of an older version."""
+        """Add the times of an answer of an older version."""
         key = (service, route)
-        self._first.setdefault(key, _Usual()).learn(times.first_event_s)
-        if times.pace_s is not None:
-            self._pace.setdefault(key, _Usual()).learn(times.pace_s)
+        self._first_event.setdefault(key, _MovingAverage()).learn(times.first_event_s)
+        if times.event_interval_s is not None:
+            self._event_interval.setdefault(key, _MovingAverage()).learn(times.event_interval_s)
 
     def is_slow(self, service: ServiceName, route: str, times: AnswerTimes) -> bool:
-        """Whether an answer took several times as long as usual."""
+        """Return whether an answer took longer than `SLOW_FACTOR` times the usual time."""
         key = (service, route)
-        usual = self._first.get(key)
+        first_event = self._first_event.get(key)
         expected_s = times.expected_s
-        if expected_s is None and usual is not None:
-            expected_s = usual.known_s()
-        if expected_s is not None and times.first_event_s > _limit_s(expected_s, LEAST_TIME_S):
+        if expected_s is None and first_event is not None:
+            expected_s = first_event.value_s()
+        if expected_s is not None and times.first_event_s > _limit_s(expected_s, MIN_FIRST_EVENT_S):
             return True
-        pace = self._pace.get(key)
-        usual_s = None if pace is None else pace.known_s()
-        if usual_s is None or times.pace_s is None:
+        interval = self._event_interval.get(key)
+        usual_s = None if interval is None else interval.value_s()
+        if usual_s is None or times.event_interval_s is None:
             return False
-        return times.pace_s > _limit_s(usual_s, LEAST_PACE_S)
+        return times.event_interval_s > _limit_s(usual_s, MIN_EVENT_INTERVAL_S)
 
 
-def _limit_s(usual_s: float, least_s: float) -> float:
-    return SLOW_FACTOR * max(usual_s, least_s)
+def _limit_s(usual_s: float, min_s: float) -> float:
+    return SLOW_FACTOR * max(usual_s, min_s)
--- a/src/weirscale/gateway/rollouts/record.py
+++ b/src/weirscale/gateway/rollouts/record.py
@@ -1,4 +1,4 @@
-"""The record of a rollout: what must outlast the nodes, written by the holder of the duty alone."""
+"""The record of a rollout: state that must outlast the nodes, written only by the lease holder."""
 
 import enum
 
@@ -13,37 +13,37 @@
 
 
 class Stage(enum.Enum):
-    """How far a rollout is."""
+    """Stage of a rollout."""
 
     CANARY = "canary"
-    """A bounded part of the requests goes to the target."""
+    """A limited share of the requests goes to the target."""
     MOVING = "moving"
-    """All new requests go to the target; what runs at its predecessors ends there."""
+    """All new requests go to the target; running requests end at its predecessors."""
     COMPLETED = "completed"
-    """Nobody uses the predecessors any more. An end."""
+    """No node uses the predecessors any more. Final."""
     ROLLED_BACK = "returned"
-    """Nobody uses the target any more. An end."""
+    """The target must not be used any more. Final."""
 
 
-ENDS = frozenset({Stage.COMPLETED, Stage.ROLLED_BACK})
-"""Stages that are never left."""
+TERMINAL_STAGES = frozenset({Stage.COMPLETED, Stage.ROLLED_BACK})
+"""Final stages."""
 
 
 class RolloutRecord(msgspec.Struct, frozen=True, array_like=True):
-    """A rollout as it stands.
+    """State of a rollout.
 
     Attributes:
         service: The service.
-        epoch: The order that it is about.
-        target: The order's target.
-        stage: How far it is.
-        elapsed_s: Time since the order was seen, when this was written.
-        token: Fencing token of the holder that wrote it.
-        unusable: Versions that must not be used: targets that were given up, and what a completed
+        epoch: Epoch of the order.
+        target: Target version of the order.
+        stage: Current stage.
+        elapsed_s: Seconds since the order, when this record was written.
+        token: Fencing token of the lease holder that wrote this record.
+        unusable: Versions that must not be used: abandoned targets, and versions that a completed
             rollout has replaced.
-        evidence: What was known of target and predecessors when this was written.
+        evidence: Counts of the target and its predecessors when this record was written.
         reason: Why the stage was entered.
-        predecessors: Versions that served when the rollout began.
+        predecessors: Versions that served when the rollout started.
     """
 
     service: ServiceName
@@ -58,8 +58,8 @@
     predecessors: tuple[SoftwareVersion, ...] = ()
 
     def has_ended(self) -> bool:
-        """Whether the rollout is over."""
-        return self.stage in ENDS
+        """Return whether the rollout has ended."""
+        return self.stage in TERMINAL_STAGES
 
 
 def record_key(service: ServiceName) -> str:
@@ -74,7 +74,7 @@
 
 
 def decode_record(value: bytes) -> RolloutRecord | None:
-    """Decode a record; None for anything else than a valid one."""
+    """Decode a record; return None if it is not valid."""
     try:
         return msgspec.convert(cbor2.loads(value), RolloutRecord)
     except (cbor2.CBORDecodeError, msgspec.ValidationError, ValueError, TypeError):
--- a/src/weirscale/gateway/rollouts/record_writer.py
+++ b/src/weirscale/gateway/rollouts/record_writer.py
@@ -1,7 +1,7 @@
-"""Writes rollouts' records, and the statuses that operators read, by compare-and-swap.
+"""Writes the records of rollouts, and the statuses that operators read, by compare-and-swap.
 
-A write goes over the revision that this node has seen. A holder that wakes late, or whose call is
-carried out late, therefore changes nothing that another one has decided.
+A write replaces the revision that this node has seen. A lease holder that resumes late, or whose
+call is executed late, therefore cannot overwrite the decision of another holder.
 """
 
 from collections.abc import Callable
@@ -19,22 +19,22 @@
 from weirscale.ports.key_value import KeyValuePort
 
 CALL_TIMEOUT_S = 0.8
-"""Seconds after which a write counts as not done. A slow store takes some 0.4 s to answer."""
+"""Seconds after which a write counts as failed. A slow store takes about 0.4 s to answer."""
 
-AFTER_CALL_S = 0.6
-"""Seconds without a further write to a service's rollout, in which the feed shows what became of
-the last one. Not measured."""
+WRITE_SETTLE_S = 0.6
+"""Seconds after a write in which the same rollout is not written again, so that the feed can show
+the outcome first."""
 
 
 class RolloutWriter:
     """Writes the records and statuses of all services.
 
     Args:
-        cluster: Records, statuses and their revisions.
-        store: Takes the records.
-        feed: Takes the statuses.
-        event_log: Logs each status that is written.
-        clock: Monotonic seconds.
+        cluster: Holds records, statuses and their revisions.
+        store: Stores the records.
+        feed: Stores the statuses.
+        event_log: Logs each written status.
+        clock: Returns monotonic seconds.
     """
 
     def __init__(
@@ -50,15 +50,15 @@
         self._feed = feed
         self._event_log = event_log
         self._clock = clock
-        self._not_before_s: dict[ServiceName, float] = {}
+        self._next_write_at_s: dict[ServiceName, float] = {}
 
-    def is_free(self, service: ServiceName) -> bool:
-        """Whether the outcome of a service's last write has had time to show."""
-        return self._clock() >= self._not_before_s.get(service, 0.0)
+    def has_settled(self, service: ServiceName) -> bool:
+        """Return whether the feed has had time to show the outcome of a service's last write."""
+        return self._clock() >= self._next_write_at_s.get(service, 0.0)
 
     async def write_record(self, record: RolloutRecord) -> bool:
-        """Write a record over the one that is known; False if that is not known to be done."""
-        self._wait_after(record.service)
+        """Write a record over the known revision; return False unless known to have succeeded."""
+        self._defer_next_write(record.service)
         key = record_key(record.service)
         revision = self._cluster.revision_of(key) if key in self._cluster.records else 0
         with anyio.move_on_after(CALL_TIMEOUT_S):
@@ -67,12 +67,12 @@
         return False
 
     async def write_status(self, record: RolloutRecord) -> None:
-        """Write the status that a record stands for, unless operators read it already."""
+        """Write the status that follows from a record, unless it is already in the store."""
         status = RolloutStatus(record.service, record.target, status_of(record))
         seen = self._cluster.rollouts.status_of(record.service)
         if seen is not None and seen.status == status and seen.revision > record.epoch:
             return
-        self._wait_after(record.service)
+        self._defer_next_write(record.service)
         revision = 0 if seen is None else seen.revision
         is_written = False
         with anyio.move_on_after(CALL_TIMEOUT_S):
@@ -83,5 +83,5 @@
             state=status.state.value, written=is_written,
         )  # fmt: skip
 
-    def _wait_after(self, service: ServiceName) -> None:
-        self._not_before_s[service] = self._clock() + AFTER_CALL_S
+    def _defer_next_write(self, service: ServiceName) -> None:
+        self._next_write_at_s[service] = self._clock() + WRITE_SETTLE_S
--- a/src/weirscale/gateway/rollouts/reporter.py
+++ b/src/weirscale/gateway/rollouts/reporter.py
@@ -1,7 +1,7 @@
-"""Gossip of rollouts: tallies, and how many nodes have moved.
+"""Gossip of rollouts: tallies and numbers of moved nodes.
 
-A node sends its group its own counts; the head of a group sends the other heads the sum of its
-group, and its own group the sum of what the other heads send, as for loads (`gossip.group_relay`).
+A node sends its own counts to its group. The head of a group sends the sum of its group to the
+other heads, and the sum of the other groups to its own group, as for loads (`gossip.group_relay`).
 """
 
 from collections.abc import Callable, Iterable
@@ -23,16 +23,16 @@
 from weirscale.gateway.rollouts.view import RecordReader
 from weirscale.gateway.state.cluster_state import ClusterState
 
-SEND_INTERVAL_S = 0.25
-"""Least seconds between two messages with changed tallies. Gossip reaches all nodes within some
-0.6 s over two heads (docs/design/0019-version-rollouts.md)."""
+MIN_SEND_INTERVAL_S = 0.25
+"""Seconds between two messages with changed tallies, at least. By way of two heads, gossip reaches
+all nodes within about 0.6 s (docs/design/0019-version-rollouts.md)."""
 
-SourceTest = Callable[[str], bool]
-"""Whether a source counts."""
+SourceFilter = Callable[[str], bool]
+"""Returns whether the values of a source count."""
 
 
 class TallySender:
-    """Sends tallies that have changed since they were last sent."""
+    """Sends the tallies that have changed since the last message."""
 
     def __init__(self) -> None:
         self._sent: Tallies = {}
@@ -41,17 +41,20 @@
     def add_to(
         self, outbox: GossipOutbox, tallies: Tallies, must_refresh: bool, now_s: float
     ) -> None:
-        """Put into an outbox what has changed, or all of it, unless it was done just before."""
-        if not must_refresh and now_s - self._sent_at_s < SEND_INTERVAL_S:
+        """Add the changed tallies to an outbox, or all of them if `must_refresh`.
+
+        Without `must_refresh`, at least `MIN_SEND_INTERVAL_S` must have passed since the last time.
+        """
+        if not must_refresh and now_s - self._sent_at_s < MIN_SEND_INTERVAL_S:
             return
         self._sent_at_s = now_s
         for key, counts in tallies.items():
             if must_refresh or self._sent.get(key, NO_COUNTS) != counts:
-                outbox.add_canary_counts(_gossip(key, counts))
+                outbox.add_canary_counts(_to_gossip(key, counts))
         self._sent = tallies
 
 
-def _gossip(key: TallyKey, counts: Counts) -> CanaryGossip:
+def _to_gossip(key: TallyKey, counts: Counts) -> CanaryGossip:
     return CanaryGossip(
         key.service,
         key.epoch,
@@ -63,20 +66,20 @@
     )
 
 
-def _read(gossip: CanaryGossip) -> tuple[TallyKey, Counts]:
+def _from_gossip(gossip: CanaryGossip) -> tuple[TallyKey, Counts]:
     key = TallyKey(ServiceName(gossip.service), Epoch(gossip.epoch), gossip.route, gossip.instance)
     return key, Counts(gossip.num, gossip.num_failed, gossip.num_slow)
 
 
 class RolloutReporter:
-    """Sends and receives tallies and moves; each node has one.
+    """Sends and receives a node's tallies and numbers of moved nodes.
 
     Args:
-        cluster: Orders.
-        reader: Records.
-        tallies: What this node has counted and received.
-        num_requests: Returns this node's own requests at a back end.
-        clock: Monotonic seconds.
+        cluster: Holds orders and back ends.
+        reader: Reads the state of rollouts.
+        tallies: This node's own and received tallies.
+        num_requests: Returns the number of this node's own requests in flight at a back end.
+        clock: Returns monotonic seconds.
     """
 
     def __init__(
@@ -98,27 +101,31 @@
         self._to_group = TallySender()
 
     def is_idle(self) -> bool:
-        """Whether there is no order, so nothing to send."""
+        """Return whether there is no order, and so nothing to send."""
         return not self._cluster.rollouts.orders
 
     def receive(self, source: str, gossip: Gossip) -> None:
-        """Take over what a source sends; `source` is as for the loads."""
-        known = {order.epoch for order in self._cluster.rollouts.orders.values()}
-        counted = [_read(one) for one in gossip.canary_counts if one.epoch in known]
+        """Record the values in a message; `source` is the same as for the loads."""
+        ordered_epochs = {order.epoch for order in self._cluster.rollouts.orders.values()}
+        counted = [
+            _from_gossip(counts)
+            for counts in gossip.canary_counts
+            if counts.epoch in ordered_epochs
+        ]
         if counted:
-            name = source if gossip.group else f"{source}#{gossip.sender_run}"
-            self._tallies.receive(name, counted)
+            tally_source = source if gossip.group else f"{source}#{gossip.sender_run}"
+            self._tallies.receive(tally_source, counted)
         for moved in gossip.moved_nodes:
-            if moved.epoch in known:
+            if moved.epoch in ordered_epochs:
                 key = (ServiceName(moved.service), Epoch(moved.epoch))
                 self._barrier.receive(source, key, moved.num_nodes, self._clock())
 
     def add_own(self, outbox: GossipOutbox, must_refresh: bool) -> None:
-        """Send this node's group what this node has counted, and whether it has moved."""
+        """Add this node's own counts, and whether it has moved, to the message to its group."""
         if self.is_idle():
             return
         self._to_own.add_to(outbox, dict(self._tallies.own), must_refresh, self._clock())
-        for key in self._moves():
+        for key in self._moving_rollouts():
             if self.has_moved(key[0]):
                 outbox.add_moved_nodes(MovedGossip(key[0], key[1], 1))
 
@@ -126,55 +133,63 @@
         self,
         to_heads: GossipOutbox,
         to_group: GossipOutbox,
-        is_member: SourceTest,
-        is_group: SourceTest,
+        is_member: SourceFilter,
+        is_group: SourceFilter,
         must_refresh: bool,
     ) -> None:
-        """Send other heads this group's sums, and this group those of the others."""
+        """Add this group's sums to the message to the other heads, and the others' to this group's.
+
+        Args:
+            to_heads: Message to the heads of the other groups.
+            to_group: Message to this node's own group.
+            is_member: Selects the sources that are nodes of this group.
+            is_group: Selects the sources that are sums of other groups.
+            must_refresh: Whether to add unchanged tallies as well.
+        """
         if self.is_idle():
             return
         now_s = self._clock()
-        own = self._tallies.sum_of(lambda one: is_member(_node(one)), include_own=True)
-        rest = self._tallies.sum_of(is_group)
+        own = self._tallies.sum_of(lambda source: is_member(_node_name(source)), include_own=True)
+        others = self._tallies.sum_of(is_group)
         self._to_heads.add_to(to_heads, own, must_refresh, now_s)
-        self._to_group.add_to(to_group, rest, must_refresh, now_s)
-        for key in self._moves():
+        self._to_group.add_to(to_group, others, must_refresh, now_s)
+        for key in self._moving_rollouts():
             num_own = self._barrier.num_moved(key, is_member, now_s) + self.has_moved(key[0])
-            num_rest = self._barrier.num_moved(key, is_group, now_s)
+            num_others = self._barrier.num_moved(key, is_group, now_s)
             to_heads.add_moved_nodes(MovedGossip(key[0], key[1], num_own))
-            to_group.add_moved_nodes(MovedGossip(key[0], key[1], num_rest))
+            to_group.add_moved_nodes(MovedGossip(key[0], key[1], num_others))
 
-    def fleet_tallies(self, counts: SourceTest) -> Tallies:
-        """Return what all nodes have counted, by the sources that count at this node."""
-        return self._tallies.sum_of(lambda one: counts(_node(one)), include_own=True)
+    def fleet_tallies(self, is_counted: SourceFilter) -> Tallies:
+        """Return the tallies of all nodes: this node's own, and those of the selected sources."""
+        return self._tallies.sum_of(lambda source: is_counted(_node_name(source)), include_own=True)
 
-    def num_moved(self, service: ServiceName, epoch: Epoch, counts: SourceTest) -> int:
-        """Return how many nodes have moved, by the sources that count at this node."""
+    def num_moved(self, service: ServiceName, epoch: Epoch, is_counted: SourceFilter) -> int:
+        """Return how many nodes have moved: this node, and those of the selected sources."""
         key = (service, epoch)
-        return self._barrier.num_moved(key, counts, self._clock()) + self.has_moved(service)
+        return self._barrier.num_moved(key, is_counted, self._clock()) + self.has_moved(service)
 
     def has_moved(self, service: ServiceName) -> bool:
-        """Whether this node knows that a service moves and has nothing at older versions."""
+        """Return whether this node has seen the move and has no request left at older versions."""
         view = self._reader.view(service)
         if view is None or view.stage is not Stage.MOVING:
             return False
         return not any(
-            self._num_requests(one.instance)
-            for one in self._cluster.directory.of_service(service)
-            if one.software != view.target
+            self._num_requests(back_end.instance)
+            for back_end in self._cluster.directory.of_service(service)
+            if back_end.software != view.target
         )
 
-    def _moves(self) -> Iterable[MovedKey]:
-        """Return the rollouts that move now."""
-        moves: set[MovedKey] = set()
+    def _moving_rollouts(self) -> Iterable[MovedKey]:
+        """Return the rollouts at the moving stage, and drop the counts of all others."""
+        moving: set[MovedKey] = set()
         for service in self._cluster.rollouts.orders:
             view = self._reader.view(service)
             if view is not None and view.stage is Stage.MOVING:
-                moves.add((service, view.epoch))
-        self._barrier.keep(moves)
-        return moves
+                moving.add((service, view.epoch))
+        self._barrier.keep(moving)
+        return moving
 
 
-def _node(source: str) -> str:
-    """Return the node of a source that is one run of it; any other source as it is."""
+def _node_name(source: str) -> str:
+    """Return a source without the run of its process, if it names one."""
     return source.partition("#")[0]
--- a/src/weirscale/gateway/rollouts/tallies.py
+++ b/src/weirscale/gateway/rollouts/tallies.py
@@ -1,8 +1,8 @@
-"""Counts of how requests of a rollout ended, at this node and, by their gossip, at the others.
+"""Counts of request outcomes during a rollout, at this node and, received by gossip, at the others.
 
-Counts are absolute, of one run of a process. Receivers keep the greatest of each by its source (a
-run of a node of this node's group, or the sum of a group), so a message that is lost, late or
-doubled does no harm, and the counts of a node that is gone stay known.
+Counts are totals since the start of a node's process. Receivers keep the maximum of each count by
+source (one run of a node in the same group, or the sum of a group). So lost, late or duplicate
+messages do no harm, and the counts of a stopped node are kept.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -15,12 +15,12 @@
 
 
 class Counts(msgspec.Struct, frozen=True, array_like=True):
-    """How some requests ended.
+    """Outcomes of requests.
 
     Attributes:
-        num: All of them.
-        num_failed: Those without a whole sound answer.
-        num_slow: Those answered, but slower than expected by a factor.
+        num: Number of requests.
+        num_failed: Requests without a complete sound answer.
+        num_slow: Requests answered, but slower than expected by a factor.
     """
 
     num: int = 0
@@ -29,11 +29,11 @@
 
     @property
     def num_bad(self) -> int:
-        """Failed and slow ones."""
+        """Number of failed and slow requests."""
         return self.num_failed + self.num_slow
 
     def plus(self, other: "Counts") -> "Counts":
-        """Return the sum."""
+        """Return the sum of both counts."""
         return Counts(
             self.num + other.num,
             self.num_failed + other.num_failed,
@@ -41,7 +41,7 @@
         )
 
     def minus(self, other: "Counts") -> "Counts":
-        """Return the difference, never below nothing."""
+        """Return the difference of each count, at least 0."""
         return Counts(
             max(0, self.num - other.num),
             max(0, self.num_failed - other.num_failed),
@@ -49,7 +49,7 @@
         )
 
     def elementwise_max(self, other: "Counts") -> "Counts":
-        """Return the greater of each."""
+        """Return the maximum of each count."""
         return Counts(
             max(self.num, other.num),
             max(self.num_failed, other.num_failed),
@@ -61,24 +61,24 @@
 
 
 class Evidence(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of a target and its predecessors, all routes and engines together."""
+    """Counts of a target and its predecessors, summed over all routes and engines."""
 
     target: Counts = NO_COUNTS
     old: Counts = NO_COUNTS
 
 
 PREDECESSORS = InstanceId("")
-"""Stands for the instance where a tally is of all engines of older versions."""
+"""Used as the instance in the tally of all engines of older versions."""
 
 
 class TallyKey(msgspec.Struct, frozen=True):
-    """What a tally is of.
+    """Identifies a tally.
 
     Attributes:
         service: The service.
-        epoch: The rollout.
+        epoch: Epoch of the rollout's order.
         route: Name of the route.
-        instance: The target's engine, or `PREDECESSORS`.
+        instance: An engine of the target, or `PREDECESSORS`.
     """
 
     service: ServiceName
@@ -90,66 +90,66 @@
 Tallies = dict[TallyKey, Counts]
 
 
-def add_to(tallies: Tallies, key: TallyKey, counts: Counts) -> None:
-    """Add counts to one of several tallies."""
+def add_counts(tallies: Tallies, key: TallyKey, counts: Counts) -> None:
+    """Add counts to the tally of a key."""
     tallies[key] = tallies.get(key, NO_COUNTS).plus(counts)
 
 
 class FleetTallies:
-    """Sums what all nodes have counted."""
+    """This node's own tallies and those received from other nodes."""
 
     def __init__(self) -> None:
         self.own: Tallies = {}
         self._received: dict[str, Tallies] = {}
         self.num_changes = 0
-        """Rises with each change, for those who read by change."""
+        """Increases with each change, so that readers can detect changes."""
 
     def record(self, key: TallyKey, counts: Counts) -> None:
-        """Count requests of this node."""
-        add_to(self.own, key, counts)
+        """Add outcomes of this node's own requests."""
+        add_counts(self.own, key, counts)
         self.num_changes += 1
 
     def receive(self, source: str, counted: Iterable[tuple[TallyKey, Counts]]) -> None:
-        """Take over what a source has counted."""
+        """Merge the tallies of a source; each count keeps its maximum."""
         received = self._received.setdefault(source, {})
         for key, counts in counted:
-            known = received.get(key, NO_COUNTS)
-            most = known.elementwise_max(counts)
-            if most != known:
-                received[key] = most
+            previous = received.get(key, NO_COUNTS)
+            merged = previous.elementwise_max(counts)
+            if merged != previous:
+                received[key] = merged
                 self.num_changes += 1
 
-    def sum_of(self, is_wanted: Callable[[str], bool], include_own: bool = False) -> Tallies:
-        """Return the sum over some sources."""
+    def sum_of(self, is_counted: Callable[[str], bool], include_own: bool = False) -> Tallies:
+        """Return the sum over the selected sources, and this node's own if `include_own`."""
         sums: Tallies = dict(self.own) if include_own else {}
         for source, received in self._received.items():
-            if is_wanted(source):
+            if is_counted(source):
                 for key, counts in received.items():
-                    add_to(sums, key, counts)
+                    add_counts(sums, key, counts)
         return sums
 
     def keep(self, epochs: Iterable[Epoch]) -> None:
-        """Forget all rollouts but these."""
-        wanted = frozenset(epochs)
-        self.own = _only(self.own, wanted)
+        """Drop the tallies of all rollouts except the given ones."""
+        kept_epochs = frozenset(epochs)
+        self.own = _of_epochs(self.own, kept_epochs)
         self._received = {
-            source: _only(received, wanted) for source, received in self._received.items()
+            source: _of_epochs(received, kept_epochs) for source, received in self._received.items()
         }
         self._received = {
             source: received for source, received in self._received.items() if received
         }
 
 
-def _only(tallies: Tallies, epochs: frozenset[Epoch]) -> Tallies:
+def _of_epochs(tallies: Tallies, epochs: frozenset[Epoch]) -> Tallies:
     return {key: counts for key, counts in tallies.items() if key.epoch in epochs}
 
 
 class RouteEvidence(msgspec.Struct, frozen=True):
-    """What is known of a rollout on one route.
+    """Counts of a rollout on one route.
 
     Attributes:
-        old: Engines of older versions.
-        target: The target's engines by instance.
+        old: Counts of all engines of older versions.
+        target: Counts of the target's engines, by instance.
     """
 
     old: Counts
@@ -157,7 +157,7 @@
 
 
 def by_route(tallies: Tallies, service: ServiceName, epoch: Epoch) -> dict[str, RouteEvidence]:
-    """Return what is known of one rollout, by route."""
+    """Return the evidence of one rollout, by route."""
     old: dict[str, Counts] = {}
     target: dict[str, dict[str, Counts]] = {}
     for key, counts in tallies.items():
@@ -168,11 +168,13 @@
         else:
             target.setdefault(key.route, {})[key.instance] = counts
     routes = old.keys() | target.keys()
-    return {one: RouteEvidence(old.get(one, NO_COUNTS), target.get(one, {})) for one in routes}
+    return {
+        route: RouteEvidence(old.get(route, NO_COUNTS), target.get(route, {})) for route in routes
+    }
 
 
 def evidence_of(routes: Mapping[str, RouteEvidence]) -> Evidence:
-    """Return the sums over all routes and engines."""
+    """Return the evidence summed over all routes and engines."""
     target, old = NO_COUNTS, NO_COUNTS
     for route in routes.values():
         old = old.plus(route.old)
--- a/src/weirscale/gateway/rollouts/verdict.py
+++ b/src/weirscale/gateway/rollouts/verdict.py
@@ -1,15 +1,15 @@
-"""The rule of the verdict: whether a version is worse than its predecessors.
-
-Inputs: counts of answers by route and engine, of the target and of the older versions. A sequential
-test with stated error rates; what it finds in how many canary requests was simulated, see
-docs/design/0019-version-rollouts.md, "Verdict".
-
-The target's bad answers are compared with the share of bad ones that older versions show over the
-same time (its upper limit). The evidence is a ratio of likelihoods that may be looked at after each
-answer (`exact_test.log_evidence`). Several such ratios are averaged with fixed weights, which keeps
-their error rate: over all routes together and each route, from the start on and from later moments
-on, since some versions turn bad later. One engine that fails is no bad version, so there must also
-be evidence without the worst engine.
+"""Decides whether a version is worse than its predecessors.
+
+Inputs: counts of answers by route and engine, for the target and for the older versions. This is a
+sequential test with fixed error rates. Simulated detection rates and the required numbers of canary
+requests are in docs/design/0019-version-rollouts.md, "Verdict".
+
+The target's bad answers are compared with an upper limit of the share of bad answers that older
+versions show over the same time. The evidence is a likelihood ratio that may be tested after each
+answer (`exact_test.log_likelihood_ratio`). Several such ratios are averaged with fixed weights,
+which keeps their error rate: for all routes together and for each route, from the start and from
+later checkpoints, since some versions turn bad later. A single failing engine does not make a
+version bad, so there must also be evidence without the worst engine.
 """
 
 import enum
@@ -18,57 +18,59 @@
 
 import msgspec
 
-from weirscale.gateway.rollouts.exact_test import binomial_head, log_evidence, upper_limit
+from weirscale.gateway.rollouts.exact_test import binomial_cdf, log_likelihood_ratio, upper_limit
 from weirscale.gateway.rollouts.tallies import NO_COUNTS, Counts, RouteEvidence
 
-FALSE_ALARMS = 0.001
-"""Share of sound versions that are called bad, at most: the error rate of the whole test.
-Chosen."""
+FALSE_ALARM_RATE = 0.001
+"""Largest share of sound versions that are called bad: the error rate of the whole test."""
 
-ONE_ENGINE_ERROR = 0.05
-"""Share of versions that are called bad for a single engine that is. Asking for `FALSE_ALARMS` here
-too found 0.37 instead of 0.63 of the versions with 0.3 more bad answers (design 0019)."""
+SINGLE_ENGINE_ERROR_RATE = 0.05
+"""Largest share of versions that are called bad because of a single bad engine. With
+`FALSE_ALARM_RATE` here too, only 0.37 instead of 0.63 of the versions with an increase of 0.3 in
+the share of bad answers were detected (design 0019)."""
 
-USUAL_ERROR = 0.01
-"""Error of the upper limit that is taken for the older versions' share of bad answers. Chosen."""
+BASELINE_ERROR_RATE = 0.01
+"""Error rate of the upper limit on the older versions' share of bad answers."""
 
-WHOLE_WEIGHT = 0.5
-"""Weight of all routes together in the mean of the evidence; the routes share the rest. Chosen: the
-weights of a mean must be fixed beforehand to keep its error rate."""
+ALL_ROUTES_WEIGHT = 0.5
+"""Weight of all routes together in the mean of the evidence; the single routes share the rest. The
+weights must be fixed beforehand to keep the error rate of the mean."""
 
-START_WEIGHT = 0.6
-"""Weight of the evidence since the start; that since later moments shares the rest. Chosen."""
+WHOLE_PERIOD_WEIGHT = 0.6
+"""Weight of the evidence since the start; the evidence since each checkpoint shares the rest."""
 
-MOST_MOMENTS = 16
-"""Later moments from which on the evidence is gathered anew, for versions that turn bad later. At
-3 s into a canary 0.80 of those with 0.5 more bad answers were found (design 0019)."""
+MAX_CHECKPOINTS = 16
+"""Largest number of checkpoints. From each, the evidence is collected anew, to detect versions that
+turn bad later. With an increase of 0.5 in the share of bad answers from 3 s into the canary, 0.80
+of the versions were detected (design 0019)."""
 
-LEAST_APART_S = 1.0
-"""Least seconds between two such moments. Not measured."""
+MIN_CHECKPOINT_INTERVAL_S = 1.0
+"""Seconds between two checkpoints, at least."""
 
-HARM = 0.3
-"""A version whose share of bad answers is so much above its predecessors' must not be completed. A
-smaller one needs more canary requests than the share allows: 0.1 some 400 (design 0019)."""
+HARMFUL_INCREASE = 0.3
+"""A rollout must not be completed if the target's share of bad answers exceeds its predecessors' by
+this much. Excluding a smaller increase takes more canary requests than the share allows: about 400
+for 0.1 (design 0019)."""
 
-HARM_MISSED = 0.01
-"""Share of versions with `HARM` on all routes together that may be completed. Chosen."""
+MISSED_HARM_RATE = 0.01
+"""Largest share of versions with `HARMFUL_INCREASE` on all routes together that is completed."""
 
-HARM_MISSED_A_ROUTE = 0.1
-"""Share of versions with `HARM` on a single route that may be completed. Chosen."""
+ROUTE_MISSED_HARM_RATE = 0.1
+"""Largest share of versions with `HARMFUL_INCREASE` on a single route that is completed."""
 
 MAIN_ROUTE_SHARE = 0.05
-"""A route with less than this share of the requests needs no evidence of its own. Not measured."""
+"""A route with less than this share of the requests needs no evidence of its own."""
 
-MOST_LOG_EVIDENCE = 50.0
-"""Limit of a logarithm of evidence, so that its power stays finite; more decides nothing
-further."""
+MAX_LOG_RATIO = 50.0
+"""Upper limit of a log likelihood ratio, so that its exponential stays finite. A larger ratio would
+not change any decision."""
 
-LEAST_TO_COMPARE = 2
-"""Engines of the target without which there is none to compare the worst with."""
+MIN_ENGINES_TO_COMPARE = 2
+"""With fewer engines of the target, there are no others to compare the worst with."""
 
 
 class Judgement(enum.Enum):
-    """What is known of a version."""
+    """Judgement on a version."""
 
     BAD = "bad"
     GOOD = "good"
@@ -76,13 +78,13 @@
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """A judgement and the counts that decided it.
+    """A judgement and the counts on which it is based.
 
     Attributes:
-        judgement: What is known.
-        reason: The stratum that decided, or that lacks evidence.
-        target: Counts of the target there.
-        old: Counts of its predecessors there.
+        judgement: The judgement.
+        reason: Name of the stratum that was decisive, or that lacks evidence.
+        target: Counts of the target in that stratum.
+        old: Counts of its predecessors in that stratum.
     """
 
     judgement: Judgement
@@ -92,7 +94,7 @@
 
 
 def verdict_fields(verdict: Verdict) -> dict[str, object]:
-    """Return the counts of a verdict for the log."""
+    """Return the counts of a verdict as log fields."""
     return {
         "trials": verdict.target.num,
         "trials_failed": verdict.target.num_failed,
@@ -103,7 +105,7 @@
 
 
 class _Stratum(msgspec.Struct, frozen=True):
-    """Answers that are compared with one another."""
+    """A group of answers, of target and predecessors, that are compared with each other."""
 
     name: str
     weight: float
@@ -117,133 +119,145 @@
         return total
 
     def without_worst(self) -> Counts:
-        """Return the target's counts less those of the engine with most bad ones."""
-        if len(self.engines) < LEAST_TO_COMPARE:
+        """Return the target's counts without the engine that has the most bad answers."""
+        if len(self.engines) < MIN_ENGINES_TO_COMPARE:
             return self.target()
-        worst = max(self.engines.values(), key=lambda one: (one.num_bad, -one.num))
+        worst = max(self.engines.values(), key=lambda counts: (counts.num_bad, -counts.num))
         return self.target().minus(worst)
 
     def evidence(self) -> "_Evidence":
-        """Return the evidence that the target is worse, whole and without the worst engine."""
-        usual = upper_limit(self.old.num_bad, self.old.num, USUAL_ERROR)
-        whole, less = self.target(), self.without_worst()
-        return _Evidence(_ratio(whole, usual), _ratio(less, usual))
+        """Return the evidence that the target is worse, with and without its worst engine."""
+        baseline_share = upper_limit(self.old.num_bad, self.old.num, BASELINE_ERROR_RATE)
+        target, remaining = self.target(), self.without_worst()
+        return _Evidence(
+            _likelihood_ratio(target, baseline_share), _likelihood_ratio(remaining, baseline_share)
+        )
 
 
 class _Evidence(msgspec.Struct, frozen=True):
-    """Ratios of likelihoods: of all engines, and of all but the worst."""
+    """Likelihood ratios for all engines, and for all but the worst."""
 
-    whole: float = 0.0
+    all_engines: float = 0.0
     without_worst: float = 0.0
 
     def plus(self, other: "_Evidence", weight: float) -> "_Evidence":
-        """Return the sum with another's part."""
+        """Return the sum with another evidence times a weight."""
         return _Evidence(
-            self.whole + weight * other.whole,
+            self.all_engines + weight * other.all_engines,
             self.without_worst + weight * other.without_worst,
         )
 
     def is_alarming(self) -> bool:
-        """Whether a sound version, or one bad engine, would show this too seldom."""
-        return self.whole >= 1.0 / FALSE_ALARMS and self.without_worst >= 1.0 / ONE_ENGINE_ERROR
+        """Return whether a sound version or a single bad engine is too unlikely to show this."""
+        return (
+            self.all_engines >= 1.0 / FALSE_ALARM_RATE
+            and self.without_worst >= 1.0 / SINGLE_ENGINE_ERROR_RATE
+        )
 
 
-def _ratio(counts: Counts, usual: float) -> float:
-    return math.exp(min(MOST_LOG_EVIDENCE, log_evidence(counts.num_bad, counts.num, usual)))
+def _likelihood_ratio(counts: Counts, baseline_share: float) -> float:
+    return math.exp(
+        min(MAX_LOG_RATIO, log_likelihood_ratio(counts.num_bad, counts.num, baseline_share))
+    )
 
 
 class AlarmTest:
-    """Looks at growing tallies; each instance is of one rollout at one judge.
+    """Sequential test on the growing tallies of one rollout, as seen by one node.
 
     Args:
-        length_s: How long the rollout may take: the later moments are spread over it.
+        duration_s: Seconds that the rollout may take; the checkpoints are spread over them.
     """
 
-    def __init__(self, length_s: float) -> None:
-        self._apart_s = max(LEAST_APART_S, length_s / MOST_MOMENTS)
-        self._moments: list[dict[str, RouteEvidence]] = []
-        self._next_moment_s: float | None = None
+    def __init__(self, duration_s: float) -> None:
+        self._checkpoint_interval_s = max(MIN_CHECKPOINT_INTERVAL_S, duration_s / MAX_CHECKPOINTS)
+        self._checkpoints: list[dict[str, RouteEvidence]] = []
+        self._next_checkpoint_s: float | None = None
         self.alarm: Verdict | None = None
-        """The first alarm; it is never taken back."""
+        """The first alarm, which is never withdrawn."""
 
     def check(self, routes: dict[str, RouteEvidence], now_s: float) -> Verdict | None:
-        """Look at what is known now; returns the alarm once there is one."""
+        """Test the current evidence; return the alarm once it has been raised."""
         if self.alarm is None:
-            whole = _strata(routes)
-            if self._evidence(whole, routes).is_alarming():
-                strongest = max(whole, key=lambda one: one.evidence().whole)
+            strata = _strata(routes)
+            if self._evidence(strata, routes).is_alarming():
+                strongest = max(strata, key=lambda stratum: stratum.evidence().all_engines)
                 self.alarm = Verdict(
                     Judgement.BAD, strongest.name, strongest.target(), strongest.old
                 )
-            self._note_moment(routes, now_s)
+            self._add_checkpoint(routes, now_s)
         return self.alarm
 
-    def _note_moment(self, routes: dict[str, RouteEvidence], now_s: float) -> None:
-        if self._next_moment_s is None:
-            self._next_moment_s = now_s + self._apart_s
-        elif now_s >= self._next_moment_s and len(self._moments) < MOST_MOMENTS:
-            self._moments.append(routes)
-            self._next_moment_s = now_s + self._apart_s
-
-    def _evidence(self, whole: list[_Stratum], routes: dict[str, RouteEvidence]) -> _Evidence:
-        total = _Evidence().plus(_mean_evidence(whole), START_WEIGHT)
-        for earlier in self._moments:
-            lately = {name: _since(one, earlier.get(name)) for name, one in routes.items()}
-            part = (1.0 - START_WEIGHT) / MOST_MOMENTS
-            total = total.plus(_mean_evidence(_strata(lately)), part)
+    def _add_checkpoint(self, routes: dict[str, RouteEvidence], now_s: float) -> None:
+        if self._next_checkpoint_s is None:
+            self._next_checkpoint_s = now_s + self._checkpoint_interval_s
+        elif now_s >= self._next_checkpoint_s and len(self._checkpoints) < MAX_CHECKPOINTS:
+            self._checkpoints.append(routes)
+            self._next_checkpoint_s = now_s + self._checkpoint_interval_s
+
+    def _evidence(self, strata: list[_Stratum], routes: dict[str, RouteEvidence]) -> _Evidence:
+        total = _Evidence().plus(_mean_evidence(strata), WHOLE_PERIOD_WEIGHT)
+        for earlier in self._checkpoints:
+            recent = {
+                name: _evidence_since(route, earlier.get(name)) for name, route in routes.items()
+            }
+            weight = (1.0 - WHOLE_PERIOD_WEIGHT) / MAX_CHECKPOINTS
+            total = total.plus(_mean_evidence(_strata(recent)), weight)
         return total
 
 
 def _mean_evidence(strata: list[_Stratum]) -> _Evidence:
     total = _Evidence()
     for stratum in strata:
-        if any(one.num_bad for one in stratum.engines.values()):
+        if any(counts.num_bad for counts in stratum.engines.values()):
             total = total.plus(stratum.evidence(), stratum.weight)
     return total
 
 
-def _since(now: RouteEvidence, earlier: RouteEvidence | None) -> RouteEvidence:
-    """Return what the target has done since a moment, beside all that its predecessors did."""
+def _evidence_since(current: RouteEvidence, earlier: RouteEvidence | None) -> RouteEvidence:
+    """Return the target's counts since a checkpoint, and all counts of its predecessors."""
     if earlier is None:
-        return now
+        return current
     engines = {
         instance: counts.minus(earlier.target.get(instance, NO_COUNTS))
-        for instance, counts in now.target.items()
+        for instance, counts in current.target.items()
     }
-    return RouteEvidence(now.old, engines)
+    return RouteEvidence(current.old, engines)
 
 
 def _strata(routes: dict[str, RouteEvidence]) -> list[_Stratum]:
-    """Return all routes together and each by itself."""
+    """Return a stratum of all routes together, followed by one of each route."""
     old = NO_COUNTS
     engines: dict[str, Counts] = {}
     for route in routes.values():
         old = old.plus(route.old)
         for instance, counts in route.target.items():
             engines[instance] = engines.get(instance, NO_COUNTS).plus(counts)
-    weight = (1.0 - WHOLE_WEIGHT) / max(1, len(routes))
-    return [_Stratum("all", WHOLE_WEIGHT, old, engines)] + [
-        _Stratum(name, weight, one.old, one.target) for name, one in routes.items()
+    weight = (1.0 - ALL_ROUTES_WEIGHT) / max(1, len(routes))
+    return [_Stratum("all", ALL_ROUTES_WEIGHT, old, engines)] + [
+        _Stratum(name, weight, route.old, route.target) for name, route in routes.items()
     ]
 
 
 def judge_completion(routes: dict[str, RouteEvidence], alarm: Verdict | None) -> Verdict:
-    """Return whether enough is known to complete a rollout."""
+    """Return the verdict on completing a rollout: bad with an alarm, good if harm is excluded."""
     if alarm is not None:
         return alarm
     strata = _strata(routes)
-    whole = strata[0]
-    if not _is_harmless(whole, HARM_MISSED):
-        return Verdict(Judgement.UNDECIDED, whole.name, whole.target(), whole.old)
-    for one in strata[1:]:
-        is_main = one.old.num >= MAIN_ROUTE_SHARE * whole.old.num
-        if is_main and not _is_harmless(one, HARM_MISSED_A_ROUTE):
-            return Verdict(Judgement.UNDECIDED, one.name, one.target(), one.old)
-    return Verdict(Judgement.GOOD, whole.name, whole.target(), whole.old)
-
-
-def _is_harmless(stratum: _Stratum, missed: float) -> bool:
-    """Whether a share of bad answers that would do harm is excluded."""
+    all_routes = strata[0]
+    if not _is_harmless(all_routes, MISSED_HARM_RATE):
+        return Verdict(Judgement.UNDECIDED, all_routes.name, all_routes.target(), all_routes.old)
+    for route in strata[1:]:
+        is_main = route.old.num >= MAIN_ROUTE_SHARE * all_routes.old.num
+        if is_main and not _is_harmless(route, ROUTE_MISSED_HARM_RATE):
+            return Verdict(Judgement.UNDECIDED, route.name, route.target(), route.old)
+    return Verdict(Judgement.GOOD, all_routes.name, all_routes.target(), all_routes.old)
+
+
+def _is_harmless(stratum: _Stratum, max_missed_rate: float) -> bool:
+    """Return whether a harmful increase in the share of bad answers is excluded."""
     target, old = stratum.target(), stratum.old
-    usual = old.num_bad / old.num if old.num else 0.0
-    return binomial_head(target.num_bad, target.num, min(1.0, usual + HARM)) <= missed
+    baseline_share = old.num_bad / old.num if old.num else 0.0
+    return (
+        binomial_cdf(target.num_bad, target.num, min(1.0, baseline_share + HARMFUL_INCREASE))
+        <= max_missed_rate
+    )
