--- a/src/weirscale/gateway/gossip/__init__.py
+++ b/src/weirscale/gateway/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Periodic exchange of loads, sends and counts between nodes, within groups and between them."""
+"""Periodic exchange of loads, sent prompts and counts between nodes, within and between groups."""
--- a/src/weirscale/gateway/gossip/gatherer.py
+++ b/src/weirscale/gateway/gossip/gatherer.py
@@ -1,4 +1,4 @@
-"""Collects what a node sends with its next gossip message from the parts that know it."""
+"""Collects the contents of a node's next gossip message."""
 
 from weirscale.gateway.limits.quota import QuotaLedger
 from weirscale.gateway.limits.usage_reporter import UsageReporter
@@ -14,12 +14,12 @@
     """Fills a node's outbox before each message.
 
     Args:
-        outbox: What is sent to this node's group.
-        load: Work at back ends.
-        quotas: What tenants spend.
-        canaries: Requests under rollouts.
-        rollouts: Counts of rollouts.
-        quarantine: Requests under which back ends crashed.
+        outbox: Message to this node's group.
+        load: Loads on back ends.
+        quotas: Usage of tenants with a quota.
+        canaries: Requests during rollouts.
+        rollouts: Tallies and moves of rollouts.
+        quarantine: Requests during which back ends crashed.
     """
 
     def __init__(
@@ -40,12 +40,14 @@
         self._usage = UsageReporter()
 
     def gather(self, must_refresh: bool) -> None:
-        """Add what has changed since the last message, or all if `must_refresh`."""
+        """Add the values that have changed since the last message, or all if `must_refresh`."""
         self._canaries.tick()
         self._rollouts.add_own(self._outbox, must_refresh)
         changed = self._load.take_changed()
         if must_refresh:
-            changed.update({one: self._load.own(one) for one in self._load.own_instances()})
+            changed.update(
+                {instance: self._load.own(instance) for instance in self._load.own_instances()}
+            )
         self._quarantine.add_to(self._outbox, must_refresh)
         self._quotas.tick()
         self._usage.add_to(self._outbox, dict(self._quotas.own_usage()), must_refresh)
--- a/src/weirscale/gateway/gossip/gossip_task.py
+++ b/src/weirscale/gateway/gossip/gossip_task.py
@@ -1,6 +1,6 @@
-"""Sends this node's gossip to its group, and receives what other nodes send.
+"""Sends this node's gossip to its group, and receives the messages of other nodes.
 
-Owns the datagram socket. Work is done on the ticks that all tasks share (`gateway.ticks`).
+Owns the datagram socket. Runs on the ticks that all tasks share (`gateway.ticks`).
 """
 
 from collections.abc import Callable, Iterable
@@ -18,25 +18,25 @@
 from weirscale.gateway.settings import ListenAddress
 from weirscale.gateway.ticks import nearest_tick_s, next_tick_s
 
-MIN_PAUSE_S = 0.01
-"""Seconds between two messages, also hurried ones; what comes in between goes with the next regular
-one. Bounds the datagrams of a burst; not measured."""
+MIN_FLUSH_INTERVAL_S = 0.01
+"""Seconds between two messages, at least, including requested ones. Later changes wait for the next
+regular message. Limits the number of datagrams in a burst."""
 
-MIN_WAIT_S = 0.001
-"""Seconds; a tick nearer than this counts as the present one, which a timer may miss by rounding.
-Not measured."""
+TICK_TOLERANCE_S = 0.001
+"""Seconds. A tick that is due within this time counts as due now, since a timer may fire slightly
+early by rounding."""
 
 
 class GossipTask:
-    """Owns the datagram socket; `run` must be running.
+    """Owns the datagram socket; requires `run` to be running.
 
     Args:
-        address: Where to listen.
-        directory: The other nodes.
-        relay: This node's group, and what goes beyond it.
-        outbox: What is to be sent to the group.
-        receiver: Takes the messages of other nodes.
-        gather: Puts what has changed into the outbox, or everything if its argument is true.
+        address: Address to listen on.
+        directory: The registered nodes.
+        relay: Provides this node's group and forwards gossip to other groups.
+        outbox: Next message to the group.
+        receiver: Handles the messages of other nodes.
+        gather: Adds the changed values to the outbox, or all values if its argument is true.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self._receiver = receiver
         self._gather = gather
         self._socket: DatagramSocket | None = None
-        self._hurried = anyio.Event()
+        self._flush_requested = anyio.Event()
         self._flush_due_s = float("-inf")
         self._flushed_at_s = float("-inf")
 
@@ -72,8 +72,10 @@
                     await self.flush(
                         is_heartbeat=must_refresh or self._relay.is_heartbeat_due(heartbeat)
                     )
-                with anyio.CancelScope(deadline=next_tick_s(anyio.current_time() + MIN_WAIT_S)):
-                    await self._hurried.wait()
+                with anyio.CancelScope(
+                    deadline=next_tick_s(anyio.current_time() + TICK_TOLERANCE_S)
+                ):
+                    await self._flush_requested.wait()
         finally:
             socket.close()
 
@@ -84,25 +86,28 @@
                 await self._receiver.receive(message, sender)
 
     def _is_flush_due(self) -> bool:
-        """Whether to send now: an interval has passed, or a hurried change waits."""
+        """Return whether to send now: the interval has passed, or a flush was requested.
+
+        If so, start the next interval.
+        """
         now_s = anyio.current_time()
-        if not self._hurried.is_set() and now_s + MIN_WAIT_S < self._flush_due_s:
+        if not self._flush_requested.is_set() and now_s + TICK_TOLERANCE_S < self._flush_due_s:
             return False
-        self._hurried = anyio.Event()
+        self._flush_requested = anyio.Event()
         self._flushed_at_s = now_s
         self._flush_due_s = nearest_tick_s(now_s + self._relay.interval_s())
         return True
 
     def request_flush(self) -> None:
-        """Have the next message go out at once, unless one has just gone out."""
-        if anyio.current_time() >= self._flushed_at_s + MIN_PAUSE_S:
-            self._hurried.set()
+        """Send the next message immediately, unless one was sent within `MIN_FLUSH_INTERVAL_S`."""
+        if anyio.current_time() >= self._flushed_at_s + MIN_FLUSH_INTERVAL_S:
+            self._flush_requested.set()
 
     async def flush(self, is_heartbeat: bool = False) -> None:
-        """Send this node's group what has gathered, now.
+        """Send the contents of the outbox to this node's group now.
 
         Args:
-            is_heartbeat: Whether to send a message also if it is empty.
+            is_heartbeat: Whether to send the message even if it is empty.
         """
         gossip = self._outbox.take(with_empty=is_heartbeat)
         if gossip is None:
@@ -112,7 +117,7 @@
         await self._relay.forward_own(gossip)
 
     async def send(self, message: PeerMessage, addresses: Iterable[ListenAddress]) -> None:
-        """Send a message to some nodes; any of them may miss it."""
+        """Send a message to some nodes; delivery is not guaranteed."""
         socket = self._socket
         if socket is None:
             return
--- a/src/weirscale/gateway/gossip/group_relay.py
+++ b/src/weirscale/gateway/gossip/group_relay.py
@@ -1,13 +1,13 @@
-"""Passes gossip on between groups of nodes: who is head of a group, and what a head forwards.
+"""Forwards gossip between groups of nodes: selects the head of a group, which does the forwarding.
 
-The head of a group is the member first in rank that was received lately. It sends the heads of the
-other groups the sum of its group's loads, which prompts its group's engines have read and which
-back ends are unreachable, and at once which engines load weights; it sends its own group the sum of
-what the other heads send. Two nodes that both take themselves for the head do no harm: sums are
-whole values, and the latest replaces the one before. A head that is dead, frozen or cut off is
-replaced `PEER_TIMEOUT_S` after it was last received.
+The head of a group is the first member in rank from which a message was received recently. It sends
+the sum of its group's loads, the prompts that its group's engines have read and the unreachable
+back ends to the heads of the other groups. Engines that start to load weights are reported without
+delay. To its own group it sends the sum of the messages of the other heads. If two nodes both act
+as head, no harm is done: sums are absolute values, and the latest replaces the previous one. A head
+that has failed, is frozen or is partitioned is replaced `PEER_TIMEOUT_S` after its last message.
 
-Relies on `PeerDirectory` for the division into groups, which is the same on all nodes.
+`PeerDirectory` provides the division into groups, which is the same on all nodes.
 """
 
 from collections.abc import Callable
@@ -23,30 +23,30 @@
 from weirscale.gateway.routing.load import FleetLoad
 from weirscale.gateway.ticks import sleep_to_tick
 
-NUM_FIRST_HEADS = 2
-"""Members of another group that are sent its share until one of them has spoken for the group: the
-first two in rank, in case one of them is gone. Not measured."""
+NUM_HEAD_CANDIDATES = 2
+"""Members of another group that get the messages to its head until a message of its head has been
+received: the first two in rank, in case one of them has stopped."""
 
-RESEND_S = 4.0
-"""Seconds after which a shared prompt block is sent to the other groups again: engines drop blocks
-that are not used, and a head that did not know of the first message learns of it. Not measured."""
+RESEND_INTERVAL_S = 4.0
+"""Seconds after which a shared prompt block is sent to the other groups again. Engines evict unused
+blocks, and a head that missed the first message gets the block this way."""
 
 MAX_REMEMBERED_SENDS = 20_000
-"""Prompts remembered as sent to the other groups; beyond it all are forgotten and sent once more.
-Bounds memory; not measured."""
+"""Largest number of remembered prompts that were sent to the other groups, to limit memory. When
+it is reached, all entries are dropped and the prompts are sent once more."""
 
 
 class GroupRelay:
-    """Passes gossip between this node's group and the others; acts only while this node is head.
+    """Forwards gossip between this node's group and the others, while this node is the head.
 
     Args:
-        name: This node.
+        name: Name of this node.
         directory: The registered nodes.
-        load: Work at back ends, own and received.
-        quotas: What tenants spend, own and received.
+        load: Loads on back ends, own and received.
+        quotas: Usage of tenants with a quota, own and received.
         send: Sends a message to several nodes.
-        clock: Monotonic seconds.
-        add_sums: Adds sums that are kept elsewhere.
+        clock: Returns monotonic seconds.
+        add_sums: Adds further sums to the messages of a head.
     """
 
     def __init__(
@@ -69,16 +69,17 @@
         self._to_heads = GossipOutbox(name)
         self._to_group = GossipOutbox(name, REST_OF_FLEET)
         self._received_at_s: dict[str, float] = {}
-        """When a member of this node's group was last received, or first seen in it."""
-        self._speakers: dict[str, tuple[str, float]] = {}
-        """Who spoke for another group last, and when."""
+        """Time of the last message of each member of this group, or when it was first seen."""
+        self._last_heads: dict[str, tuple[str, float]] = {}
+        """The head that last sent a message for each other group, and the time of the message."""
         self._sums = GroupSums(load, quotas, add_sums)
         self._forwarded_at_s: dict[tuple[str, str, str], float] = {}
-        """When a prompt was last sent to the other heads, by engine, cache scope and last block."""
+        """Time at which a prompt was last sent to the other heads, by engine, cache scope and last
+        block."""
         self._was_head = False
 
     async def run(self) -> None:
-        """Pass on what has gathered, until cancelled."""
+        """Send the messages of a head, while this node is one, until cancelled."""
         refresh, heartbeat = RefreshTimer(), RefreshTimer(HEARTBEAT_INTERVAL_S)
         while True:
             must_refresh = refresh.is_due(self._clock())
@@ -88,11 +89,11 @@
             await sleep_to_tick(self.interval_s())
 
     def is_heartbeat_due(self, timer: RefreshTimer) -> bool:
-        """Whether a heartbeat is due: only quotas need to know so soon who lives."""
+        """Return whether a heartbeat is due; only quotas need such early failure detection."""
         return self._quotas.has_quotas() and timer.is_due(self._clock())
 
     def interval_s(self) -> float:
-        """Return the time between messages in a fleet of this size."""
+        """Return the seconds between messages in a fleet of this size."""
         return self._pace.interval_s()
 
     def group_peers(self) -> tuple[str, ...]:
@@ -101,29 +102,30 @@
         return tuple(member.name for member in members if member.name != self._name)
 
     def is_head(self) -> bool:
-        """Whether this node speaks for its group."""
+        """Return whether this node is the head of its group, if there are several groups."""
         division = self._directory.division()
-        is_head = len(division.groups) > 1 and self._is_first_alive()
+        is_head = len(division.groups) > 1 and self._is_first_responsive()
         if is_head != self._was_head:
             self._was_head = is_head
-            self._forget_sums(is_head)
+            self._drop_sums_of_other_role(is_head)
         return is_head
 
-    def _is_first_alive(self) -> bool:
+    def _is_first_responsive(self) -> bool:
         now_s = self._clock()
         for member in self._directory.division().group_members(self._name):
             if member.name == self._name:
                 return True
-            # One that has just registered is given time to send its first message.
+            # A member that has just registered gets time to send its first message.
             received_at_s = self._received_at_s.setdefault(member.name, now_s)
             if now_s - received_at_s <= PEER_TIMEOUT_S:
                 return False
         return True
 
-    def _forget_sums(self, is_head: bool) -> None:
-        """Drop sums of the other role: a head receives each group, others the sum of all.
+    def _drop_sums_of_other_role(self, is_head: bool) -> None:
+        """Drop the sums received in the other role.
 
-        Counting both would count every load twice.
+        A head receives one sum for each other group, and the other members one sum for all of them.
+        Keeping both would count every load twice.
         """
         for source in self._load.sources():
             if is_group(source) and (source == REST_SOURCE) == is_head:
@@ -133,11 +135,15 @@
                 self._quotas.fleet_usage.forget_source(source, self._clock())
 
     def is_counted(self, source: str) -> bool:
-        """Whether a source counts here: each group counts at a head, their sum at the others."""
+        """Return whether the values of a source count at this node.
+
+        Members of the own group always count. At a head the sum of each other group counts, and at
+        the other members the sum of all other groups.
+        """
         return is_member(source) or (source == REST_SOURCE) != self.is_head()
 
     def source_of(self, gossip: Gossip) -> str | None:
-        """Return the source under which the loads of a message count, or None if they do not."""
+        """Return the source of a message's loads, or None if they do not count at this node."""
         if not gossip.group:
             return gossip.sender
         if (gossip.group == REST_OF_FLEET) == self.is_head():
@@ -145,7 +151,7 @@
         return GROUP_SOURCE + gossip.group
 
     async def receive(self, gossip: Gossip) -> None:
-        """Note who sent a message and, as head, pass on what concerns others."""
+        """Record the sender of a message and, as head, forward its contents."""
         now_s = self._clock()
         if not gossip.group:
             self._received_at_s[gossip.sender] = now_s
@@ -154,22 +160,22 @@
             self._received_at_s[gossip.sender] = now_s
             return
         else:
-            self._speakers[gossip.group] = (gossip.sender, now_s)
+            self._last_heads[gossip.group] = (gossip.sender, now_s)
             outbox = self._to_group
         if self.is_head():
-            await self._pass_on(gossip, outbox)
+            await self._forward(gossip, outbox)
 
     async def forward_own(self, gossip: Gossip) -> None:
-        """Send the other groups what this node sent to its own, if it is head."""
+        """Forward a message that this node sent to its own group, if this node is the head."""
         if self.is_head():
-            await self._pass_on(gossip, self._to_heads)
+            await self._forward(gossip, self._to_heads)
 
-    async def _pass_on(self, gossip: Gossip, outbox: GossipOutbox) -> None:
+    async def _forward(self, gossip: Gossip, outbox: GossipOutbox) -> None:
         for send in gossip.sends:
             if outbox is self._to_group:
                 outbox.add_send(send)
             else:
-                self._add_shared(send)
+                self._add_shared_blocks(send)
         for loading in gossip.loading:
             outbox.add_loading(loading)
         for suspect in gossip.suspects:
@@ -184,19 +190,19 @@
             outbox.add_ended(ended)
         for limit in gossip.limits:
             outbox.add_limit(limit)
-        # An engine that loads weights must get no request now. A back end that cannot be reached is
-        # soon reported by several nodes, so that waits for the next message.
+        # An engine that loads weights must get no more requests, so this is sent immediately. An
+        # unreachable back end is soon reported by several nodes and can wait for the next message.
         if gossip.loading:
             await self.flush()
 
-    def _add_shared(self, send: SendGossip) -> None:
-        """Add a prompt's shared blocks, all but its last, once an engine has read them."""
+    def _add_shared_blocks(self, send: SendGossip) -> None:
+        """Add a prompt's shared blocks, i.e. all but its last, once an engine has read them."""
         shared = send.blocks[:-1]
         if not send.is_ready or not shared:
             return
         now_s = self._clock()
         key = (send.instance, send.scope, shared[-1].block_id)
-        if now_s - self._forwarded_at_s.get(key, float("-inf")) < RESEND_S:
+        if now_s - self._forwarded_at_s.get(key, float("-inf")) < RESEND_INTERVAL_S:
             return
         if len(self._forwarded_at_s) >= MAX_REMEMBERED_SENDS:
             self._forwarded_at_s.clear()
@@ -204,21 +210,21 @@
         self._to_heads.add_send(SendGossip(send.instance, send.scope, True, shared))
 
     def gather(self, must_refresh: bool) -> None:
-        """Put the sums that have changed, or all, into the outboxes."""
+        """Add the sums that have changed, or all if `must_refresh`, to the outboxes."""
         self._sums.gather(self._to_heads, self._to_group, self._clock(), must_refresh)
 
     async def flush(self, is_heartbeat: bool = False) -> None:
-        """Send what has gathered, now.
+        """Send the contents of the outboxes now.
 
         Args:
-            is_heartbeat: Whether to send messages also if they are empty.
+            is_heartbeat: Whether to send the messages even if they are empty.
         """
-        # Registrations may change while messages go out, so all receivers are looked up before.
+        # Registrations may change during the sends, so all receivers are looked up first.
         addresses = self._directory.group_addresses()
         division = self._directory.division()
         own_group = division.group_of[self._name]
         others = [group for group in division.groups if group != own_group]
-        heads = [addresses[name] for group in others for name in self._heads(group)]
+        heads = [addresses[name] for group in others for name in self._heads_of(group)]
         peers = [addresses[name] for name in self.group_peers()]
         to_heads = self._to_heads.take(own_group, with_empty=is_heartbeat)
         to_group = self._to_group.take(with_empty=is_heartbeat)
@@ -227,11 +233,14 @@
         if to_group is not None:
             await self._send(to_group, peers)
 
-    def _heads(self, group: str) -> tuple[str, ...]:
-        """Return who is sent another group's share: who speaks for it, or its first members."""
+    def _heads_of(self, group: str) -> tuple[str, ...]:
+        """Return the nodes that get the messages to another group.
+
+        This is the head from which a message was received recently, or else the first members.
+        """
         members = self._directory.division().groups[group]
         names = [member.name for member in members]
-        speaker, received_at_s = self._speakers.get(group, ("", float("-inf")))
-        if speaker in names and self._clock() - received_at_s <= PEER_TIMEOUT_S:
-            return (speaker,)
-        return tuple(names[:NUM_FIRST_HEADS])
+        head, received_at_s = self._last_heads.get(group, ("", float("-inf")))
+        if head in names and self._clock() - received_at_s <= PEER_TIMEOUT_S:
+            return (head,)
+        return tuple(names[:NUM_HEAD_CANDIDATES])
--- a/src/weirscale/gateway/gossip/group_sums.py
+++ b/src/weirscale/gateway/gossip/group_sums.py
@@ -1,6 +1,6 @@
 """Sums that a head sends: of its group to the other heads, of the other groups to its own group.
 
-Sums are whole values, so a later one replaces an earlier one and mends its loss.
+Sums are absolute values, so a later one replaces an earlier one and makes up for its loss.
 """
 
 from collections.abc import Callable
@@ -15,16 +15,16 @@
 from weirscale.gateway.routing.load import NO_LOAD, FleetLoad, Load
 
 AddSums = Callable[[GossipOutbox, GossipOutbox, bool], None]
-"""Adds sums that are kept elsewhere to what the other heads and this group are sent; all of them,
-changed or not, if the last argument is true."""
+"""Adds further sums to the messages of a head. Arguments: the message to the other heads, the
+message to this group, and whether to add unchanged sums as well."""
 
 
 def add_no_sums(_to_heads: GossipOutbox, _to_group: GossipOutbox, _must_refresh: bool) -> None:
     """Add nothing."""
 
 
-class _LoadSums:
-    """The sums of loads that one audience was last sent."""
+class _LoadSumSender:
+    """Adds sums of loads to the messages of one outbox, and keeps the values last sent."""
 
     def __init__(self) -> None:
         self._sent: dict[InstanceId, Load] = {}
@@ -32,7 +32,10 @@
     def add_to(
         self, outbox: GossipOutbox, sums: dict[InstanceId, Load], must_refresh: bool
     ) -> None:
-        """Add the sums that have changed, or all; a back end without load is sent as zero once."""
+        """Add the sums that have changed, or all if `must_refresh`.
+
+        A back end that no longer has load is sent once with zero load.
+        """
         for instance in self._sent.keys() | sums.keys():
             load = sums.get(instance, NO_LOAD)
             if must_refresh or load != self._sent.get(instance, NO_LOAD):
@@ -43,12 +46,12 @@
 
 
 class GroupSums:
-    """Puts the sums that a head owes to others into its outboxes.
+    """Adds the sums that a head sends to its outboxes.
 
     Args:
-        load: Work at back ends, own and received.
-        quotas: What tenants spend, own and received.
-        add_sums: Adds sums that are kept elsewhere.
+        load: Loads on back ends, own and received.
+        quotas: Usage of tenants with a quota, own and received.
+        add_sums: Adds further sums.
     """
 
     def __init__(
@@ -57,21 +60,21 @@
         self._load = load
         self._quotas = quotas
         self._add_sums = add_sums
-        self._loads_to_heads = _LoadSums()
-        self._loads_to_group = _LoadSums()
+        self._loads_to_heads = _LoadSumSender()
+        self._loads_to_group = _LoadSumSender()
         self._usage_to_heads = UsageReporter()
         self._usage_to_group = UsageReporter()
 
     def gather(
         self, to_heads: GossipOutbox, to_group: GossipOutbox, now_s: float, must_refresh: bool
     ) -> None:
-        """Add the sums that have changed since they were last gathered, or all.
+        """Add the sums that have changed since the last call, or all if `must_refresh`.
 
         Args:
-            to_heads: For the heads of the other groups.
-            to_group: For the other members of this node's group.
-            now_s: Time.
-            must_refresh: Whether to add all sums.
+            to_heads: Message to the heads of the other groups.
+            to_group: Message to the other members of this node's group.
+            now_s: Current monotonic time in seconds.
+            must_refresh: Whether to add unchanged sums as well.
         """
         self._gather_loads(to_heads, to_group, now_s, must_refresh)
         self._gather_usage(to_heads, to_group, must_refresh)
--- a/src/weirscale/gateway/gossip/inbox.py
+++ b/src/weirscale/gateway/gossip/inbox.py
@@ -1,4 +1,4 @@
-"""What a node does with a message that it received from another node."""
+"""Handles the messages that a node receives from other nodes."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -37,27 +37,27 @@
 
 
 class MessageReceiver(Protocol):
-    """Takes the messages of other nodes."""
+    """Handles the messages of other nodes."""
 
     async def receive(self, message: PeerMessage, address: ListenAddress) -> None:
-        """Take over, or answer, one message that came from an address."""
+        """Process or answer one message from an address."""
         ...
 
 
 class GossipReceiver:
-    """Hands the contents of a gossip message to the parts that use them.
+    """Distributes the contents of gossip messages to the components that use them.
 
     Args:
-        cluster: Learns which weights engines have, and which back ends leave or have ended.
-        limits: Learns which back ends state a request limit.
-        relay: Tells whose loads and counts a message holds.
-        load: Takes loads.
-        quotas: Takes tenants' usage.
-        dispatcher: Takes prompts at engines, and engines that load weights.
-        health: Takes back ends that others cannot reach.
-        rollouts: Takes counts of rollouts.
-        quarantine: Takes crashes under requests.
-        clock: Monotonic seconds.
+        cluster: Records the weights of engines, and leaving or ended back ends.
+        limits: Records the request limits that back ends state.
+        relay: Determines the source of a message's loads and counts.
+        load: Records loads.
+        quotas: Records the usage of tenants.
+        dispatcher: Records prompts at engines, and engines that load weights.
+        health: Records back ends that other nodes cannot reach.
+        rollouts: Records the tallies and moves of rollouts.
+        quarantine: Records crashes of back ends during requests.
+        clock: Returns monotonic seconds.
     """
 
     def __init__(
@@ -85,7 +85,7 @@
         self._clock = clock
 
     def receive(self, gossip: Gossip) -> None:
-        """Take over one message."""
+        """Process one message."""
         now_s = self._clock()
         source = self._relay.source_of(gossip)
         if source is not None:
@@ -107,11 +107,11 @@
             self._limits.record_peer_statement(RunId(limit.run), statement)
 
     def _receive_counts(self, source: str, gossip: Gossip, now_s: float) -> None:
-        """Take over loads and counts, which hold for the sender or for groups of nodes."""
+        """Record loads and counts, which are those of the sender or sums of groups."""
         for load in gossip.loads:
             received = Load(load.num_requests, load.waiting_tokens, load.held_tokens)
             self._load.receive(source, load.instance, received, now_s)
-        usage = [read_usage(one) for one in gossip.usage]
+        usage = [read_usage(entry) for entry in gossip.usage]
         self._quotas.fleet_usage.receive(source, gossip.num_nodes, usage, now_s)
         if gossip.canary_counts or gossip.moved_nodes:
             self._rollouts.receive(source, gossip)
@@ -122,7 +122,7 @@
         else:
             self._dispatcher.record_blocks(send.instance, send.scope, send.blocks, send.is_ready)
             if send.is_ready:
-                # A first event for another node shows as well that the engine lives.
+                # A first event received by another node also shows that the engine is alive.
                 self._dispatcher.event_received(send.instance)
 
     def _receive_loading(self, loading: LoadingGossip) -> None:
@@ -134,16 +134,16 @@
 
 
 class PeerInbox:
-    """Takes the messages of other nodes, each by its type.
+    """Dispatches the messages of other nodes by type.
 
     Args:
-        gossip: Takes gossip.
-        relay: Passes gossip on to other groups.
-        publisher: Answers nodes that ask for changes.
-        subscription: Takes changes that this node asked for.
-        ages: Asks and answers for ages of target versions and of the store's answers.
-        permit_exchange: Answers nodes that ask for permits.
-        permits: Takes permits that this node asked for.
+        gossip: Processes gossip.
+        relay: Forwards gossip to other groups.
+        publisher: Answers queries for state changes.
+        subscription: Receives the changes that this node has queried.
+        ages: Sends and answers queries for ages of target versions and of the store's answers.
+        permit_exchange: Answers queries for permits.
+        permits: Receives the permits that this node has queried.
     """
 
     def __init__(
@@ -165,7 +165,7 @@
         self._permits = permits
 
     async def receive(self, message: PeerMessage, address: ListenAddress) -> None:
-        """Take over, or answer, one message that came from an address."""
+        """Process or answer one message from an address."""
         match message:
             case StateQuery():
                 await self._publisher.answer(message, address)
