--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -225,7 +225,7 @@
         self.now_s = now_s
 
         async def main():
-            await self.subscription._ask()
+            await self.subscription._send_query()
 
         run_in_virtual_time(main)
         return self.sent[-1]
--- a/features/support/relay_history.py
+++ b/features/support/relay_history.py
@@ -122,7 +122,7 @@
         elif action == 3 and self.random.random() < 0.2:
             self.read_all(self.reader)
         elif action <= 6:
-            finish(self.subscription._ask())
+            finish(self.subscription._send_query())
         elif self.subscription.is_full_read_due() and self.random.random() < 0.5:
             self.read_all(self.asker)
             self.subscription.record_full_read()
--- a/src/weirscale/gateway/replication/__init__.py
+++ b/src/weirscale/gateway/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Brings the platform's state to every node: a few read the store, the others ask those."""
+"""Replicates the platform's state to every node: a few read the store, the others query them."""
--- a/src/weirscale/gateway/replication/publisher.py
+++ b/src/weirscale/gateway/replication/publisher.py
@@ -1,4 +1,4 @@
-"""A reader's side: answers the queries of other nodes and sends them changes as they come."""
+"""Reader side of replication: answers the queries of other nodes and sends them new changes."""
 
 from collections.abc import Callable
 
@@ -15,13 +15,13 @@
 from weirscale.gateway.settings import ListenAddress
 from weirscale.gateway.state.cluster_state import ClusterState
 
-SUBSCRIPTION_S = 1.5
-"""Seconds after its last query for which a node is sent changes unasked: three queries of 0.4 s
-may be lost. Not measured."""
+SUBSCRIPTION_TTL_S = 1.5
+"""Seconds after its last query for which a node is sent changes without another query. Allows for
+the loss of three queries, which are sent every 0.4 s."""
 
 MAX_SENT_AGE_MS = 1_000_000_000
-"""Milliseconds; the largest proof age that is sent, since a state that was never proved has
-none."""
+"""Milliseconds; the largest proof age that is sent, since the age of a state that was never proved
+current is infinite."""
 
 
 class _Subscriber(msgspec.Struct):
@@ -30,13 +30,13 @@
 
 
 class ChangePublisher:
-    """Answers other nodes' queries and sends them changes as they come.
+    """Answers the queries of other nodes and sends them new changes.
 
     Args:
-        name: This node.
-        cluster: What is sent.
+        name: Name of this node.
+        cluster: The state to send.
         send: Sends a message to several nodes.
-        clock: Monotonic seconds.
+        clock: Returns monotonic seconds.
     """
 
     def __init__(
@@ -50,21 +50,25 @@
         self._published_revision = 0
 
     def has_subscribers(self) -> bool:
-        """Whether other nodes get their proofs from this one."""
-        since_s = self._clock() - SUBSCRIPTION_S
-        for name in [one for one, sub in self._subscribers.items() if sub.asked_at_s < since_s]:
+        """Return whether other nodes are subscribed to this node; drop expired subscriptions."""
+        expired_before_s = self._clock() - SUBSCRIPTION_TTL_S
+        for name in [
+            name
+            for name, subscriber in self._subscribers.items()
+            if subscriber.asked_at_s < expired_before_s
+        ]:
             del self._subscribers[name]
         return bool(self._subscribers)
 
     async def answer(self, query: StateQuery, address: ListenAddress) -> None:
-        """Answer a query."""
+        """Answer a query, unless this node has not read the whole state yet."""
         if not self._cluster.has_read_all:
             return
         self._subscribers[query.sender] = _Subscriber(address, self._clock())
         await self._send(self._reply(query.number, query.after_revision), (address,))
 
     async def publish(self) -> None:
-        """Send all who asked lately what has changed since the last time."""
+        """Send the changes since the last call to all subscribers."""
         after_revision, self._published_revision = (
             self._published_revision,
             self._cluster.revision,
@@ -74,19 +78,19 @@
         reply = self._reply(0, after_revision)
         if not reply.changes:
             return
-        await self._send(reply, [one.address for one in self._subscribers.values()])
+        await self._send(reply, [subscriber.address for subscriber in self._subscribers.values()])
 
     def _reply(self, number: int, after_revision: int) -> StateReply:
         cluster = self._cluster
         age_ms = min(cluster.age_s() * MILLISECONDS_PER_S, MAX_SENT_AGE_MS)
-        left_out = StateReply(
+        without_changes = StateReply(
             self._name, number, after_revision, cluster.revision, int(age_ms) + 1,
             are_changes_omitted=True,
         )  # fmt: skip
         changes = cluster.log.since(after_revision)
         if changes is None:
-            return left_out
-        whole = msgspec.structs.replace(left_out, are_changes_omitted=False, changes=changes)
-        if changes and len(encode_message(whole)) > MAX_REPLY_BYTES:
-            return left_out
-        return whole
+            return without_changes
+        full = msgspec.structs.replace(without_changes, are_changes_omitted=False, changes=changes)
+        if changes and len(encode_message(full)) > MAX_REPLY_BYTES:
+            return without_changes
+        return full
--- a/src/weirscale/gateway/replication/subscription.py
+++ b/src/weirscale/gateway/replication/subscription.py
@@ -1,13 +1,15 @@
-"""Keeps a node's cluster state current by asking a node that reads the store.
-
-Every call to the store has a price and a rate shared by all nodes. So a few nodes, chosen by hash
-from the registered ones, follow the store; each other node asks one of them, several times a
-second, for the changes that it lacks and for the age of the reader's proof that there are no more.
-
-A reply proves what it says as of the time of the query less that age, however long either message
-was on its way: the reader's proof was at most that old when it answered, and it answered after the
-query. A node whose proof grows older than `MAX_PROOF_AGE_S` reads the store itself, as a reader
-does, so a reader that is dead, frozen or cut off delays a change by no more than that.
+"""Keeps a node's cluster state current by querying a node that reads the store.
+
+Every call to the store has a cost, and all nodes share a rate limit. So a few of the registered
+nodes, chosen by hash, follow the store: the readers. Each other node queries a reader several times
+a second for the changes it lacks. The reply also states the age of the reader's proof, which is the
+last answer of the store that showed the reader's state to be complete.
+
+The receiver's state is then proved complete as of the time of the query minus that age, however
+long either message was delayed: the proof was at most that old when the reader replied, and the
+reader replied after the query was sent. A node whose proof is older than `MAX_PROOF_AGE_S` reads
+the store itself, so a reader that has failed, is frozen or is partitioned delays a change by no
+more than that.
 """
 
 from collections.abc import Callable, Collection
@@ -35,29 +37,29 @@
 from weirscale.ports.event_log import EventLog
 
 QUERY_INTERVAL_S = 0.4
-"""Seconds between two queries: a reader answers 48 nodes, 120 queries a second
+"""Seconds between two queries. A reader of 48 nodes answers 120 queries a second
 (docs/CAPACITY.md)."""
 
 MAX_PROOF_AGE_S = 1.1
-"""Seconds; with an older proof a node reads the store itself. Changes must be in force within 2 s,
-and reading the store takes time as well. Not measured."""
+"""Seconds; with an older proof, a node reads the store itself. Changes must take effect within 2 s,
+and reading the store takes time as well."""
 
 READER_AVOIDED_S = 3.0
-"""Seconds for which a reader that gave no proofs is not asked again. Not measured."""
+"""Seconds for which a reader that provided no fresh proof is not queried again."""
 
 
 class StateSubscription:
-    """Asks a reader for what this node lacks; `run` must be running.
+    """Queries a reader for the changes that this node lacks; requires `run` to be running.
 
     Args:
-        name: This node.
-        cluster: What is kept current.
+        name: Name of this node.
+        cluster: The state to keep current.
         peers: The registered nodes.
         send: Sends a message to several nodes.
-        event_log: Where lost readers are logged.
-        random: Spreads the queries.
-        clock: Monotonic seconds.
-        topology: Which zones are in which region.
+        event_log: Logs lost readers.
+        random: Provides the jitter of the queries.
+        clock: Returns monotonic seconds.
+        topology: Maps zones to regions.
     """
 
     def __init__(
@@ -86,48 +88,50 @@
         self._proved_at_s = NEVER_S
         self._full_read_due = anyio.Event()
         self.on_full_read_due: Callable[[], None] = lambda: None
-        """Called when a reader could not send all changes; the follower sets it."""
+        """Callback for a reader that could not send all changes; set by the follower."""
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Send queries until cancelled."""
         while True:
             await sleep_to_tick(QUERY_INTERVAL_S * (0.9 + 0.2 * self._random.random()))
             if self._cluster.has_read_all:
-                await self._ask()
+                await self._send_query()
 
     def is_current(self) -> bool:
-        """Whether a reader keeps this node current, so that it need not read the store."""
+        """Return whether a reader keeps this node current, so that it need not read the store."""
         return (
             not self._full_read_due.is_set() and self._clock() < self._proved_at_s + MAX_PROOF_AGE_S
         )
 
     async def wait_until_not_current(self) -> None:
-        """Return once this node has to read the store itself."""
+        """Wait until this node has to read the store itself."""
         while self.is_current():
             deadline_s = loop_deadline_s(self._proved_at_s + MAX_PROOF_AGE_S, self._clock)
             with anyio.CancelScope(deadline=deadline_s):
                 await self._full_read_due.wait()
 
     def is_full_read_due(self) -> bool:
-        """Whether a reader could not send all changes, so that everything must be read."""
+        """Return whether a reader could not send all changes, so that a full read is required."""
         return self._full_read_due.is_set()
 
     def record_full_read(self) -> None:
-        """Learn that everything has been read."""
+        """Record that a full read has been done."""
         if self._full_read_due.is_set():
             self._full_read_due = anyio.Event()
 
     def receive(self, reply: StateReply) -> None:
-        """Take over a reply, or changes that a reader sent unasked."""
+        """Process a reply, or changes that a reader sent without a query."""
         asked_at_s = self._queries.close(reply.number)
         if reply.are_changes_omitted or reply.after_revision > self._cluster.revision:
-            # Changes sent unasked may follow on a message that got lost: the next query mends it.
+            # Changes sent without a query may follow a lost message; the next query covers the gap.
             if asked_at_s is not None and reply.revision > self._cluster.revision:
                 self._full_read_due.set()
                 self.on_full_read_due()
             return
-        # What is not newer is known, or was removed since: a late reply must not bring it back.
-        newer = tuple(one for one in reply.changes if one.revision > self._cluster.revision)
+        # Older changes are already applied or superseded. A late reply must not revert removals.
+        newer = tuple(
+            change for change in reply.changes if change.revision > self._cluster.revision
+        )
         self._cluster.apply(StateBatch(reply.revision, newer), NEVER_S)
         if asked_at_s is None:
             return
@@ -135,7 +139,7 @@
         self._cluster.confirm(proved_at_s)
         self._proved_at_s = max(self._proved_at_s, proved_at_s)
 
-    async def _ask(self) -> None:
+    async def _send_query(self) -> None:
         reader = self._choose_reader()
         if reader is None:
             return
@@ -144,9 +148,10 @@
         await self._send(query, (self._peers.addresses()[reader],))
 
     def _choose_reader(self) -> str | None:
-        """Return the reader to ask, the same while its proofs are fresh; None at a reader.
+        """Return the reader to query; None if this node is a reader with access to the store.
 
-        A reader without access to the store asks another one like any other node.
+        The choice is kept while the reader's proofs are fresh. A reader that has lost the store
+        queries another reader, like any other node.
         """
         now_s = self._clock()
         members = self._peers.members()
@@ -163,21 +168,27 @@
             self._event_log.event(
                 "reader_lost", reader=self._reader, proof_age_s=now_s - self._proved_at_s
             )
-        usable = [one for one in readers if self._avoided_until_s.get(one, NEVER_S) <= now_s]
-        usable = self._near(usable, members) or usable
-        self._reader = min(usable, key=self._distance, default=None)
+        usable = [
+            reader for reader in readers if self._avoided_until_s.get(reader, NEVER_S) <= now_s
+        ]
+        usable = self._in_own_region(usable, members) or usable
+        self._reader = min(usable, key=self._hash_rank, default=None)
         self._reader_since_s = now_s
         return self._reader
 
-    def _near(self, readers: Collection[str], members: Collection[Member]) -> list[str]:
-        """Return the readers of this node's own region."""
+    def _in_own_region(self, readers: Collection[str], members: Collection[Member]) -> list[str]:
+        """Return the readers in this node's own region."""
         zones = {member.name: member.zone for member in members}
-        own = zones[self._name]
-        return [one for one in readers if not self._topology.is_cross_region(own, zones[one])]
+        own_zone = zones[self._name]
+        return [
+            reader
+            for reader in readers
+            if not self._topology.is_cross_region(own_zone, zones[reader])
+        ]
 
     def _last_proof_s(self) -> float:
-        """Return when the reader last gave a proof, or was chosen."""
+        """Return the time of the reader's last proof, or of its selection if that is later."""
         return max(self._reader_since_s, self._proved_at_s)
 
-    def _distance(self, reader: str) -> int:
+    def _hash_rank(self, reader: str) -> int:
         return xxhash.xxh64_intdigest(f"{self._name}|{reader}".encode())
