--- a/src/weirscale/gateway/replication/age_exchange.py
+++ b/src/weirscale/gateway/replication/age_exchange.py
@@ -112,7 +112,7 @@
         await self._send(AgesQuery(self._name, self._queries.open(now_s)), queried)
 
     async def answer(self, query: AgesQuery, address: ListenAddress) -> None:
-        """Answer a query, unless the store has never answered this node."""
+        """Answer a query, unless this node has no record of an answer from the store."""
         now_s = self._clock()
         self._cluster.store_outages.look(now_s)
         span = self._cluster.store_outages.own_span()
--- a/src/weirscale/gateway/replication/follower.py
+++ b/src/weirscale/gateway/replication/follower.py
@@ -28,8 +28,8 @@
 write was acknowledged, while a watch alone may deliver changes late."""
 
 READER_CHECK_INTERVAL_S = 0.4
-"""Seconds between two checks at a node that other nodes query, since their proofs are older by the
-time of the exchange. This causes the 2.5 calls a second in docs/CAPACITY.md."""
+"""Seconds between two checks at a node that other nodes query, since the proofs of those nodes are
+older by the time of the exchange. This causes the 2.5 calls a second in docs/CAPACITY.md."""
 
 MIN_BATCH_PAUSE_S = 0.1
 MAX_BATCH_PAUSE_S = 0.4
