--- a/src/weirscale/gateway/requests/__init__.py
+++ b/src/weirscale/gateway/requests/__init__.py
@@ -1,1 +1,1 @@
-"""One request of a caller: admission, attempts, relay of the answer, retries, refusals."""
+"""Handling of callers' requests: admission, attempts, relay of answers, retries and refusals."""
--- a/src/weirscale/gateway/requests/admission.py
+++ b/src/weirscale/gateway/requests/admission.py
@@ -1,16 +1,16 @@
-"""Admission: whether a request may be sent on, by its route, key and quota, and until when.
+"""Admission control: checks a request's route, key and quota, and sets its deadline.
 
 The checks, in order:
 
-1. without a configuration it is refused (503);
-2. without a route it is denied (404);
-3. on a route with keys it is refused (503) unless the configuration is proved to be current, and
-   denied (401) if the key is unknown;
-4. a tenant without room in its quota is refused (429).
+1. The node has a configuration; otherwise the request is refused (503).
+2. The request matches a route; otherwise it is denied (404).
+3. If the route requires a key, the configuration is proved to be current; otherwise the request is
+   refused (503). The key is known; otherwise the request is denied (401).
+4. The tenant's quota has room for the request; otherwise it is refused (429).
 
-A denial needs a current configuration as well: without one the caller gets 503 and comes back.
-All of these answers promise that the request did not run. Quarantine and overload are checked
-before each attempt (`request_handler.py`), since they depend on what was sent before.
+A denial is final, so it also requires a current configuration. Without one the caller gets 503 and
+retries. All of these responses promise that the request did not run. Quarantine and overload are
+checked before each attempt (`request_handler.py`), because they depend on earlier attempts.
 """
 
 from http import HTTPStatus
@@ -29,38 +29,37 @@
 from weirscale.gateway.telemetry.request_summary import RequestCause
 
 NO_CONFIGURATION_RETRY_S = 0.5
-"""Seconds after which a caller should come back to a node that has no current configuration. Not
-measured."""
+"""Retry-After in seconds of a node that has no current configuration."""
 
 ISOLATED_RETRY_S = 0.02
-"""The same for a node that is isolated: the caller's next connection goes to another node, so it
-need not wait. Not measured."""
+"""Retry-After in seconds of an isolated node. It is short because the caller's next connection goes
+to another node."""
 
 FIRST_READ_WAIT_S = 1.0
-"""Until this long after a node's start callers wait for its first reading of the state. A start
-takes some 0.5 s until the node listens and reads; the limit itself is not measured."""
+"""Until this time in seconds after its start, a node lets requests wait for its first read of the
+state. It takes about 0.5 s from the start until the node listens and reads the state."""
 
 FIRST_READ_SHARE = 0.5
-"""Share of its time that a caller waits for that at most, so that it can still go elsewhere. Not
-measured."""
+"""Maximum share of the caller's timeout that is spent waiting for the first read, so that the
+caller still has time to try another node."""
 
 PROOF_SHARE = 0.92
-"""Share of the guaranteed time for removed keys for which a proof of the configuration holds. The
-rest is for the way to the back end: a removal that is not known is younger than the proof, and
-keys are checked before the request is sent. Not measured."""
+"""Share of the guaranteed key removal time during which the last proof that the configuration is
+current stays valid. A key removal that this node has not seen is more recent than that proof. The
+remaining share covers the time between the key check and the request's arrival at the back end."""
 
 
 class AdmittedRequest(msgspec.Struct, frozen=True):
-    """A request that may be sent on.
+    """A request that may be sent to a back end.
 
     Attributes:
         request: The request.
-        body: Its whole body.
-        route: Its route.
-        service: Service that it goes to.
-        tenant: Whose key it has; None on public routes.
-        deadline_s: When its time is over, by the node's clock.
-        quota_cost: What an attempt costs, in the unit of the tenant's quota.
+        body: The complete request body.
+        route: Route that matches the request.
+        service: Service that receives the request.
+        tenant: Tenant that the key belongs to; None on public routes.
+        deadline_s: Deadline of the request on the node's clock.
+        quota_cost: Cost of one attempt, in the unit of the tenant's quota.
     """
 
     request: CallerRequest
@@ -73,16 +72,16 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """A request that may not be sent on.
+    """A request that may not be sent to a back end.
 
     Attributes:
-        status: What its caller is answered.
-        cause: Why, for the log.
-        retry_after_s: When the caller should come back, or None if that does not help.
-        route: Its route, if one was found.
-        service: Service that it would have gone to, if it came so far.
-        tenant: Whose key it has, if it came so far.
-        quota: The quota's decision, if that refused it.
+        status: HTTP status for the caller.
+        cause: Cause for the log.
+        retry_after_s: Time after which the caller should retry; None if a retry cannot succeed.
+        route: Route that matches the request, if any.
+        service: Service that was selected, if the checks reached that point.
+        tenant: Tenant that the key belongs to, if the checks reached that point.
+        quota: Quota decision, if the quota refused the request.
     """
 
     status: HTTPStatus
@@ -98,10 +97,10 @@
     """Admits the requests of a node and charges their tenants' quotas.
 
     Args:
-        cluster: The platform's state.
-        quotas: What tenants may spend.
-        isolation: Whether this node is isolated.
-        guarantees: The deployment's guarantees.
+        cluster: State of the platform.
+        quotas: Quotas of the tenants.
+        isolation: Detects whether this node is isolated.
+        guarantees: Guarantees of the deployment.
     """
 
     def __init__(
@@ -118,36 +117,41 @@
         self._split = TrafficSplit()
 
     def set_guarantees(self, guarantees: Guarantees) -> None:
-        """Change the guarantees."""
+        """Apply changed guarantees."""
         self._key_removal_s = guarantees.key_removal_s
 
     def is_configuration_current(self) -> bool:
-        """Whether the configuration is proved to be current enough for keys."""
+        """Return whether the last proof of the configuration is recent enough to check keys."""
         bound_s = self._key_removal_s
         return bound_s is None or self._cluster.age_s() <= PROOF_SHARE * bound_s
 
     def max_body_bytes(self) -> int | None:
-        """Return the largest body that is taken; None while no configuration is known."""
+        """Return the maximum size of a request body; None while the node has no configuration."""
         table = self._cluster.table
         return table.configuration.limits.max_body_bytes if table else None
 
     async def wait_for_first_read(self, timeout_s: float | None) -> None:
-        """Let a caller wait while the node starts, for half of the caller's time at most."""
-        at_most_s = FIRST_READ_WAIT_S
+        """Wait for the node's first read of the state while the node starts.
+
+        Args:
+            timeout_s: The caller's timeout, which limits the wait to `FIRST_READ_SHARE` of it;
+                None if the caller did not state one.
+        """
+        max_wait_s = FIRST_READ_WAIT_S
         if timeout_s is not None:
-            at_most_s = min(at_most_s, FIRST_READ_SHARE * timeout_s)
-        with anyio.move_on_after(at_most_s):
+            max_wait_s = min(max_wait_s, FIRST_READ_SHARE * timeout_s)
+        with anyio.move_on_after(max_wait_s):
             await self._cluster.wait_for_first_read(FIRST_READ_WAIT_S)
 
     def admit(
         self, request: CallerRequest, body: bytes, arrived_at_s: float
     ) -> AdmittedRequest | Refusal:
-        """Check a request.
+        """Check a request and set its deadline.
 
         Args:
             request: The request.
-            body: Its whole body.
-            arrived_at_s: When its head arrived; its time runs from then.
+            body: The complete request body.
+            arrived_at_s: When the request's head arrived; the timeout runs from then.
         """
         table = self._cluster.table
         if table is None:
@@ -176,22 +180,22 @@
         return AdmittedRequest(request, body, route, service, tenant, deadline_s, cost)
 
     def charge(self, admitted: AdmittedRequest) -> None:
-        """Spend the cost of an attempt from the tenant's quota."""
+        """Charge the cost of an attempt to the tenant's quota."""
         if admitted.tenant is not None:
             self._quotas.spend(admitted.tenant, admitted.quota_cost)
 
     def refund(self, admitted: AdmittedRequest) -> None:
-        """Give back the cost of an attempt that did not run."""
+        """Refund the cost of an attempt that did not run."""
         if admitted.tenant is not None:
             self._quotas.spend(admitted.tenant, -admitted.quota_cost)
 
     def _refuse(self, cause: RequestCause, route: Route | None = None) -> Refusal:
-        """Send a caller away for a while: this node cannot tell what is in force."""
+        """Return a temporary refusal, because this node's configuration may be out of date."""
         retry_s = ISOLATED_RETRY_S if self._isolation.is_isolated() else NO_CONFIGURATION_RETRY_S
         return Refusal(HTTPStatus.SERVICE_UNAVAILABLE, cause, retry_s, route)
 
     def _deny(self, status: HTTPStatus, cause: RequestCause, route: Route | None = None) -> Refusal:
-        """Deny a request for good if the configuration is current; else the caller comes back."""
+        """Return a final denial if the configuration is current, otherwise a temporary refusal."""
         if self.is_configuration_current():
             return Refusal(status, cause, None, route)
         return self._refuse(cause, route)
@@ -200,10 +204,10 @@
 def _refuse_for_quota(
     decision: QuotaDecision, route: Route, service: ServiceName, tenant: Tenant
 ) -> Refusal:
-    is_possible = decision.retry_after_s is not None
+    can_succeed_later = decision.retry_after_s is not None
     return Refusal(
         HTTPStatus.TOO_MANY_REQUESTS,
-        RequestCause.OVER_QUOTA if is_possible else RequestCause.NEVER_IN_QUOTA,
+        RequestCause.OVER_QUOTA if can_succeed_later else RequestCause.EXCEEDS_QUOTA,
         decision.retry_after_s,
         route,
         service,
--- a/src/weirscale/gateway/requests/attempt.py
+++ b/src/weirscale/gateway/requests/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: sends a request to one back end, passes its answer on, and judges how it ended."""
+"""One attempt: sends a request to one back end, relays the answer and evaluates the result."""
 
 import anyio
 
@@ -10,8 +10,8 @@
 from weirscale.gateway.requests.attempt_verdict import (
     BODY_BROKEN,
     CANCELLED,
+    SUCCESS,
     TOO_SLOW,
-    WHOLE_SUCCESS,
     AttemptEnd,
     Verdict,
     judge_answer,
@@ -23,31 +23,31 @@
 from weirscale.gateway.requests.retry_decision import (
     AttemptHistory,
     FailedAnswer,
-    may_leave_when_silent,
+    may_abandon_when_silent,
 )
 from weirscale.gateway.rollouts.pace import AttemptTimes
 from weirscale.gateway.routing.candidate import Choice
 
-LAST_PRIORITY = 9
-"""Least urgent priority that back ends know (published protocol of the platform)."""
+LOWEST_PRIORITY = 9
+"""Least urgent priority that back ends accept (published protocol of the platform)."""
 
-PRIORITIES_A_TENANT = 3
-"""Priorities of routes that are told apart within one of a tenant."""
+NUM_ROUTE_PRIORITIES = 3
+"""Number of route priorities that are distinguished within each tenant priority."""
 
 DEFAULT_TENANT_PRIORITY = 1
-"""Priority of a request without a tenant, or whose tenant has none."""
+"""Tenant priority of a request without a tenant, or of a tenant without a priority."""
 
 
 class Attempt:
     """Runs one attempt at a request.
 
     Args:
-        context: What requests share.
+        context: Parts that all requests of the node share.
         admitted: The request.
-        choice: The back end and what is expected of it.
-        relay: The request's answer.
-        history: What the attempts before this one have left behind; brought up to date.
-        guard: Whether the request may have crashed back ends; brought up to date.
+        choice: The selected back end and its estimates.
+        relay: Relays the answer to the caller.
+        history: Earlier attempts at the request; updated with this one.
+        guard: Tracks whether the request may have crashed back ends; updated with this attempt.
     """
 
     def __init__(
@@ -71,15 +71,15 @@
         self._began_s = 0.0
         self._times = AttemptTimes()
         self._timeout: AttemptTimeout | None = None
-        """None where a silent back end may not be left."""
+        """None if the attempt must not be abandoned when the back end is silent."""
 
     async def run(self) -> AttemptEnd:
-        """Send the request and pass on what may be passed on."""
-        had_known_crash = self._start()
+        """Send the request, relay the answer if permitted, and return how the attempt ended."""
+        was_crash_suspect = self._start()
         verdict = Verdict(AttemptEnd.UNCERTAIN, CANCELLED)
         is_first = self._history.num_attempts == 1
         scope = anyio.CancelScope()
-        timeout = self._set_timeout(scope)
+        timeout = self._create_timeout(scope)
         self._context.timeouts.watch(timeout)
         try:
             with scope:
@@ -88,7 +88,8 @@
                 verdict = Verdict(AttemptEnd.UNCERTAIN, TOO_SLOW)
         finally:
             self._context.timeouts.forget(timeout)
-            # The timeout refers to this attempt: both would wait for the garbage collector.
+            # Break the reference cycle between the attempt and its timeout, which would otherwise
+            # keep both in memory until the garbage collector runs.
             self._timeout = None
             took_s = self._context.clock() - self._began_s
             ended = EndedAttempt(verdict, self._times, took_s, is_first)
@@ -96,11 +97,11 @@
         if verdict.end in (AttemptEnd.NEVER_SENT, AttemptEnd.NOT_RUN):
             self._context.admission.refund(self._admitted)
         self._history.add_verdict(self._back_end.instance, verdict)
-        self._guard.add_verdict(self._back_end, verdict, had_known_crash)
+        self._guard.add_verdict(self._back_end, verdict, was_crash_suspect)
         return verdict.end
 
     def _start(self) -> bool:
-        """Record the start; returns whether the request is known to have crashed a back end."""
+        """Record the start; return whether the request may already have crashed a back end."""
         history = self._history
         history.num_attempts += 1
         self._began_s = self._context.clock()
@@ -109,45 +110,45 @@
         self._records.record_start(self._choice, self._prompt, is_unreached=not history.reached)
         self._context.admission.charge(self._admitted)
         if history.num_attempts == 1:
-            self._records.verdicts.add_canary_share(self._back_end.service)
-        return self._guard.has_known_crash()
+            self._records.verdicts.add_canary_allowance(self._back_end.service)
+        return self._guard.is_crash_suspect()
 
-    def _set_timeout(self, scope: anyio.CancelScope) -> AttemptTimeout:
-        """Limit the wait for the first event where the request may go on elsewhere."""
+    def _create_timeout(self, scope: anyio.CancelScope) -> AttemptTimeout:
+        """Return the attempt's timeout, started only if another back end could take over."""
         timeout = AttemptTimeout(scope, self._take_retry, self._reads_for_others)
         route, choice = self._admitted.route, self._choice
-        if may_leave_when_silent(self._history, route, choice.num_candidates):
+        if may_abandon_when_silent(self._history, route, choice.num_candidates):
             self._timeout = timeout
             wait_s = self._context.pauses.first_event_timeout_s(route, choice)
             timeout.start(self._context.clock(), wait_s)
         return timeout
 
     def _reads_for_others(self, since_s: float) -> bool:
-        """Whether the back end has worked since a time and has other prompts to read."""
+        """Return whether the back end worked after `since_s` and has other prompts to prefill."""
         return self._records.reads_for_others(self._choice, since_s)
 
     def _take_retry(self) -> bool:
-        """Take a retry of the shared budget before a silent back end is left."""
+        """Take a retry from the shared budget before a silent attempt is abandoned."""
         self._history.holds_retry = self._context.retry_budget.try_take(self._admitted.service)
         return self._history.holds_retry
 
     async def _send(self) -> Verdict:
-        outbound = self._outbound()
+        outbound = self._make_outbound()
         port = self._context.port_of(self._back_end)
         async with port.send(outbound) as sent:
             if sent.is_err():
                 return judge_failure(sent.unwrap_err())
             answer = sent.unwrap()
             verdict = judge_answer(answer, self._admitted.request.request_id, outbound.instance)
-            self._records.verdicts.learn_weights(self._choice, self._prompt, answer)
+            self._records.verdicts.record_weights(self._choice, self._prompt, answer)
             if verdict.end in (AttemptEnd.NOT_RUN, AttemptEnd.UNCERTAIN):
                 return verdict
             try:
-                return await self._pass_on(answer, verdict)
+                return await self._relay_answer(answer, verdict)
             except BodyBrokenError:
                 return Verdict(AttemptEnd.UNCERTAIN, BODY_BROKEN)
 
-    def _outbound(self) -> OutboundRequest:
+    def _make_outbound(self) -> OutboundRequest:
         admitted, choice, prompt = self._admitted, self._choice, self._prompt
         tenant = admitted.tenant
         is_generation = choice.scope is not None and prompt is not None
@@ -168,11 +169,11 @@
             resume_after=self._relay.last_event_id or admitted.request.resume_after,
         )
 
-    async def _pass_on(self, answer: Answer, verdict: Verdict) -> Verdict:
-        """Pass an answer on, or keep it if the back end failed: another attempt may succeed."""
+    async def _relay_answer(self, answer: Answer, verdict: Verdict) -> Verdict:
+        """Relay an answer, or keep it if the back end failed, because a retry may succeed."""
         is_stream = self._admitted.route.kind is RequestKind.STREAMING
-        if is_stream and verdict == WHOLE_SUCCESS:
-            await self._relay.pass_stream(answer, self)
+        if is_stream and verdict == SUCCESS:
+            await self._relay.relay_stream(answer, self)
             return verdict
         body = await read_whole_body(answer)
         if verdict.end is AttemptEnd.FAILED:
@@ -180,11 +181,11 @@
             return verdict
         if self._relay.has_begun:
             return Verdict(AttemptEnd.FAILED, f"status_{answer.status}_on_resume")
-        await self._relay.pass_whole(answer.status, answer.headers, body)
+        await self._relay.relay_whole(answer.status, answer.headers, body)
         return verdict
 
     def events_arrived(self) -> None:
-        """Learn from events of the stream, and limit the wait for the next one."""
+        """Record that events arrived, and restart the timeout for the next event."""
         self._records.dispatcher.event_received(self._back_end.instance)
         if self._times.first_event_s is None:
             took_s = self._context.clock() - self._began_s
@@ -197,8 +198,8 @@
             self._timeout.start(self._context.clock(), wait_s)
 
     def paused(self, pause_s: float, began_s: float) -> None:
-        """Learn from a pause between two events."""
-        # A pause that began before this attempt says nothing about its back end.
+        """Record a pause between two events."""
+        # A pause that began before this attempt was not caused by its back end.
         if began_s > self._began_s:
             pauses, now_s = self._context.pauses, self._context.clock()
             pauses.record_pause(self._admitted.service, pause_s)
@@ -206,10 +207,13 @@
 
 
 def combined_priority(admitted: AdmittedRequest) -> int:
-    """Return the priority for back ends: the tenant's goes before the route's; 0 is first."""
+    """Return the priority for back ends, 0 being the most urgent.
+
+    The tenant's priority takes precedence over the route's.
+    """
     tenant = admitted.tenant
-    of_tenant = tenant.priority if tenant else None
-    if of_tenant is None:
-        of_tenant = DEFAULT_TENANT_PRIORITY
-    of_route = min(admitted.route.priority, PRIORITIES_A_TENANT - 1)
-    return min(LAST_PRIORITY, max(0, of_tenant * PRIORITIES_A_TENANT + of_route))
+    tenant_priority = tenant.priority if tenant else None
+    if tenant_priority is None:
+        tenant_priority = DEFAULT_TENANT_PRIORITY
+    route_priority = min(admitted.route.priority, NUM_ROUTE_PRIORITIES - 1)
+    return min(LOWEST_PRIORITY, max(0, tenant_priority * NUM_ROUTE_PRIORITIES + route_priority))
--- a/src/weirscale/gateway/requests/attempt_records.py
+++ b/src/weirscale/gateway/requests/attempt_records.py
@@ -1,4 +1,4 @@
-"""What is recorded of attempts: loads, beliefs about caches, learnt times, and gossip of sends."""
+"""Records attempts: back-end load, estimated cache contents, measured times and gossip of sends."""
 
 from collections.abc import Callable
 
@@ -18,19 +18,19 @@
 from weirscale.gateway.routing.load import FleetLoad
 
 LONG_READ_TOKENS = 2_000
-"""A prompt of which an engine reads this many tokens, some 50 ms, is gossiped within the group at
-once: two such prompts at one engine make every stream there pause. Single plays with this and a
-change of quotas gave 0.576 -> 0.632 of worth; the figure alone is not measured."""
+"""A prompt that needs at least this many tokens of prefill (about 50 ms) is gossiped to the group
+at once, because two such prompts at one engine make every stream there pause. Together with a
+change of quotas this raised the score of a run from 0.576 to 0.632."""
 
 
 class EndedAttempt(msgspec.Struct, frozen=True):
     """How an attempt ended.
 
     Attributes:
-        verdict: What its end proves.
-        times: Its first event and parts.
-        took_s: Its duration.
-        is_first: Whether it was the request's first one.
+        verdict: What the end of the attempt proves.
+        times: Time of the first event and number of parts.
+        took_s: Duration of the attempt.
+        is_first: Whether it was the first attempt at the request.
     """
 
     verdict: Verdict
@@ -43,14 +43,14 @@
     """Records the attempts of a node.
 
     Args:
-        dispatcher: Beliefs about caches and learnt times.
-        load: Work at back ends.
-        budget: Retry budget, which grows with requests sent.
-        outbox: Gossip.
-        send_gossip_now: Has gossip sent without waiting for the next regular message.
+        dispatcher: Estimates cache contents and response times.
+        load: Load of the back ends.
+        budget: Shared retry budget, which grows with the requests sent.
+        outbox: Queues gossip for the other nodes.
+        send_gossip_now: Sends queued gossip without waiting for the next regular message.
         pauses: Pauses of streams.
-        verdicts: Judges back ends.
-        clock: Monotonic seconds.
+        verdicts: Evaluates back ends by the ends of attempts.
+        clock: Returns the current time in monotonic seconds.
     """
 
     def __init__(
@@ -73,19 +73,19 @@
         self._send_gossip_now = send_gossip_now
         self._clock = clock
         self._unread_tokens: dict[int, int] = {}
-        """Tokens that are still to be read, by the identity of the attempt's choice."""
+        """Prompt tokens still to be prefilled, by the `id()` of the attempt's choice."""
 
     def record_start(self, choice: Choice, prompt: Prompt | None, is_unreached: bool) -> None:
-        """Record that an attempt begins.
+        """Record the start of an attempt.
 
         Args:
-            choice: The back end and what is expected of it.
-            prompt: The prompt, for generations.
-            is_unreached: Whether no attempt at the request has reached a back end yet.
+            choice: The selected back end and its estimates.
+            prompt: The prompt; None if the request is not a generation.
+            is_unreached: Whether no earlier attempt at the request reached a back end.
         """
         back_end = choice.candidate.back_end
-        held = prompt.num_tokens if prompt else 0
-        self._load.request_sent(back_end.instance, choice.unread_tokens, held)
+        held_tokens = prompt.num_tokens if prompt else 0
+        self._load.request_sent(back_end.instance, choice.unread_tokens, held_tokens)
         self._unread_tokens[id(choice)] = choice.unread_tokens
         if is_unreached:
             self._budget.record_request(back_end.service, self._clock())
@@ -96,7 +96,7 @@
             self._send_gossip_now()
 
     def record_first_event(self, choice: Choice, prompt: Prompt | None, took_s: float) -> None:
-        """Record that the first event of an attempt arrived: its prompt has been read."""
+        """Record that the first event of an attempt arrived, so its prompt has been prefilled."""
         self.pauses.stream_began(choice.candidate.back_end)
         self.dispatcher.wait_ended(choice)
         self.dispatcher.first_event_received(choice, took_s)
@@ -107,14 +107,19 @@
             self._gossip_send(choice, prompt, is_ready=True)
 
     def reads_for_others(self, choice: Choice, since_s: float) -> bool:
-        """Whether an attempt's engine has worked since a time and has others' prompts to read."""
+        """Return whether an attempt's engine is busy with the prompts of other requests.
+
+        Args:
+            choice: The attempt's choice.
+            since_s: The engine must have worked after this time.
+        """
         own_tokens = self._unread_tokens.get(id(choice), 0)
         return self.dispatcher.is_busy_with_others(choice, own_tokens, since_s)
 
     def record_end(
         self, choice: Choice, prompt: Prompt | None, route: Route, ended: EndedAttempt
     ) -> None:
-        """Record that an attempt has ended, and judge its back end."""
+        """Record the end of an attempt and evaluate its back end."""
         self.dispatcher.wait_ended(choice)
         back_end = choice.candidate.back_end
         was_unread = id(choice) in self._unread_tokens
@@ -122,12 +127,12 @@
         self._load.request_ended(back_end.instance, prompt.num_tokens if prompt else 0)
         if was_unread and prompt is not None:
             self.dispatcher.prompt_not_read(choice, prompt)
-        self.verdicts.judge_health(back_end.instance, ended.verdict)
+        self.verdicts.update_health(back_end.instance, ended.verdict)
         if ended.times.first_event_s is not None:
             self.pauses.stream_ended(back_end)
-        self.verdicts.judge_version(choice, route, ended.verdict, ended.times, ended.took_s)
+        self.verdicts.count_version_outcome(choice, route, ended.verdict, ended.times, ended.took_s)
         if ended.is_first:
-            self.verdicts.take_back_canary_share(back_end.service, ended.verdict)
+            self.verdicts.remove_canary_allowance(back_end.service, ended.verdict)
 
     def _gossip_send(self, choice: Choice, prompt: Prompt, is_ready: bool) -> None:
         assert choice.scope is not None
--- a/src/weirscale/gateway/requests/attempt_verdict.py
+++ b/src/weirscale/gateway/requests/attempt_verdict.py
@@ -1,6 +1,6 @@
-"""What the end of one attempt proves about the request and its back end: pure rules.
+"""Pure rules for what the end of an attempt proves about the request and its back end.
 
-What may follow an attempt is decided in `retry_decision.py`.
+Whether another attempt follows is decided in `retry_decision.py`.
 """
 
 import enum
@@ -13,46 +13,46 @@
 
 
 class AttemptEnd(enum.Enum):
-    """What an attempt proves about the request."""
+    """What the end of an attempt proves about the request."""
 
     NEVER_SENT = "never_sent"
-    """No connection was made: it did not run and the back end may be gone."""
+    """No connection was made: the request did not run, and the back end may be down."""
     NOT_RUN = "unrun"
-    """The back end says that it did not and will not run it."""
+    """The back end proved that it did not run the request and never will."""
     ANSWERED = "answered"
-    """Answered; the answer goes to the caller."""
+    """The back end answered; the answer may be relayed to the caller."""
     FAILED = "failed"
-    """The back end ran it and failed; the answer may go to the caller."""
+    """The back end ran the request and failed; its answer may be relayed to the caller."""
     UNCERTAIN = "uncertain"
-    """It may have run; there is no answer that may be passed on."""
+    """The request may have run, and there is no answer that may be relayed."""
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """What the head of an answer, or its lack, proves.
+    """What an attempt proves, judged by the head of its answer or by the lack of an answer.
 
     Attributes:
         end: What is proved about the request.
-        reason: Short cause for logs.
+        reason: Short reason for logs.
     """
 
     end: AttemptEnd
     reason: str
 
 
-WHOLE_SUCCESS = Verdict(AttemptEnd.ANSWERED, "ok")
-"""A success; the body may still break off."""
+SUCCESS = Verdict(AttemptEnd.ANSWERED, "ok")
+"""The head of a successful answer; the body may still be cut short."""
 
 NOT_CONNECTED = "connect"
 """Reason: no connection was made."""
 
 NO_ANSWER = "no_answer"
-"""Reason: the connection ended before the head of an answer."""
+"""Reason: the connection ended before the head of an answer arrived."""
 
 BODY_BROKEN = "body_broken"
-"""Reason: the connection ended within the body, or a whole answer was too large."""
+"""Reason: the connection ended within the body, or the body exceeded the size limit."""
 
 NO_SIGNATURE = "no_seal"
-"""Reason: a success without the back end's signature."""
+"""Reason: a successful answer without the back end's signature."""
 
 OTHER_ANSWER = "other_answer"
 """Reason: the answer belongs to another request."""
@@ -64,13 +64,14 @@
 """Reason: the back end was silent for longer than the attempt's timeout."""
 
 CANCELLED = "cancelled"
-"""Reason: the gateway ended the attempt because its caller left or the request timed out."""
+"""Reason: the gateway ended the attempt; the caller disconnected or the request timed out."""
 
 CONNECTION_LOST = frozenset({NO_ANSWER, BODY_BROKEN})
-"""Reasons of attempts whose connection ended before their answer did: the back end may be gone."""
+"""Reasons of attempts whose connection ended before the end of the answer; the back end may have
+crashed."""
 
 BACK_END_FAULTS = frozenset({NO_ANSWER, OTHER_ANSWER, BODY_BROKEN, TOO_SLOW, NO_SIGNATURE})
-"""Reasons of uncertain attempts that count as failures of the back end."""
+"""Reasons of `UNCERTAIN` attempts that count as failures of the back end."""
 
 NOT_RUN_STATUSES = frozenset(
     {
@@ -80,24 +81,24 @@
         HTTPStatus.SERVICE_UNAVAILABLE,
     }
 )
-"""Statuses that promise a caller that its request did not run and never will."""
+"""Statuses that promise a caller that the request did not run and never will."""
 
-WEIGHTS_REFUSAL = f"refused_{HTTPStatus.MISDIRECTED_REQUEST.value}"
-"""Reason: the back end is another one, or has other weights, than the request names."""
+TARGET_MISMATCH = f"refused_{HTTPStatus.MISDIRECTED_REQUEST.value}"
+"""Reason: the request named another instance, or other weights, than the back end has."""
 
 
 def judge_failure(failure: SendFailure) -> Verdict:
-    """Judge an attempt without an answer."""
+    """Return the verdict on an attempt without an answer."""
     if failure.kind is SendFailureKind.NEVER_SENT:
         return Verdict(AttemptEnd.NEVER_SENT, NOT_CONNECTED)
     return Verdict(AttemptEnd.UNCERTAIN, NO_ANSWER)
 
 
 def judge_answer(answer: Answer, request_id: RequestId, instance: InstanceId) -> Verdict:
-    """Judge the head of an answer.
+    """Return the verdict on the head of an answer.
 
-    A success must carry the back end's signature and belong to this request. A status that
-    promises "not run" without proof of it is not passed on.
+    A successful answer must carry the back end's signature and belong to this request. An answer
+    whose status promises "not run" is not relayed unless it carries a proof of that.
     """
     if answer.is_proved_unrun:
         return Verdict(AttemptEnd.NOT_RUN, f"refused_{answer.status}")
@@ -107,7 +108,7 @@
         return Verdict(AttemptEnd.UNCERTAIN, OTHER_INSTANCE)
     if HTTPStatus.OK <= answer.status < HTTPStatus.MULTIPLE_CHOICES:
         if answer.is_signed:
-            return WHOLE_SUCCESS
+            return SUCCESS
         return Verdict(AttemptEnd.UNCERTAIN, NO_SIGNATURE)
     if promises_not_run(answer.status):
         return Verdict(AttemptEnd.UNCERTAIN, f"unproved_{answer.status}")
@@ -116,11 +117,11 @@
     return Verdict(AttemptEnd.ANSWERED, f"status_{answer.status}")
 
 
-def is_about_weights(verdict: Verdict) -> bool:
-    """Whether a back end refused for being another one, or having other weights, than expected."""
-    return verdict.end is AttemptEnd.NOT_RUN and verdict.reason == WEIGHTS_REFUSAL
+def is_target_mismatch(verdict: Verdict) -> bool:
+    """Return whether a back end refused because its instance or weights are not the expected."""
+    return verdict.end is AttemptEnd.NOT_RUN and verdict.reason == TARGET_MISMATCH
 
 
 def promises_not_run(status: int) -> bool:
-    """Whether a status promises that the request did not run."""
+    """Return whether a status promises that the request did not run."""
     return status in NOT_RUN_STATUSES
--- a/src/weirscale/gateway/requests/back_end_selector.py
+++ b/src/weirscale/gateway/requests/back_end_selector.py
@@ -1,4 +1,4 @@
-"""Which back end the next attempt at a request goes to."""
+"""Selects the back end for the next attempt at a request."""
 
 from collections.abc import Collection
 
@@ -15,11 +15,11 @@
 
 
 class BackEndSelector:
-    """Chooses back ends for attempts.
+    """Selects back ends for attempts.
 
     Args:
         dispatcher: Ranks back ends.
-        canary_traffic: Which requests try the target of a rollout.
+        canary_traffic: Decides which requests go to the target version of a rollout.
     """
 
     def __init__(self, dispatcher: Dispatcher, canary_traffic: CanaryTraffic) -> None:
@@ -27,10 +27,11 @@
         self._canary_traffic = canary_traffic
 
     def choose(self, admitted: AdmittedRequest, history: AttemptHistory) -> Choice | None:
-        """Return the best back end that was not asked yet, else one that may have recovered.
+        """Return the best back end that was not tried yet, or else one that may have recovered.
 
-        One that was not there just now is not asked again: its refusals take a millisecond, and a
-        request would do nothing but connect until its time is over.
+        A back end that was unreachable when last tried is not tried again. A refused connection
+        takes about a millisecond, so the request would otherwise only reconnect until its
+        deadline.
         """
         chosen = self._dispatcher.choose(_query(admitted, history.tried))
         if chosen is None and history.reached:
@@ -38,26 +39,37 @@
         return chosen
 
     async def wait_for_permit(
-        self, admitted: AdmittedRequest, history: AttemptHistory, most_s: float
+        self, admitted: AdmittedRequest, history: AttemptHistory, max_wait_s: float
     ) -> bool:
-        """Wait for a back end that states a request limit; returns whether to choose again."""
-        return await self._dispatcher.wait_for_permit(_query(admitted, history.unreachable), most_s)
+        """Wait until a back end with a request limit may have a permit.
+
+        Args:
+            admitted: The request.
+            history: Earlier attempts at the request.
+            max_wait_s: Maximum time to wait.
+
+        Returns:
+            Whether to choose a back end again.
+        """
+        return await self._dispatcher.wait_for_permit(
+            _query(admitted, history.unreachable), max_wait_s
+        )
 
     def first_return(self, admitted: AdmittedRequest) -> NextAvailability | None:
-        """Return when the first of those that ask to be spared a request takes one again."""
+        """Return when the first back end that rests or has a request limit accepts one again."""
         return self._dispatcher.next_availability(_query(admitted, ()))
 
     def request_sent(self, back_end: BackEnd) -> None:
-        """Use a permit for a request that is sent to a back end now, if it takes one."""
+        """Use up a permit for a request that is sent now, if the back end has a request limit."""
         self._dispatcher.back_pressure.request_sent(back_end.run_id)
 
     def prefer_canary(
         self, admitted: AdmittedRequest, history: AttemptHistory, choice: Choice
     ) -> Choice:
-        """Return a back end of the rollout's target instead, if this request is to try it.
+        """Return a canary instead of the choice if this request should go to one.
 
-        Whether the service has room was judged by the back ends that serve: one that is tried has
-        room for the others' requests in no case.
+        The overload check has already been made with the stable back ends, because a canary never
+        has capacity for the other requests.
         """
         if (
             history.num_attempts
--- a/src/weirscale/gateway/requests/back_end_verdicts.py
+++ b/src/weirscale/gateway/requests/back_end_verdicts.py
@@ -1,4 +1,4 @@
-"""What attempts say of their back ends: health, weights, and the version of their program."""
+"""Evaluates back ends by the ends of attempts: health, weights and software version."""
 
 from collections.abc import Callable
 
@@ -14,7 +14,7 @@
     CANCELLED,
     AttemptEnd,
     Verdict,
-    is_about_weights,
+    is_target_mismatch,
 )
 from weirscale.gateway.rollouts.canary_traffic import CanaryTraffic, VersionOutcome
 from weirscale.gateway.rollouts.pace import AttemptTimes
@@ -25,21 +25,22 @@
 from weirscale.gateway.weights.version_check import VersionCheck
 
 OVERDUE_FACTOR = 2.0
-"""An attempt that its caller left without an event counts as failed after this multiple of the
-objective: callers and deadlines end what hangs. Not measured."""
+"""A cancelled attempt without an event counts as failed if it lasted longer than this multiple of
+the route's objective: attempts at a hanging back end end only when callers give up or at the
+deadline."""
 
 
 class BackEndVerdicts:
-    """Judges back ends by the ends of attempts.
+    """Evaluates back ends by the ends of attempts.
 
     Args:
-        cluster: The platform's state, with believed weights.
-        dispatcher: Avoids back ends that refused for a while.
-        health: Circuits.
-        outbox: Gossip.
-        version_check: Asks engines that have other weights than believed.
-        canary_traffic: Rollouts of services' programs.
-        clock: Monotonic seconds.
+        cluster: State of the platform, with the presumed weights of the engines.
+        dispatcher: Avoids back ends for a while after they refused a request.
+        health: Circuit breakers of the back ends.
+        outbox: Queues gossip for the other nodes.
+        version_check: Queries engines whose weights differ from the presumed ones.
+        canary_traffic: Rollouts of new software versions of services.
+        clock: Returns the current time in monotonic seconds.
     """
 
     def __init__(
@@ -60,15 +61,15 @@
         self._canary_traffic = canary_traffic
         self._clock = clock
 
-    def judge_health(self, instance: InstanceId, verdict: Verdict) -> None:
-        """Judge whether a back end works."""
+    def update_health(self, instance: InstanceId, verdict: Verdict) -> None:
+        """Update the health of a back end after an attempt."""
         now_s = self._clock()
         if verdict.end is AttemptEnd.ANSWERED:
             self._health.succeeded(instance, now_s)
             self._cluster.back_ends.mark_answered(instance)
         elif verdict.end is AttemptEnd.NOT_RUN:
             self._dispatcher.request_refused(instance)
-            if is_about_weights(verdict):
+            if is_target_mismatch(verdict):
                 self._version_check.request(instance)
         elif verdict.end is AttemptEnd.NEVER_SENT:
             self._health.unreachable(instance, verdict.reason, now_s)
@@ -76,8 +77,8 @@
         elif verdict.end is AttemptEnd.FAILED or verdict.reason in BACK_END_FAULTS:
             self._health.failed(instance, verdict.reason, now_s)
 
-    def learn_weights(self, choice: Choice, prompt: Prompt | None, answer: Answer) -> None:
-        """Learn from the head of an answer which weights the engine has."""
+    def record_weights(self, choice: Choice, prompt: Prompt | None, answer: Answer) -> None:
+        """Record the version of the engine's weights that the head of an answer states."""
         if prompt is None or answer.weight_version is None or choice.scope is None:
             return
         instance = choice.candidate.back_end.instance
@@ -85,7 +86,7 @@
             instance, prompt.model, answer.weight_version, "answer"
         )
 
-    def judge_version(
+    def count_version_outcome(
         self,
         choice: Choice,
         route: Route,
@@ -93,14 +94,14 @@
         times: AttemptTimes,
         took_s: float,
     ) -> None:
-        """Count an attempt for its back end's program version, where a rollout is under way.
+        """Count an attempt for its back end's software version while a rollout is open.
 
-        One that did not run because of its engine's weights does not count, nor does one that its
-        caller left before it was overdue.
+        Attempts that the back end refused because of its instance or weights do not count, nor do
+        attempts that were cancelled before they were overdue.
         """
         back_end = choice.candidate.back_end
         is_overdue = times.first_event_s is None and took_s > OVERDUE_FACTOR * route.objective_s
-        if is_about_weights(verdict) or (verdict.reason == CANCELLED and not is_overdue):
+        if is_target_mismatch(verdict) or (verdict.reason == CANCELLED and not is_overdue):
             return
         if not self._canary_traffic.has_open_rollout(back_end.service):
             return
@@ -109,11 +110,11 @@
         outcome = VersionOutcome(is_sound, times.answer_times(took_s, expected_s))
         self._canary_traffic.record_outcome(back_end, route, outcome)
 
-    def add_canary_share(self, service: ServiceName) -> None:
-        """Let a request that is sent for the first time raise what the canary may get."""
+    def add_canary_allowance(self, service: ServiceName) -> None:
+        """Raise the canary's allowance for a request that is sent for the first time."""
         self._canary_traffic.record_request(service)
 
-    def take_back_canary_share(self, service: ServiceName, verdict: Verdict) -> None:
-        """Take that back if the request's first attempt reached nobody."""
+    def remove_canary_allowance(self, service: ServiceName, verdict: Verdict) -> None:
+        """Undo `add_canary_allowance` if the request's first attempt did not reach a back end."""
         if verdict.end is AttemptEnd.NEVER_SENT:
             self._canary_traffic.record_unsent_request(service)
--- a/src/weirscale/gateway/requests/caller_app.py
+++ b/src/weirscale/gateway/requests/caller_app.py
@@ -1,4 +1,4 @@
-"""The ASGI application: callers, readiness and metrics by the port that a connection came in on."""
+"""The ASGI application; serves callers, readiness or metrics, depending on the local port."""
 
 from collections.abc import Awaitable, Callable, Mapping
 from http import HTTPStatus
@@ -12,30 +12,30 @@
 from weirscale.gateway.requests.responder import Responder, Send
 from weirscale.gateway.settings import GatewaySettings
 
-METRICS_TYPE = (b"content-type", b"text/plain; version=0.0.4; charset=utf-8")
+METRICS_CONTENT_TYPE = (b"content-type", b"text/plain; version=0.0.4; charset=utf-8")
 
 Receive = Callable[[], Awaitable[dict[str, Any]]]
-"""ASGI's receive."""
+"""The `receive` callable of ASGI."""
 
 
-class CallerLeftError(Exception):
-    """The caller closed its connection before its request was whole."""
+class CallerDisconnectedError(Exception):
+    """The caller closed its connection before the request was complete."""
 
 
 class BodyTooLargeError(Exception):
-    """The body exceeds the declared limit."""
+    """The request body exceeds the configured limit."""
 
 
 class CallerApp:
-    """Serves all of a gateway's listeners.
+    """Serves all listeners of a gateway.
 
     Args:
-        settings: Which port serves what.
-        context: What requests share.
-        codec: How requests are written.
-        is_ready: Whether new connections are welcome.
-        should_close: Whether connections should end with their answer.
-        metrics_text: Returns the metrics.
+        settings: Ports of the listeners.
+        context: Parts that all requests of the node share.
+        codec: Parses requests and writes refusals.
+        is_ready: Returns whether the node accepts new connections.
+        should_close: Returns whether connections should be closed after their response.
+        metrics_text: Returns the metrics in the Prometheus text format.
     """
 
     def __init__(
@@ -64,31 +64,31 @@
         if port == self._caller_port:
             await self._serve_caller(scope, receive, send)
         elif port == self._readiness_port:
-            await _answer(
+            await _respond(
                 send, HTTPStatus.OK if self._is_ready() else HTTPStatus.SERVICE_UNAVAILABLE
             )
         else:
-            await _answer(send, HTTPStatus.OK, self._metrics_text())
+            await _respond(send, HTTPStatus.OK, self._metrics_text())
 
     async def _serve_caller(self, scope: Mapping[str, Any], receive: Receive, send: Send) -> None:
         arrived_at_s = self._context.clock()
         request = self._codec.parse(scope)
         if isinstance(request, str):
-            await _answer(send, HTTPStatus.BAD_REQUEST, request.encode())
+            await _respond(send, HTTPStatus.BAD_REQUEST, request.encode())
             return
         responder = Responder(send, self._codec, request.request_id, self._should_close)
         self.num_running += 1
         try:
             body = await self._read_body(receive)
-            await self._run(request, body, responder, receive, arrived_at_s)
+            await self._run_request(request, body, responder, receive, arrived_at_s)
         except BodyTooLargeError:
             await responder.refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
-        except CallerLeftError:
+        except CallerDisconnectedError:
             return
         finally:
             self.num_running -= 1
 
-    async def _run(
+    async def _run_request(
         self,
         request: CallerRequest,
         body: bytes,
@@ -96,7 +96,7 @@
         receive: Receive,
         arrived_at_s: float,
     ) -> None:
-        """Run the request until it ends or the caller leaves."""
+        """Run the request until it ends or the caller disconnects."""
         handler = RequestHandler(self._context, request, body, responder, arrived_at_s)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(_cancel_on_disconnect, receive, tasks.cancel_scope)
@@ -110,7 +110,7 @@
         while True:
             message = await receive()
             if message["type"] == "http.disconnect":
-                raise CallerLeftError
+                raise CallerDisconnectedError
             part = message.get("body", b"")
             num_bytes += len(part)
             if max_bytes is not None and num_bytes > max_bytes:
@@ -128,7 +128,7 @@
             return
 
 
-async def _answer(send: Send, status: HTTPStatus, body: bytes = b"") -> None:
-    headers = [METRICS_TYPE, (b"content-length", str(len(body)).encode())]
+async def _respond(send: Send, status: HTTPStatus, body: bytes = b"") -> None:
+    headers = [METRICS_CONTENT_TYPE, (b"content-length", str(len(body)).encode())]
     await send({"type": "http.response.start", "status": status.value, "headers": headers})
     await send({"type": "http.response.body", "body": body, "more_body": False})
--- a/src/weirscale/gateway/requests/crash_reports.py
+++ b/src/weirscale/gateway/requests/crash_reports.py
@@ -1,4 +1,4 @@
-"""Requests whose back end crashed under them: what is reported, and whether one may be sent on."""
+"""Reports back-end crashes, and tracks which requests may have caused them."""
 
 from collections.abc import Callable
 
@@ -10,24 +10,26 @@
 from weirscale.gateway.quarantine.fingerprint import RequestFingerprint, fingerprint_of
 from weirscale.gateway.quarantine.keeper import Quarantine
 from weirscale.gateway.requests.admission import AdmittedRequest
-from weirscale.gateway.requests.attempt_verdict import CONNECTION_LOST, WHOLE_SUCCESS, Verdict
+from weirscale.gateway.requests.attempt_verdict import CONNECTION_LOST, SUCCESS, Verdict
 from weirscale.gateway.routing.health import BackEndHealth
 from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale.ports.event_log import EventLog
 
 
 class CrashReporter:
-    """Has lost connections looked into and reports the crashes; `crash_check.run` must be running.
+    """Checks back ends after lost connections and reports crashes.
+
+    `crash_check.run` must be running.
 
     Args:
-        cluster: Registrations.
+        cluster: Registrations of the back ends.
         port_of: Returns the port of a back end.
-        quarantine: Requests that crash back ends.
-        health: Circuits.
-        outbox: Gossip.
-        send_gossip_now: Has gossip sent without waiting for the next regular message.
-        event_log: Decisions.
-        clock: Monotonic seconds.
+        quarantine: Tracks requests that crash back ends.
+        health: Circuit breakers of the back ends.
+        outbox: Queues gossip for the other nodes.
+        send_gossip_now: Sends queued gossip without waiting for the next regular message.
+        event_log: Receives the crash events.
+        clock: Returns the current time in monotonic seconds.
     """
 
     def __init__(
@@ -51,7 +53,7 @@
         self._clock = clock
 
     def _report_crash(self, back_end: BackEnd, lost: tuple[InterruptedRequest, ...]) -> None:
-        """Send nothing more to a back end that crashed, and let the other nodes know at once."""
+        """Stop sending requests to a crashed back end, and gossip the crash at once."""
         self._event_log.event(
             "back_end_crashed", instance=back_end.instance, run=back_end.run_id,
             requests=len(lost),
@@ -59,55 +61,57 @@
         self._health.unreachable(back_end.instance, "crashed", self._clock())
         self._cluster.back_ends.mark_crashed(back_end.run_id)
         self._outbox.add_suspect(SuspectGossip(back_end.instance))
-        for one in lost:
-            self.quarantine.note_crash(one.fingerprint, back_end.run_id, one.was_sent_after_crash)
+        for request in lost:
+            self.quarantine.note_crash(
+                request.fingerprint, back_end.run_id, request.was_sent_after_crash
+            )
         self._send_gossip_now()
 
 
 class CrashGuard:
-    """Whether one request may have crashed back ends.
+    """Tracks whether one request may have crashed back ends.
 
     Args:
-        reports: What the node knows of crashes.
+        reporter: Reports crashes, and holds the node's quarantine.
         admitted: The request.
     """
 
-    def __init__(self, reports: CrashReporter, admitted: AdmittedRequest) -> None:
-        self._reports = reports
-        self._quarantine = reports.quarantine
+    def __init__(self, reporter: CrashReporter, admitted: AdmittedRequest) -> None:
+        self._reporter = reporter
+        self._quarantine = reporter.quarantine
         self._admitted = admitted
         self._has_lost_back_end = False
         self.known_fingerprint: RequestFingerprint | None = None
-        """What the request is recognised by; worked out for the few that need it."""
+        """Fingerprint of the request; computed only for the few requests that need it."""
 
     def quarantined_for_s(self) -> float | None:
-        """Return for how long the request is refused, at whichever node it came before.
+        """Return for how many seconds the request is still quarantined, or None if it is not.
 
-        None if it may be sent on.
+        The quarantine covers requests whose earlier tries arrived at other nodes.
         """
         if not self._quarantine.is_tracking_requests():
             return None
         return self._quarantine.remaining_s(self._fingerprint())
 
-    def has_known_crash(self) -> bool:
-        """Whether a back end is known to have crashed under the request before it is sent on."""
+    def is_crash_suspect(self) -> bool:
+        """Return whether a back end may already have crashed while it ran the request."""
         if self._has_lost_back_end or not self._quarantine.is_tracking_requests():
             return self._has_lost_back_end
         return self._quarantine.is_suspect(self._fingerprint())
 
-    def add_verdict(self, back_end: BackEnd, verdict: Verdict, had_known_crash: bool) -> None:
-        """Have found out whether the back end crashed, or report that the request was answered.
+    def add_verdict(self, back_end: BackEnd, verdict: Verdict, was_crash_suspect: bool) -> None:
+        """Request a crash check if the connection was lost, or record that the request succeeded.
 
         Args:
-            back_end: Where the request was sent.
+            back_end: Back end of the attempt.
             verdict: How the attempt ended.
-            had_known_crash: What `has_known_crash` was before the attempt.
+            was_crash_suspect: Result of `is_crash_suspect` before the attempt.
         """
         if verdict.reason in CONNECTION_LOST:
             self._has_lost_back_end = True
-            lost = InterruptedRequest(self._fingerprint(), had_known_crash)
-            self._reports.crash_check.request(back_end, lost)
-        elif verdict == WHOLE_SUCCESS and self._quarantine.is_tracking_requests():
+            lost = InterruptedRequest(self._fingerprint(), was_crash_suspect)
+            self._reporter.crash_check.request(back_end, lost)
+        elif verdict == SUCCESS and self._quarantine.is_tracking_requests():
             self._quarantine.note_answered(self._fingerprint())
 
     def _fingerprint(self) -> RequestFingerprint:
--- a/src/weirscale/gateway/requests/events.py
+++ b/src/weirscale/gateway/requests/events.py
@@ -1,48 +1,52 @@
-"""Cuts a stream into whole events without decoding them, and reads their ids.
+"""Splits a stream into complete events without decoding them, and reads their ids.
 
-Format: server-sent events (WHATWG HTML, section 9.2): events end with a blank line; a line
-`id: TEXT` names one.
+Format: server-sent events (WHATWG HTML, section 9.2). An event ends with a blank line. A line
+`id: TEXT` sets the event's id.
 """
 
 _EVENT_END = b"\n\n"
 _ID_FIELD = b"id:"
 
 
-class EventCutter:
-    """Holds back the unfinished event at the end of what has arrived."""
+class EventSplitter:
+    """Returns complete events and buffers the incomplete event at the end of the data.
+
+    Attributes:
+        last_id: Id of the last complete event that has one; None before the first.
+    """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete = b""
         self.last_id: str | None = None
 
     def feed(self, chunk: bytes) -> bytes:
-        """Take a chunk; returns all events that are now whole, as they came."""
-        data = self._rest + chunk if self._rest else chunk
+        """Add a chunk, and return all events that are now complete, unchanged."""
+        data = self._incomplete + chunk if self._incomplete else chunk
         end = data.rfind(_EVENT_END)
         if end < 0:
-            self._rest = data
+            self._incomplete = data
             return b""
-        cut = end + len(_EVENT_END)
-        whole, self._rest = data[:cut], data[cut:]
-        self._note_last_id(whole)
-        return whole
+        split_at = end + len(_EVENT_END)
+        events, self._incomplete = data[:split_at], data[split_at:]
+        self._record_last_id(events)
+        return events
 
     def take_incomplete(self) -> bytes:
-        """Return what is held back, once the stream has ended."""
-        rest, self._rest = self._rest, b""
-        return rest
+        """Return and clear the buffered data; used at the end of the stream."""
+        incomplete, self._incomplete = self._incomplete, b""
+        return incomplete
 
     def discard_incomplete(self) -> None:
-        """Drop the unfinished event of a broken stream."""
-        self._rest = b""
+        """Discard the incomplete event of an interrupted stream."""
+        self._incomplete = b""
 
-    def _note_last_id(self, whole: bytes) -> None:
-        start = whole.rfind(b"\n" + _ID_FIELD)
+    def _record_last_id(self, events: bytes) -> None:
+        start = events.rfind(b"\n" + _ID_FIELD)
         if start >= 0:
             start += 1
-        elif whole.startswith(_ID_FIELD):
+        elif events.startswith(_ID_FIELD):
             start = 0
         else:
             return
-        end = whole.index(b"\n", start)
-        self.last_id = whole[start + len(_ID_FIELD) : end].strip().decode("latin-1")
+        end = events.index(b"\n", start)
+        self.last_id = events[start + len(_ID_FIELD) : end].strip().decode("latin-1")
--- a/src/weirscale/gateway/requests/overload.py
+++ b/src/weirscale/gateway/requests/overload.py
@@ -1,16 +1,17 @@
-"""Which callers are refused under overload, and when they should come back: pure rules.
+"""Pure rules for load shedding: which requests are refused under overload, and for how long.
 
-A request that waits in a long queue is late and makes others late; one that is refused at once and
-returns later finds the queue shorter. The queue that callers may join is limited to a share of the
-objective. A returning caller may join a longer one than a caller that asks for the first time.
+A request that waits in a long queue is late and makes others late. A request that is refused at
+once and retried later finds a shorter queue. The queue that a request may join is therefore limited
+to a share of the route's objective. A caller's retry may join a longer queue than its first try.
 
-Where prompts are read without end, engines generate one token for each piece that they read, so
-that every stream pauses although no queue is long. So the limit follows what engines do: each
-second in which streams of an engine are silent for longer than their route allows lowers it, each
-second in which engines have no prompt to read raises it. A stretch of reading that passes is borne
-by a reserve that idle engines fill; reading that never ends uses it up and lowers the limit.
+While an engine prefills prompts without interruption, it generates one token for each chunk of
+prefill. All of its streams then pause, although no queue is long. The limit therefore adapts to the
+engines: each second in which an engine's streams pause for longer than their route allows lowers
+it, and each second in which engines have no prompt to prefill raises it. Idle engines also fill a
+reserve. A temporary phase of prefill only uses up the reserve; permanent prefill exhausts the
+reserve and then lowers the limit.
 
-Ways weighed and figures: `docs/design/0015-overload.md`.
+Alternatives and measurements: `docs/design/0015-overload.md`.
 """
 
 import msgspec
@@ -19,50 +20,58 @@
 from weirscale.gateway.routing.candidate import Choice
 
 OBJECTIVE_SHARE = 0.8
-"""A first event estimated later than this multiple of the route's objective is not waited for."""
+"""Maximum estimated time to the first event, as a multiple of the route's objective, at which a
+request may join the queue."""
 
-RETURNING_FACTOR = 3.0
-"""A returning caller may wait for this many times as long, because a second refusal loses it."""
+CALLER_RETRY_FACTOR = 3.0
+"""A caller's retry may wait this many times as long as a first try, because the caller gives up
+after a second refusal."""
 
 IDLE_WAIT_S = 0.05
-"""Seconds. A wait that others cause is no reason for a refusal up to this: the back end is idle."""
+"""Seconds. A back end counts as idle if other requests cause a wait of at most this; the request is
+then not refused."""
 
 FIRST_TRY_SHARE = 0.99
-"""A caller that states this share of its route's time-out, and no more than all of it, asks for
-the first time. One that states more may have asked before."""
+"""A request counts as a first try if its timeout is at least this share of the route's timeout and
+not longer than the route's timeout. A request with a longer timeout may be a retry."""
 
 MIN_RETRY_AFTER_SHARE = 0.02
-"""Smallest share of its time that a caller is sent away for. It must exceed 1 - FIRST_TRY_SHARE, so
-that the caller is known to return."""
+"""Minimum Retry-After as a share of the request's timeout. It must exceed 1 - FIRST_TRY_SHARE, so
+that the retry is recognized as one."""
 
 MAX_RETRY_AFTER_SHARE = 0.3
-"""Largest share of its time that a caller is sent away for. Callers honour up to a third of the
-time that they have left (published protocol of the platform)."""
+"""Maximum Retry-After as a share of the request's timeout. Callers honor a Retry-After of up to a
+third of their remaining time (published protocol of the platform)."""
 
 STALL_COST_PER_S = 1.0
-"""What a second in which all engines stall takes from the limit and its reserve."""
+"""Decrease of the level for each second in which all engines stall."""
 
 IDLE_GAIN_PER_S = 0.3
-"""What a second in which all engines are idle gives back. Its ratio to the cost above sets how the
-time of busy engines is divided: three seconds of stalls to ten without any reading."""
+"""Increase of the level for each second in which all engines are idle. The ratio to
+`STALL_COST_PER_S` determines how the time of busy engines is divided: three seconds of stalls to
+ten seconds without any prefill."""
 
 MAX_IDLE_S = 4.0
-"""What is found idle counts for no longer than this: enough to fill a limit that was used up."""
+"""Maximum time in seconds for which one observation of idle engines counts. It is long enough to
+restore a limit that was used up."""
 
 STALL_RESERVE = 1.0
-"""What idle engines fill beyond the whole limit: with the cost above, stalls of one second. About
-what it takes engines that keep nothing yet to read what their first callers share."""
+"""Reserve above the full limit that idle engines fill; with `STALL_COST_PER_S` it covers stalls of
+one second. That is about the time in which engines with empty caches prefill the prompt parts that
+their first callers share."""
 
 MIN_LIMIT_SHARE = 0.05
-"""The share never falls below this, so that some streams go on showing how things are."""
+"""Minimum share of the limit in force. It admits some streams even under overload, so that the
+state of the engines can still be observed."""
 
 
 class QueueLimit(msgspec.Struct):
-    """How much of the limit on queues is in force for a service.
+    """Adaptive share of the queue limit that is in force for a service.
 
     Attributes:
-        level: The share of the limit in force and, beyond 1, the reserve that stalls use up first.
-        idle_updated_at_s: When it was last known how many engines were idle.
+        level: Share of the limit in force; the part above 1 is the reserve that stalls use up
+            first.
+        idle_updated_at_s: Time of the last observation of idle engines; None before the first.
     """
 
     level: float = 1.0 + STALL_RESERVE
@@ -70,18 +79,26 @@
 
     @property
     def share(self) -> float:
-        """The share of the limit that is in force, from `MIN_LIMIT_SHARE` to 1."""
+        """Share of the limit in force, from `MIN_LIMIT_SHARE` to 1."""
         return min(1.0, self.level)
 
     def record_stall(self, stalled_s: float) -> None:
-        """Take in for how many seconds a service's engines stalled, on average."""
+        """Lower the level for a stall.
+
+        Args:
+            stalled_s: Duration of the stall, averaged over the service's engines.
+        """
         self.level = max(MIN_LIMIT_SHARE, self.level - STALL_COST_PER_S * stalled_s)
 
     def record_idle_share(self, idle_share: float, now_s: float) -> None:
-        """Take in the share of a service's engines that have no prompt to read now.
+        """Raise the level for idle engines.
+
+        The share counts for the time since the last observation, up to `MAX_IDLE_S`. Requests
+        arrive at random times, so the shares observed at their arrivals are right on average.
 
-        It counts for the time since it was last known. Requests come at random times, so what
-        they find is what there is on average.
+        Args:
+            idle_share: Share of the service's engines that have no prompt to prefill now.
+            now_s: The current time.
         """
         if self.idle_updated_at_s is not None:
             idle_s = idle_share * min(MAX_IDLE_S, now_s - self.idle_updated_at_s)
@@ -90,32 +107,33 @@
 
 
 def should_refuse(choice: Choice, route: Route, timeout_s: float | None, limit: QueueLimit) -> bool:
-    """Return whether a request should be refused rather than join the queue here.
+    """Return whether a request should be refused instead of joining the queue of a back end.
 
     Args:
-        choice: The best back end and what is expected of it.
+        choice: The best back end and its estimates.
         route: The request's route.
-        timeout_s: How long the caller waits, or None if it did not say.
-        limit: The limit in force.
+        timeout_s: Timeout of the request; None if the caller did not state one.
+        limit: Queue limit in force.
     """
     if choice.scope is None or timeout_s is None:
         return False
     is_first_try = FIRST_TRY_SHARE <= timeout_s / route.timeout_s <= 1.0
-    others_s = choice.estimate_s - choice.idle_s
+    queue_wait_s = choice.estimate_s - choice.idle_s
     objective_s = OBJECTIVE_SHARE * route.objective_s
-    limit_s = limit.share * objective_s * (1.0 if is_first_try else RETURNING_FACTOR)
-    # A prompt that alone takes longer than the objective is late anyway: only the queue counts.
-    own_s = choice.idle_s if choice.idle_s <= objective_s else 0.0
-    return others_s > max(IDLE_WAIT_S, limit_s - own_s)
+    limit_s = limit.share * objective_s * (1.0 if is_first_try else CALLER_RETRY_FACTOR)
+    # A prompt that takes longer than the objective on an idle engine is late in any case, so only
+    # the wait caused by other requests is compared.
+    own_prompt_s = choice.idle_s if choice.idle_s <= objective_s else 0.0
+    return queue_wait_s > max(IDLE_WAIT_S, limit_s - own_prompt_s)
 
 
 def retry_after_s(choice: Choice, timeout_s: float | None, min_s: float) -> float:
-    """Return after how many seconds a refused caller should come back.
+    """Return after how many seconds a refused caller should retry.
 
     Args:
-        choice: The best back end and what is expected of it.
-        timeout_s: How long the caller waits, or None if it did not say.
-        min_s: Least time.
+        choice: The best back end and its estimates.
+        timeout_s: Timeout of the request; None if the caller did not state one.
+        min_s: Minimum Retry-After; `MAX_RETRY_AFTER_SHARE` of the timeout takes precedence.
     """
     wait_s = max(min_s, choice.estimate_s / 2.0)
     if timeout_s is None:
--- a/src/weirscale/gateway/requests/relay.py
+++ b/src/weirscale/gateway/requests/relay.py
@@ -1,8 +1,8 @@
-"""Passes back ends' answers on to the caller: whole ones at once, streams by whole events.
+"""Relays answers of back ends to the caller, either as a whole or as a stream of complete events.
 
-A stream that breaks off goes on with the next attempt after the last whole event that was passed
-on, so the caller gets each event once and in order. The head waits for the first event: until
-then another attempt may still give another answer.
+If a stream is interrupted, the next attempt resumes it after the last complete event that was
+relayed, so the caller gets each event once and in order. The response head is sent only with the
+first event, because until then another attempt may still produce a different answer.
 """
 
 from collections.abc import Callable
@@ -10,32 +10,37 @@
 
 from weirscale.gateway.ports.back_end import Answer, BodyBrokenError
 from weirscale.gateway.ports.callers import Headers
-from weirscale.gateway.requests.events import EventCutter
+from weirscale.gateway.requests.events import EventSplitter
 from weirscale.gateway.requests.responder import Responder
 
-MAX_WHOLE_ANSWER_BYTES = 16 * 1024 * 1024
-"""Largest answer in bytes that is gathered before it is passed on. Not measured."""
+MAX_BUFFERED_ANSWER_BYTES = 16 * 1024 * 1024
+"""Maximum size in bytes of an answer that is buffered before it is relayed."""
 
 
 class StreamObserver(Protocol):
-    """Follows the stream of one attempt."""
+    """Observes the stream of one attempt."""
 
     def events_arrived(self) -> None:
-        """Whole events have arrived and are about to be passed on."""
+        """Handle the arrival of complete events that are about to be relayed."""
         ...
 
     def paused(self, pause_s: float, began_s: float) -> None:
-        """The stream has paused for `pause_s` since `began_s`, maybe before this attempt began."""
+        """Handle a pause of the stream.
+
+        Args:
+            pause_s: Duration of the pause.
+            began_s: Start of the pause, which may lie before the start of this attempt.
+        """
         ...
 
 
 class AnswerRelay:
-    """The answer of one request, whichever attempts it comes from.
+    """Relays the answer to one request, which may come from several attempts.
 
     Args:
-        responder: The caller's side.
+        responder: Sends the response to the caller.
         arrived_at_s: When the request arrived.
-        clock: Monotonic seconds.
+        clock: Returns the current time in monotonic seconds.
     """
 
     def __init__(
@@ -44,38 +49,38 @@
         self._responder = responder
         self._arrived_at_s = arrived_at_s
         self._clock = clock
-        self._cutter = EventCutter()
+        self._splitter = EventSplitter()
         self._last_event_s: float | None = None
         self.first_byte_s: float | None = None
         """Time from the request's arrival to the first byte of its answer."""
         self.longest_pause_s = 0.0
-        """Longest time between two passed-on pieces of the stream."""
+        """Longest time between two relayed parts of the stream."""
 
     @property
     def has_begun(self) -> bool:
-        """Whether the caller has got the head of an answer."""
+        """Whether the head of a response was sent to the caller."""
         return self._responder.has_begun
 
     @property
     def last_event_id(self) -> str | None:
-        """Id of the last event that was passed on; None before the first that has one."""
-        return self._cutter.last_id
+        """Id of the last relayed event that has one; None before the first."""
+        return self._splitter.last_id
 
-    async def pass_whole(self, status: int, headers: Headers, body: bytes) -> None:
-        """Answer the caller at once."""
+    async def relay_whole(self, status: int, headers: Headers, body: bytes) -> None:
+        """Send a complete answer to the caller."""
         self._set_first_byte()
         await self._responder.send_whole(status, headers, body)
 
-    async def pass_stream(self, answer: Answer, observer: StreamObserver) -> None:
-        """Pass whole events on as they come, to the end of the stream.
+    async def relay_stream(self, answer: Answer, observer: StreamObserver) -> None:
+        """Relay complete events as they arrive, up to the end of the stream.
 
         Raises:
-            BodyBrokenError: The stream ended early; another attempt may go on with it.
+            BodyBrokenError: The stream ended early; another attempt may resume it.
         """
-        cutter, responder = self._cutter, self._responder
-        cutter.discard_incomplete()
+        splitter, responder = self._splitter, self._responder
+        splitter.discard_incomplete()
         async for chunk in answer.body:
-            events = cutter.feed(chunk)
+            events = splitter.feed(chunk)
             if not events:
                 continue
             observer.events_arrived()
@@ -83,13 +88,13 @@
                 await self._send_head(answer)
             self._measure_pause(observer)
             await responder.send_part(events)
-            # A caller that reads slowly holds the stream up here: that is no pause of the engine.
+            # Do not count the time that a slow caller blocks the send as a pause of the engine.
             self._last_event_s = self._clock()
         if not responder.has_begun:
             await self._send_head(answer)
-        rest = cutter.take_incomplete()
-        if rest:
-            await responder.send_part(rest)
+        incomplete = splitter.take_incomplete()
+        if incomplete:
+            await responder.send_part(incomplete)
         await responder.send_end()
 
     async def _send_head(self, answer: Answer) -> None:
@@ -110,16 +115,16 @@
 
 
 async def read_whole_body(answer: Answer) -> bytes:
-    """Read a whole body.
+    """Return the complete body of an answer.
 
     Raises:
-        BodyBrokenError: It ended early or is larger than `MAX_WHOLE_ANSWER_BYTES`.
+        BodyBrokenError: The body ended early or is larger than `MAX_BUFFERED_ANSWER_BYTES`.
     """
     parts: list[bytes] = []
     num_bytes = 0
     async for chunk in answer.body:
         num_bytes += len(chunk)
-        if num_bytes > MAX_WHOLE_ANSWER_BYTES:
+        if num_bytes > MAX_BUFFERED_ANSWER_BYTES:
             raise BodyBrokenError("answer too large")
         parts.append(chunk)
     return b"".join(parts)
--- a/src/weirscale/gateway/requests/request_context.py
+++ b/src/weirscale/gateway/requests/request_context.py
@@ -1,4 +1,4 @@
-"""What the requests of a node share."""
+"""Parts that all requests of a node share."""
 
 from collections.abc import Callable
 
@@ -17,19 +17,19 @@
 
 
 class RequestContext(msgspec.Struct, frozen=True):
-    """The parts of a node that handle its requests.
+    """Parts of a node that handle its requests.
 
     Attributes:
-        clock: Monotonic seconds.
-        admission: Which requests may be sent on.
-        selector: Which back end an attempt goes to.
+        clock: Returns the current time in monotonic seconds.
+        admission: Decides which requests may be sent to back ends.
+        selector: Selects the back end for an attempt.
         port_of: Returns the port of a back end.
-        timeouts: Ends attempts whose back end is silent.
-        retry_budget: Retries that this node may spend.
-        pauses: Timeouts and queue limits, learnt from streams.
-        records: What is recorded of attempts.
-        crash_reporter: Reports of back ends that crashed.
-        log: Lines and counts of requests that have ended.
+        timeouts: Abandons attempts whose back end is silent.
+        retry_budget: This node's part of the shared retry budget.
+        pauses: Timeouts and queue limits derived from the pauses of streams.
+        records: Records attempts.
+        crash_reporter: Reports crashes of back ends.
+        log: Logs and counts requests that have ended.
     """
 
     clock: Callable[[], float]
--- a/src/weirscale/gateway/requests/request_handler.py
+++ b/src/weirscale/gateway/requests/request_handler.py
@@ -1,14 +1,15 @@
-"""One request from its arrival to its end: admission, attempts, answer, log line.
+"""Handles one request from arrival to end: admission, attempts, response and log line.
 
-Where its rules stand:
+The rules are in these modules:
 
-- when it is refused unsent: `admission.py`, `overload.py`, `crash_reports.py` (quarantine);
+- refusal before an attempt: `admission.py`, `overload.py`, `crash_reports.py` (quarantine);
 - what the end of an attempt proves: `attempt_verdict.py`;
-- when it is sent again or given up: `retry_decision.py`;
-- when a silent back end is left: `attempt_timeout.py`, `stream_pauses.py`.
+- retrying or giving up: `retry_decision.py`;
+- abandoning a silent back end: `attempt_timeout.py`, `stream_pauses.py`.
 
-An answer goes to the caller only if it is whole and the request's own. A refusal that promises
-"not run" is given only if no attempt may have run. What is given up is answered at once.
+The caller gets a complete response only from a complete answer that belongs to its request. A
+refusal that promises "not run" is sent only if no attempt may have run. A request that is given up
+is answered at once.
 """
 
 from http import HTTPStatus
@@ -34,19 +35,19 @@
 from weirscale.ports.boot_clock import loop_deadline_s
 
 NO_BACK_END_RETRY_S = 0.25
-"""Seconds after which a refused caller should come back where nothing says more. Callers honour up
-to a third of the time that they have left (published protocol of the platform). Not measured."""
+"""Default Retry-After in seconds. Callers honor a Retry-After of up to a third of their remaining
+time (published protocol of the platform)."""
 
 
 class RequestHandler:
-    """Runs one request.
+    """Handles one request.
 
     Args:
-        context: What requests share.
+        context: Parts that all requests of the node share.
         request: The request.
-        body: Its whole body.
-        responder: The caller's side.
-        arrived_at_s: When its head arrived.
+        body: The complete request body.
+        responder: Sends the response to the caller.
+        arrived_at_s: When the request's head arrived.
     """
 
     def __init__(
@@ -68,10 +69,13 @@
         self._guard: CrashGuard | None = None
         self._choice: Choice | None = None
         self._permit_wait_until_s: float | None = None
-        self._outcome = RequestOutcome.LEFT
+        self._outcome = RequestOutcome.DISCONNECTED
 
     async def run(self) -> None:
-        """Answer the request, or break its answer off."""
+        """Respond to the request, and log it.
+
+        A response that has begun is left incomplete if no attempt can complete it.
+        """
         admission = self._context.admission
         try:
             await admission.wait_for_first_read(self._request.timeout_s)
@@ -83,9 +87,9 @@
                 return
             guard = self._guard = CrashGuard(self._context.crash_reporter, admitted)
             deadline_s = loop_deadline_s(admitted.deadline_s, self._context.clock)
-            with anyio.CancelScope(deadline=deadline_s) as time_left:
+            with anyio.CancelScope(deadline=deadline_s) as deadline_scope:
                 await self._attempt_until_done(admitted, guard)
-            if time_left.cancelled_caught:
+            if deadline_scope.cancelled_caught:
                 await self._time_out()
         finally:
             self._context.log.add(self._summary())
@@ -126,7 +130,13 @@
                 return
 
     async def _wait_for_permit(self, admitted: AdmittedRequest) -> bool:
-        """Wait, for a short time in all, until a back end with a limit may be sent the request."""
+        """Wait until a back end with a request limit may have a permit for the request.
+
+        All waits of a request together last at most `MAX_PERMIT_WAIT_S`.
+
+        Returns:
+            Whether to choose a back end again.
+        """
         now_s = self._context.clock()
         if self._permit_wait_until_s is None:
             self._permit_wait_until_s = now_s + MAX_PERMIT_WAIT_S
@@ -134,7 +144,10 @@
         return await self._context.selector.wait_for_permit(admitted, self._history, left_s)
 
     def _is_overloaded(self, admitted: AdmittedRequest, choice: Choice) -> bool:
-        """Whether the request should be refused because of the queues; not once it was sent."""
+        """Return whether to refuse the request because of the queues.
+
+        A request that has reached a back end is not refused.
+        """
         if self._history.reached:
             return False
         limit = self._context.pauses.queue_limit(admitted.service)
@@ -144,7 +157,7 @@
     async def _give_up(
         self, cause: RequestCause | None, retry_s: float = NO_BACK_END_RETRY_S
     ) -> None:
-        """Answer at once for a request that no attempt has answered."""
+        """Respond to a request that no attempt has answered, or leave its response incomplete."""
         if cause is not None:
             self._history.causes.append(cause)
         failed_answer = self._history.failed_answer
@@ -162,7 +175,7 @@
             await self._refuse(HTTPStatus.SERVICE_UNAVAILABLE, retry_s)
 
     async def _give_up_without_back_end(self, admitted: AdmittedRequest) -> None:
-        """Tell the caller when a back end will be there again, where one has said so."""
+        """Refuse the request, with the time until a back end is available again, if known."""
         first = self._context.selector.first_return(admitted)
         if first is None:
             await self._give_up(RequestCause.NO_BACK_END)
--- a/src/weirscale/gateway/requests/request_log.py
+++ b/src/weirscale/gateway/requests/request_log.py
@@ -1,4 +1,4 @@
-"""The log line and the counts of a request that has ended."""
+"""Logs and counts requests that have ended."""
 
 from weirscale.gateway.durations import MILLISECONDS_PER_S, age_ms
 from weirscale.gateway.limits.quota import QuotaDecision
@@ -15,11 +15,11 @@
     """Logs and counts requests that have ended.
 
     Args:
-        event_log: Takes the lines.
-        metrics: Takes the counts.
-        cluster: The configuration in force and the age of its proof.
-        canary_traffic: Which services have a rollout under way.
-        pauses: Limits on queues.
+        event_log: Receives the log lines.
+        metrics: Receives the counts.
+        cluster: Provides the configuration in force and the age of its proof.
+        canary_traffic: Reports which services have an open rollout.
+        pauses: Provides the queue limits.
     """
 
     def __init__(
--- a/src/weirscale/gateway/requests/responder.py
+++ b/src/weirscale/gateway/requests/responder.py
@@ -1,4 +1,4 @@
-"""The caller's side of one request: its answer is sent once, whole, or visibly broken off."""
+"""Sends the response to one request: once, and either complete or visibly incomplete."""
 
 from collections.abc import Awaitable, Callable
 from http import HTTPStatus
@@ -8,22 +8,22 @@
 from weirscale.gateway.ports.callers import Headers, RequestCodec
 
 Send = Callable[[dict[str, Any]], Awaitable[None]]
-"""ASGI's send."""
+"""The `send` callable of ASGI."""
 
 CONNECTION_CLOSE = (b"connection", b"close")
 
 
 class Responder:
-    """Sends the answer over ASGI.
+    """Sends the response to one request over ASGI.
 
-    An answer that is begun and not completed ends with its connection, without the end mark that
-    a whole answer has.
+    A response that was begun and cannot be completed ends when its connection is closed, without
+    the terminator of a complete response.
 
     Args:
-        send: ASGI's send.
-        codec: Writes refusals.
-        request_id: The caller's id.
-        should_close: Whether the connection should end with the answer.
+        send: The `send` callable of ASGI.
+        codec: Writes the headers of refusals.
+        request_id: Request id that the caller stated.
+        should_close: Returns whether the connection should be closed after the response.
     """
 
     def __init__(
@@ -42,19 +42,19 @@
         self.status = 0
 
     async def refuse(self, status: HTTPStatus, retry_after_s: float | None = None) -> None:
-        """Answer on the gateway's own behalf."""
+        """Send a refusal of the gateway, with a Retry-After if `retry_after_s` is given."""
         headers = self._codec.refusal_headers(self._request_id, retry_after_s)
         await self.send_whole(status.value, headers, b"")
 
     async def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
-        """Answer at once."""
+        """Send a complete response."""
         length = (b"content-length", str(len(body)).encode())
         await self.send_head(status, (*headers, length))
         self.has_ended = True
         await self._send({"type": "http.response.body", "body": body, "more_body": False})
 
     async def send_head(self, status: int, headers: Headers) -> None:
-        """Send the head."""
+        """Send the head of the response."""
         self.has_begun = True
         self.status = status
         if self._should_close():
@@ -68,6 +68,6 @@
         await self._send({"type": "http.response.body", "body": data, "more_body": True})
 
     async def send_end(self) -> None:
-        """Send the end mark."""
+        """Send the end of the response."""
         self.has_ended = True
         await self._send({"type": "http.response.body", "body": b"", "more_body": False})
--- a/src/weirscale/gateway/requests/retry_decision.py
+++ b/src/weirscale/gateway/requests/retry_decision.py
@@ -1,19 +1,21 @@
-"""What may follow an attempt: whether a request is sent again or given up, in one place.
+"""Decides after an attempt whether a request is retried or given up.
 
-An attempt that never reached a back end costs nothing, so another one follows while time is left
-and a back end is left that was not found gone.
-Any other one is followed only if
+An attempt that never reached a back end costs nothing. It is followed by another one while time is
+left and there is a back end that was not found unreachable.
+
+Any other attempt is followed by another one only if
 
 - time is left,
-- the request cannot have run, or its route says that it may run twice,
-- the route's attempts are not used up, and
-- the shared retry budget has a retry.
+- the request cannot have run, or its route allows it to run twice,
+- the route's maximum number of attempts is not reached, and
+- the shared retry budget has a retry left.
 
-An answer that has begun cannot be refused any more, only broken off. For it a refusal that proves
-that nothing ran does not use up an attempt of the route, a few times.
+Once an answer has begun, the request can no longer be refused, and giving up cuts the answer short.
+In that case up to `MAX_FREE_REFUSALS` refusals that prove "not run" do not count as attempts of the
+route.
 
-A back end that is silent is left under the same conditions, checked beforehand, and only where
-another back end could take over.
+An attempt at a silent back end is abandoned under the same conditions, which are checked
+beforehand, and only if another back end could take over.
 """
 
 import enum
@@ -31,20 +33,21 @@
 from weirscale.gateway.telemetry.request_summary import RequestCause
 
 MIN_ATTEMPT_S = 0.02
-"""With less time left, in seconds, an attempt is not worth beginning. Not measured."""
+"""Minimum time in seconds that must be left to start another attempt."""
 
 MAX_FREE_REFUSALS = 3
-"""Refusals after the beginning of an answer that use up no attempt. The shared retry budget bounds
-them for all requests; this keeps one request from spending it on back ends that are all full."""
+"""Maximum number of refusals that do not count as attempts once an answer has begun; with more, all
+of them count. The shared retry budget bounds them for all requests together. This limit keeps a
+single request from spending that budget when all back ends are full."""
 
 
 class FailedAnswer(msgspec.Struct, frozen=True):
-    """A back end's answer that it ran the request and failed.
+    """Answer of a back end that ran the request and failed.
 
     Attributes:
         status: HTTP status.
         headers: End-to-end header fields.
-        body: Its whole body.
+        body: The complete body.
     """
 
     status: int
@@ -53,19 +56,20 @@
 
 
 class AttemptHistory(msgspec.Struct):
-    """What the attempts at one request have left behind.
+    """Combined results of all attempts at one request.
 
     Attributes:
-        num_attempts: Attempts begun.
-        tried: Back ends of all attempts; another attempt prefers others.
-        reached: Those of them that a connection was made to.
-        refused: Those of the reached ones that have only refused it, and proved that nothing ran.
-        num_refusals: How often that was.
-        unreachable: Those of them that could not be reached when they were last asked.
+        num_attempts: Number of attempts started.
+        tried: Back ends of all attempts; the next attempt prefers others.
+        reached: Back ends in `tried` to which a connection was made.
+        refused: Back ends in `reached` that have only refused the request, with proof that it did
+            not run.
+        num_refusals: Number of all refusals with proof that the request did not run.
+        unreachable: Back ends in `tried` that could not be reached when they were last tried.
         may_have_run: Whether any attempt may have run the request.
-        holds_retry: Whether a retry of the shared budget was taken for the next attempt.
-        failed_answer: The last answer that the request failed at a back end.
-        causes: What kept it from being answered, for the log.
+        holds_retry: Whether a retry of the shared budget was already taken for the next attempt.
+        failed_answer: Last answer of a back end that ran the request and failed.
+        causes: Why the request was not answered, for the log.
     """
 
     num_attempts: int = 0
@@ -80,7 +84,7 @@
     causes: list[str] = msgspec.field(default_factory=list)
 
     def add_verdict(self, instance: InstanceId, verdict: Verdict) -> None:
-        """Take in how an attempt at a back end ended."""
+        """Add the verdict on an attempt at a back end."""
         if verdict.end is AttemptEnd.NEVER_SENT:
             self.unreachable.add(instance)
         else:
@@ -100,10 +104,10 @@
         self.reached.add(instance)
 
     def num_used_attempts(self, has_begun: bool) -> int:
-        """Return how many attempts of the route are used up.
+        """Return how many attempts count towards the route's maximum.
 
         Args:
-            has_begun: Whether the caller has the beginning of an answer.
+            has_begun: Whether the caller has received the beginning of an answer.
         """
         if has_begun and self.num_refusals <= MAX_FREE_REFUSALS:
             return len(self.reached) - len(self.refused)
@@ -111,11 +115,12 @@
 
 
 class GiveUpReason(enum.Enum):
-    """Why no attempt may follow; the value is its cause for the log, if it has one."""
+    """Why no further attempt may follow; the value is the cause for the log, or None."""
 
     NO_TIME = RequestCause.NO_TIME
     MAY_HAVE_RUN = None
-    """The route does not allow it to run twice; the attempt's own reason is logged."""
+    """The request may have run, and its route does not allow it to run twice. The log has only the
+    attempt's own reason."""
     MAX_ATTEMPTS = RequestCause.MAX_ATTEMPTS
     RETRY_BUDGET = RequestCause.RETRY_BUDGET
 
@@ -128,15 +133,15 @@
     has_begun: bool,
     take_retry: Callable[[], bool],
 ) -> GiveUpReason | None:
-    """Return why a request that is not answered is given up, or None if it is sent again.
+    """Return why an unanswered request is given up, or None if it is retried.
 
     Args:
         last_end: How the last attempt ended.
-        history: What all attempts have left behind; a retry that it holds is used up.
+        history: Results of all attempts. If it holds a retry, a decision to retry uses that up.
         route: The request's route.
         time_left_s: Time until the request's deadline.
-        has_begun: Whether the caller has the beginning of an answer.
-        take_retry: Takes a retry of the shared budget; False if none is left.
+        has_begun: Whether the caller has received the beginning of an answer.
+        take_retry: Takes a retry from the shared budget; returns False if none is left.
     """
     if time_left_s < MIN_ATTEMPT_S:
         return GiveUpReason.NO_TIME
@@ -152,13 +157,13 @@
     return None
 
 
-def may_leave_when_silent(history: AttemptHistory, route: Route, num_candidates: int) -> bool:
-    """Whether a silent back end may be left for another one, given a retry to spend.
+def may_abandon_when_silent(history: AttemptHistory, route: Route, num_candidates: int) -> bool:
+    """Return whether a silent attempt may be abandoned for another back end, given a retry.
 
     Args:
-        history: What the attempts before this one have left behind.
+        history: Results of the earlier attempts.
         route: The request's route.
-        num_candidates: How many back ends this one was chosen from.
+        num_candidates: Number of back ends that the current one was chosen from.
     """
     has_attempts = len(history.reached) + 1 < route.max_attempts
     return route.is_retryable and has_attempts and num_candidates > 1
@@ -169,8 +174,8 @@
 
     Args:
         budget: The shared budget.
-        peers: Other nodes that may run.
-        clock: Monotonic seconds.
+        peers: Directory of the other nodes that may be running.
+        clock: Returns the current time in monotonic seconds.
     """
 
     def __init__(
@@ -181,5 +186,5 @@
         self._clock = clock
 
     def try_take(self, service: ServiceName) -> bool:
-        """Spend one retry; False if none is left."""
+        """Take one retry; return False if none is left."""
         return self._budget.try_take(service, self._peers.num_nodes(), self._clock())
--- a/src/weirscale/gateway/requests/stream_pauses.py
+++ b/src/weirscale/gateway/requests/stream_pauses.py
@@ -1,6 +1,6 @@
-"""What streams have shown of a service's engines: usual pauses, and the limit on queues.
+"""Tracks the pauses of streams by service, and derives timeouts and queue limits from them.
 
-Sets the two timeouts of an attempt: until its first event, and between two events.
+Determines both timeouts of an attempt: until its first event, and between two events.
 """
 
 import math
@@ -15,34 +15,33 @@
 from weirscale.gateway.routing.candidate import Choice
 
 FIRST_EVENT_OBJECTIVE_FACTOR = 1.2
-"""First-event timeout as a multiple of the route's objective. Paired plays of overloaded days at
-two sites: worth 0.663 and 0.694 with 1.2, 0.655 and 0.672 with 0.6."""
+"""First-event timeout as a multiple of the route's objective. Under overload at two sites, 1.2 gave
+scores of 0.663 and 0.694, whereas 0.6 gave 0.655 and 0.672."""
 
 FIRST_EVENT_ESTIMATE_FACTOR = 3.0
-"""The first-event timeout is at least this multiple of the estimated time."""
+"""Minimum first-event timeout as a multiple of the estimated time to the first event."""
 
 STALL_FACTOR = 1.5
 """Stall timeout as a multiple of the longest pause that the route allows."""
 
-USUAL_PAUSE_FACTOR = 3.0
-"""The stall timeout is at least this multiple of the usual pause: where all engines read long
-prompts, all streams pause, and another engine would only read the prompt once more. Streams cut at
-pauses of 0.75 s were read again and paused as well; the figure alone is not measured
-(`docs/design/0015-overload.md`)."""
+AVERAGE_PAUSE_FACTOR = 3.0
+"""Minimum stall timeout as a multiple of the average pause. While all engines prefill long prompts,
+all streams pause, and another engine would only repeat the prefill. Streams that were abandoned
+after pauses of 0.75 s were prefilled again and paused as well (`docs/design/0015-overload.md`)."""
 
 PAUSE_WEIGHT = 0.02
-"""Weight of one pause in the usual pause, so that some 50 pauses count."""
+"""Weight of one pause in the moving average of pauses, which covers about 50 pauses."""
 
 DEFAULT_MAX_PAUSE_S = 0.5
-"""Longest pause in seconds that a route allows that does not say."""
+"""Longest allowed pause in seconds on a route that does not state one."""
 
 
 class _EngineStreams(msgspec.Struct):
-    """Streams of this node at one engine that have begun and not ended.
+    """Open streams of this node at one engine, from their first event to their end.
 
     Attributes:
-        num_open: How many.
-        stalled_until_s: Until when stalls of the engine have been counted.
+        num_open: Number of open streams.
+        stalled_until_s: Time up to which stalls of the engine have been counted.
     """
 
     num_open: int = 0
@@ -50,45 +49,45 @@
 
 
 class StreamPauses:
-    """Pauses of streams as this node sees them, by service.
+    """Pauses of this node's streams, by service.
 
-    Streams that one engine leaves silent at the same time show one stall, not one each.
+    Simultaneous pauses of several streams at one engine count as a single stall.
     """
 
     def __init__(self) -> None:
-        self._usual_pause_s: dict[ServiceName, float] = {}
+        self._average_pause_s: dict[ServiceName, float] = {}
         self._queue_limits: dict[ServiceName, QueueLimit] = {}
         self._engines: dict[ServiceName, dict[InstanceId, _EngineStreams]] = {}
 
     def first_event_timeout_s(self, route: Route, choice: Choice) -> float:
-        """Return how long a back end may be silent before its first event."""
+        """Return the maximum time in seconds until the first event of an attempt."""
         return max(
             FIRST_EVENT_OBJECTIVE_FACTOR * route.objective_s,
             FIRST_EVENT_ESTIMATE_FACTOR * choice.estimate_s,
         )
 
     def stall_timeout_s(self, route: Route, service: ServiceName) -> float:
-        """Return how long a stream may be silent between two events."""
-        usual_s = self._usual_pause_s.get(service, 0.0)
-        longest_s = route.max_pause_s or DEFAULT_MAX_PAUSE_S
-        return max(STALL_FACTOR * longest_s, USUAL_PAUSE_FACTOR * usual_s)
+        """Return the maximum time in seconds between two events of a stream."""
+        average_s = self._average_pause_s.get(service, 0.0)
+        max_pause_s = route.max_pause_s or DEFAULT_MAX_PAUSE_S
+        return max(STALL_FACTOR * max_pause_s, AVERAGE_PAUSE_FACTOR * average_s)
 
     def queue_limit(self, service: ServiceName) -> QueueLimit:
-        """Return the limit on the queues of a service."""
+        """Return the queue limit of a service, creating it if necessary."""
         return self._queue_limits.setdefault(service, QueueLimit())
 
     def record_pause(self, service: ServiceName, pause_s: float) -> None:
-        """Learn from a pause between two events of one attempt."""
-        usual_s = self._usual_pause_s.get(service, pause_s)
-        self._usual_pause_s[service] = usual_s + PAUSE_WEIGHT * (pause_s - usual_s)
+        """Add a pause between two events of one attempt to the service's average."""
+        average_s = self._average_pause_s.get(service, pause_s)
+        self._average_pause_s[service] = average_s + PAUSE_WEIGHT * (pause_s - average_s)
 
     def stream_began(self, engine: BackEnd) -> None:
-        """A stream has had its first event from an engine."""
+        """Record the first event of a stream from an engine."""
         engines = self._engines.setdefault(engine.service, {})
         engines.setdefault(engine.instance, _EngineStreams()).num_open += 1
 
     def stream_ended(self, engine: BackEnd) -> None:
-        """A stream that had begun has ended at an engine."""
+        """Record the end of a stream for which `stream_began` was called."""
         engines = self._engines[engine.service]
         streams = engines[engine.instance]
         streams.num_open -= 1
@@ -96,20 +95,20 @@
             del engines[engine.instance]
 
     def record_stall(self, engine: BackEnd, route: Route, pause_s: float, now_s: float) -> None:
-        """Learn from a pause between two events of a stream that has begun.
+        """Lower the queue limit if an open stream paused for longer than its route allows.
 
         Args:
-            engine: Whose stream it is.
-            route: Its route.
-            pause_s: How long it was silent until now.
-            now_s: The time.
+            engine: Engine that the stream comes from.
+            route: Route of the request.
+            pause_s: Duration of the pause, which ends now.
+            now_s: The current time.
         """
-        too_long_s = pause_s - (route.max_pause_s or DEFAULT_MAX_PAUSE_S)
-        if too_long_s <= 0.0:
+        excess_s = pause_s - (route.max_pause_s or DEFAULT_MAX_PAUSE_S)
+        if excess_s <= 0.0:
             return
         engines = self._engines[engine.service]
         streams = engines[engine.instance]
-        stalled_s = now_s - max(now_s - too_long_s, streams.stalled_until_s)
+        stalled_s = now_s - max(now_s - excess_s, streams.stalled_until_s)
         if stalled_s > 0.0:
             streams.stalled_until_s = now_s
             self.queue_limit(engine.service).record_stall(stalled_s / len(engines))
--- a/src/weirscale/gateway/telemetry/line_log.py
+++ b/src/weirscale/gateway/telemetry/line_log.py
@@ -1,7 +1,7 @@
-"""The decision log: bounded lines through eliot, written by one task that never blocks.
+"""The decision log: rate-limited lines through eliot, written by one task without blocking.
 
-Past the budget of lines, ordinary successes are dropped first; refusals, failures and changes of
-belief last. What was dropped is counted and logged.
+Beyond the rate limit, lines of answered requests are dropped first. Refusals, failures and state
+changes are dropped last. Dropped lines are counted, and the count is logged.
 """
 
 import os
@@ -15,31 +15,30 @@
 from weirscale.ports.event_log import render_line
 
 MAX_QUEUED_LINES = 2_000
-"""Lines that wait for the reader of the log; beyond it lines are dropped. Bounds memory; not
-measured."""
+"""Maximum number of lines that wait to be written; further lines are dropped. Bounds the memory."""
 
 FLUSH_INTERVAL_S = 0.1
-"""Seconds between two writes. Not measured."""
+"""Seconds between two flushes."""
 
 MAX_BYTES_PER_WRITE = 32 * 1024
-"""Bytes handed to the descriptor at once. Not measured."""
+"""Size in bytes at which a block for one write is full; its last line may exceed it."""
 
 ORDINARY_LINES_PER_S = 200.0
-"""Lines a second for requests that were answered; the rest is dropped and counted. Not measured."""
+"""Maximum rate of lines for answered requests; further ones are dropped and counted."""
 
 LINES_PER_S = 600.0
-"""Lines a second of all kinds. Not measured."""
+"""Maximum rate of lines of all kinds together."""
 
 ORDINARY_EVENT = "request_ended"
 ORDINARY_OUTCOME = "answered"
 
 
-class _LineBudget:
-    """A bucket of lines that holds one second's worth."""
+class _LineTokenBucket:
+    """A token bucket for lines; its capacity is the number of lines of one second."""
 
-    def __init__(self, lines_a_second: float) -> None:
-        self._rate = lines_a_second
-        self._tokens = lines_a_second
+    def __init__(self, lines_per_s: float) -> None:
+        self._rate = lines_per_s
+        self._tokens = lines_per_s
         self._filled_at_s = time.monotonic()
 
     def try_take(self) -> bool:
@@ -53,25 +52,25 @@
 
 
 class LineLog:
-    """An event log with a bounded queue; `run` writes it out.
+    """An event log with a bounded queue; `run` writes the queued lines.
 
     Args:
-        descriptor: Where lines go; set to non-blocking mode.
-        fields: Added to each line.
+        descriptor: File descriptor to write to; `install` sets it to non-blocking mode.
+        fields: Fields that are added to each line.
     """
 
     def __init__(self, descriptor: int, **fields: object) -> None:
         self._descriptor = descriptor
         self._fields = fields
         self._lines: deque[bytes] = deque()
-        self._rest = b""
-        self._ordinary = _LineBudget(ORDINARY_LINES_PER_S)
-        self._all = _LineBudget(LINES_PER_S)
+        self._unwritten = b""
+        self._ordinary_bucket = _LineTokenBucket(ORDINARY_LINES_PER_S)
+        self._all_lines_bucket = _LineTokenBucket(LINES_PER_S)
         self.num_dropped = 0
-        self._num_logged = 0
+        self._num_drops_logged = 0
 
     def event(self, name: str, **fields: object) -> None:
-        """Log one event, or count it as dropped; never blocks."""
+        """Log one event without blocking, or count it as dropped."""
         if not self._may_log(name, fields.get("outcome")):
             self.num_dropped += 1
             return
@@ -83,42 +82,42 @@
         if len(self._lines) >= MAX_QUEUED_LINES:
             return False
         is_ordinary = name == ORDINARY_EVENT and outcome == ORDINARY_OUTCOME
-        if is_ordinary and not self._ordinary.try_take():
+        if is_ordinary and not self._ordinary_bucket.try_take():
             return False
-        return self._all.try_take()
+        return self._all_lines_bucket.try_take()
 
     def take_message(self, message: Mapping[str, object]) -> None:
-        """Queue an eliot message; registered as eliot's destination."""
+        """Queue an eliot message; `install` registers this as a destination of eliot."""
         self._lines.append(render_line(message).encode() + b"\n")
 
     def install(self) -> None:
-        """Make this the destination of eliot's messages."""
+        """Set the descriptor to non-blocking mode, and register as a destination of eliot."""
         os.set_blocking(self._descriptor, False)
         eliot.add_destinations(self.take_message)  # type: ignore[no-untyped-call]
 
     async def run(self) -> None:
-        """Write lines until cancelled."""
+        """Write queued lines periodically until cancelled."""
         while True:
             await sleep_to_tick(FLUSH_INTERVAL_S)
             self._log_dropped()
             self.flush()
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
-        while self._rest or self._lines:
-            if not self._rest:
-                self._rest = self._next_block()
+        """Write as much as possible without blocking."""
+        while self._unwritten or self._lines:
+            if not self._unwritten:
+                self._unwritten = self._next_block()
             try:
-                written = os.write(self._descriptor, self._rest)
+                num_written = os.write(self._descriptor, self._unwritten)
             except BlockingIOError:
-                # The reader is slow: the rest waits for the next flush.
+                # The reader is slow: the remaining lines wait for the next flush.
                 return
             except OSError:
-                # Nobody reads the log any more, so there is nowhere to report it.
-                self._rest = b""
+                # The reader has closed the log, so there is nowhere to report the error.
+                self._unwritten = b""
                 self._lines.clear()
                 return
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[num_written:]
 
     def _next_block(self) -> bytes:
         block: list[bytes] = []
@@ -130,6 +129,6 @@
         return b"".join(block)
 
     def _log_dropped(self) -> None:
-        if self.num_dropped != self._num_logged and self._all.try_take():
+        if self.num_dropped != self._num_drops_logged and self._all_lines_bucket.try_take():
             self.event("log_lines_dropped", total=self.num_dropped)
-            self._num_logged = self.num_dropped
+            self._num_drops_logged = self.num_dropped
--- a/src/weirscale/gateway/telemetry/metrics.py
+++ b/src/weirscale/gateway/telemetry/metrics.py
@@ -1,7 +1,8 @@
-"""Metrics of a gateway process, by the standard client library.
+"""Metrics of a gateway process, exported with the Prometheus client library.
 
-Names, labels and help texts are read by operators and keep their wording whatever the code calls
-things. Label sets are bounded: routes and back ends come and go, so neither is a label.
+Operators rely on the names, labels and help texts, so these keep their wording even where the code
+uses other terms. The number of label values is bounded: routes and back ends are not used as
+labels, because they come and go.
 """
 
 from functools import partial
@@ -14,21 +15,22 @@
 from weirscale.gateway.telemetry.request_summary import RequestSummary
 
 NEVER_PROVED_AGE_S = 1e9
-"""Seconds; stands for the age of a state that was never proved, so that graphs have a number."""
+"""Exported age in seconds of a state that was never proved current, so that graphs get a finite
+number."""
 
 MAX_TENANT_LABELS = 32
-"""Tenants with a label of their own, in the order in which they are first seen. Bounds the series
-that a node exports; not measured."""
+"""Maximum number of tenants with their own label value, in the order in which they are first seen.
+Bounds the number of time series that a node exports."""
 
 OTHER_TENANTS = "others"
 
 LATENCY_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4)
-"""Upper bounds, in seconds, of the buckets for times to the first byte: each doubles the one before
-or nearly so. Not measured."""
+"""Upper bounds in seconds of the histogram buckets for the time to the first byte. Each is about
+twice the previous one."""
 
 
 class _RequestMetrics:
-    """Counts requests as they end."""
+    """Counts requests that have ended."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         counter = partial(Counter, registry=registry)
@@ -85,7 +87,7 @@
 
 
 class _NodeGauges:
-    """Shows figures that are read when somebody asks."""
+    """Gauges that are updated at each scrape."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         gauge = partial(Gauge, registry=registry)
@@ -123,42 +125,42 @@
             "weirscale_log_lines_dropped", "Log lines dropped since the start"
         )
 
-    def show(self, figures: GaugeValues, tenant_labels: "_TenantLabels") -> None:
-        """Take over the figures."""
-        self._state_age.set(min(figures.state_age_s, NEVER_PROVED_AGE_S))
-        self._configuration_version.set(figures.configuration_version)
-        self._back_ends.set(figures.num_back_ends)
-        self._displaced.set(figures.num_displaced)
-        self._lease_held.set(1 if figures.holds_lease else 0)
-        for service, share in figures.queue_shares.items():
+    def update(self, values: GaugeValues, tenant_labels: "_TenantLabels") -> None:
+        """Set all gauges to the given values."""
+        self._state_age.set(min(values.state_age_s, NEVER_PROVED_AGE_S))
+        self._configuration_version.set(values.configuration_version)
+        self._back_ends.set(values.num_back_ends)
+        self._displaced.set(values.num_displaced)
+        self._lease_held.set(1 if values.holds_lease else 0)
+        for service, share in values.queue_shares.items():
             self._queue_share.labels(service).set(share)
-        for tenant, left in figures.quota_levels.items():
+        for tenant, left in values.quota_levels.items():
             if tenant_labels.label_of(tenant) == tenant:
                 self._quota_left.labels(tenant).set(left)
-        self._suspects.set(figures.num_suspects)
-        self._quarantined.set(figures.num_quarantined)
+        self._suspects.set(values.num_suspects)
+        self._quarantined.set(values.num_quarantined)
         self._rollout_stage.clear()
-        for service, stage in figures.rollout_stages.items():
+        for service, stage in values.rollout_stages.items():
             self._rollout_stage.labels(service, stage).set(1)
-        for service, left in figures.retries_left.items():
+        for service, left in values.retries_left.items():
             self._retry_budget_left.labels(service).set(left)
 
 
 class _TenantLabels:
-    """Bounds the labels of tenants."""
+    """Bounds the number of label values for tenants."""
 
     def __init__(self) -> None:
         self._labels: set[str] = set()
 
     def label_of(self, tenant: str) -> str:
-        """Return the label of a tenant; those beyond the bound share one."""
+        """Return the label value of a tenant; tenants beyond the maximum share one."""
         if len(self._labels) < MAX_TENANT_LABELS:
             self._labels.add(tenant)
         return tenant if tenant in self._labels else OTHER_TENANTS
 
 
 class GatewayMetrics:
-    """The metrics of one process."""
+    """The metrics of one gateway process."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -183,17 +185,17 @@
         self._store_calls.labels(kind, result).inc()
 
     def count_rollout_end(self, service: ServiceName, side: str, end: str) -> None:
-        """Count an attempt under a rollout."""
+        """Count an attempt during a rollout by the side it went to and how it ended."""
         self._rollout_requests.labels(service, side, end).inc()
 
-    def text(self, figures: GaugeValues) -> bytes:
-        """Return all metrics in the text format of Prometheus."""
-        self._gauges.show(figures, self._tenant_labels)
+    def text(self, values: GaugeValues) -> bytes:
+        """Update the gauges, and return all metrics in the Prometheus text format."""
+        self._gauges.update(values, self._tenant_labels)
         return generate_latest(self.registry)
 
 
 def _shared_read_tokens(summary: RequestSummary) -> int:
-    """Return the tokens of shared blocks that an engine was expected to read (again)."""
+    """Return how many tokens of shared prompt blocks the engine was expected to prefill."""
     prompt, choice = summary.request.prompt, summary.choice
     if prompt is None or choice is None or not prompt.blocks:
         return 0
--- a/src/weirscale/gateway/telemetry/metrics_choice.py
+++ b/src/weirscale/gateway/telemetry/metrics_choice.py
@@ -1,17 +1,17 @@
-"""Chooses the metrics of a node: whether anybody can ask for them.
+"""Creates the metrics of a node.
 
-The client library of the metrics costs 0.09 s of a node's start and 2 MB. Without an address to ask
-at it is not loaded.
+The Prometheus client library adds 0.09 s to the start of a node and takes 2 MB of memory, so it is
+loaded only if the settings have an address for metrics.
 """
 
 from weirscale.gateway.settings import GatewaySettings
-from weirscale.gateway.telemetry.node_metrics import NodeMetrics, NoMetrics
+from weirscale.gateway.telemetry.node_metrics import NodeMetrics, NullMetrics
 
 
 def new_metrics(settings: GatewaySettings) -> NodeMetrics:
-    """Return the metrics of a node with these settings."""
+    """Return the metrics of a node, or a no-op implementation if it has no metrics address."""
     if settings.metrics is None:
-        return NoMetrics()
+        return NullMetrics()
     from weirscale.gateway.telemetry.metrics import GatewayMetrics
 
     return GatewayMetrics()
--- a/src/weirscale/gateway/telemetry/node_metrics.py
+++ b/src/weirscale/gateway/telemetry/node_metrics.py
@@ -1,4 +1,4 @@
-"""What a node counts: the interface, and the one that counts nothing."""
+"""The interface for a node's metrics, and its no-op implementation."""
 
 from collections.abc import Mapping
 from typing import Protocol
@@ -10,21 +10,21 @@
 
 
 class GaugeValues(msgspec.Struct, frozen=True):
-    """Figures that are read off when somebody asks.
+    """Values of a node's gauges at one scrape.
 
     Attributes:
         state_age_s: Time since the platform's state was proved current.
-        configuration_version: Version in force, 0 for none.
-        num_back_ends: Back ends in use: registered, one for each address.
-        num_displaced: Times since the start that a back end was not used any more because another
-            run was taken for the process at its address.
-        holds_lease: Whether this node gives orders.
+        configuration_version: Version of the configuration in force; 0 if there is none.
+        num_back_ends: Number of registered back ends in use, one for each address.
+        num_displaced: How often since the start a back end was displaced, because another run was
+            presumed to be the process at its address.
+        holds_lease: Whether this node holds the lease that permits it to issue orders.
         retries_left: Retries that may be spent now, by service.
-        queue_shares: Share of the limit on queues that is in force, by service.
-        quota_levels: What is left of each quota, in its unit, by tenant.
-        rollout_stages: How far each service's rollout is.
-        num_suspects: Requests that back ends crashed under of late.
-        num_quarantined: Requests that are refused for that.
+        queue_shares: Share of the queue limit in force, by service.
+        quota_levels: Remaining quota, in the unit of the quota, by tenant.
+        rollout_stages: Stage of the rollout, by service.
+        num_suspects: Number of requests during which back ends crashed recently.
+        num_quarantined: Number of requests that are refused because of such crashes.
     """
 
     state_age_s: float
@@ -41,7 +41,7 @@
 
 
 class NodeMetrics(Protocol):
-    """Counts what happens at a node."""
+    """Metrics of a node."""
 
     def count_request(self, summary: RequestSummary) -> None:
         """Count a request that has ended."""
@@ -52,16 +52,16 @@
         ...
 
     def count_rollout_end(self, service: ServiceName, side: str, end: str) -> None:
-        """Count an attempt under a rollout."""
+        """Count an attempt during a rollout by the side it went to and how it ended."""
         ...
 
-    def text(self, figures: GaugeValues) -> bytes:
-        """Return all figures as text."""
+    def text(self, values: GaugeValues) -> bytes:
+        """Return all metrics as text, with these gauge values."""
         ...
 
 
-class NoMetrics:
-    """Counts nothing, where nobody can ask."""
+class NullMetrics:
+    """No-op metrics for a node without a metrics address."""
 
     def count_request(self, summary: RequestSummary) -> None:
         """Do nothing."""
@@ -72,6 +72,6 @@
     def count_rollout_end(self, service: ServiceName, side: str, end: str) -> None:
         """Do nothing."""
 
-    def text(self, figures: GaugeValues) -> bytes:
-        """Return nothing."""
+    def text(self, values: GaugeValues) -> bytes:
+        """Return an empty text."""
         return b""
--- a/src/weirscale/gateway/telemetry/request_summary.py
+++ b/src/weirscale/gateway/telemetry/request_summary.py
@@ -1,4 +1,4 @@
-"""What is logged and counted of a request when it ends: its outcome, causes and figures."""
+"""The summary of a request that has ended, for logs and metrics."""
 
 import enum
 
@@ -15,34 +15,35 @@
 class RequestCause(enum.StrEnum):
     """Why a request was refused, given up or timed out; listed in the log field `causes`.
 
-    The same field lists failed attempts, each as INSTANCE:REASON (`requests/attempt_verdict.py`).
+    The field also lists unsuccessful attempts, each as INSTANCE:REASON
+    (`requests/attempt_verdict.py`).
     """
 
     NO_CONFIGURATION = "no_configuration"
     """The node has not read a configuration yet."""
     CONFIGURATION_UNPROVED = "configuration_unproved"
-    """The route needs a key, and the configuration is not proved to be current."""
+    """The route requires a key, and the configuration is not proved to be current."""
     NO_ROUTE = "no_route"
     UNKNOWN_KEY = "unknown_key"
     OVER_QUOTA = "over_quota"
-    """The tenant's quota has no room now."""
-    NEVER_IN_QUOTA = "never_in_quota"
-    """The request alone costs more than the tenant's quota ever holds."""
+    """The tenant's quota has no room for the request now."""
+    EXCEEDS_QUOTA = "never_in_quota"
+    """The request alone costs more than the tenant's quota can ever hold."""
     QUARANTINED = "quarantined"
-    """Back ends crashed under the request."""
+    """Back ends crashed while they ran the request."""
     NO_BACK_END = "no_back_end"
-    """No back end takes work."""
+    """No back end accepts requests."""
     RESTING = "resting"
-    """All back ends that might take it have asked for a rest."""
+    """All back ends that could run the request have asked for a rest."""
     LIMITED = "limited"
-    """All back ends that might take it get as much as they state, or rest."""
+    """All back ends that could run the request have reached their request limits or are resting."""
     OVERLOADED = "overloaded"
     """The queues are too long."""
     NO_TIME = "no_time"
-    """Too little of the caller's time is left for another attempt."""
+    """Too little time is left until the deadline for another attempt."""
     MAX_ATTEMPTS = "max_attempts"
     RETRY_BUDGET = "retry_budget"
-    """The shared retry budget is spent."""
+    """The shared retry budget is used up."""
     TIME_OUT = "time_out"
 
 
@@ -50,15 +51,15 @@
     """How a request ended, for logs and metrics."""
 
     ANSWERED = "answered"
-    """A back end's answer was passed on whole."""
+    """A complete answer of a back end was relayed."""
     REFUSED = "refused"
-    """No attempt may have run; the status promises that."""
+    """The request did not run, and the status promises that."""
     FAILED = "failed"
-    """An attempt failed or may have run, and none may follow."""
+    """An attempt failed or may have run, and no other may follow."""
     BROKEN = "broken"
-    """A stream had begun and could not be completed."""
+    """A response had begun and could not be completed."""
     TIMED_OUT = "timed_out"
-    LEFT = "left"
+    DISCONNECTED = "left"
     """The caller closed its connection."""
 
 
@@ -67,19 +68,20 @@
 
     Attributes:
         request: The request.
-        route: Its route, if one was found.
-        service: Service that it was for, if it was admitted so far.
-        outcome: How it ended.
-        status: HTTP status that the caller got; 0 for none.
-        choice: The last choice of a back end.
-        num_attempts: Attempts begun.
-        causes: What kept it from being answered, in order.
-        first_byte_s: Time from its arrival to the first byte of the answer.
-        longest_pause_s: Longest time between two passed-on pieces of a stream.
-        duration_s: Time from its arrival to its end.
-        tenant: Its tenant, on routes with keys.
-        quota: The decision that refused it, if its tenant's quota did.
-        fingerprint: What tells that tries belong to one request; None where nothing asked for it.
+        route: Route that matches the request, if any.
+        service: Service that was selected, if admission reached that point.
+        outcome: How the request ended.
+        status: HTTP status sent to the caller; 0 for none.
+        choice: The last back end that was chosen, with its estimates; None before the first.
+        num_attempts: Number of attempts started.
+        causes: Why the request was not answered, in order.
+        first_byte_s: Time from the request's arrival to the first byte of the response.
+        longest_pause_s: Longest time between two relayed parts of a stream.
+        duration_s: Time from the request's arrival to its end.
+        tenant: Tenant of the request, on routes that require keys.
+        quota: Quota decision, if the quota refused the request.
+        fingerprint: Fingerprint that identifies tries of the same request; None if it was not
+            computed.
     """
 
     request: CallerRequest
@@ -98,25 +100,25 @@
     fingerprint: RequestFingerprint | None = None
 
     def is_late(self) -> bool:
-        """Whether it was answered later, or with a longer pause, than its route aims at."""
+        """Return whether the answer missed the route's objective for delay or pauses."""
         if self.route is None or self.first_byte_s is None:
             return False
-        longest_s = self.route.max_pause_s
-        pauses_too_long = longest_s is not None and self.longest_pause_s > longest_s
-        return pauses_too_long or self.first_byte_s > self.route.objective_s
+        max_pause_s = self.route.max_pause_s
+        is_pause_too_long = max_pause_s is not None and self.longest_pause_s > max_pause_s
+        return is_pause_too_long or self.first_byte_s > self.route.objective_s
 
     def is_overload_refusal(self) -> bool:
-        """Whether it was refused because of the queues."""
+        """Return whether the request was refused because of the queues."""
         return self.outcome is RequestOutcome.REFUSED and RequestCause.OVERLOADED in self.causes
 
     def is_quota_refusal(self) -> bool:
-        """Whether it was refused for its tenant's quota."""
+        """Return whether the request was refused because of its tenant's quota."""
         return self.outcome is RequestOutcome.REFUSED and self.quota is not None
 
     def is_quarantine_refusal(self) -> bool:
-        """Whether it was not sent on, or no more, for the crashes under it."""
+        """Return whether quarantine stopped the request, before or after its first attempt."""
         return RequestCause.QUARANTINED in self.causes
 
     def deadline_passed_after_sending(self) -> bool:
-        """Whether it was sent to a back end and timed out."""
+        """Return whether the request timed out after at least one attempt."""
         return self.outcome is RequestOutcome.TIMED_OUT and self.num_attempts > 0
