--- a/src/weirscale/gateway/requests/attempt.py
+++ b/src/weirscale/gateway/requests/attempt.py
@@ -87,7 +87,7 @@
             if scope.cancelled_caught:
                 verdict = Verdict(AttemptEnd.UNCERTAIN, TOO_SLOW)
         finally:
-            self._context.timeouts.forget(timeout)
+            self._context.timeouts.unwatch(timeout)
             # Break the reference cycle between the attempt and its timeout, which would otherwise
             # keep both in memory until the garbage collector runs.
             self._timeout = None
@@ -115,7 +115,7 @@
 
     def _create_timeout(self, scope: anyio.CancelScope) -> AttemptTimeout:
         """Return the attempt's timeout, started only if another back end could take over."""
-        timeout = AttemptTimeout(scope, self._take_retry, self._reads_for_others)
+        timeout = AttemptTimeout(scope, self._take_retry, self._is_busy_with_others)
         route, choice = self._admitted.route, self._choice
         if may_abandon_when_silent(self._history, route, choice.num_candidates):
             self._timeout = timeout
@@ -123,9 +123,9 @@
             timeout.start(self._context.clock(), wait_s)
         return timeout
 
-    def _reads_for_others(self, since_s: float) -> bool:
+    def _is_busy_with_others(self, since_s: float) -> bool:
         """Return whether the back end worked after `since_s` and has other prompts to prefill."""
-        return self._records.reads_for_others(self._choice, since_s)
+        return self._records.is_busy_with_others(self._choice, since_s)
 
     def _take_retry(self) -> bool:
         """Take a retry from the shared budget before a silent attempt is abandoned."""
--- a/src/weirscale/gateway/requests/attempt_records.py
+++ b/src/weirscale/gateway/requests/attempt_records.py
@@ -17,7 +17,7 @@
 from weirscale.gateway.routing.dispatcher import Dispatcher
 from weirscale.gateway.routing.load import FleetLoad
 
-LONG_READ_TOKENS = 2_000
+LONG_PREFILL_TOKENS = 2_000
 """A prompt that needs at least this many tokens of prefill (about 50 ms) is gossiped to the group
 at once, because two such prompts at one engine make every stream there pause. Together with a
 change of quotas this raised the score of a run from 0.576 to 0.632."""
@@ -92,7 +92,7 @@
         if prompt is not None and choice.scope is not None:
             self.dispatcher.prompt_sent(choice, prompt)
             self._gossip_send(choice, prompt, is_ready=False)
-        if choice.unread_tokens >= LONG_READ_TOKENS:
+        if choice.unread_tokens >= LONG_PREFILL_TOKENS:
             self._send_gossip_now()
 
     def record_first_event(self, choice: Choice, prompt: Prompt | None, took_s: float) -> None:
@@ -106,7 +106,7 @@
             self.dispatcher.prompt_read(choice, prompt)
             self._gossip_send(choice, prompt, is_ready=True)
 
-    def reads_for_others(self, choice: Choice, since_s: float) -> bool:
+    def is_busy_with_others(self, choice: Choice, since_s: float) -> bool:
         """Return whether an attempt's engine is busy with the prompts of other requests.
 
         Args:
--- a/src/weirscale/gateway/requests/attempt_timeout.py
+++ b/src/weirscale/gateway/requests/attempt_timeout.py
@@ -35,19 +35,19 @@
     Args:
         scope: Cancelled when the attempt is abandoned.
         take_retry: Takes a retry from the shared budget; returns False if none is left.
-        reads_for_others: Returns whether the attempt's engine worked after the given time and has
-            prompts of other requests to prefill.
+        is_busy_with_others: Returns whether the attempt's engine worked after the given time and
+            has prompts of other requests to prefill.
     """
 
     def __init__(
         self,
         scope: anyio.CancelScope,
         take_retry: Callable[[], bool],
-        reads_for_others: Callable[[float], bool],
+        is_busy_with_others: Callable[[float], bool],
     ) -> None:
         self.scope = scope
         self._take_retry = take_retry
-        self._reads_for_others = reads_for_others
+        self._is_busy_with_others = is_busy_with_others
         self._timeout_s = math.inf
         self._deadline_s = math.inf
         self._last_deadline_s = math.inf
@@ -62,7 +62,7 @@
         """Abandon the attempt if it is overdue and a retry is available."""
         if now_s < self._deadline_s:
             return
-        if now_s < self._last_deadline_s and self._reads_for_others(now_s - self._timeout_s):
+        if now_s < self._last_deadline_s and self._is_busy_with_others(now_s - self._timeout_s):
             self._deadline_s = now_s + RECHECK_DELAY_S
         elif self._take_retry():
             self.scope.cancel()
@@ -88,7 +88,7 @@
         """Start checking a timeout."""
         self._watched[timeout] = None
 
-    def forget(self, timeout: AttemptTimeout) -> None:
+    def unwatch(self, timeout: AttemptTimeout) -> None:
         """Stop checking a timeout; do nothing if it is not checked."""
         self._watched.pop(timeout, None)
 
--- a/src/weirscale/gateway/requests/request_handler.py
+++ b/src/weirscale/gateway/requests/request_handler.py
@@ -146,7 +146,8 @@
     def _is_overloaded(self, admitted: AdmittedRequest, choice: Choice) -> bool:
         """Return whether to refuse the request because of the queues.
 
-        A request that has reached a back end is not refused.
+        A request that has reached a back end is not refused. For others, the share of idle engines
+        is recorded first.
         """
         if self._history.reached:
             return False
