--- a/src/weirscale/gateway/requests/attempt_records.py
+++ b/src/weirscale/gateway/requests/attempt_records.py
@@ -20,7 +20,8 @@
 LONG_PREFILL_TOKENS = 2_000
 """A prompt that needs at least this many tokens of prefill (about 50 ms) is gossiped to the group
 at once, because two such prompts at one engine make every stream there pause. Together with a
-change of quotas this raised the score of a run from 0.576 to 0.632."""
+change of quotas this raised the worth of a run (value earned less cost, as a share of the maximum)
+from 0.576 to 0.632."""
 
 
 class EndedAttempt(msgspec.Struct, frozen=True):
--- a/src/weirscale/gateway/requests/back_end_selector.py
+++ b/src/weirscale/gateway/requests/back_end_selector.py
@@ -55,7 +55,7 @@
             _query(admitted, history.unreachable), max_wait_s
         )
 
-    def first_return(self, admitted: AdmittedRequest) -> NextAvailability | None:
+    def next_availability(self, admitted: AdmittedRequest) -> NextAvailability | None:
         """Return when the first back end that rests or has a request limit accepts one again."""
         return self._dispatcher.next_availability(_query(admitted, ()))
 
--- a/src/weirscale/gateway/requests/crash_reports.py
+++ b/src/weirscale/gateway/requests/crash_reports.py
@@ -52,16 +52,16 @@
         self._event_log = event_log
         self._clock = clock
 
-    def _report_crash(self, back_end: BackEnd, lost: tuple[InterruptedRequest, ...]) -> None:
+    def _report_crash(self, back_end: BackEnd, interrupted: tuple[InterruptedRequest, ...]) -> None:
         """Stop sending requests to a crashed back end, and gossip the crash at once."""
         self._event_log.event(
             "back_end_crashed", instance=back_end.instance, run=back_end.run_id,
-            requests=len(lost),
+            requests=len(interrupted),
         )  # fmt: skip
         self._health.unreachable(back_end.instance, "crashed", self._clock())
         self._cluster.back_ends.mark_crashed(back_end.run_id)
         self._outbox.add_suspect(SuspectGossip(back_end.instance))
-        for request in lost:
+        for request in interrupted:
             self.quarantine.note_crash(
                 request.fingerprint, back_end.run_id, request.was_sent_after_crash
             )
@@ -94,7 +94,7 @@
         return self._quarantine.remaining_s(self._fingerprint())
 
     def is_crash_suspect(self) -> bool:
-        """Return whether a back end may already have crashed while it ran the request."""
+        """Return whether a back end may already have crashed while serving the request."""
         if self._has_lost_back_end or not self._quarantine.is_tracking_requests():
             return self._has_lost_back_end
         return self._quarantine.is_suspect(self._fingerprint())
@@ -109,8 +109,8 @@
         """
         if verdict.reason in CONNECTION_LOST:
             self._has_lost_back_end = True
-            lost = InterruptedRequest(self._fingerprint(), was_crash_suspect)
-            self._reporter.crash_check.request(back_end, lost)
+            interrupted = InterruptedRequest(self._fingerprint(), was_crash_suspect)
+            self._reporter.crash_check.request(back_end, interrupted)
         elif verdict == SUCCESS and self._quarantine.is_tracking_requests():
             self._quarantine.note_answered(self._fingerprint())
 
--- a/src/weirscale/gateway/requests/request_handler.py
+++ b/src/weirscale/gateway/requests/request_handler.py
@@ -177,13 +177,15 @@
 
     async def _give_up_without_back_end(self, admitted: AdmittedRequest) -> None:
         """Refuse the request, with the time until a back end is available again, if known."""
-        first = self._context.selector.first_return(admitted)
-        if first is None:
+        availability = self._context.selector.next_availability(admitted)
+        if availability is None:
             await self._give_up(RequestCause.NO_BACK_END)
-        elif first.is_limited:
-            await self._give_up(RequestCause.LIMITED, max(NO_BACK_END_RETRY_S, first.after_s))
+        elif availability.is_limited:
+            await self._give_up(
+                RequestCause.LIMITED, max(NO_BACK_END_RETRY_S, availability.after_s)
+            )
         else:
-            await self._give_up(RequestCause.RESTING, first.after_s)
+            await self._give_up(RequestCause.RESTING, availability.after_s)
 
     async def _refuse_for_overload(self, choice: Choice) -> None:
         self._history.causes.append(RequestCause.OVERLOADED)
--- a/src/weirscale/gateway/requests/stream_pauses.py
+++ b/src/weirscale/gateway/requests/stream_pauses.py
@@ -15,8 +15,9 @@
 from weirscale.gateway.routing.candidate import Choice
 
 FIRST_EVENT_OBJECTIVE_FACTOR = 1.2
-"""First-event timeout as a multiple of the route's objective. Under overload at two sites, 1.2 gave
-scores of 0.663 and 0.694, whereas 0.6 gave 0.655 and 0.672."""
+"""First-event timeout as a multiple of the route's objective. In paired runs under overload at two
+sites, the worth (value earned less cost, as a share of the maximum) was 0.663 and 0.694 with 1.2,
+and 0.655 and 0.672 with 0.6."""
 
 FIRST_EVENT_ESTIMATE_FACTOR = 3.0
 """Minimum first-event timeout as a multiple of the estimated time to the first event."""
--- a/src/weirscale/gateway/telemetry/node_metrics.py
+++ b/src/weirscale/gateway/telemetry/node_metrics.py
@@ -23,7 +23,7 @@
         queue_shares: Share of the queue limit in force, by service.
         quota_levels: Remaining quota, in the unit of the quota, by tenant.
         rollout_stages: Stage of the rollout, by service.
-        num_suspects: Number of requests during which back ends crashed recently.
+        num_suspects: Number of requests that back ends recently crashed while serving.
         num_quarantined: Number of requests that are refused because of such crashes.
     """
 
--- a/src/weirscale/gateway/telemetry/request_summary.py
+++ b/src/weirscale/gateway/telemetry/request_summary.py
@@ -30,7 +30,7 @@
     EXCEEDS_QUOTA = "never_in_quota"
     """The request alone costs more than the tenant's quota can ever hold."""
     QUARANTINED = "quarantined"
-    """Back ends crashed while they ran the request."""
+    """Back ends crashed while serving the request."""
     NO_BACK_END = "no_back_end"
     """No back end accepts requests."""
     RESTING = "resting"
