--- a/features/steps/gateway_rest_steps.py
+++ b/features/steps/gateway_rest_steps.py
@@ -8,7 +8,7 @@
 
 from weirscale.gateway.model.identifiers import InstanceId, RunId
 from weirscale.gateway.routing.back_end_rests import BackEndRests
-from weirscale_platform.answer_notices import notice_of
+from weirscale_platform.answer_notices import read_notice
 
 ROUNDING_S = 1e-6
 
@@ -183,7 +183,7 @@
 def step_long(context, rest):
     response = httpx.Response(503, headers={"Retry-After": rest})
     context.rests = BackEndRests(Random(1))
-    notice = notice_of(response, InstanceId("lm-1"), is_version_meant=True)
+    notice = read_notice(response, InstanceId("lm-1"), is_version_expected=True)
     context.rests.begin(RunId("lm-1@0"), notice.rest_s, 0.0)
 
 
