--- a/features/gateway_settings.feature
+++ b/features/gateway_settings.feature
@@ -29,9 +29,9 @@
     And the log tells once that they are unreadable, with "<remedy>"
 
     Examples:
-      | problem         | remedy         |
-      | no file         | check the path |
-      | no TOML         | mend the file  |
-      | a field missing | mend the file  |
-      | a wrong type    | mend the file  |
-      | a wrong address | write IP:PORT  |
+      | problem         | remedy           |
+      | no file         | check the path   |
+      | no TOML         | correct the file |
+      | a field missing | correct the file |
+      | a wrong type    | correct the file |
+      | a wrong address | write IP:PORT    |
--- a/features/platform_adapter.feature
+++ b/features/platform_adapter.feature
@@ -44,7 +44,7 @@
     Examples:
       | change                  | problem     |
       | no file                 | unreadable  |
-      | no TOML                 | mend        |
+      | no TOML                 | correct     |
       | without node_name       | node_name   |
       | without listen          | listen      |
       | a frontend without port | IP:PORT     |
