--- a/src/weirscale/leases/__init__.py
+++ b/src/weirscale/leases/__init__.py
@@ -1,1 +1,1 @@
-"""The task that holds a fenced lease on a duty, for whichever program has the duty."""
+"""The task that holds a fenced lease on a duty; used by all programs that have such duties."""
--- a/src/weirscale/leases/lease_task.py
+++ b/src/weirscale/leases/lease_task.py
@@ -1,4 +1,4 @@
-"""Holds a fenced lease on one duty while this node is among the best for it."""
+"""Acquires and renews a fenced lease on one duty while this node is among its candidates."""
 
 from collections.abc import Awaitable, Callable
 from random import Random
@@ -35,39 +35,42 @@
 KEY_PREFIX = "weirscale/duties/"
 
 NUM_LEASE_CANDIDATES = 3
-"""Nodes that try to take a duty: enough that one is live, few enough to spare the service."""
+"""Number of nodes that try to take a duty: enough that one is alive, and few enough to limit the
+load on the key-value service."""
 
 CALL_TIMEOUT_S = 3.0
-"""A call that takes longer counts as failed; several fit into a time to live."""
+"""A call that takes longer, in seconds, counts as failed. Several such calls fit into a lease's
+time to live."""
 
 MAX_BACKOFF = 8
-"""Failed calls in a row multiply the wait by up to this, so an outage ends without a rush."""
+"""Maximum factor by which consecutive failed calls multiply the wait. The longer, jittered wait
+keeps nodes from calling all at once when an outage ends."""
 
 POLL_INTERVAL_S = 0.25
-"""How often the task looks whether an operation is due."""
+"""Seconds between two checks whether an operation is due."""
 
 
 class DutyEligibility(Protocol):
-    """Tells which nodes should try to take a duty."""
+    """Determines whether this node should try to take a duty."""
 
     def is_own(self, duty: Duty, count: int, /) -> bool:
-        """Whether this node is among the first candidates for a duty."""
+        """Return whether this node is among the first `count` candidates for a duty."""
         ...
 
 
 class DutyLeaseTask:
-    """Takes and keeps the lease; `run` must be running.
+    """Acquires and renews the lease while `run` is running.
 
     Args:
-        duty: What the lease is on.
-        own_id: This node, written as the key's value.
-        key_value: The service.
-        duties: Tells whether this node is among the candidates.
-        random: Spreads retries.
-        rules: Durations.
-        sleep: Replaced by experiments that freeze nodes.
+        duty: The duty that the lease is for.
+        own_id: Id of this node; its name is written as the key's value.
+        key_value: The key-value service.
+        duties: Determines whether this node is among the candidates.
+        random: Source of jitter for retries.
+        rules: Durations of the lease.
+        sleep: Sleeps; experiments that freeze nodes replace it.
         call_timeout_s: A call that takes longer counts as failed.
-        clock: Monotonic seconds; where machines are suspended, one that counts that time.
+        clock: Monotonic clock in seconds. If machines may be suspended, it must count that time.
     """
 
     def __init__(
@@ -97,24 +100,31 @@
         self._is_released = False
 
     def is_held(self) -> bool:
-        """Whether this node certainly holds the duty now, by its own clock; ask before each use."""
+        """Return whether this node certainly holds the duty now, by its own clock.
+
+        Must be checked before each use of the duty.
+        """
         return self.state.is_held(self._clock())
 
     def token(self) -> int | None:
-        """Return the fencing token to send along, None unless the duty is held now."""
+        """Return the fencing token to send with orders, None unless the duty is held now."""
         return self.state.token if self.is_held() else None
 
     async def run(self) -> None:
-        """Take and keep the lease until cancelled or released."""
+        """Acquire and renew the lease until cancelled or released."""
         while not self._is_released:
             operation = next_operation(self.state, self._clock())
-            if operation is not None and self._may_go_on():
+            if operation is not None and self._may_hold():
                 await self._step(operation)
             else:
                 await self._sleep(POLL_INTERVAL_S)
 
     async def release(self) -> None:
-        """Give the duty up for good; best effort towards the service, at once on this node."""
+        """Give up the duty for good.
+
+        On this node this takes effect at once. Revoking the lease at the key-value service is best
+        effort.
+        """
         lease_id = self.state.lease_id
         self._is_released = True
         self.state = after_release(self._clock(), self._rules)
@@ -122,31 +132,35 @@
             with anyio.move_on_after(self._call_timeout_s):
                 await self._key_value.revoke_lease(lease_id)
 
-    def _may_go_on(self) -> bool:
-        """A holder keeps its lease whatever its rank: moving a duty costs more than keeping it."""
+    def _may_hold(self) -> bool:
+        """Return whether this node may hold the duty.
+
+        A holder keeps its lease whatever its rank, because moving a duty costs more than keeping
+        it.
+        """
         return bool(self.state.token) or self._duties.is_own(self.duty, NUM_LEASE_CANDIDATES)
 
     async def _step(self, operation: LeaseOperation) -> None:
         state = self.state
         sent_at_s = self._clock()
-        answer = await self._ask(operation, state.lease_id)
+        answer = await self._call_in_time(operation, state.lease_id)
         if self._is_released or self.state is not state:
             return
         now_s = self._clock()
         next_state = after_answer(state, answer, sent_at_s, now_s, self._rules)
         self._num_failures = self._num_failures + 1 if isinstance(answer, CallFailed) else 0
-        self.state = self._spread(next_state, now_s)
+        self.state = self._back_off(next_state, now_s)
 
-    def _spread(self, state: LeaseState, now_s: float) -> LeaseState:
-        """Stretch the wait after failures, at random; a held lease is renewed without delay."""
+    def _back_off(self, state: LeaseState, now_s: float) -> LeaseState:
+        """Extend the wait after failures, with jitter; renewals of a held lease are not delayed."""
         if self._num_failures == 0 or state.is_held(now_s):
             return state
         factor = min(MAX_BACKOFF, 2 ** min(self._num_failures, 16))
         wait_s = self._rules.retry_interval_s * factor * (0.5 + self._random.random() / 2)
-        later_s = max(state.not_before_s, now_s + wait_s)
-        return msgspec.structs.replace(state, not_before_s=later_s)
+        not_before_s = max(state.not_before_s, now_s + wait_s)
+        return msgspec.structs.replace(state, not_before_s=not_before_s)
 
-    async def _ask(self, operation: LeaseOperation, lease_id: int) -> LeaseAnswer:
+    async def _call_in_time(self, operation: LeaseOperation, lease_id: int) -> LeaseAnswer:
         with anyio.move_on_after(self._call_timeout_s):
             return await self._call(operation, lease_id)
         return CallFailed()
@@ -171,8 +185,8 @@
         read = await store.read(self._key)
         if isinstance(read, Err):
             return _failed(read.err_value)
-        found = (item for item in read.ok_value.values if item.key == self._key)
-        return KeyAnswer(_duty_key(next(found, None)))
+        stored_items = (item for item in read.ok_value.values if item.key == self._key)
+        return KeyAnswer(_duty_key(next(stored_items, None)))
 
 
 def _duty_key(stored: KeyValue | None) -> DutyKey | None:
