--- a/src/weirscale/cli/configuration.py
+++ b/src/weirscale/cli/configuration.py
@@ -1,4 +1,4 @@
-"""Commands about the configuration: check, plan, apply and status. Each returns an exit code."""
+"""Configuration commands: check, plan, apply and status. Each returns an exit code."""
 
 import random
 import sys
@@ -35,20 +35,20 @@
 
 
 class ExitCode(IntEnum):
-    """What the commands return to the shell."""
+    """Exit codes of the configuration commands."""
 
     DONE = 0
     """Checked, planned, accepted, or in force everywhere."""
     WRONG_FILE = 3
     """The file cannot be read or has errors; each is printed on its own line."""
     REFUSED = 4
-    """Not applied; the line says why and how to go on."""
+    """Not applied; the printed line gives the reason and the remedy."""
     UNKNOWN = 5
-    """It may have been applied; run the same command again."""
+    """The file may have been applied; run the same command again."""
     UNREACHABLE = 6
-    """`plan` or `status` got no answer; `apply` says REFUSED or UNKNOWN instead."""
+    """`plan` or `status` got no answer; `apply` returns REFUSED or UNKNOWN instead."""
     NOT_IN_FORCE = 7
-    """Some nodes lag; each is printed on its own line."""
+    """Some nodes do not have the revision yet; each is printed on its own line."""
 
 
 def check(file: str) -> int:
@@ -64,7 +64,7 @@
 
 
 def plan(file: str, key_value: Sequence[str]) -> int:
-    """Show what a file would change, and the revision to apply it from.
+    """Print what applying a file would change, and the revision to pass to `apply`.
 
     Args:
         file: The configuration file.
@@ -87,13 +87,13 @@
     made_from: int | None = None,
     time_limit_s: float = DEFAULT_TIME_LIMIT_S,
 ) -> int:
-    """Apply a file as a whole, if nothing was applied since the revision it was made from.
+    """Apply a file as a whole, if nothing was applied since the revision that it is based on.
 
     Args:
         file: The configuration file.
         key_value: host:port of the key-value service's gateways.
-        made_from: Revision that `plan` printed; left out for the first file of a deployment.
-        time_limit_s: Longest time spent before giving up.
+        made_from: Revision that `plan` printed; None for the first file of a deployment.
+        time_limit_s: Seconds after which to give up.
     """
     deployment = _load(file)
     if deployment is None:
@@ -103,22 +103,22 @@
 
 
 def status(node: str, revision: int = 0, wait_s: float = 0.0) -> int:
-    """Tell whether a revision is in force on all nodes, and which nodes lag and why.
+    """Print whether a revision is in force on all nodes, and which nodes lag and why.
 
     Args:
-        node: host:port where any node listens for operators.
-        revision: The revision; 0 for the highest that any node has heard of.
-        wait_s: Ask again until it is in force or this time has passed.
+        node: Operator address (host:port) of any node.
+        revision: The revision; 0 for the highest that any node knows.
+        wait_s: Poll until the revision is in force or this many seconds have passed.
     """
     return anyio.run(partial(_wait_in_force, node, revision, wait_s))
 
 
 def report_outcome(outcome: ApplyOutcome) -> int:
-    """Print what became of an apply and return its exit code."""
+    """Print the outcome of an apply and return its exit code."""
     if isinstance(outcome, Accepted):
-        how = "was in place already" if outcome.was_in_place else "accepted"
-        remedy = "`weirscale status --wait_s=10` tells when it is in force"
-        print(f"{how}: revision {outcome.revision}; {remedy}")
+        result = "was in place already" if outcome.was_in_place else "accepted"
+        remedy = "`weirscale status --wait_s=10` shows when it is in force"
+        print(f"{result}: revision {outcome.revision}; {remedy}")
         return ExitCode.DONE
     if isinstance(outcome, Refused):
         for change in outcome.changes_since:
@@ -128,17 +128,17 @@
 
 
 def report_status(fleet: FleetConfigurationStatus, revision: int) -> int:
-    """Print how far a revision has come and return the exit code."""
-    wanted = ConfigurationRevision(revision or fleet.revision)
-    lagging = fleet.lagging(wanted)
-    num_there = len(fleet.nodes) - len(lagging)
-    print(f"revision {wanted}: in force on {num_there} of {len(fleet.nodes)} nodes")
+    """Print on how many nodes a revision is in force, and return the exit code."""
+    target = ConfigurationRevision(revision or fleet.revision)
+    lagging = fleet.lagging(target)
+    num_in_force = len(fleet.nodes) - len(lagging)
+    print(f"revision {target}: in force on {num_in_force} of {len(fleet.nodes)} nodes")
     if fleet.store_problem:
         print(f"store: {fleet.store_problem}")
     for node in lagging:
-        held = "unknown" if node.revision is None else f"revision {node.revision}"
-        print(f"{node.node} ({node.zone}): {held}: {node.lag_reason or 'not there yet'}")
-    return ExitCode.NOT_IN_FORCE if lagging or not wanted else ExitCode.DONE
+        current = "unknown" if node.revision is None else f"revision {node.revision}"
+        print(f"{node.node} ({node.zone}): {current}: {node.lag_reason or 'not in force yet'}")
+    return ExitCode.NOT_IN_FORCE if lagging or not target else ExitCode.DONE
 
 
 def _load(file: str) -> Deployment | None:
@@ -181,22 +181,24 @@
 ) -> ApplyOutcome:
     port = _connect(key_value)
     apply_id = uuid.uuid4().hex
-    seeded = random.SystemRandom()
+    random_source = random.SystemRandom()
     try:
-        return await Applier(port, deployment, made_from, apply_id, seeded, time_limit_s).run()
+        return await Applier(
+            port, deployment, made_from, apply_id, random_source, time_limit_s
+        ).run()
     finally:
         await port.aclose()
 
 
 def _connect(key_value: Sequence[str]) -> "EtcdKeyValue":
-    """Make a client; imported here, since `check` needs no HTTP."""
+    """Return a client; it is imported here, because `check` needs no HTTP."""
     from weirscale.ports.key_value_etcd import EtcdKeyValue
 
     return EtcdKeyValue(key_value)
 
 
 async def _wait_in_force(node: str, revision: int, wait_s: float) -> int:
-    """Ask a node until no node lags or the time is up, then report the last answer."""
+    """Poll a node until no node lags or the time has passed, then report the last answer."""
     deadline_s = anyio.current_time() + wait_s
     while True:
         answer = await _fetch_status(node)
@@ -209,8 +211,8 @@
 
 
 def _is_in_force(fleet: FleetConfigurationStatus, revision: int) -> bool:
-    wanted = ConfigurationRevision(revision or fleet.revision)
-    return wanted > 0 and not fleet.lagging(wanted)
+    target = ConfigurationRevision(revision or fleet.revision)
+    return target > 0 and not fleet.lagging(target)
 
 
 async def _fetch_status(node: str) -> Result[FleetConfigurationStatus, str]:
--- a/src/weirscale/cli/exit_codes.py
+++ b/src/weirscale/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes that all commands share; those of configuration commands are in `configuration`."""
+"""Exit codes shared by all commands; those of configuration commands are in `configuration`."""
 
 EXIT_DONE = 0
 EXIT_FAILED = 1
--- a/src/weirscale/cli/main.py
+++ b/src/weirscale/cli/main.py
@@ -1,4 +1,4 @@
-"""Entry point of `weirscale`: one class whose methods are the commands, by fire."""
+"""Entry point of `weirscale`: fire turns the methods of one class into commands."""
 
 import contextlib
 import io
@@ -14,9 +14,9 @@
 
 
 class Command:
-    """A command whose arguments have been taken; running it is left to `main`.
+    """A command with its arguments parsed; `main` runs it.
 
-    Not callable itself, or fire would call it while it still takes arguments.
+    It is not callable, because fire would call it while it parses arguments.
     """
 
     def __init__(self, run: Run) -> None:
@@ -38,7 +38,7 @@
         report: str | None = None,
         faults: str | Sequence[str] | None = None,
     ) -> Command:
-        """Run an experiment file; writes report.json into the REPORT folder."""
+        """Run an experiment file and write report.json into the REPORT folder."""
         from weirscale.experiments.run import main as run_main
 
         return Command(lambda: run_main.run(str(file), seed, report, faults))
@@ -68,7 +68,7 @@
         machine_list: str | None = None,
         log_level: str | None = None,
     ) -> Command:
-        """Run a node until SIGTERM, which drains it. Flags go before the settings file."""
+        """Run a node until SIGTERM, which drains it; flags override the settings file."""
         overrides: dict[str, object] = {
             "zone": zone,
             "name": name,
@@ -84,19 +84,19 @@
         return Command(lambda: _run_node(settings, overrides))
 
     def trace(self, request_id: str, *files: str) -> Command:
-        """Print the life of a request from gateways' logs, with the beliefs that it rested on."""
+        """Print the history of a request from gateways' logs, with the state its decisions used."""
         from weirscale.cli import trace
 
         return Command(lambda: trace.run(str(request_id), [str(file) for file in files]))
 
     def check(self, file: str) -> Command:
-        """Check a deployment file; every error names line, field and remedy."""
+        """Check a deployment file; each error gives line, field and remedy."""
         from weirscale.cli import configuration
 
         return Command(lambda: configuration.check(str(file)))
 
     def plan(self, file: str, key_value: Sequence[str] | str) -> Command:
-        """Print what applying a file would change, and the revision to apply it from."""
+        """Print what applying a file would change, and the revision to pass to apply."""
         from weirscale.cli import configuration
 
         return Command(lambda: configuration.plan(str(file), _addresses(key_value) or ()))
@@ -104,26 +104,26 @@
     def apply(
         self, file: str, key_value: Sequence[str] | str, made_from: int | None = None
     ) -> Command:
-        """Apply a file as a whole, by compare-and-swap; answers accepted, refused or unknown."""
+        """Apply a file as a whole by compare-and-swap; print accepted, refused or unknown."""
         from weirscale.cli import configuration
 
         addresses = _addresses(key_value) or ()
         return Command(lambda: configuration.apply(str(file), addresses, made_from))
 
     def status(self, node: str, revision: int = 0, wait_s: float = 0.0) -> Command:
-        """Tell whether a revision is in force on all nodes; NODE is an operator address."""
+        """Print whether a revision is in force on all nodes; NODE is an operator address."""
         from weirscale.cli import configuration
 
         return Command(lambda: configuration.status(str(node), revision, wait_s))
 
     def explain(self, request_id: str, node: str, json: bool = False) -> Command:
-        """Print what was weighed and decided for a request; any node's operator address will do."""
+        """Print the decisions about a request and their reasons; NODE is any operator address."""
         from weirscale.cli import operators
 
         return Command(lambda: operators.explain(str(request_id), str(node), json))
 
     def members(self, node: str) -> Command:
-        """Print the nodes that a node believes alive."""
+        """Print the nodes that a node considers alive."""
         from weirscale.cli import operators
 
         return Command(lambda: operators.members(str(node)))
@@ -135,13 +135,13 @@
         return Command(lambda: operators.rollout(str(node)))
 
     def drain(self, node: str) -> Command:
-        """Start the planned stop of a node, as SIGTERM does."""
+        """Start the planned shutdown of a node, as SIGTERM does."""
         from weirscale.cli import operators
 
         return Command(lambda: operators.drain(str(node)))
 
     def soak(self, seeds: int = 200, first_seed: int = 1) -> Command:
-        """Run many seeds of random faults in virtual time; prints how to repeat a failing one."""
+        """Run random faults with many seeds in virtual time; print how to repeat a failed seed."""
         from weirscale.experiments.soak import main as soak_main
 
         return Command(lambda: soak_main.run(seeds, first_seed))
@@ -154,14 +154,14 @@
         requests_per_s: float = 12.0,
         seed: int = 1,
     ) -> Command:
-        """Run a deployment in this process on loopback sockets and print what callers saw."""
+        """Run a deployment in this process on loopback sockets and print the callers' results."""
         from weirscale.experiments.demo.main import run
 
         return Command(lambda: run(Path(file), workload, duration_s, requests_per_s, seed))
 
 
 def _addresses(given: Sequence[str] | str | None) -> tuple[str, ...] | None:
-    """Return addresses from a flag: one, or several with commas between."""
+    """Return the addresses in a flag: a comma-separated text or a sequence."""
     if given is None:
         return None
     if isinstance(given, str):
@@ -185,7 +185,7 @@
 
 
 def _parse(arguments: Sequence[str]) -> Command | int:
-    """Have fire take the arguments; an int is the exit code of a usage error or of help."""
+    """Parse the arguments with fire; an int is the exit code after help or a usage error."""
     import fire
     from fire.core import FireExit
 
@@ -213,11 +213,11 @@
     for line in output.splitlines():
         if line.startswith("ERROR:"):
             return line.removeprefix("ERROR:").strip().rstrip(".")
-    return "the arguments do not fit"
+    return "invalid arguments"
 
 
 def main() -> None:
-    """Run the command given on the command line; exits with its code."""
+    """Run the command on the command line and exit with its code."""
     command = _parse(sys.argv[1:])
     if isinstance(command, int):
         sys.exit(command)
--- a/src/weirscale/cli/operators.py
+++ b/src/weirscale/cli/operators.py
@@ -1,4 +1,4 @@
-"""Commands that ask a running node: explain, members, rollout, drain."""
+"""Commands that call a running node: explain, members, rollout, drain."""
 
 import sys
 
@@ -8,29 +8,29 @@
 from weirscale.node.operators.app import DRAIN_PATH, EXPLAIN_PREFIX, MEMBERS_PATH, ROLLOUT_PATH
 
 TIMEOUT_S = 30.0
-"""`explain` may ask every node of the fleet before it answers."""
+"""Timeout in seconds; a node may call every node of the fleet before it answers `explain`."""
 
 FIRST_ERROR_STATUS = 400
 
 
 def explain(request_id: str, node: str, as_json: bool) -> int:
-    """Print what was weighed and decided for a request."""
+    """Print the decisions about a request and what they were based on."""
     query = "" if as_json else "?format=text"
     return _ask("GET", node, f"{EXPLAIN_PREFIX}{request_id}{query}")
 
 
 def members(node: str) -> int:
-    """Print the nodes that a node believes alive, as JSON."""
+    """Print the nodes that a node considers alive, as JSON."""
     return _ask("GET", node, MEMBERS_PATH)
 
 
 def rollout(node: str) -> int:
-    """Print the progress of rollouts as JSON; empty on a node that does not plan."""
+    """Print the progress of rollouts as JSON; empty on a node that does not plan rollouts."""
     return _ask("GET", node, ROLLOUT_PATH)
 
 
 def drain(node: str) -> int:
-    """Start the planned stop of a node."""
+    """Start the planned shutdown of a node."""
     return _ask("POST", node, DRAIN_PATH)
 
 
--- a/src/weirscale/cli/trace.py
+++ b/src/weirscale/cli/trace.py
@@ -1,6 +1,7 @@
-"""`weirscale trace`: the life of one request from several nodes' logs, with what it rested on.
+"""`weirscale trace`: the history of one request from the logs of several nodes.
 
-Reads lines of key=value pairs, also with words before the first pair (as log collectors add).
+Prints the request's log line with the node state on which its decisions were based. Reads lines of
+key=value pairs; text before the first pair, as log collectors add, is skipped.
 """
 
 import re
@@ -14,7 +15,7 @@
 from weirscale.cli.exit_codes import EXIT_DONE, EXIT_FAILED, EXIT_USAGE
 
 REQUEST_EVENT = "request_ended"
-BELIEF_EVENTS = frozenset(
+NODE_EVENTS = frozenset(
     {
         "configuration_taken",
         "store_lost",
@@ -24,7 +25,8 @@
         "node_stopping",
     }
 )
-"""What a node believed as a whole; of each, the last before the request's end counts."""
+"""Events about the state of a whole node. Of each, the last one before the request is part of the
+trace, and all during the request."""
 
 INSTANCE_EVENTS = frozenset(
     {
@@ -43,10 +45,10 @@
         "order_given",
     }
 )
-"""What a node believed of a back end, or did to it."""
+"""Events about a back end: its state as seen by a node, or an order to it."""
 
-NEARBY = timedelta(seconds=1.0)
-"""Other nodes' events about the same back ends count from this long before the request."""
+LOOKBACK = timedelta(seconds=1.0)
+"""Other nodes' events about the same back ends are included from this long before the request."""
 
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
 _INSTANCE_CAUSE = re.compile(r"^([^:]+):")
@@ -56,11 +58,11 @@
     """One line of a log.
 
     Attributes:
-        at: Its time.
-        node: The node that wrote it.
+        at: Time of the event.
+        node: Name of the node that wrote the line.
         event: Name of the event.
-        fields: All pairs.
-        text: The line from its time on.
+        fields: All key=value pairs.
+        text: The line, starting at its time.
     """
 
     at: datetime
@@ -71,14 +73,14 @@
 
 
 class TraceEntry(msgspec.Struct, frozen=True):
-    """A line and why it is part of the trace."""
+    """A line and the reason why it is part of the trace."""
 
     role: str
     line: LogLine
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Parse a line; None for any other text."""
+    """Parse a line of a log; return None if it is not an event."""
     start = text.find("time=")
     if start < 0:
         return None
@@ -93,51 +95,51 @@
 
 
 def trace(lines: Sequence[LogLine], request_id: str) -> list[TraceEntry]:
-    """Return a request's line, the beliefs that it rested on and what happened meanwhile."""
+    """Return a request's line, the node state that it was based on, and simultaneous events."""
     entries: list[TraceEntry] = []
     for line in lines:
         if line.event == REQUEST_EVENT and line.fields.get("id") == request_id:
-            entries.extend(_about(lines, line))
+            entries.extend(_entries_for(lines, line))
     return sorted(entries, key=lambda entry: (entry.line.at, entry.role == "request"))
 
 
-def _about(lines: Sequence[LogLine], request: LogLine) -> Iterator[TraceEntry]:
+def _entries_for(lines: Sequence[LogLine], request: LogLine) -> Iterator[TraceEntry]:
     began_at = request.at - timedelta(milliseconds=float(request.fields.get("ms", "0")))
     instances = _instances(request)
-    last: dict[tuple[str, str], LogLine] = {}
+    latest: dict[tuple[str, str], LogLine] = {}
     for line in lines:
         if line.at > request.at:
             continue
-        names_instance = line.event in INSTANCE_EVENTS and _names(line, instances)
+        mentions_instance = line.event in INSTANCE_EVENTS and _mentions(line, instances)
         if line.node == request.node and line.at < began_at:
-            if line.event in BELIEF_EVENTS or names_instance:
-                last[(line.event, line.fields.get("instance", ""))] = line
-        elif line.at >= began_at - NEARBY and (names_instance or _is_of_node(line, request)):
+            if line.event in NODE_EVENTS or mentions_instance:
+                latest[(line.event, line.fields.get("instance", ""))] = line
+        elif line.at >= began_at - LOOKBACK and (mentions_instance or _is_of_node(line, request)):
             yield TraceEntry("meanwhile", line)
-    for line in last.values():
+    for line in latest.values():
         yield TraceEntry("believed", line)
     yield TraceEntry("request", request)
 
 
 def _is_of_node(line: LogLine, request: LogLine) -> bool:
-    return line.node == request.node and line.event in BELIEF_EVENTS
+    return line.node == request.node and line.event in NODE_EVENTS
 
 
-def _names(line: LogLine, instances: frozenset[str]) -> bool:
+def _mentions(line: LogLine, instances: frozenset[str]) -> bool:
     return line.fields.get("instance") in instances or line.fields.get("by") in instances
 
 
 def _instances(request: LogLine) -> frozenset[str]:
-    found = {request.fields.get("instance", "")}
+    instances = {request.fields.get("instance", "")}
     for cause in request.fields.get("causes", "").split(","):
-        named = _INSTANCE_CAUSE.match(cause)
-        if named:
-            found.add(named.group(1))
-    return frozenset(found - {""})
+        match = _INSTANCE_CAUSE.match(cause)
+        if match:
+            instances.add(match.group(1))
+    return frozenset(instances - {""})
 
 
 def read_files(files: Iterable[str]) -> list[LogLine]:
-    """Read all lines of several logs in the order of their times.
+    """Read several logs and return all their lines ordered by time.
 
     Raises:
         OSError: A file cannot be read.
@@ -164,7 +166,7 @@
     if not entries:
         print(
             f"weirscale: no request {request_id} in {len(lines)} log lines; give the logs of all"
-            " nodes, and mind that successes beyond the budget of lines are not logged",
+            " nodes; note that successes beyond the log line budget are not logged",
             file=sys.stderr,
         )
         return EXIT_FAILED
