--- a/features/steps/transport_connections_steps.py
+++ b/features/steps/transport_connections_steps.py
@@ -88,7 +88,7 @@
 def step_huge(context):
     async def script(server, transport):
         context.outcome = await ask(transport, server.address, bytes(HUGE_BYTES))
-        context.num_used = len(transport._used)
+        context.num_used = len(transport._in_use)
 
     run(script, context.does)
 
--- a/src/weirscale/ports/__init__.py
+++ b/src/weirscale/ports/__init__.py
@@ -1,1 +1,1 @@
-"""Interfaces to systems outside, and one adapter module for each published protocol."""
+"""Interfaces to external systems, with one adapter module for each published protocol."""
--- a/src/weirscale/ports/asgi.py
+++ b/src/weirscale/ports/asgi.py
@@ -1,4 +1,4 @@
-"""The few ASGI types and helpers that every application here needs."""
+"""ASGI types and helpers that all applications of this project share."""
 
 from collections.abc import Awaitable, Callable, Iterable, MutableMapping
 from typing import Any
@@ -18,17 +18,17 @@
 
 
 def decode_headers(raw_headers: Iterable[tuple[bytes, bytes]]) -> dict[str, str]:
-    """Return the headers with lower-case names; of a repeated one, the last."""
+    """Return the headers by lower-case name; of a repeated header the last value."""
     return {name.decode("latin-1").lower(): value.decode("latin-1") for name, value in raw_headers}
 
 
 def headers_size_bytes(raw_headers: Iterable[tuple[bytes, bytes]]) -> int:
-    """Return the bytes of all names and values."""
+    """Return the total size of all header names and values."""
     return sum(len(name) + len(value) for name, value in raw_headers)
 
 
 async def read_body(receive: Receive, max_bytes: int) -> bytes | None:
-    """Read a request's whole body; None if the caller left or sent more than `max_bytes`."""
+    """Read a request's body; None if the caller disconnected or sent more than `max_bytes`."""
     parts: list[bytes] = []
     num_bytes = 0
     while True:
@@ -52,7 +52,7 @@
 
 
 async def send_part(send: Send, body: bytes, *, is_last: bool = False) -> None:
-    """Send a part of the body."""
+    """Send a part of the response's body."""
     await send({"type": "http.response.body", "body": body, "more_body": not is_last})
 
 
@@ -64,12 +64,12 @@
 
 
 async def send_json(send: Send, status: int, value: object) -> None:
-    """Send a whole JSON answer."""
+    """Send one complete JSON response."""
     await send_whole(send, status, [(b"content-type", JSON_TYPE)], msgspec.json.encode(value))
 
 
 async def answer_lifespan(receive: Receive, send: Send) -> None:
-    """Acknowledge start and stop of the server."""
+    """Acknowledge the lifespan events (startup and shutdown) of the server."""
     while True:
         message = await receive()
         await send({"type": message["type"] + ".complete"})
--- a/src/weirscale/ports/connection_limits.py
+++ b/src/weirscale/ports/connection_limits.py
@@ -1,30 +1,30 @@
-"""How long connections of clients may be unused."""
+"""Time limits on the connections of clients."""
 
 import msgspec
 
 KEEP_ALIVE_S = 75.0
-"""Longer than clients keep idle connections, so that the client closes them."""
+"""Longer than clients keep idle connections, so that the client closes the connection first."""
 
-HEAD_S = 75.0
-"""Longest that the head of a request may take where nothing else is configured."""
+HEAD_TIMEOUT_S = 75.0
+"""Default time limit for receiving the head of a request."""
 
-SILENCE_S = 3660.0
-"""A minute more than the longest deadline of a caller. The only limit for a client that opens
-HTTP/2 and then sends nothing: the server counts such a connection as busy."""
+RECEIVE_TIMEOUT_S = 3660.0
+"""One minute more than the longest deadline of a caller. This is the only limit for a client that
+opens an HTTP/2 connection and then sends nothing: the server counts the connection as busy."""
 
 
 class ConnectionLimits(msgspec.Struct):
-    """How long connections may be unused; may be changed while the server runs.
+    """Time limits on connections; they may be changed while the server runs.
 
-    A longer time holds for connections that are unused already, a shorter one from their next use
-    on: a client that counts on the longer one is not cut off.
+    A longer `keep_alive_s` also applies to connections that are already idle. A shorter one applies
+    from their next use on, so that a client that relies on the longer time is not cut off.
 
     Attributes:
-        keep_alive_s: Time without a whole request head while nothing else runs.
-        silence_s: Time without a byte from the client, also while it waits for an answer.
-        head_s: Time from the first byte of a request's head to its last one.
+        keep_alive_s: Time without a complete request head while no request runs.
+        silence_s: Time without a byte from the client, even while it waits for an answer.
+        head_s: Time from the first byte of a request's head to its last byte.
     """
 
     keep_alive_s: float = KEEP_ALIVE_S
-    silence_s: float = SILENCE_S
-    head_s: float = HEAD_S
+    silence_s: float = RECEIVE_TIMEOUT_S
+    head_s: float = HEAD_TIMEOUT_S
--- a/src/weirscale/ports/engine.py
+++ b/src/weirscale/ports/engine.py
@@ -1,4 +1,4 @@
-"""Interface to a model engine. Adapters: `engine_http` (real) and the stand-in's in-process one."""
+"""Interface to a model engine. Adapters: `engine_http` and the stand-in's in-process engine."""
 
 import enum
 from collections.abc import AsyncIterator
@@ -25,23 +25,23 @@
     UNREACHABLE = "unreachable"
     """No connection was made, so nothing ran."""
     REFUSED_BUSY = "refused_busy"
-    """The engine said that it is full and did not run the request."""
+    """The engine has no capacity and did not run the request."""
     REFUSED_MISMATCH = "refused_mismatch"
-    """Other incarnation, model, version or adapter than expected; the engine did not run it."""
+    """Incarnation, model, version or adapter differ from the expected; the request was not run."""
     REFUSED_LEAVING = "refused_leaving"
     """The engine is stopping and did not run the request."""
     REFUSED_INVALID = "refused_invalid"
-    """The engine rejected the request itself; another engine would too. Not run."""
+    """The request is invalid for any engine; it was not run."""
     REFUSED_STALE_ORDER = "refused_stale_order"
-    """A newer order has been seen; this one was not carried out."""
+    """The engine has seen a newer order and did not carry out this one."""
     NOT_FOUND = "not_found"
-    """The engine does not know the request (resume, cancel) or the sequence (events)."""
+    """The engine has no such request (resume, cancel) or sequence (events)."""
     BROKEN = "broken"
-    """The connection broke after the request was sent: it may have run."""
+    """The connection broke after the request was sent; the request may have run."""
     TIMED_OUT = "timed_out"
-    """No answer in time: it may have run."""
+    """No answer within the timeout; the request may have run."""
     CORRUPT = "corrupt"
-    """The engine answered what does not parse or does not belong to the request."""
+    """The answer does not parse or does not belong to the request."""
 
 
 PROVABLY_NOT_RUN = frozenset(
@@ -53,7 +53,7 @@
         EngineFailureKind.REFUSED_INVALID,
     }
 )
-"""Failures after which a request has certainly not run."""
+"""Failures that prove that the request did not run."""
 
 
 class EngineFailure(msgspec.Struct, frozen=True):
@@ -61,8 +61,8 @@
 
     Attributes:
         kind: How it failed.
-        detail: One line for logs, with the remedy where there is one.
-        retry_after_s: The engine's own hint, or None.
+        detail: One line for logs, with the remedy if there is one.
+        retry_after_s: When to retry, as the engine suggests, or None.
     """
 
     kind: EngineFailureKind
@@ -71,7 +71,7 @@
 
     @property
     def provably_not_run(self) -> bool:
-        """Whether the request certainly did not run."""
+        """Whether the failure proves that the request did not run."""
         return self.kind in PROVABLY_NOT_RUN
 
 
@@ -79,24 +79,24 @@
     """One attempt at a request on one engine.
 
     Attributes:
-        request_id: The caller's request, the same for every attempt.
-        attempt: 0 for the first attempt; request_id and attempt name the engine's work.
+        request_id: Id of the caller's request, the same for every attempt.
+        attempt: Number of the attempt, from 0; with request_id it identifies the engine's work.
         path: `/v1/chat/completions` or `/v1/completions`.
         body: The OpenAI-shaped body.
         prompt: Canonical prompt bytes.
-        max_tokens: Most tokens to generate, counted from the start of the answer.
+        max_tokens: Maximum tokens of the answer, counted from its start.
         priority: Lower is served first.
-        time_left_s: Seconds until the caller gives up; the engine drops the work then.
-        cache_salt: Seeds the block hashes, so tenants never share blocks (as vLLM's).
+        time_left_s: Seconds until the caller's deadline; the engine then drops the work.
+        cache_salt: Seed of the block hashes, so that tenants never share blocks (as in vLLM).
         model: Model expected to be loaded.
         adapter: Adapter expected to be loaded, or None.
-        expected_incarnation: The engine's run that was chosen, or None for any.
-        expected_weight_version: Version that must serve it, or None for any.
+        expected_incarnation: Run of the engine that must serve the request, or None for any.
+        expected_weight_version: Version of weights that must serve it, or None for any.
         continue_text: Answer text already sent to the caller by an earlier attempt.
-        continue_sequence: Sequence of the next chunk that the caller needs.
-        continue_num_tokens: Tokens in `continue_text`.
+        continue_sequence: Sequence number of the next chunk that the caller needs.
+        continue_num_tokens: Number of tokens in `continue_text`.
         kept_kv_store: Address of a kept-KV store to import the prefix from, or None.
-        kept_kv_block_hash: Deepest block to import, or None.
+        kept_kv_block_hash: Hash of the last block of the prefix to import, or None.
     """
 
     request_id: RequestId
@@ -120,26 +120,26 @@
 
 
 class LoadModel(msgspec.Struct, frozen=True, tag="load_model"):
-    """Load a model at a version, dropping the one before."""
+    """Load a model at a version and drop the model loaded before."""
 
     model: ModelName
     weight_version: WeightVersion
 
 
 class LoadAdapter(msgspec.Struct, frozen=True, tag="load_adapter"):
-    """Load an adapter of the model in place."""
+    """Load an adapter of the loaded model."""
 
     adapter: AdapterName
 
 
 class UnloadAdapter(msgspec.Struct, frozen=True, tag="unload_adapter"):
-    """Drop an adapter."""
+    """Unload an adapter."""
 
     adapter: AdapterName
 
 
 class ChangeRole(msgspec.Struct, frozen=True, tag="change_role"):
-    """Serve `prefill`, `decode` or `both`."""
+    """Change the engine's role to `prefill`, `decode` or `both`."""
 
     role: str
 
@@ -148,14 +148,14 @@
 
 
 class EngineOrder(msgspec.Struct, frozen=True):
-    """A fenced order: the engine refuses it if it has seen a higher token.
+    """A fenced order: an engine that has seen a higher token refuses it.
 
     Attributes:
-        token: Fencing token; grows with each order over the deployment's life.
-        action: What to do.
-        expected_incarnation: The run that the order is for, or None for any; another run answers
-            REFUSED_MISMATCH and does nothing, so that an order which arrives after a restart, when
-            the tokens seen are forgotten, has no effect.
+        token: Fencing token; increases with each order of the deployment.
+        action: What the engine must do.
+        expected_incarnation: The run that the order is for, or None for any. Another run answers
+            REFUSED_MISMATCH and does nothing. An engine forgets the tokens it has seen when it
+            restarts; this keeps a late order from taking effect after a restart.
     """
 
     token: int
@@ -167,32 +167,32 @@
 
 
 def num_ready_chunks(chunks: AsyncIterator[ChunkOrFailure]) -> int:
-    """Return how many chunks an iterator hands out without waiting.
+    """Return how many chunks an iterator can return without waiting.
 
-    Iterators that know have an attribute `num_ready`; of others nothing is known, so 0.
+    This is its attribute `num_ready`; 0 for iterators without that attribute.
     """
     num_ready: int = getattr(chunks, "num_ready", 0)
     return num_ready
 
 
 class EnginePort(Protocol):
-    """What a node can ask of one engine."""
+    """Operations of one engine."""
 
     def generate(
         self, call: GenerateCall
     ) -> AbstractAsyncContextManager[AsyncIterator[ChunkOrFailure]]:
         """Start one attempt and stream its chunks.
 
-        The iterator yields Ok chunks, then ends after the chunk with a finish reason, or yields
-        one Err and ends. Waiting for a chunk may have no limit but the puller's own. Leaving the
-        context early closes the connection; it does not cancel.
+        The iterator yields Ok chunks and ends after the chunk with a finish reason, or yields one
+        Err and ends. There may be no timeout for a chunk: the caller must limit the wait. Leaving
+        the context early closes the connection; it does not cancel the attempt.
         """
         ...
 
     def resume(
         self, request_id: RequestId, attempt: int, from_sequence: int
     ) -> AbstractAsyncContextManager[AsyncIterator[ChunkOrFailure]]:
-        """Stream the chunks of an attempt again from a sequence; NOT_FOUND if it is forgotten."""
+        """Stream an attempt's chunks again from a sequence number; NOT_FOUND if none are kept."""
         ...
 
     async def cancel(self, request_id: RequestId, attempt: int) -> Result[None, EngineFailure]:
@@ -206,13 +206,16 @@
     def cache_events(
         self, incarnation: Incarnation | None, after_sequence: int
     ) -> AbstractAsyncContextManager[AsyncIterator[Result[CacheEventBatch, EngineFailure]]]:
-        """Follow cache events after a sequence; NOT_FOUND if the replay window has passed it."""
+        """Follow cache events after a sequence number.
+
+        NOT_FOUND if the engine no longer keeps the next event.
+        """
         ...
 
     async def cache_dump(self) -> Result[CacheDump, EngineFailure]:
-        """Read every block held now."""
+        """Read all blocks in the engine's cache."""
         ...
 
     async def order(self, order: EngineOrder) -> Result[None, EngineFailure]:
-        """Give a fenced order; Ok means accepted, the load report tells when it is done."""
+        """Send a fenced order; Ok means accepted, and the load report shows when it is done."""
         ...
--- a/src/weirscale/ports/engine_http.py
+++ b/src/weirscale/ports/engine_http.py
@@ -23,27 +23,27 @@
 from weirscale.ports.engine_response import (
     ResponseChunks,
     decode_answer,
+    decode_error,
     drain_body,
-    error_of,
     event_batches,
+    failure_as_batches,
+    failure_as_chunks,
     failure_of_error,
-    only_batch,
-    only_chunk,
 )
 from weirscale.ports.engine_stream import SseParser
 from weirscale.ports.http_client import CONNECT_TIMEOUT_S, KEEP_ALIVE_S, new_client
 
 CONTROL_TIMEOUT_S = 2.0
-"""Limit of calls other than generation."""
+"""Timeout in seconds of calls other than generation."""
 
 MAX_CONNECTIONS = 1024
-"""Far above the concurrency that is declared for one engine."""
+"""Far above the concurrency that a deployment declares for one engine."""
 
 CLOSE_HEADERS = {"connection": "close"}
 
 
 class HttpEngine:
-    """One engine at one address, with its own client; an `EnginePort`."""
+    """Implements `EnginePort` for one engine at one address, with an HTTP client of its own."""
 
     def __init__(
         self,
@@ -52,32 +52,32 @@
         connect_timeout_s: float = CONNECT_TIMEOUT_S,
         control_timeout_s: float = CONTROL_TIMEOUT_S,
     ) -> None:
-        """Make a port; no connection is opened yet.
+        """Create the port without opening a connection.
 
         Args:
             address: host:port.
-            connect_timeout_s: Limit of making a connection.
-            control_timeout_s: Limit of calls other than generation.
+            connect_timeout_s: Timeout for opening a connection.
+            control_timeout_s: Timeout of calls other than generation.
         """
         self.address = address
         self._connect_timeout_s = connect_timeout_s
         self._control_timeout_s = control_timeout_s
         self._root = f"http://{address}"
-        self._made_client: httpx.AsyncClient | None = None
-        self._load_asked_at_s = -math.inf
+        self._lazy_client: httpx.AsyncClient | None = None
+        self._last_load_call_s = -math.inf
 
     @property
     def _client(self) -> httpx.AsyncClient:
-        """The client, made on first use: a node calls few of the engines that are declared."""
-        if self._made_client is None:
+        """The HTTP client, created on first use: a node calls few of the declared engines."""
+        if self._lazy_client is None:
             timeout = httpx.Timeout(self._control_timeout_s, connect=self._connect_timeout_s)
-            self._made_client = new_client(MAX_CONNECTIONS, timeout)
-        return self._made_client
+            self._lazy_client = new_client(MAX_CONNECTIONS, timeout)
+        return self._lazy_client
 
     async def aclose(self) -> None:
-        """Close every connection."""
-        if self._made_client is not None:
-            await self._made_client.aclose()
+        """Close all connections."""
+        if self._lazy_client is not None:
+            await self._lazy_client.aclose()
 
     @asynccontextmanager
     async def generate(self, call: GenerateCall) -> AsyncIterator[AsyncIterator[ChunkOrFailure]]:
@@ -97,7 +97,7 @@
     async def resume(
         self, request_id: RequestId, attempt: int, from_sequence: int
     ) -> AsyncIterator[AsyncIterator[ChunkOrFailure]]:
-        """Stream the chunks of an attempt again from a sequence."""
+        """Stream an attempt's chunks again from a sequence number."""
         request = self._client.build_request(
             "GET",
             self._root + attempt_path(request_id, attempt),
@@ -109,26 +109,27 @@
 
     async def cancel(self, request_id: RequestId, attempt: int) -> Result[None, EngineFailure]:
         """Stop an attempt's work."""
-        answer = await self._ask("POST", f"{attempt_path(request_id, attempt)}/cancel")
+        answer = await self._call("POST", f"{attempt_path(request_id, attempt)}/cancel")
         return answer.map(lambda _: None)
 
     async def load(self) -> Result[LoadReport, EngineFailure]:
         """Read the latest load report.
 
-        The connection is closed unless the next question can come in time to use it: a node asks
-        each of 1,700 engines once in a while, and would keep a socket and 11 kB for each.
+        After an infrequent call the connection is closed, because the next call would come too late
+        to reuse it. Otherwise a node that polls 1,700 engines would keep a socket and 11 kB for
+        each.
         """
         now_s = anyio.current_time()
-        is_rare = now_s - self._load_asked_at_s > KEEP_ALIVE_S
-        self._load_asked_at_s = now_s
-        answer = await self._ask("GET", wire.LOAD_PATH, CLOSE_HEADERS if is_rare else None)
+        is_infrequent = now_s - self._last_load_call_s > KEEP_ALIVE_S
+        self._last_load_call_s = now_s
+        answer = await self._call("GET", wire.LOAD_PATH, CLOSE_HEADERS if is_infrequent else None)
         return answer.and_then(lambda body: decode_answer(body, LoadReport))
 
     @asynccontextmanager
     async def cache_events(
         self, incarnation: Incarnation | None, after_sequence: int
     ) -> AsyncIterator[AsyncIterator[Result[CacheEventBatch, EngineFailure]]]:
-        """Follow cache events after a sequence."""
+        """Follow cache events after a sequence number."""
         params: dict[str, int] = {"after_sequence": after_sequence}
         if incarnation is not None:
             params["incarnation"] = incarnation
@@ -138,7 +139,7 @@
         )
         opened = await self._open(request)
         if isinstance(opened, Err):
-            yield only_batch(opened)
+            yield failure_as_batches(opened)
             return
         response = opened.ok_value
         try:
@@ -148,13 +149,13 @@
             await response.aclose()
 
     async def cache_dump(self) -> Result[CacheDump, EngineFailure]:
-        """Read every block held now."""
-        answer = await self._ask("GET", wire.DUMP_PATH)
+        """Read all blocks in the engine's cache."""
+        answer = await self._call("GET", wire.DUMP_PATH)
         return answer.and_then(lambda body: decode_answer(body, CacheDump))
 
     async def order(self, order: EngineOrder) -> Result[None, EngineFailure]:
-        """Give a fenced order."""
-        answer = await self._ask("POST", wire.ORDERS_PATH, body=msgspec.json.encode(order))
+        """Send a fenced order."""
+        answer = await self._call("POST", wire.ORDERS_PATH, body=msgspec.json.encode(order))
         return answer.map(lambda _: None)
 
     def _stream_timeout(self, read_s: float | None) -> httpx.Timeout:
@@ -167,13 +168,13 @@
     ) -> AsyncIterator[AsyncIterator[ChunkOrFailure]]:
         opened = await self._open(request)
         if isinstance(opened, Err):
-            yield only_chunk(opened)
+            yield failure_as_chunks(opened)
             return
         response = opened.ok_value
-        # A time limit on each read would cost a timer for each chunk, more than all other work on
-        # it. Whoever pulls the chunks limits its own waiting; the engine knows the time left.
+        # A timeout on each read would need a timer for each chunk, which costs more than all other
+        # work on the chunk. The consumer limits its wait, and the engine got the remaining time.
         request.extensions["timeout"]["read"] = None
-        # The stream itself: `aiter_raw` would add a layer to each chunk, for counting bytes.
+        # The stream is read directly: `aiter_raw` would add a layer to each chunk to count bytes.
         stream = response.stream
         assert isinstance(stream, httpx.AsyncByteStream)
         body = aiter(stream)
@@ -185,7 +186,7 @@
             await response.aclose()
 
     async def _open(self, request: httpx.Request) -> Result[httpx.Response, EngineFailure]:
-        """Send a request and read the headers; an error status is read to its end."""
+        """Send a request and read the headers; of an error response also read the body."""
         try:
             response = await self._client.send(request, stream=True)
         except httpx.HTTPError as error:
@@ -200,9 +201,9 @@
         finally:
             await response.aclose()
         body = response.content if response.is_stream_consumed else b""
-        return Err(wire.failure_of_answer(response.status_code, error_of(body)))
+        return Err(wire.failure_of_answer(response.status_code, decode_error(body)))
 
-    async def _ask(
+    async def _call(
         self,
         method: str,
         path: str,
@@ -217,7 +218,9 @@
         except httpx.HTTPError as error:
             return Err(failure_of_error(error))
         except TimeoutError:
-            return Err(EngineFailure(EngineFailureKind.TIMED_OUT, "the engine does not answer"))
+            return Err(
+                EngineFailure(EngineFailureKind.TIMED_OUT, "the engine did not answer in time")
+            )
         if response.is_success:
             return Ok(response.content)
-        return Err(wire.failure_of_answer(response.status_code, error_of(response.content)))
+        return Err(wire.failure_of_answer(response.status_code, decode_error(response.content)))
--- a/src/weirscale/ports/engine_request.py
+++ b/src/weirscale/ports/engine_request.py
@@ -10,7 +10,7 @@
 
 
 def encode_body(call: GenerateCall) -> bytes:
-    """Return the body of a generation request: the caller's, with the engine's fields over it."""
+    """Return the body of a generation request: the caller's body with the engine's fields set."""
     body: dict[str, object] = {
         **call.body,
         "model": call.model,
@@ -47,5 +47,5 @@
 
 
 def attempt_path(request_id: RequestId, attempt: int) -> str:
-    """Return the path under which an attempt is resumed and cancelled."""
+    """Return the path for resuming and cancelling an attempt."""
     return f"{wire.STREAMS_PATH}/{quote(request_id, safe='')}/{attempt}"
--- a/src/weirscale/ports/engine_response.py
+++ b/src/weirscale/ports/engine_response.py
@@ -1,4 +1,4 @@
-"""Reads the HTTP answers of engines: chunks, cache events, failures."""
+"""Reads the HTTP responses of engines: chunks, cache events and failures."""
 
 from collections import deque
 from collections.abc import AsyncGenerator, AsyncIterator
@@ -16,16 +16,17 @@
 from weirscale.ports.http_client import was_never_sent
 
 MAX_ERROR_BODY_BYTES = 64 * 1024
-"""Longer error bodies are cut: only the code and a line of text are read."""
+"""Longer error bodies are cut: only the code and a line of text are used."""
 
 DRAIN_TIMEOUT_S = 0.1
-"""Wait for the end of a body after its last chunk, so that the connection can be used again."""
+"""Seconds to wait for the end of a body after its last chunk, to be able to reuse the
+connection."""
 
 AnswerT = TypeVar("AnswerT")
 
 
 def failure_of_error(error: httpx.HTTPError) -> EngineFailure:
-    """Return the failure that a client's error stands for; unknown ones may have run."""
+    """Translate an error of the HTTP client; after an unknown error the request may have run."""
     detail = f"{type(error).__name__}: {error}"
     if was_never_sent(error):
         return EngineFailure(EngineFailureKind.UNREACHABLE, detail)
@@ -34,8 +35,8 @@
     return EngineFailure(EngineFailureKind.BROKEN, detail)
 
 
-def error_of(body: bytes) -> wire.WireError | None:
-    """Return the error of an answer's body if it has one."""
+def decode_error(body: bytes) -> wire.WireError | None:
+    """Return the error object in a response's body, None if there is none."""
     try:
         return msgspec.json.decode(body[:MAX_ERROR_BODY_BYTES], type=wire.ErrorBody).error
     except (msgspec.DecodeError, ValueError):
@@ -43,7 +44,7 @@
 
 
 def decode_answer(body: bytes, answer_type: type[AnswerT]) -> Result[AnswerT, EngineFailure]:
-    """Decode a whole JSON answer."""
+    """Decode a complete JSON response."""
     try:
         return Ok(msgspec.json.decode(body, type=answer_type))
     except (msgspec.DecodeError, ValueError) as error:
@@ -51,18 +52,18 @@
 
 
 class ResponseChunks:
-    """Chunks of one response; what one read brings is kept until it is asked for."""
+    """Iterator over the chunks of one response; buffers the chunks that one read returns."""
 
     def __init__(self, body: AsyncIterator[bytes], parser: SseParser) -> None:
         self._body = body
         self._parser = parser
         self._ready: deque[ChunkOrFailure] = deque()
         self._failure: ChunkOrFailure | None = None
-        self._is_over = False
+        self._has_ended = False
 
     @property
     def num_ready(self) -> int:
-        """Chunks that are handed out without waiting; a failure does not count."""
+        """Number of chunks that can be returned without waiting; a failure does not count."""
         return len(self._ready)
 
     def __aiter__(self) -> AsyncIterator[ChunkOrFailure]:
@@ -74,29 +75,29 @@
             if self._failure is not None:
                 failure, self._failure = self._failure, None
                 return failure
-            if self._is_over:
+            if self._has_ended:
                 raise StopAsyncIteration
             try:
                 data = await anext(self._body)
             except StopAsyncIteration:
-                self._keep([self._parser.end()])
+                self._store_items([self._parser.end()])
             except httpx.HTTPError as error:
-                self._keep([Err(failure_of_error(error))])
-                self._is_over = True
+                self._store_items([Err(failure_of_error(error))])
+                self._has_ended = True
             else:
-                self._keep(self._parser.feed(data))
+                self._store_items(self._parser.feed(data))
         return ready.popleft()
 
-    def _keep(self, items: list[ChunkOrFailure]) -> None:
-        """Keep what a read has brought; a failure is always the last item of its read."""
+    def _store_items(self, items: list[ChunkOrFailure]) -> None:
+        """Buffer the items of a read; a failure is always the last item of its read."""
         if items and isinstance(items[-1], Err):
             self._failure = items.pop()
         self._ready.extend(items)
-        self._is_over = self._parser.is_finished
+        self._has_ended = self._parser.is_finished
 
 
 async def drain_body(body: AsyncIterator[bytes]) -> None:
-    """Read the rest of a body that is complete, so that its connection is kept."""
+    """Read the end of a body after its last chunk, so that the connection can be reused."""
     try:
         with anyio.move_on_after(DRAIN_TIMEOUT_S):
             async for _ in body:
@@ -109,10 +110,10 @@
     response: httpx.Response,
 ) -> AsyncGenerator[Result[CacheEventBatch, EngineFailure], None]:
     """Yield the batches of an event stream, then the failure that ended it."""
-    rest = b""
+    incomplete_line = b""
     try:
         async for data in response.aiter_raw():
-            *lines, rest = (rest + data).split(b"\n")
+            *lines, incomplete_line = (incomplete_line + data).split(b"\n")
             for line in lines:
                 batch = _decode_event_line(line)
                 yield batch
@@ -125,18 +126,18 @@
 
 
 def _decode_event_line(line: bytes) -> Result[CacheEventBatch, EngineFailure]:
-    error = error_of(line) if line.startswith(b'{"error"') else None
+    error = decode_error(line) if line.startswith(b'{"error"') else None
     if error is not None:
         return Err(wire.failure_of_answer(httpx.codes.OK, error))
     return decode_answer(line, CacheEventBatch)
 
 
-async def only_chunk(failure: Err[EngineFailure]) -> AsyncGenerator[ChunkOrFailure, None]:
+async def failure_as_chunks(failure: Err[EngineFailure]) -> AsyncGenerator[ChunkOrFailure, None]:
     """Yield a failure in place of chunks."""
     yield failure
 
 
-async def only_batch(
+async def failure_as_batches(
     failure: Err[EngineFailure],
 ) -> AsyncGenerator[Result[CacheEventBatch, EngineFailure], None]:
     """Yield a failure in place of batches."""
--- a/src/weirscale/ports/engine_wire.py
+++ b/src/weirscale/ports/engine_wire.py
@@ -1,6 +1,6 @@
-"""JSON shapes and names of the engine's HTTP interface, shared by the adapter and the stand-in.
+"""JSON structures and names of the engine's HTTP interface, shared by the adapter and the stand-in.
 
-The OpenAI-shaped parts follow vLLM's server; see docs/design/0002-engine-interface.md.
+The OpenAI-compatible parts follow vLLM's server; see docs/design/0002-engine-interface.md.
 """
 
 import msgspec
@@ -25,7 +25,7 @@
 EVENT_END = b"\n\n"
 
 ID_PREFIXES = ("chatcmpl-", "cmpl-")
-"""vLLM puts one of these before the request id that it was given."""
+"""vLLM adds one of these prefixes to the request id that it received."""
 
 
 class WireError(msgspec.Struct, omit_defaults=True):
@@ -38,7 +38,7 @@
 
 
 class ErrorBody(msgspec.Struct):
-    """Body of an error answer."""
+    """Body of an error response."""
 
     error: WireError
 
@@ -59,7 +59,7 @@
 
 
 class PromptDetails(msgspec.Struct):
-    """How the prompt was served."""
+    """Details of the prompt's token count."""
 
     cached_tokens: int = 0
 
@@ -77,14 +77,14 @@
     """One server-sent event of a streamed answer.
 
     Attributes:
-        id: The request's id, perhaps after one of `ID_PREFIXES`.
-        object: OpenAI's name of the shape.
-        model: Model that answers.
+        id: Id of the request, possibly after one of `ID_PREFIXES`.
+        object: OpenAI's name of the object's type.
+        model: Model that generates the answer.
         choices: One choice, or none in an event that carries only `usage`.
-        usage: Counts, at the end of the answer.
-        sequence: Extension: number of the chunk; counted by the adapter where it is missing.
-        num_tokens: Extension: tokens in the chunk.
-        error: Why the stream ends early.
+        usage: Token counts, at the end of the answer.
+        sequence: Extension: number of the chunk; the adapter counts if it is missing.
+        num_tokens: Extension: number of tokens in the chunk.
+        error: Error that ends the stream early.
     """
 
     id: str = ""
@@ -98,7 +98,7 @@
 
 
 class ContinueAnswer(msgspec.Struct):
-    """Extension of a request's body: start the answer where another engine's ended."""
+    """Extension of a request's body: continue the answer where another engine stopped."""
 
     text: str
     sequence: int
@@ -113,7 +113,7 @@
 
 
 class GenerateExtensions(msgspec.Struct):
-    """Fields that the stand-in reads from a request's body beside the prompt."""
+    """Fields that the stand-in reads from a request's body, apart from the prompt."""
 
     model: str
     max_tokens: int
@@ -133,7 +133,7 @@
     EngineFailureKind.REFUSED_LEAVING: 503,
     EngineFailureKind.TIMED_OUT: 504,
 }
-"""HTTP status for each failure that an engine can tell; the others are broken connections."""
+"""HTTP status of each failure that an engine can report; the others are broken connections."""
 
 FAILURE_OF_STATUS = {
     400: EngineFailureKind.REFUSED_INVALID,
@@ -143,16 +143,17 @@
     422: EngineFailureKind.REFUSED_INVALID,
     429: EngineFailureKind.REFUSED_BUSY,
 }
-"""Reading of a status that comes without a known code; others may have run: BROKEN."""
+"""Failure for a status without a known code. With any other status the request may have run, so the
+failure is BROKEN."""
 
-TOLD_FAILURES = frozenset(kind.value for kind in STATUS_OF_FAILURE)
+REPORTED_FAILURE_CODES = frozenset(kind.value for kind in STATUS_OF_FAILURE)
 
 
 def failure_of_answer(status: int, error: WireError | None) -> EngineFailure:
-    """Return the failure that an error status and its body stand for."""
+    """Return the failure for an error status and the error object of its body."""
     message = error.message if error else ""
     retry_after_s = error.retry_after_s if error else None
-    if error is not None and error.code in TOLD_FAILURES:
+    if error is not None and error.code in REPORTED_FAILURE_CODES:
         return EngineFailure(EngineFailureKind(error.code), message, retry_after_s)
     kind = FAILURE_OF_STATUS.get(status, EngineFailureKind.BROKEN)
     return EngineFailure(kind, f"engine answered HTTP {status}: {message}", retry_after_s)
--- a/src/weirscale/ports/etcd_json.py
+++ b/src/weirscale/ports/etcd_json.py
@@ -1,4 +1,7 @@
-"""Bodies of the etcd v3 JSON gateway: base64 keys and values, 64-bit numbers as strings."""
+"""Request and response bodies of the etcd v3 JSON gateway.
+
+Keys and values are in base64, 64-bit numbers are strings.
+"""
 
 import base64
 from typing import Any
@@ -26,7 +29,7 @@
 
 def read_answer(body: Body) -> ReadAnswer:
     """Decode the answer to a range request."""
-    return ReadAnswer(revision(body), tuple(key_value(found) for found in body.get("kvs", [])))
+    return ReadAnswer(revision(body), tuple(key_value(stored) for stored in body.get("kvs", [])))
 
 
 def lease_id(body: Body) -> int:
@@ -34,8 +37,8 @@
     return int(body["ID"])
 
 
-def lives_s(body: Body) -> float:
-    """Return the time to live; the gateway leaves it out when the lease is gone."""
+def time_to_live_s(body: Body) -> float:
+    """Return a lease's time to live, 0 if the lease does not exist: the gateway then omits it."""
     return float(body["result"].get("TTL", 0))
 
 
@@ -52,8 +55,8 @@
 
 def swap_answer(body: Body) -> SwapAnswer:
     """Decode the answer to a transaction whose last operation reads the key."""
-    found = body["responses"][-1]["response_range"].get("kvs", [])
-    current = key_value(found[0]) if found else None
+    stored = body["responses"][-1]["response_range"].get("kvs", [])
+    current = key_value(stored[0]) if stored else None
     return SwapAnswer(bool(body.get("succeeded", False)), revision(body), current)
 
 
--- a/src/weirscale/ports/event_log.py
+++ b/src/weirscale/ports/event_log.py
@@ -1,4 +1,4 @@
-"""Events of a node: one line of key=value pairs for each, through eliot."""
+"""Event log of a node: eliot messages, written as one line of key=value pairs each."""
 
 import sys
 import time
@@ -14,29 +14,31 @@
 
 
 class EventLog(Protocol):
-    """Where tasks tell what happened."""
+    """Interface to which tasks log events."""
 
     def event(self, name: str, **fields: object) -> None:
-        """Log one event; must not block."""
+        """Log one event without blocking."""
         ...
 
 
 class SilentEventLog:
-    """An event log that drops everything."""
+    """An event log that discards all events."""
 
     def event(self, name: str, **fields: object) -> None:
-        """Drop the event."""
+        """Discard the event."""
 
 
 def render_value(value: object) -> str:
-    """Render one value; quoted where it has characters that would break the line apart."""
+    """Render one value, quoted if it contains characters that would make the line ambiguous."""
     if isinstance(value, float):
         return f"{value:.6g}"
     text = str(value)
     if text and _PLAIN_CHARACTERS.issuperset(text):
         return text
     escaped = text.replace("\\", "\\\\").replace('"', '\\"')
-    printable = "".join(c if c.isprintable() else repr(c)[1:-1] for c in escaped)
+    printable = "".join(
+        character if character.isprintable() else repr(character)[1:-1] for character in escaped
+    )
     return f'"{printable}"'
 
 
@@ -66,7 +68,7 @@
 
 
 class EliotEventLog:
-    """Logs events with eliot; `fields` of the log itself are added to each event."""
+    """Logs events with eliot; adds the fields given to the log to each event."""
 
     def __init__(self, **fields: object) -> None:
         self._fields = fields
@@ -79,5 +81,5 @@
 
 
 def start_line_log(stream: TextIO = sys.stderr) -> None:
-    """Send all eliot messages of the process to a stream as key=value lines."""
+    """Write all eliot messages of this process to a stream as key=value lines."""
     eliot.add_destinations(LineDestination(stream))  # type: ignore[no-untyped-call]
--- a/src/weirscale/ports/h11_connection.py
+++ b/src/weirscale/ports/h11_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection to a server, on h11 and a socket of anyio's; errors are httpx's."""
+"""One HTTP/1.1 client connection, built on h11 and an anyio socket; raises errors of httpx."""
 
 import select
 import socket
@@ -11,17 +11,17 @@
 from weirscale.ports.running_timeout import run_within
 
 READ_BYTES = 64 * 1024
-"""Most bytes taken by one read; also the longest head of an answer."""
+"""Maximum bytes of one read; also the maximum size of an answer's head."""
 
 
 class H11Connection:
-    """Carries one exchange after the other.
+    """Sends requests and reads their answers, one exchange after another.
 
     Args:
-        stream: The socket.
+        stream: The connected socket.
 
     Raises:
-        ConnectionResetError: The server has reset the connection already.
+        ConnectionResetError: The server has already reset the connection.
     """
 
     def __init__(self, stream: SocketStream) -> None:
@@ -29,27 +29,27 @@
         self._state = h11.Connection(h11.CLIENT, max_incomplete_event_size=READ_BYTES)
         self._poller = _poller(raw_socket(stream))
         self._has_body_ended = False
-        self.unused_since_s = 0.0
+        self.idle_since_s = 0.0
 
     async def send(self, request: httpx.Request, timeout_s: float | None) -> None:
         """Send a whole request in one write.
 
         Args:
             request: The request; its body is in memory.
-            timeout_s: How long the server may take to take it; None for as long as the caller
-                waits.
+            timeout_s: How long writing the request may take; None for no limit.
 
         Raises:
-            httpx.WriteTimeout: It was not taken in time.
+            httpx.WriteTimeout: The request could not be written in time.
         """
         data = self._encode(request)
         try:
             with anyio.fail_after(timeout_s):
                 await self._stream.send(data)
         except TimeoutError as error:
-            raise httpx.WriteTimeout("the request was not taken in time") from error
+            raise httpx.WriteTimeout("the request could not be written in time") from error
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
-            # A server may answer before it closes. If it has not, reading the answer tells.
+            # The server may have answered before it closed the connection. Reading the answer
+            # raises an error if it has not.
             return
 
     def _encode(self, request: httpx.Request) -> bytes:
@@ -62,20 +62,21 @@
         return b"".join(part for part in parts if part)
 
     async def read_head(self, timeout_s: float | None) -> h11.Response:
-        """Wait for the head of the answer.
+        """Read the head of the answer.
 
         Args:
-            timeout_s: How long it may take; None for as long as the caller waits.
+            timeout_s: How long reading the head may take; None for no limit.
 
         Raises:
-            httpx.ReadTimeout: It did not come in time.
+            httpx.ReadTimeout: The head did not arrive in time.
             httpx.ReadError: The connection broke.
-            httpx.RemoteProtocolError: What came, or the connection's end, is no answer.
+            httpx.RemoteProtocolError: The server sent no valid answer, or closed the connection
+                without one.
         """
         try:
             return await run_within(timeout_s, self._read_head)
         except TimeoutError as error:
-            raise httpx.ReadTimeout("no answer in time") from error
+            raise httpx.ReadTimeout("no answer arrived in time") from error
 
     async def _read_head(self) -> h11.Response:
         while True:
@@ -89,22 +90,22 @@
                 raise httpx.RemoteProtocolError("the connection ended without an answer")
 
     async def read_body(self, timeout_s: float | None) -> bytes | None:
-        """Wait for the next part of the body; None once it has ended.
+        """Read the next part of the body; return None once the body has ended.
 
         Args:
-            timeout_s: How long the wait may take; None for as long as the caller waits.
+            timeout_s: How long reading the part may take; None for no limit.
 
         Raises:
-            httpx.HTTPError: As for the head.
+            httpx.HTTPError: As in `read_head`.
         """
         while True:
-            part = self._take_body()
+            part = self._read_buffered_body()
             if part or self._has_body_ended:
                 return part or None
             await self._read_in_time(timeout_s)
 
-    def _take_body(self) -> bytes:
-        """Return what has arrived of the body and was not returned yet."""
+    def _read_buffered_body(self) -> bytes:
+        """Return the part of the body that was received but not returned yet."""
         parts: list[bytes] = []
         while not self._has_body_ended:
             event = self._next_event()
@@ -124,13 +125,13 @@
 
     async def _read_in_time(self, timeout_s: float | None) -> None:
         if timeout_s is None:
-            # A cancel scope for each part of a stream would cost more than the part.
+            # A cancel scope for each part of a stream would cost more than reading the part.
             await self._read_more()
             return
         try:
             await run_within(timeout_s, self._read_more)
         except TimeoutError as error:
-            raise httpx.ReadTimeout("no further part of the answer in time") from error
+            raise httpx.ReadTimeout("no further part of the answer arrived in time") from error
 
     async def _read_more(self) -> None:
         try:
@@ -141,42 +142,44 @@
             raise httpx.ReadError(str(error)) from error
         self._state.receive_data(data)
 
-    def begin_anew(self, now_s: float) -> bool:
-        """Make ready for the next exchange; False if the connection must not be used again.
+    def prepare_for_reuse(self, now_s: float) -> bool:
+        """Prepare for the next exchange; return False if the connection must not be reused.
 
-        What a server sent beyond a whole answer belongs to no request.
+        Surplus bytes after a complete answer belong to no request, so such a connection is not
+        reused.
         """
         state = self._state
         surplus, _ = state.trailing_data
         if state.our_state is not h11.DONE or state.their_state is not h11.DONE or surplus:
             return False
         state.start_next_cycle()
-        self.unused_since_s = now_s
+        self.idle_since_s = now_s
         return True
 
-    def has_input(self) -> bool:
-        """Whether the server closed the connection, or sent anything, while it was unused."""
+    def has_pending_input(self) -> bool:
+        """Return whether the server closed the idle connection or sent anything on it."""
         return bool(self._poller.poll(0))
 
     async def close(self) -> None:
-        """Close the connection, also while the caller is being cancelled."""
+        """Close the connection, even while the caller is being cancelled."""
         with anyio.CancelScope(shield=True):
             await self._stream.aclose()
 
 
 def raw_socket(stream: SocketStream) -> socket.socket:
-    """Return the socket under a stream.
+    """Return the socket of a stream.
 
-    A server may reset a connection as it is made. The event loop has given its socket up then, and
-    anyio asks None for the peer's name: unnoticed, that error ended the whole process.
+    A server may reset a connection while it is being opened. The event loop has then released the
+    socket, and anyio raises AttributeError as it asks None for the peer's name. Unhandled, that
+    error ended the whole process.
 
     Raises:
-        ConnectionResetError: There is none any more.
+        ConnectionResetError: The stream no longer has a socket.
     """
     try:
         return stream.extra(SocketAttribute.raw_socket)
     except AttributeError as error:
-        raise ConnectionResetError("reset as it was made") from error
+        raise ConnectionResetError("the connection was reset while it was opened") from error
 
 
 def _poller(raw: socket.socket) -> select.poll:
--- a/src/weirscale/ports/h11_transport.py
+++ b/src/weirscale/ports/h11_transport.py
@@ -1,10 +1,10 @@
-"""A transport of httpx that keeps connections to one server.
+"""An httpx transport with a connection pool for one server.
 
-httpx's own transport serves any number of servers and protocols. It enters a cancel scope for each
-read, passes each part of a body through five iterators and looks at every unused connection for
-each request; on a node that relays streams this was a third of the processor time
-(docs/CAPACITY.md, "Processor time of a node"). Here are h11, which that transport rests on too, and
-anyio's sockets, and nothing between them and httpx's requests and answers.
+httpx's own transport supports any number of servers and protocols. It enters a cancel scope for
+each read, passes each part of a body through five iterators, and checks every idle connection for
+each request. On a node that relays streams this took a third of the processor time
+(docs/CAPACITY.md, "Processor time of a node"). This transport uses h11, as httpx's own does,
+directly on anyio's sockets.
 """
 
 from collections import deque
@@ -18,21 +18,21 @@
 from weirscale.ports.running_timeout import run_within
 
 SocketOption = tuple[int, int, int]
-"""Level, name and value, as `socket.setsockopt` takes them."""
+"""Level, name and value: the arguments of `socket.setsockopt`."""
 
 
 class H11Transport(httpx.AsyncBaseTransport):
-    """Sends requests to one server; requests name it in their URL.
+    """Sends requests to one server; the URL of each request must name that server.
 
-    The time-outs `connect` and `pool` of a request's extensions must be there. `read` and `write`
-    may be None: then whoever waits bounds the time, which saves a cancel scope for each part of an
+    A request's extensions must contain the timeouts `connect` and `pool`. `read` and `write` may be
+    None: the caller must then limit the time, which saves a cancel scope for each part of an
     answer.
 
     Args:
-        max_connections: Most connections in use at once.
-        keepalive_s: How long an unused connection is kept.
-        socket_options: Set on each connection.
-        clock: Monotonic seconds, for how long a connection has been unused.
+        max_connections: Maximum number of connections in use at once.
+        keepalive_s: How long an idle connection is kept, in seconds.
+        socket_options: Socket options to set on each connection.
+        clock: Monotonic clock in seconds; measures how long a connection has been idle.
     """
 
     def __init__(
@@ -45,26 +45,26 @@
         self._clock = clock
         self._keepalive_s = keepalive_s
         self._socket_options = tuple(socket_options)
-        self._places = anyio.Semaphore(max_connections, fast_acquire=True)
-        self._unused: deque[H11Connection] = deque()
-        """The one used last stands at the end."""
-        self._used: set[H11Connection] = set()
+        self._connection_slots = anyio.Semaphore(max_connections, fast_acquire=True)
+        self._idle: deque[H11Connection] = deque()
+        """Idle connections, the most recently used last."""
+        self._in_use: set[H11Connection] = set()
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
         """Send a request and return the head of its answer.
 
         Raises:
             httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout: Nothing was sent.
-            httpx.HTTPError: It may have been sent.
+            httpx.HTTPError: The request may have been sent.
         """
         timeouts = request.extensions["timeout"]
-        await self._take_place(timeouts["pool"])
+        await self._acquire_slot(timeouts["pool"])
         try:
-            connection = await self._connection(request.url, timeouts["connect"])
+            connection = await self._acquire_connection(request.url, timeouts["connect"])
         except BaseException:
-            self._places.release()
+            self._connection_slots.release()
             raise
-        self._used.add(connection)
+        self._in_use.add(connection)
         try:
             await connection.send(request, timeouts["write"])
             head = await connection.read_head(timeouts["read"])
@@ -77,29 +77,29 @@
             stream=_Body(self, connection, timeouts["read"]),
         )
 
-    async def _take_place(self, timeout_s: float) -> None:
+    async def _acquire_slot(self, timeout_s: float) -> None:
         try:
-            self._places.acquire_nowait()
+            self._connection_slots.acquire_nowait()
         except anyio.WouldBlock:
             try:
-                await run_within(timeout_s, self._places.acquire)
+                await run_within(timeout_s, self._connection_slots.acquire)
             except TimeoutError as error:
                 raise httpx.PoolTimeout("all connections are in use") from error
 
-    async def _connection(self, url: httpx.URL, timeout_s: float) -> H11Connection:
-        """Return an unused connection that still stands, or a new one."""
+    async def _acquire_connection(self, url: httpx.URL, timeout_s: float) -> H11Connection:
+        """Return an idle connection that is still open, or a new one."""
         await self._close_expired()
-        while self._unused:
-            connection = self._unused.pop()
-            if not connection.has_input():
+        while self._idle:
+            connection = self._idle.pop()
+            if not connection.has_pending_input():
                 return connection
             await connection.close()
         return await self._connect(url, timeout_s)
 
     async def _close_expired(self) -> None:
-        since_s = self._clock() - self._keepalive_s
-        while self._unused and self._unused[0].unused_since_s <= since_s:
-            await self._unused.popleft().close()
+        idle_cutoff_s = self._clock() - self._keepalive_s
+        while self._idle and self._idle[0].idle_since_s <= idle_cutoff_s:
+            await self._idle.popleft().close()
 
     async def _connect(self, url: httpx.URL, timeout_s: float) -> H11Connection:
         async def connect() -> SocketStream:
@@ -108,53 +108,53 @@
         try:
             stream = await run_within(timeout_s, connect)
         except TimeoutError as error:
-            raise httpx.ConnectTimeout("no connection in time") from error
+            raise httpx.ConnectTimeout("no connection could be opened in time") from error
         except OSError as error:
             raise httpx.ConnectError(str(error)) from error
         try:
-            return self._prepared(stream)
+            return self._configure(stream)
         except OSError as error:
             await anyio.aclose_forcefully(stream)
             raise httpx.ConnectError(str(error)) from error
 
-    def _prepared(self, stream: SocketStream) -> H11Connection:
+    def _configure(self, stream: SocketStream) -> H11Connection:
         raw = raw_socket(stream)
         for option in self._socket_options:
             raw.setsockopt(*option)
         return H11Connection(stream)
 
-    async def leave(self, connection: H11Connection) -> None:
-        """Take back a connection whose answer has been read, or is not wanted any more."""
-        if connection not in self._used:
+    async def return_connection(self, connection: H11Connection) -> None:
+        """Take back a connection whose answer has been read or abandoned."""
+        if connection not in self._in_use:
             return
-        if connection.begin_anew(self._clock()):
-            self._used.discard(connection)
-            self._unused.append(connection)
-            self._places.release()
+        if connection.prepare_for_reuse(self._clock()):
+            self._in_use.discard(connection)
+            self._idle.append(connection)
+            self._connection_slots.release()
         else:
             await self._discard(connection)
 
     async def _discard(self, connection: H11Connection) -> None:
         """Close a connection that is in use."""
-        self._used.discard(connection)
-        self._places.release()
+        self._in_use.discard(connection)
+        self._connection_slots.release()
         await connection.close()
 
     async def aclose(self) -> None:
-        """Close all connections, those in use too."""
-        connections = [*self._unused, *self._used]
-        self._unused.clear()
+        """Close all connections, including those in use."""
+        connections = [*self._idle, *self._in_use]
+        self._idle.clear()
         for connection in connections:
             await connection.close()
 
 
 class _Body(httpx.AsyncByteStream):
-    """The body of an answer as it comes; its connection is given back at the end.
+    """Stream of an answer's body; returns its connection to the transport at the end.
 
     Args:
-        transport: Owns the connection.
-        connection: Carries the answer.
-        timeout_s: How long each part may take; None for as long as the caller waits.
+        transport: Owner of the connection.
+        connection: The connection on which the answer arrives.
+        timeout_s: How long reading each part may take; None for no limit.
     """
 
     def __init__(
@@ -168,10 +168,10 @@
         while True:
             part = await self._connection.read_body(self._timeout_s)
             if part is None:
-                await self._transport.leave(self._connection)
+                await self._transport.return_connection(self._connection)
                 return
             yield part
 
     async def aclose(self) -> None:
-        """Give the connection back; one whose answer has not ended is closed."""
-        await self._transport.leave(self._connection)
+        """Return the connection to the transport, which closes it if the answer has not ended."""
+        await self._transport.return_connection(self._connection)
--- a/src/weirscale/ports/http_client.py
+++ b/src/weirscale/ports/http_client.py
@@ -1,4 +1,4 @@
-"""What the HTTP adapters share: the client of one back end and the reading of its errors."""
+"""Shared by the HTTP adapters: the client of one back end and the interpretation of its errors."""
 
 import ssl
 from functools import lru_cache
@@ -6,14 +6,16 @@
 import httpx
 
 CONNECT_TIMEOUT_S = 1.0
-"""Back ends stand in the same region: a connection takes milliseconds or does not come."""
+"""Seconds to wait for a connection. Back ends are in the same region, so connecting takes
+milliseconds or fails."""
 
 KEEP_ALIVE_S = 4.0
-"""Below the usual 5 s of servers, so that a request seldom meets a connection being closed."""
+"""Less than the usual 5 s of servers, so that few requests hit a connection that is being
+closed."""
 
 
 def new_client(max_connections: int, timeout: httpx.Timeout) -> httpx.AsyncClient:
-    """Return the client of one back end; no connection is opened yet."""
+    """Return a client for one back end; no connection is opened yet."""
     limits = httpx.Limits(
         max_connections=max_connections,
         max_keepalive_connections=max_connections,
@@ -30,16 +32,17 @@
 
 @lru_cache(maxsize=1)
 def shared_tls_context() -> ssl.SSLContext:
-    """Return the one context of all clients, which trusts no authority.
+    """Return the TLS context that all clients share; it trusts no certificate authority.
 
-    Back ends are reached over plain HTTP. By default each client would read the system's
-    certificates into a context of its own: 0.7 MB and 20 ms for each engine of the deployment.
+    Back ends are called over plain HTTP. By default each client would load the system's
+    certificates into its own context, which costs 0.7 MB and 20 ms for each engine of the
+    deployment.
     """
     return ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
 
 
 def was_refused(error: httpx.HTTPError) -> bool:
-    """Whether a client's error proves that nobody listens at an address that can be reached."""
+    """Return whether an error proves that a reachable host refused the connection."""
     if not isinstance(error, httpx.ConnectError):
         return False
     cause: BaseException | None = error
@@ -51,5 +54,5 @@
 
 
 def was_never_sent(error: httpx.HTTPError) -> bool:
-    """Whether a client's error proves that the request was not sent."""
+    """Return whether an error of the client proves that the request was not sent."""
     return isinstance(error, httpx.ConnectError | httpx.ConnectTimeout | httpx.PoolTimeout)
--- a/src/weirscale/ports/http_server.py
+++ b/src/weirscale/ports/http_server.py
@@ -1,6 +1,6 @@
 """Serves an ASGI application with hypercorn inside this process.
 
-hypercorn's in-process API is used: its own command starts worker processes.
+It uses hypercorn's Python API, because hypercorn's command would start worker processes.
 """
 
 import socket
@@ -17,19 +17,20 @@
     from hypercorn.config import Config
 
 MAX_HEAD_BYTES = 64 * 1024
-"""Request line and headers that may wait for their end, in HTTP/1.1 and HTTP/2; chunk headers of a
-body as well. Twice the default limit of callers' headers, so that the usual excess is answered by
-the application, with a remedy; beyond it the answer is a bare 431."""
+"""Maximum size of an incomplete request head in HTTP/1.1 and HTTP/2, and of a body's chunk headers.
+It is twice the default limit on callers' headers: the application itself answers most requests that
+exceed the latter, with a remedy. Beyond this size hypercorn answers with a bare 431."""
 
 MAX_STREAMS_OF_CONNECTION = 128
-"""HTTP/2 streams that one connection may have open; more end the connection. A stream holds at
-most `MAX_QUEUED_MESSAGES` parts of its body."""
+"""Maximum number of open HTTP/2 streams of one connection; more end the connection. A stream holds
+at most `MAX_QUEUED_MESSAGES` parts of its body."""
 
 MAX_FRAME_BYTES = 16 * 1024
-"""Largest HTTP/2 frame accepted: the smallest value that the protocol allows."""
+"""Maximum size of an HTTP/2 frame: the smallest limit that the protocol allows."""
 
 MAX_QUEUED_MESSAGES = 10
-"""Parts of a body, each of one read, that wait for the application; reading pauses meanwhile."""
+"""Maximum number of body parts, each of one read, that wait for the application. At this number
+reading from the connection pauses."""
 
 
 async def serve_asgi(
@@ -52,15 +53,15 @@
 ) -> None:
     """Serve until `stop` is set or the task is cancelled; the listeners are closed at the end.
 
-    hypercorn does not clean up when it is cancelled, so it runs shielded, and cancellation becomes
-    a stop.
+    hypercorn does not clean up when it is cancelled. It therefore runs shielded from cancellation,
+    and a cancellation sets `stop` instead.
 
     Args:
         app: The application.
-        listeners: Listening sockets; owned by the server from here on.
-        stop: Ends the serving.
-        finish_timeout_s: How long open requests and connections may go on after the stop.
-        limits: How long connections may be unused; changes of it count at once.
+        listeners: Listening sockets; the server takes ownership.
+        stop: Event that stops the server.
+        finish_timeout_s: How long open requests and connections may continue after the stop.
+        limits: Time limits on connections; changes apply while the server runs.
     """
     from hypercorn.asyncio import serve
 
--- a/src/weirscale/ports/kept_connections.py
+++ b/src/weirscale/ports/kept_connections.py
@@ -1,8 +1,9 @@
-"""Connections to one HTTP server that are kept while they are unused, for as long as is safe.
+"""Keep-alive connections to one HTTP server, kept idle for as long as is safe.
 
-A server closes connections that rest, and a request that crosses the close may have run or not. So
-they are closed a little before: by what the server's answers say (`Keep-Alive: timeout=`, RFC 2068,
-19.7.1.1), and sooner once requests on them are reset.
+A server closes idle connections. If it does so while a request is in flight, the request may have
+run or not. The client therefore closes idle connections shortly before: after the time that the
+server's answers state (`Keep-Alive: timeout=`, RFC 2068, 19.7.1.1), and earlier once a request was
+reset.
 """
 
 from collections.abc import AsyncIterator, Callable
@@ -11,48 +12,49 @@
 import anyio
 import httpx
 
-FIRST_IDLE_S = 9.0
-"""Unused connections are kept this long, until an answer tells that the server keeps them for less
-or a request on one of them is reset. One that the server has closed is not used."""
+INITIAL_IDLE_TIMEOUT_S = 9.0
+"""Seconds for which idle connections are kept at first. The time is reduced when an answer states a
+shorter one or a request is reset. Connections that the server has closed are not reused."""
 
-LEAST_IDLE_S = 1.0
-RESET_FACTOR = 0.5
-"""A server may forget connections sooner than it says: each reset shortens the time by this."""
+MIN_IDLE_TIMEOUT_S = 1.0
+RESET_REDUCTION_FACTOR = 0.5
+"""Each reset multiplies the idle timeout by this: a server may drop idle connections earlier than
+it states."""
 
-MARGIN_S = 1.0
-"""A connection is closed this long before the server would."""
+CLOSE_MARGIN_S = 1.0
+"""Seconds before the server's idle timeout at which the client closes a connection."""
 
-STEP_S = 0.5
-"""Smaller differences in what answers tell change nothing."""
+MIN_REDUCTION_S = 0.5
+"""Smaller reductions, in seconds, of the time that answers state are ignored."""
 
-KEEP_ALIVE = b"keep-alive"
+KEEP_ALIVE_HEADER = b"keep-alive"
 KEEP_ALIVE_TIMEOUT = "timeout="
 
 MakeTransport = Callable[[float], httpx.AsyncBaseTransport]
-"""Takes how long an unused connection is kept, in seconds."""
+"""Takes the idle timeout of connections in seconds."""
 
 
 class _Pool:
-    """Connections that are kept for one idle time.
+    """Connections with the same idle timeout.
 
     Args:
-        transport: Owns the connections.
-        idle_s: How long an unused one is kept.
+        transport: Owner of the connections.
+        idle_timeout_s: How long an idle connection is kept.
     """
 
-    def __init__(self, transport: httpx.AsyncBaseTransport, idle_s: float) -> None:
+    def __init__(self, transport: httpx.AsyncBaseTransport, idle_timeout_s: float) -> None:
         self.transport = transport
-        self.idle_s = idle_s
-        self._num_running = 0
+        self.idle_timeout_s = idle_timeout_s
+        self._num_in_use = 0
         self._is_retired = False
 
     @asynccontextmanager
-    async def used(self) -> AsyncIterator[httpx.AsyncBaseTransport]:
-        self._num_running += 1
+    async def use(self) -> AsyncIterator[httpx.AsyncBaseTransport]:
+        self._num_in_use += 1
         try:
             yield self.transport
         finally:
-            self._num_running -= 1
+            self._num_in_use -= 1
             await self._close_if_done()
 
     async def retire(self) -> None:
@@ -60,7 +62,7 @@
         await self._close_if_done()
 
     async def _close_if_done(self) -> None:
-        if self._is_retired and self._num_running == 0:
+        if self._is_retired and self._num_in_use == 0:
             with anyio.CancelScope(shield=True):
                 await self.transport.aclose()
 
@@ -69,51 +71,51 @@
     """The connections to one server.
 
     Args:
-        make_transport: Makes the transport that owns them.
+        make_transport: Creates the transport that owns the connections.
     """
 
     def __init__(self, make_transport: MakeTransport) -> None:
         self._make_transport = make_transport
-        self._pool = self._new_pool(FIRST_IDLE_S)
+        self._pool = self._new_pool(INITIAL_IDLE_TIMEOUT_S)
 
-    def _new_pool(self, idle_s: float) -> _Pool:
-        return _Pool(self._make_transport(idle_s), idle_s)
+    def _new_pool(self, idle_timeout_s: float) -> _Pool:
+        return _Pool(self._make_transport(idle_timeout_s), idle_timeout_s)
 
     @asynccontextmanager
-    async def used(self) -> AsyncIterator[httpx.AsyncBaseTransport]:
-        """Use the connections; those that are kept no more close after their last use."""
-        async with self._pool.used() as transport:
+    async def use(self) -> AsyncIterator[httpx.AsyncBaseTransport]:
+        """Provide the current transport; a replaced transport is closed after its last use."""
+        async with self._pool.use() as transport:
             yield transport
 
-    async def heed_answer(self, response: httpx.Response) -> None:
-        """Keep unused connections for less if the server says so."""
-        told_s = _idle_time_s(response.headers.raw)
-        if told_s is None:
+    async def observe_answer(self, response: httpx.Response) -> None:
+        """Reduce the idle timeout if the answer states a shorter one."""
+        server_timeout_s = _server_idle_timeout_s(response.headers.raw)
+        if server_timeout_s is None:
             return
-        idle_s = max(0.0, told_s - MARGIN_S)
-        if idle_s <= self._pool.idle_s - STEP_S:
-            await self._replace_pool(idle_s)
+        idle_timeout_s = max(0.0, server_timeout_s - CLOSE_MARGIN_S)
+        if idle_timeout_s <= self._pool.idle_timeout_s - MIN_REDUCTION_S:
+            await self._replace_pool(idle_timeout_s)
 
-    async def heed_failure(self, error: httpx.HTTPError) -> None:
-        """Keep unused connections for less after a reset: this one may have been forgotten."""
+    async def observe_failure(self, error: httpx.HTTPError) -> None:
+        """Reduce the idle timeout after a reset, as the server may have dropped the connection."""
         was_reset = isinstance(error, httpx.ReadError | httpx.WriteError)
-        idle_s = max(LEAST_IDLE_S, RESET_FACTOR * self._pool.idle_s)
-        if was_reset and idle_s < self._pool.idle_s:
-            await self._replace_pool(idle_s)
+        idle_timeout_s = max(MIN_IDLE_TIMEOUT_S, RESET_REDUCTION_FACTOR * self._pool.idle_timeout_s)
+        if was_reset and idle_timeout_s < self._pool.idle_timeout_s:
+            await self._replace_pool(idle_timeout_s)
 
     async def close(self) -> None:
         """Close all connections."""
         await self._pool.transport.aclose()
 
-    async def _replace_pool(self, idle_s: float) -> None:
-        retired, self._pool = self._pool, self._new_pool(idle_s)
+    async def _replace_pool(self, idle_timeout_s: float) -> None:
+        retired, self._pool = self._pool, self._new_pool(idle_timeout_s)
         await retired.retire()
 
 
-def _idle_time_s(raw: list[tuple[bytes, bytes]]) -> float | None:
-    """Return how long the server keeps an unused connection, if its answer tells."""
-    told = next((value for name, value in raw if name.lower() == KEEP_ALIVE), b"")
-    for part in told.decode("latin-1").split(","):
+def _server_idle_timeout_s(raw: list[tuple[bytes, bytes]]) -> float | None:
+    """Return how long the server keeps an idle connection; None if its answer does not state it."""
+    header_value = next((value for name, value in raw if name.lower() == KEEP_ALIVE_HEADER), b"")
+    for part in header_value.decode("latin-1").split(","):
         text = part.strip().lower()
         if text.startswith(KEEP_ALIVE_TIMEOUT) and text[len(KEEP_ALIVE_TIMEOUT) :].isdigit():
             return float(text[len(KEEP_ALIVE_TIMEOUT) :])
--- a/src/weirscale/ports/key_value.py
+++ b/src/weirscale/ports/key_value.py
@@ -17,11 +17,12 @@
     RATE_LIMITED = "rate_limited"
     """Refused for rate; nothing changed."""
     AMBIGUOUS = "ambiguous"
-    """The answer was lost: the change may have taken effect. Read again to find out."""
+    """The answer was lost, so the change may have taken effect. A read shows whether it did."""
     LEASE_LOST = "lease_lost"
-    """The lease has expired or never was."""
+    """The lease has expired or never existed."""
     COMPACTED = "compacted"
-    """The watch's start revision is gone: read, then watch from the read's revision."""
+    """The history since the watch's start revision is gone: read, then watch from the revision of
+    that read."""
 
 
 class KeyValueFailure(msgspec.Struct, frozen=True):
@@ -33,14 +34,14 @@
 
 
 class KeyValue(msgspec.Struct, frozen=True):
-    """One key as read.
+    """One key with its value.
 
     Attributes:
         key: The key.
-        value: Its bytes.
-        create_revision: Revision at which the key was made.
-        mod_revision: Revision of its last change.
-        lease_id: The lease it hangs on, 0 for none.
+        value: The value.
+        create_revision: Revision at which the key was created.
+        mod_revision: Revision of the last change.
+        lease_id: The lease with which the key is deleted, 0 for none.
     """
 
     key: str
@@ -63,7 +64,7 @@
     Attributes:
         succeeded: Whether the comparison held and the change was made.
         revision: The store's revision after the call.
-        current: The key as it stands, None when it does not exist.
+        current: The key after the call, None if it does not exist.
     """
 
     succeeded: bool
@@ -79,20 +80,20 @@
     revision: int
 
 
-PREFIX_OF_ALL = b"\x00"
-"""Range end that means all keys from the start on."""
+END_OF_ALL_KEYS = b"\x00"
+"""Range end for all keys from the range's start on."""
 
 
 def prefix_end(prefix: bytes) -> bytes:
     """Return the range end of a prefix: the smallest key above all keys that start with it."""
     trimmed = prefix.rstrip(b"\xff")
     if not trimmed:
-        return PREFIX_OF_ALL
+        return END_OF_ALL_KEYS
     return trimmed[:-1] + bytes([trimmed[-1] + 1])
 
 
 class KeyValuePort(Protocol):
-    """What a node can ask of the key-value service."""
+    """Operations of the key-value service."""
 
     async def read(self, prefix: str) -> Result[ReadAnswer, KeyValueFailure]:
         """Read every key with a prefix, linearizably."""
@@ -101,15 +102,18 @@
     async def compare_and_swap(
         self, key: str, expected_mod_revision: int, value: bytes | None, lease_id: int = 0
     ) -> Result[SwapAnswer, KeyValueFailure]:
-        """Write (or delete, with None) if the key's revision is the expected one (0: absent)."""
+        """Write the value, or delete the key if it is None, if the key has the expected revision.
+
+        An expected revision of 0 means that the key must not exist.
+        """
         ...
 
     async def grant_lease(self, time_to_live_s: float) -> Result[int, KeyValueFailure]:
-        """Make a lease; answers its id."""
+        """Create a lease and return its id."""
         ...
 
     async def keep_lease_alive(self, lease_id: int) -> Result[float, KeyValueFailure]:
-        """Renew a lease; answers the seconds it now lives. LEASE_LOST if it is gone."""
+        """Renew a lease and return its time to live in seconds; LEASE_LOST if it has expired."""
         ...
 
     async def revoke_lease(self, lease_id: int) -> Result[None, KeyValueFailure]:
@@ -119,5 +123,5 @@
     def watch(
         self, prefix: str, start_revision: int
     ) -> AbstractAsyncContextManager[AsyncIterator[Result[WatchEvent, KeyValueFailure]]]:
-        """Follow changes from a revision on; an Err ends the watch."""
+        """Follow changes from a revision on; the watch ends after an Err."""
         ...
--- a/src/weirscale/ports/key_value_etcd.py
+++ b/src/weirscale/ports/key_value_etcd.py
@@ -1,7 +1,7 @@
-"""`KeyValuePort` over the etcd v3 JSON gateway, by httpx.
+"""Implements `KeyValuePort` over the etcd v3 JSON gateway with httpx.
 
-A write whose answer is lost is AMBIGUOUS unless the request provably never left or the service
-provably did not take it on. Reads change nothing, so a failed read is UNREACHABLE.
+A write whose answer is lost is AMBIGUOUS, unless it is proved that the request was not sent or that
+the service rejected it. A read changes nothing, so a failed read is UNREACHABLE.
 """
 
 import math
@@ -27,21 +27,21 @@
 DEFAULT_TIMEOUT_S = 3.0
 CONNECT_TIMEOUT_S = 1.0
 WATCH_IDLE_S = 60.0
-"""A watch silent for longer is taken for dead; the caller reads and watches again."""
+"""A watch without data for longer counts as broken; the caller reads and watches again."""
 HTTP_TOO_MANY_REQUESTS = 429
 HTTP_NOT_FOUND = 404
-NOT_TAKEN_ON = ("etcdserver: no leader", "etcdserver: too many requests")
-"""Messages that etcd sends before it takes a write on."""
+REJECTION_MESSAGES = ("etcdserver: no leader", "etcdserver: too many requests")
+"""Error messages with which etcd rejects a write before it processes it."""
 
-MALFORMED = (msgspec.MsgspecError, LookupError, ValueError, TypeError, AttributeError)
-"""What decoding raises on an answer that is not the gateway's."""
+DECODE_ERRORS = (msgspec.MsgspecError, LookupError, ValueError, TypeError, AttributeError)
+"""Exceptions raised when decoding an answer that does not have the gateway's format."""
 
 AnswerT = TypeVar("AnswerT")
 Watch = AsyncIterator[Result[WatchEvent, KeyValueFailure]]
 
 
 class EtcdKeyValue:
-    """A client of an etcd cluster; close it with `aclose`."""
+    """A client of an etcd cluster; must be closed with `aclose`."""
 
     def __init__(
         self,
@@ -50,16 +50,16 @@
         watch_idle_s: float = WATCH_IDLE_S,
         transport: httpx.AsyncBaseTransport | None = None,
     ) -> None:
-        """Make a client.
+        """Create a client without opening a connection.
 
         Args:
-            addresses: host:port of the gateways; the next is tried when one is unreachable.
-            timeout_s: Longest wait for an answer.
-            watch_idle_s: Longest silence of a watch.
-            transport: Replaces sockets in tests.
+            addresses: host:port of the gateways; if one is unreachable, the next is tried.
+            timeout_s: Timeout of an answer.
+            watch_idle_s: Timeout of a watch without data.
+            transport: Replaces the network in tests.
         """
         self._addresses = tuple(addresses)
-        self._current = 0
+        self._current_index = 0
         timeout = httpx.Timeout(timeout_s, connect=min(CONNECT_TIMEOUT_S, timeout_s))
         self._client = httpx.AsyncClient(
             timeout=timeout,
@@ -105,14 +105,16 @@
         return await self._post("/v3/kv/txn", body, etcd_json.swap_answer, is_write=True)
 
     async def grant_lease(self, time_to_live_s: float) -> Result[int, KeyValueFailure]:
-        """Make a lease of whole seconds, rounded up."""
+        """Create a lease and return its id; the time to live is rounded up to whole seconds."""
         body = {"TTL": str(math.ceil(time_to_live_s))}
         return await self._post("/v3/lease/grant", body, etcd_json.lease_id, is_write=True)
 
     async def keep_lease_alive(self, lease_id: int) -> Result[float, KeyValueFailure]:
-        """Renew a lease once."""
+        """Renew a lease once and return its time to live in seconds."""
         body = {"ID": str(lease_id)}
-        answer = await self._post("/v3/lease/keepalive", body, etcd_json.lives_s, is_write=True)
+        answer = await self._post(
+            "/v3/lease/keepalive", body, etcd_json.time_to_live_s, is_write=True
+        )
         if isinstance(answer, Ok) and answer.ok_value <= 0:
             return Err(KeyValueFailure(KeyValueFailureKind.LEASE_LOST, "grant a new lease"))
         return answer
@@ -134,11 +136,11 @@
     async def _events(
         self, prefix: str, start_revision: int
     ) -> AsyncGenerator[Result[WatchEvent, KeyValueFailure], None]:
-        wanted = {**etcd_json.prefix_range(prefix), "start_revision": str(start_revision)}
+        create_request = {**etcd_json.prefix_range(prefix), "start_revision": str(start_revision)}
         url = self._url("/v3/watch")
         try:
             async with self._client.stream(
-                "POST", url, json={"create_request": wanted}, timeout=self._watch_timeout
+                "POST", url, json={"create_request": create_request}, timeout=self._watch_timeout
             ) as response:
                 if response.is_error:
                     await response.aread()
@@ -147,7 +149,7 @@
                 async for line in response.aiter_lines():
                     for event in _events_of(line):
                         yield event
-        except (httpx.HTTPError, httpx.StreamError, *MALFORMED) as error:
+        except (httpx.HTTPError, httpx.StreamError, *DECODE_ERRORS) as error:
             self._use_next_address()
             yield Err(_unreachable(error))
             return
@@ -156,7 +158,7 @@
     async def _post(
         self, path: str, body: Body, parse: Callable[[Body], AnswerT], is_write: bool
     ) -> Result[AnswerT, KeyValueFailure]:
-        """Post to the current address; the others only while no connection can be made."""
+        """Post to the current address, or to the others while no connection can be opened."""
         failure = KeyValueFailure(KeyValueFailureKind.UNREACHABLE, "no address is configured")
         for _ in self._addresses:
             try:
@@ -167,15 +169,15 @@
                 continue
             except httpx.HTTPError as error:
                 self._use_next_address()
-                return Err(_lost(error, is_write))
+                return Err(_answer_lost(error, is_write))
             return _answer_of(response, parse, is_write)
         return Err(failure)
 
     def _url(self, path: str) -> str:
-        return f"http://{self._addresses[self._current]}{path}"
+        return f"http://{self._addresses[self._current_index]}{path}"
 
     def _use_next_address(self) -> None:
-        self._current = (self._current + 1) % len(self._addresses)
+        self._current_index = (self._current_index + 1) % len(self._addresses)
 
 
 def _answer_of(
@@ -185,25 +187,25 @@
         return Err(_failure_of(response, is_write))
     try:
         return Ok(parse(msgspec.json.decode(response.content, type=dict[str, Any])))
-    except MALFORMED as error:
-        return Err(_lost(error, is_write))
+    except DECODE_ERRORS as error:
+        return Err(_answer_lost(error, is_write))
 
 
 def _failure_of(response: httpx.Response, is_write: bool) -> KeyValueFailure:
-    """Turn an error answer into a failure."""
+    """Translate an error response into a failure."""
     try:
         body = msgspec.json.decode(response.content, type=dict[str, Any])
         message = str(body.get("message", ""))
-    except MALFORMED:
+    except DECODE_ERRORS:
         message = f"status {response.status_code}"
     if response.status_code == HTTP_TOO_MANY_REQUESTS:
         retry_after_s = _retry_after_s(response)
         return KeyValueFailure(KeyValueFailureKind.RATE_LIMITED, message, retry_after_s)
     if response.status_code == HTTP_NOT_FOUND and "lease" in message:
         return KeyValueFailure(KeyValueFailureKind.LEASE_LOST, "grant a new lease")
-    if message in NOT_TAKEN_ON or not is_write:
+    if message in REJECTION_MESSAGES or not is_write:
         return KeyValueFailure(KeyValueFailureKind.UNREACHABLE, f"{message}: try later")
-    return _lost(RuntimeError(message), is_write)
+    return _answer_lost(RuntimeError(message), is_write)
 
 
 def _retry_after_s(response: httpx.Response) -> float | None:
@@ -218,7 +220,7 @@
     return KeyValueFailure(KeyValueFailureKind.UNREACHABLE, detail)
 
 
-def _lost(error: Exception, is_write: bool) -> KeyValueFailure:
+def _answer_lost(error: Exception, is_write: bool) -> KeyValueFailure:
     if not is_write:
         return _unreachable(error)
     detail = f"{type(error).__name__} {error}: read again to find out"
--- a/src/weirscale/ports/limited_connections.py
+++ b/src/weirscale/ports/limited_connections.py
@@ -1,10 +1,10 @@
-"""Connections of hypercorn with limits that may change, which a stop closes only while unused.
+"""Extends hypercorn's connections: adjustable time limits, and a stop that closes only idle ones.
 
-hypercorn has one fixed time for unused connections and none for the head of a request. And as a
-stop begins, it closes the connections that wait for a request, some turns of the event loop after
-it has found them waiting. A request that came in between was handed to the application and its
-connection closed under it: of 200 requests sent 2 to 8 turns after the beginning of a stop all were
-begun and none was answered.
+hypercorn has one fixed timeout for idle connections and none for receiving the head of a request.
+When a stop begins, hypercorn also closes connections several event-loop iterations after it found
+them idle. A request that arrived in between was started and its connection closed before the
+answer: of 200 requests sent 2 to 8 iterations after the start of a stop, all were started and none
+was answered.
 """
 
 from http import HTTPStatus
@@ -25,38 +25,38 @@
     """A server's configuration.
 
     Args:
-        limits: How long its connections may be unused; read each time that they count.
+        limits: Time limits on connections; read each time that a limit is applied.
     """
 
     def __init__(self, limits: ConnectionLimits) -> None:
         super().__init__()
         self.limits = limits
-        # hypercorn's own wait, which is fixed, comes after the one for these limits.
+        # hypercorn's own fixed timeout would be added to the one of `LimitedServer`.
         self.keep_alive_timeout = 0.0
 
 
-class _Closed:
-    """Takes the place of the protocol once the connection is closed."""
+class _ClosedProtocol:
+    """Replaces the protocol of a closed connection."""
 
     protocol = None
 
     async def handle(self, event: Event) -> None:
-        """Drop what comes."""
+        """Discard the event."""
 
 
 class LimitedServer(TCPServer):
     """Serves one connection."""
 
-    _head_began_s: float | None = None
-    """When the first byte of a head came that is not whole yet."""
+    _head_started_s: float | None = None
+    """When the first byte of a head arrived that is not complete yet."""
 
     async def _idle_timeout(self) -> None:
-        began_s = self.loop.time()
-        while (left_s := began_s + self._limits().keep_alive_s - self.loop.time()) > 0.0:
-            with anyio.move_on_after(left_s):
+        started_s = self.loop.time()
+        while (remaining_s := started_s + self._limits().keep_alive_s - self.loop.time()) > 0.0:
+            with anyio.move_on_after(remaining_s):
                 await self.context.terminated.wait()
                 break
-            # The limit may have become longer meanwhile: it is looked at once more.
+            # The limit may have been raised meanwhile, so it is read again.
         await super()._idle_timeout()
 
     def _limits(self) -> ConnectionLimits:
@@ -71,35 +71,35 @@
                     data = await self.reader.read(MAX_RECV)
             except OSError:
                 break
-            if data is None and self._has_input():
-                continue  # It came while this process stood still: the caller was not slow.
+            if data is None and self._has_buffered_input():
+                continue  # Received while this process was suspended: the caller was not slow.
             if data is None:
                 await self._refuse_slow_head()
                 break
             await self.protocol.handle(RawData(data))
-            self._note_head()
+            self._update_head_start()
         await self.protocol.handle(Closed())
 
-    def _note_head(self) -> None:
-        if not self._has_part_of_head():
-            self._head_began_s = None
-        elif self._head_began_s is None:
-            self._head_began_s = self.loop.time()
+    def _update_head_start(self) -> None:
+        if not self._has_partial_head():
+            self._head_started_s = None
+        elif self._head_started_s is None:
+            self._head_started_s = self.loop.time()
 
     def _read_timeout_s(self) -> float:
         limits = self._limits()
-        if self._head_began_s is None:
+        if self._head_started_s is None:
             return limits.silence_s
-        return max(0.0, self._head_began_s + limits.head_s - self.loop.time())
+        return max(0.0, self._head_started_s + limits.head_s - self.loop.time())
 
     async def _refuse_slow_head(self) -> None:
-        """Tell a caller that its request was not read in time, so that it may come again."""
+        """Answer 408 to an incomplete head in HTTP/1.1, so that the caller may retry."""
         protocol = self.protocol.protocol
-        if self._head_began_s is not None and isinstance(protocol, H11Protocol):
+        if self._head_started_s is not None and isinstance(protocol, H11Protocol):
             await protocol._send_error_response(HTTPStatus.REQUEST_TIMEOUT)
             await protocol.send(Closed())
 
-    def _has_part_of_head(self) -> bool:
+    def _has_partial_head(self) -> bool:
         protocol = self.protocol.protocol
         if not isinstance(protocol, H11Protocol) or protocol.stream is not None:
             return False
@@ -107,26 +107,26 @@
         return connection.their_state is IDLE and bool(connection.trailing_data[0])
 
     async def _initiate_server_close(self) -> None:
-        # From here to the closing nothing waits, so nothing can come in between. What is at work
-        # now closes the connection itself once it is done.
-        if self._is_at_work() or self._has_input():
+        # There is no await between this check and the close, so no request can arrive in between. A
+        # request that is running now closes the connection when it ends.
+        if self._is_busy() or self._has_buffered_input():
             return
         await super()._initiate_server_close()
-        # What was read just before goes no further: its caller has to come again, and may.
-        self.protocol = _Closed()  # type: ignore[assignment]
+        # Data read just before the close is discarded. It was not processed: the caller may retry.
+        self.protocol = _ClosedProtocol()  # type: ignore[assignment]
 
-    def _is_at_work(self) -> bool:
+    def _is_busy(self) -> bool:
         protocol = self.protocol.protocol
         if isinstance(protocol, H11Protocol):
-            # The head of a request has been read before its stream is made.
+            # hypercorn reads the head of a request before it creates the stream.
             return protocol.stream is not None or protocol.connection.their_state is not IDLE
         return isinstance(protocol, H2Protocol) and bool(protocol.streams)
 
-    def _has_input(self) -> bool:
-        """Whether bytes have been received that the protocol has not seen."""
-        return bool(self.reader._buffer)  # type: ignore[attr-defined]  # it has no public way
+    def _has_buffered_input(self) -> bool:
+        """Return whether bytes were received that were not passed to the protocol yet."""
+        return bool(self.reader._buffer)  # type: ignore[attr-defined]  # no public attribute
 
 
 def install() -> None:
-    """Have hypercorn serve connections so; it has no setting for it."""
+    """Make hypercorn use `LimitedServer`; it has no setting for this."""
     setattr(run, "TCPServer", LimitedServer)  # noqa: B010 - the module does not export it
--- a/src/weirscale/ports/listeners.py
+++ b/src/weirscale/ports/listeners.py
@@ -1,13 +1,13 @@
-"""Listening sockets; imports nothing but `socket`, so that a process can listen before all else."""
+"""Listening sockets; imports only `socket`, so that a process can listen before it loads others."""
 
 import socket
 
 LISTEN_BACKLOG = 1024
-"""Connections that wait for the process to accept them."""
+"""Maximum number of connections that wait to be accepted."""
 
 
 def open_listener(host: str, port: int) -> socket.socket:
-    """Bind a TCP port (0: any free one) and listen, so that its number is known at once.
+    """Return a listening TCP socket; port 0 binds any free port, which `port_of` returns.
 
     Raises:
         OSError: The address cannot be bound.
@@ -22,6 +22,6 @@
 
 
 def port_of(listener: socket.socket) -> int:
-    """Return the port that a listener is bound to."""
+    """Return the port to which a listener is bound."""
     port: int = listener.getsockname()[1]
     return port
--- a/src/weirscale/ports/machines.py
+++ b/src/weirscale/ports/machines.py
@@ -1,4 +1,4 @@
-"""Interface to the platform's lagging list of machines. Adapter: `machines_http`."""
+"""Interface to the platform's list of machines, which may lag. Adapter: `machines_http`."""
 
 from typing import Protocol
 
@@ -10,8 +10,8 @@
     """One machine of the list.
 
     Attributes:
-        host: Its IP number, or host:port where several back ends share a host.
-        is_leaving: Whether the platform is about to take it away.
+        host: IP address, or host:port if several back ends share a host.
+        is_leaving: Whether the platform will remove the machine soon.
     """
 
     host: str
@@ -19,14 +19,14 @@
 
 
 class MachineListFailure(msgspec.Struct, frozen=True):
-    """The list could not be read; go on with the last one and with own probes."""
+    """The list could not be read; the caller continues with the last list and its own probes."""
 
     detail: str
 
 
 class MachineListPort(Protocol):
-    """What a node can ask of the machine list."""
+    """Operations of the machine list."""
 
     async def machines(self) -> Result[tuple[Machine, ...], MachineListFailure]:
-        """Read the list; it may be seconds old."""
+        """Read the list, which may be several seconds old."""
         ...
--- a/src/weirscale/ports/machines_http.py
+++ b/src/weirscale/ports/machines_http.py
@@ -1,4 +1,4 @@
-"""`MachineListPort` over HTTP: `GET /machines` answers a JSON object with the list."""
+"""Implements `MachineListPort` over HTTP: `GET /machines` returns a JSON object with the list."""
 
 import httpx
 import msgspec
@@ -9,7 +9,7 @@
 
 DEFAULT_TIMEOUT_S = 3.0
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
-"""About a hundred bytes for each of 40,000 machines."""
+"""Enough for 40,000 machines at about 100 bytes each."""
 
 
 class MachineListAnswer(msgspec.Struct, frozen=True):
@@ -19,7 +19,7 @@
 
 
 class HttpMachineList:
-    """A client of the machine list; close it with `aclose`."""
+    """A client of the machine list; must be closed with `aclose`."""
 
     def __init__(
         self,
@@ -27,12 +27,12 @@
         timeout_s: float = DEFAULT_TIMEOUT_S,
         transport: httpx.AsyncBaseTransport | None = None,
     ) -> None:
-        """Make a client.
+        """Create a client without opening a connection.
 
         Args:
             address: host:port of the list.
-            timeout_s: Longest wait for an answer.
-            transport: Replaces sockets in tests.
+            timeout_s: Timeout of an answer.
+            transport: Replaces the network in tests.
         """
         self._url = f"http://{address}/machines"
         self._client = httpx.AsyncClient(
@@ -47,7 +47,7 @@
         await self._client.aclose()
 
     async def machines(self) -> Result[tuple[Machine, ...], MachineListFailure]:
-        """Read the list; it may be seconds old."""
+        """Read the list, which may be several seconds old."""
         try:
             response = await self._client.get(self._url)
         except httpx.HTTPError as error:
@@ -55,7 +55,7 @@
         if response.status_code != httpx.codes.OK:
             return _failed(f"status {response.status_code}")
         if len(response.content) > MAX_ANSWER_BYTES:
-            return _failed(f"an answer of {len(response.content)} bytes")
+            return _failed(f"the answer is too large: {len(response.content)} bytes")
         try:
             return Ok(msgspec.json.decode(response.content, type=MachineListAnswer).machines)
         except msgspec.MsgspecError as error:
@@ -63,4 +63,4 @@
 
 
 def _failed(problem: str) -> Err[MachineListFailure]:
-    return Err(MachineListFailure(f"{problem}: go on with the last list and with own probes"))
+    return Err(MachineListFailure(f"{problem}: continuing with the last list and own probes"))
--- a/src/weirscale/ports/peers.py
+++ b/src/weirscale/ports/peers.py
@@ -9,44 +9,44 @@
 from weirscale.domain.identifiers import NodeAddress
 
 MAX_CAST_BYTES = 1200
-"""Largest cast payload: stays below the common path MTU with IP, UDP and signature."""
+"""Maximum payload of a cast: with IP, UDP and signature it stays below the common path MTU."""
 
 
 class PeerFailure(msgspec.Struct, frozen=True):
-    """A call to a peer that got no answer; `provably_not_sent` when no connection was made."""
+    """A call to a peer that got no reply; `provably_not_sent` if no connection was opened."""
 
     detail: str
     provably_not_sent: bool
 
 
 class Datagram(msgspec.Struct, frozen=True):
-    """A cast that arrived; `source` is the sender's peer address."""
+    """A received cast; `source` is the sender's peer address."""
 
     source: NodeAddress
     payload: bytes
 
 
 CallHandler = Callable[[bytes], Awaitable[bytes]]
-"""Answers a peer's call: encoded request in, encoded reply out."""
+"""Handles a peer's call: takes the encoded request and returns the encoded reply."""
 
 
 class PeerNetwork(Protocol):
-    """What a node uses to reach other nodes. Payloads are opaque; authentication is on top."""
+    """Network to other nodes. Payloads are opaque; callers authenticate them."""
 
     async def cast(self, destination: NodeAddress, payload: bytes) -> None:
-        """Send one datagram of at most MAX_CAST_BYTES; it may be lost, doubled or reordered."""
+        """Send one datagram of at most MAX_CAST_BYTES; it may be lost, duplicated or reordered."""
         ...
 
     def datagrams(self) -> AsyncIterator[Datagram]:
-        """Iterate over arriving casts."""
+        """Iterate over received casts."""
         ...
 
     async def call(
         self, destination: NodeAddress, payload: bytes, timeout_s: float
     ) -> Result[bytes, PeerFailure]:
-        """Send a request of any size and await its reply."""
+        """Send a request of any size and return its reply."""
         ...
 
     def serve_calls(self, handler: CallHandler) -> None:
-        """Set the handler of arriving calls; called once before the node joins."""
+        """Set the handler of received calls; must be called once before the node joins."""
         ...
--- a/src/weirscale/ports/peers_network.py
+++ b/src/weirscale/ports/peers_network.py
@@ -1,7 +1,7 @@
 """The real network between nodes: casts as UDP datagrams, calls as HTTP POST.
 
-UDP and TCP use the same port number, so one address names a node. Calls are served by hypercorn
-in the process and sent by httpx.
+UDP and TCP use the same port number, so one address identifies a node. hypercorn serves calls in
+this process; httpx sends them.
 """
 
 from collections.abc import AsyncIterator
@@ -23,24 +23,25 @@
 
 CALL_PATH = "/peer"
 MAX_CALL_BYTES = 8 * 1024 * 1024
-"""Largest call body or reply: above a whole configuration or a cache digest."""
+"""Maximum size of a call's request or reply: more than a whole configuration or cache digest."""
 
 MAX_IDLE_CONNECTIONS = 8
-"""Idle connections kept to other nodes; calls are rare next to casts."""
+"""Maximum number of idle connections to other nodes; calls are rare compared with casts."""
 
 IDLE_CONNECTION_S = 15.0
 LISTEN_BACKLOG = 256
-STOP_S = 0.5
-"""Calls in progress may still end in this time when the node stops."""
+STOP_GRACE_S = 0.5
+"""Seconds in which calls in progress may end when the node stops."""
 
 MAX_OUTBOX = 1024
-"""Datagrams that wait to be sent; more are dropped, as a full socket buffer would."""
+"""Maximum number of datagrams that wait to be sent; more are dropped, as by a full socket
+buffer."""
 
 CONTENT_TYPE = "application/cbor"
 CONTENT_HEADER = (b"content-type", CONTENT_TYPE.encode())
 
 
-class _Outgoing(msgspec.Struct, frozen=True):
+class _OutgoingDatagram(msgspec.Struct, frozen=True):
     destination: NodeAddress
     payload: bytes
 
@@ -49,7 +50,8 @@
     """Implements `PeerNetwork`; `run` must be started before use.
 
     Args:
-        listen: Address to bind; for wildcard hosts the others need another one to send to.
+        listen: Address to bind. If its host is a wildcard, other nodes need another address to
+            send to.
     """
 
     def __init__(self, listen: NodeAddress) -> None:
@@ -58,19 +60,19 @@
         self._socket: UDPSocket | None = None
         self._client: httpx.AsyncClient | None = None
         self._started = anyio.Event()
-        streams = anyio.create_memory_object_stream[_Outgoing](MAX_OUTBOX)
-        self._outbox: MemoryObjectSendStream[_Outgoing] = streams[0]
-        self._outgoing: MemoryObjectReceiveStream[_Outgoing] = streams[1]
+        streams = anyio.create_memory_object_stream[_OutgoingDatagram](MAX_OUTBOX)
+        self._outbox: MemoryObjectSendStream[_OutgoingDatagram] = streams[0]
+        self._outgoing: MemoryObjectReceiveStream[_OutgoingDatagram] = streams[1]
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
-        """Hold the sockets until cancelled; `started` once casts and calls can be made."""
+        """Hold the sockets until cancelled; report the start once casts and calls can be sent."""
         limits = httpx.Limits(
             max_keepalive_connections=MAX_IDLE_CONNECTIONS, keepalive_expiry=IDLE_CONNECTION_S
         )
         udp_socket = await anyio.create_udp_socket(
             local_host=self._listen.host, local_port=self._listen.port
         )
-        # Listening before `started`, so that no early call is refused.
+        # Listen before reporting the start, so that no early call is refused.
         listener = open_listener(self._listen.host, self._listen.port)
         async with (
             udp_socket,
@@ -84,24 +86,24 @@
             task_status.started()
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._send_datagrams, udp_socket)
-                await serve_asgi(self._application, listener, anyio.Event(), STOP_S)
+                await serve_asgi(self._application, listener, anyio.Event(), STOP_GRACE_S)
 
     async def cast(self, destination: NodeAddress, payload: bytes) -> None:
-        """Leave one datagram for the sending task; a full outbox counts as a loss."""
+        """Queue one datagram for the sending task; it is dropped if the queue is full."""
         try:
-            self._outbox.send_nowait(_Outgoing(destination, payload))
+            self._outbox.send_nowait(_OutgoingDatagram(destination, payload))
         except anyio.WouldBlock:
             await anyio.lowlevel.checkpoint()
 
     async def datagrams(self) -> AsyncIterator[Datagram]:
-        """Iterate over arriving casts."""
+        """Iterate over received casts."""
         await self._started.wait()
         assert self._socket is not None
         while True:
             try:
                 payload, (host, port) = await self._socket.receive()
             except (OSError, anyio.BrokenResourceError):
-                # An ICMP error of an earlier send; the socket goes on.
+                # An ICMP error for an earlier send; the socket remains usable.
                 await anyio.lowlevel.checkpoint()
                 continue
             except (anyio.ClosedResourceError, anyio.EndOfStream):
@@ -111,7 +113,7 @@
     async def call(
         self, destination: NodeAddress, payload: bytes, timeout_s: float
     ) -> Result[bytes, PeerFailure]:
-        """Send a request and await its reply."""
+        """Send a request and return its reply."""
         if self._client is None:
             return Err(PeerFailure("network not started", provably_not_sent=True))
         url = httpx.URL(scheme="http", host=destination.host, port=destination.port, path=CALL_PATH)
@@ -132,18 +134,18 @@
         return Ok(response.content)
 
     def serve_calls(self, handler: CallHandler) -> None:
-        """Set the handler of arriving calls."""
+        """Set the handler of received calls."""
         self._handler = handler
 
     async def _send_datagrams(self, udp_socket: UDPSocket) -> None:
-        """Send what tasks leave: a socket allows one sender at a time."""
+        """Send queued datagrams; a socket allows only one sender at a time."""
         while True:
             datagram = await self._outgoing.receive()
             destination = datagram.destination
             try:
                 await udp_socket.sendto(datagram.payload, destination.host, destination.port)
             except (OSError, anyio.ClosedResourceError, anyio.BrokenResourceError):
-                # A failure to send is a loss, as on the network.
+                # A datagram that cannot be sent counts as lost, as on the network.
                 continue
 
     async def _application(self, scope: Scope, receive: Receive, send: Send) -> None:
--- a/src/weirscale/ports/running_timeout.py
+++ b/src/weirscale/ports/running_timeout.py
@@ -1,7 +1,7 @@
-"""A timeout that does not take a standstill of this process for silence of the other side.
+"""A timeout that does not mistake a suspension of this process for silence of the other side.
 
-A process that was stopped, or whose machine was, finds its timers over before it has looked at its
-sockets. What arrived meanwhile lies there: a timeout that is noticed late waits a little longer.
+After a suspension of the process or its machine, timers expire before the sockets are read,
+although data may have arrived there. A timeout that fires late is therefore extended a little.
 """
 
 from collections.abc import Awaitable, Callable
@@ -11,22 +11,24 @@
 
 _T = TypeVar("_T")
 
-STANDSTILL_S = 0.1
-"""Seconds. A timeout that is noticed this late shows that the process stood still."""
+SUSPENSION_THRESHOLD_S = 0.1
+"""A timeout that fires this many seconds late shows that the process was suspended."""
 
-GRACE_S = 0.1
-"""Seconds given then to what has arrived meanwhile."""
+SUSPENSION_GRACE_S = 0.1
+"""Seconds then added, to read the data that has arrived."""
 
 
 async def run_within(timeout_s: float | None, operation: Callable[[], Awaitable[_T]]) -> _T:
-    """Return what an operation gives; it may be cancelled and called once more.
+    """Run an operation within a timeout and return its result.
+
+    After a suspension the operation is cancelled and called again.
 
     Args:
-        timeout_s: How long it may take; None for as long as the caller waits.
-        operation: Loses nothing when it is cancelled.
+        timeout_s: How long the operation may take; None for no limit.
+        operation: The operation; cancelling it must not lose data.
 
     Raises:
-        TimeoutError: It took longer, though the process ran.
+        TimeoutError: The operation took longer while the process was running.
     """
     if timeout_s is None:
         return await operation()
@@ -36,6 +38,6 @@
             with anyio.fail_after(timeout_s):
                 return await operation()
         except TimeoutError:
-            if anyio.current_time() - deadline_s < STANDSTILL_S:
+            if anyio.current_time() - deadline_s < SUSPENSION_THRESHOLD_S:
                 raise
-        timeout_s = GRACE_S
+        timeout_s = SUSPENSION_GRACE_S
--- a/src/weirscale/ports/service.py
+++ b/src/weirscale/ports/service.py
@@ -15,9 +15,9 @@
     UNREACHABLE = "unreachable"
     """No connection was made, so nothing ran."""
     BROKEN = "broken"
-    """The connection broke after sending: it may have run."""
+    """The connection broke after the request was sent; the request may have run."""
     TIMED_OUT = "timed_out"
-    """No answer in time: it may have run."""
+    """No answer within the timeout; the request may have run."""
     CORRUPT = "corrupt"
     """The answer does not belong to the request or is too large."""
 
@@ -30,15 +30,15 @@
 
     @property
     def provably_not_run(self) -> bool:
-        """Whether the request certainly did not run."""
+        """Whether the failure proves that the request did not run."""
         return self.kind is ServiceFailureKind.UNREACHABLE
 
 
 class ServicePort(Protocol):
-    """What a node can ask of one service back end."""
+    """Operations of one service back end."""
 
     async def call(
         self, request: ServiceRequest, time_left_s: float
     ) -> Result[ServiceResponse, ServiceFailure]:
-        """Send the request once; any HTTP status is an Ok answer."""
+        """Send the request once; an answer with any HTTP status is Ok."""
         ...
--- a/src/weirscale/ports/service_headers.py
+++ b/src/weirscale/ports/service_headers.py
@@ -1,4 +1,4 @@
-"""Headers between nodes and service back ends, and the check that an answer is the request's."""
+"""Headers between nodes and service back ends, and the check that an answer matches its request."""
 
 from collections.abc import Mapping
 
@@ -22,7 +22,7 @@
         "upgrade",
     }
 )
-"""Headers of one connection, which are never passed on (RFC 9110, section 7.6.1)."""
+"""Headers that apply to one connection and are not forwarded (RFC 9110, section 7.6.1)."""
 
 
 def request_headers(request: ServiceRequest) -> dict[str, str]:
@@ -42,5 +42,5 @@
 
 
 def answers_request(headers: Mapping[str, str], request: ServiceRequest) -> bool:
-    """Whether an answer belongs to a request; a back end that echoes no id is believed."""
+    """Return whether an answer belongs to a request; an answer without an id is accepted."""
     return headers.get(REQUEST_ID_HEADER, request.request_id) == request.request_id
--- a/src/weirscale/ports/service_http.py
+++ b/src/weirscale/ports/service_http.py
@@ -1,4 +1,4 @@
-"""Service port over HTTP: requests and answers are passed through whole."""
+"""Service port over HTTP; requests and answers are read completely before they are passed on."""
 
 import anyio
 import httpx
@@ -15,11 +15,11 @@
 
 MAX_CONNECTIONS = 256
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
-"""Larger answers are refused: they are held in memory whole."""
+"""Larger answers are rejected, because an answer is held in memory completely."""
 
 
 class HttpService:
-    """One service back end at one address, with its own client; a `ServicePort`."""
+    """Implements `ServicePort` for one back end at one address, with an HTTP client of its own."""
 
     def __init__(
         self,
@@ -28,11 +28,11 @@
         connect_timeout_s: float = CONNECT_TIMEOUT_S,
         max_answer_bytes: int = MAX_ANSWER_BYTES,
     ) -> None:
-        """Make a port; no connection is opened yet.
+        """Create the port without opening a connection.
 
         Args:
             address: host:port.
-            connect_timeout_s: Limit of making a connection.
+            connect_timeout_s: Timeout for opening a connection.
             max_answer_bytes: Larger answers are CORRUPT.
         """
         self.address = address
@@ -41,13 +41,13 @@
         self._client = new_client(MAX_CONNECTIONS, httpx.Timeout(None))
 
     async def aclose(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         await self._client.aclose()
 
     async def call(
         self, request: ServiceRequest, time_left_s: float
     ) -> Result[ServiceResponse, ServiceFailure]:
-        """Send the request once; any HTTP status is an Ok answer."""
+        """Send the request once; an answer with any HTTP status is Ok."""
         try:
             with anyio.fail_after(time_left_s):
                 return await self._send(request, time_left_s)
@@ -98,7 +98,7 @@
 
 
 def failure_of_error(error: httpx.HTTPError) -> ServiceFailure:
-    """Return the failure that a client's error stands for; unknown ones may have run."""
+    """Translate an error of the HTTP client; after an unknown error the request may have run."""
     detail = f"{type(error).__name__}: {error}"
     if was_never_sent(error):
         return ServiceFailure(ServiceFailureKind.UNREACHABLE, detail)
