--- a/src/weirscale/ports/engine.py
+++ b/src/weirscale/ports/engine.py
@@ -82,7 +82,7 @@
         request_id: Id of the caller's request, the same for every attempt.
         attempt: Number of the attempt, from 0; with request_id it identifies the engine's work.
         path: `/v1/chat/completions` or `/v1/completions`.
-        body: The OpenAI-shaped body.
+        body: Body of the caller's request, in OpenAI's format.
         prompt: Canonical prompt bytes.
         max_tokens: Maximum tokens of the answer, counted from its start.
         priority: Lower is served first.
--- a/src/weirscale/ports/engine_http.py
+++ b/src/weirscale/ports/engine_http.py
@@ -1,4 +1,4 @@
-"""Engine port over HTTP: the OpenAI-shaped interface with the extensions of `engine_wire`."""
+"""Engine port over HTTP: OpenAI's interface with the extensions in `engine_wire`."""
 
 import math
 from collections.abc import AsyncIterator, Mapping
--- a/src/weirscale/ports/key_value.py
+++ b/src/weirscale/ports/key_value.py
@@ -15,7 +15,7 @@
     UNREACHABLE = "unreachable"
     """No connection was made, so nothing changed."""
     RATE_LIMITED = "rate_limited"
-    """Refused for rate; nothing changed."""
+    """Refused because of a rate limit; nothing changed."""
     AMBIGUOUS = "ambiguous"
     """The answer was lost, so the change may have taken effect. A read shows whether it did."""
     LEASE_LOST = "lease_lost"
--- a/src/weirscale/ports/limited_connections.py
+++ b/src/weirscale/ports/limited_connections.py
@@ -45,7 +45,7 @@
 
 
 class LimitedServer(TCPServer):
-    """Serves one connection."""
+    """Serves one connection within the limits of `LimitedConfig`."""
 
     _head_started_s: float | None = None
     """When the first byte of a head arrived that is not complete yet."""
