--- a/src/weirscale/ports/http_client.py
+++ b/src/weirscale/ports/http_client.py
@@ -10,8 +10,8 @@
 milliseconds or fails."""
 
 KEEP_ALIVE_S = 4.0
-"""Less than the usual 5 s of servers, so that few requests hit a connection that is being
-closed."""
+"""Seconds for which idle connections are kept. Less than the usual 5 s of servers, so that few
+requests hit a connection that is being closed."""
 
 
 def new_client(max_connections: int, timeout: httpx.Timeout) -> httpx.AsyncClient:
--- a/src/weirscale/ports/listeners.py
+++ b/src/weirscale/ports/listeners.py
@@ -1,4 +1,4 @@
-"""Listening sockets; imports only `socket`, so that a process can listen before it loads others."""
+"""Listening sockets; imports only `socket`, so that a process can listen right after its start."""
 
 import socket
 
