--- a/features/steps/gateway_state_steps.py
+++ b/features/steps/gateway_state_steps.py
@@ -31,8 +31,8 @@
 
 TENANT = {"name": "t1", "api_keys": ["good"]}
 SETTLE_S = 0.3
-LOOK_INTERVAL_S = 0.4
-"""A node looks for silences of the store so often; one that does not stood still."""
+UPDATE_INTERVAL_S = 0.4
+"""Interval at which a node updates its outage detector. A longer pause counts as a suspension."""
 
 
 def keyed_configuration(version, keys=("good",)):
@@ -43,26 +43,26 @@
     return configuration(version, routes, [TENANT | {"api_keys": list(keys)}])
 
 
-class Script:
-    """Steps gathered by a scenario, played in one run once a then step asks."""
+class NodeRun:
+    """A node and the actions of a scenario, run in virtual time when a `then` step needs results."""
 
-    def __init__(self, first):
-        self.first = first
+    def __init__(self, stored_configuration):
+        self.stored_configuration = stored_configuration
         self.actions = []
         self.answers = []
-        self.played = None
+        self.has_run = None
 
-    def play(self):
-        if self.played is None:
+    def run(self):
+        if self.has_run is None:
             self.fleet = Fleet()
             run_in_virtual_time(self._main)
-            self.played = True
+            self.has_run = True
         return self
 
     async def _main(self):
         async def body():
-            if self.first is not None:
-                self.fleet.store.put("op/config", self.first)
+            if self.stored_configuration is not None:
+                self.fleet.store.put("op/config", self.stored_configuration)
             for number in (1, 2):
                 self.fleet.add_runner(back_end(number))
             self.node = await self.fleet.start_node()
@@ -81,36 +81,42 @@
 
 @given("a node that has configuration {version:d}")
 def step_node(context, version):
-    context.script = Script(configuration(version))
+    context.node_run = NodeRun(configuration(version))
 
 
 @given("a node that has configuration {version:d} with a tenant")
 def step_node_tenant(context, version):
-    context.script = Script(keyed_configuration(version))
+    context.node_run = NodeRun(keyed_configuration(version))
 
 
-@given("a node and a store without a configuration")
+@given("a node whose store holds no configuration")
 def step_node_without(context):
-    context.script = Script(None)
+    context.node_run = NodeRun(None)
 
 
 @given("a node that has configuration {version:d} and two back ends")
 def step_node_back_ends(context, version):
-    context.script = Script(configuration(version))
+    context.node_run = NodeRun(configuration(version))
 
 
-@given('a node whose route splits {first:d} to "{one}" and {second:d} to "{other}"')
-def step_split(context, first, one, second, other):
-    parts = [{"service": one, "weight": first}, {"service": other, "weight": second}]
+@given(
+    'a node whose route splits requests with weight {first_weight:d} to "{first}" and '
+    '{second_weight:d} to "{second}"'
+)
+def step_split(context, first_weight, first, second_weight, second):
+    parts = [
+        {"service": first, "weight": first_weight},
+        {"service": second, "weight": second_weight},
+    ]
     entry = route("split", "/o/", "mutating", service=None, split=parts)
-    services = [{"name": one}, {"name": other}]
-    context.script = Script(configuration(1, [entry], services=services))
+    services = [{"name": first}, {"name": second}]
+    context.node_run = NodeRun(configuration(1, [entry], services=services))
 
-    async def add(script):
-        script.fleet.add_runner(back_end(1, other))
+    async def add(node_run):
+        node_run.fleet.add_runner(back_end(1, second))
         await anyio.sleep(SETTLE_S)
 
-    context.script.actions.append(add)
+    context.node_run.actions.append(add)
 
 
 async def begin_fault(store, fault):
@@ -127,15 +133,15 @@
     store.is_silent = False
 
 
-@when('the store suffers "{fault}" while configuration {version:d} is written')
+@when('configuration {version:d} is written during the store fault "{fault}"')
 def step_fault_write(context, fault, version):
-    async def action(script):
-        store = script.fleet.store
+    async def action(node_run):
+        store = node_run.fleet.store
         await begin_fault(store, fault)
         if fault == "compaction":
             store.is_deaf = True
-        store.put("op/config", b"{" if fault == "nonsense" else configuration(version))
-        script.written_s = anyio.current_time()
+        store.put("op/config", b"{" if fault == "bad JSON" else configuration(version))
+        node_run.written_s = anyio.current_time()
         if fault in ("outage", "silence"):
             await anyio.sleep(2.0)
         if fault == "compaction":
@@ -144,184 +150,191 @@
             store.compact()
         end_fault(store)
 
-    context.script.actions.append(action)
+    context.node_run.actions.append(action)
 
 
-@then("within {seconds:g} seconds the node has configuration {version:d}")
+@then("within {seconds:g} seconds configuration {version:d} is in force at the node")
 def step_has_version(context, seconds, version):
-    async def action(script):
-        remaining_s = seconds - (anyio.current_time() - script.written_s)
+    async def action(node_run):
+        remaining_s = seconds - (anyio.current_time() - node_run.written_s)
         await anyio.sleep(max(0.0, remaining_s))
-        script.version = script.node.cluster.table.version
+        node_run.version = node_run.node.cluster.table.version
 
-    context.script.actions.append(action)
-    assert context.script.play().version == version, context.script.version
+    context.node_run.actions.append(action)
+    assert context.node_run.run().version == version, context.node_run.version
 
 
-@when('the store suffers "{fault}" for {seconds:g} seconds')
+@when('the store has the fault "{fault}" for {seconds:g} seconds')
 def step_fault_for(context, fault, seconds):
-    async def action(script):
-        await begin_fault(script.fleet.store, fault)
+    async def action(node_run):
+        await begin_fault(node_run.fleet.store, fault)
         await anyio.sleep(seconds)
 
-    context.script.actions.append(action)
+    context.node_run.actions.append(action)
 
 
-@when("a request with the tenant's key is sent")
+@when("a request with the tenant's API key is sent")
 def step_keyed_request(context):
     add_request(context, "/k/x", "h.example", "good")
 
 
-@when('a request to "{path}" of "{host}" with key "{key}" is sent')
+@when('a request for "{path}" on host "{host}" with API key "{key}" is sent')
 def step_request(context, path, host, key):
     add_request(context, path, host, key)
 
 
-@when('a request to "{path}" of "{host}" with key "" is sent')
+@when('a request for "{path}" on host "{host}" with API key "" is sent')
 def step_request_no_key(context, path, host):
     add_request(context, path, host, "")
 
 
 def add_request(context, path, host, key):
-    async def action(script):
+    async def action(node_run):
         headers = request_headers()
         if key:
             headers.append((b"authorization", f"Bearer {key}".encode()))
-        answer = await ask(script.node, path, "GET", headers, b"", host)
-        script.answers.append((anyio.current_time(), answer))
+        answer = await ask(node_run.node, path, "GET", headers, b"", host)
+        node_run.answers.append((anyio.current_time(), answer))
 
-    context.script.actions.append(action)
+    context.node_run.actions.append(action)
 
 
-@when("watches hear nothing for 1 second while the key is taken away, then history is dropped")
-def step_deaf(context):
-    async def action(script):
-        store = script.fleet.store
+@when(
+    "the API key is revoked while watches report nothing for 1 second, and then the store's "
+    "history is compacted"
+)
+def step_watch_gap(context):
+    async def action(node_run):
+        store = node_run.fleet.store
         store.is_deaf = True
         await anyio.sleep(0.3)
         store.put("op/config", keyed_configuration(4, keys=["other"]))
-        script.changed_s = anyio.current_time()
+        node_run.changed_s = anyio.current_time()
 
-        async def heal():
+        async def end_gap():
             await anyio.sleep(0.7)
             store.is_deaf = False
             store.compact()
 
-        script.fleet.tasks.start_soon(heal)
+        node_run.fleet.tasks.start_soon(end_gap)
 
-    context.script.actions.append(action)
+    context.node_run.actions.append(action)
 
 
-@when("watches hear nothing for good while the key is taken away")
-def step_deaf_for_good(context):
-    async def action(script):
-        script.fleet.store.is_deaf = True
+@when("the API key is revoked while watches report nothing any more")
+def step_watch_lost(context):
+    async def action(node_run):
+        node_run.fleet.store.is_deaf = True
         await anyio.sleep(0.3)
-        script.fleet.store.put("op/config", keyed_configuration(4, keys=["other"]))
-        script.changed_s = anyio.current_time()
+        node_run.fleet.store.put("op/config", keyed_configuration(4, keys=["other"]))
+        node_run.changed_s = anyio.current_time()
 
-    context.script.actions.append(action)
+    context.node_run.actions.append(action)
 
 
-@when("requests with the tenant's key are sent for {seconds:g} seconds")
+@when("requests with the tenant's API key are sent for {seconds:g} seconds")
 def step_requests_for(context, seconds):
-    async def action(script):
+    async def action(node_run):
         end_s = anyio.current_time() + seconds
         while anyio.current_time() < end_s:
             headers = [*request_headers(), (b"authorization", b"Bearer good")]
             sent_s = anyio.current_time()
-            answer = await ask(script.node, "/k/x", "GET", headers, b"")
-            script.answers.append((sent_s, answer))
+            answer = await ask(node_run.node, "/k/x", "GET", headers, b"")
+            node_run.answers.append((sent_s, answer))
             await anyio.sleep(0.05)
 
-    context.script.actions.append(action)
+    context.node_run.actions.append(action)
 
 
-@then("none that was sent {seconds:g} seconds after the change is served")
+@then("no request sent {seconds:g} seconds or more after the change is served")
 def step_none_served(context, seconds):
-    script = context.script.play()
+    node_run = context.node_run.run()
     late = [
-        answer.status for sent_s, answer in script.answers if sent_s >= script.changed_s + seconds
+        answer.status
+        for sent_s, answer in node_run.answers
+        if sent_s >= node_run.changed_s + seconds
     ]
     assert late and 200 not in late, late
-    assert 200 in [answer.status for _, answer in script.answers]
+    assert 200 in [answer.status for _, answer in node_run.answers]
 
 
 @then("the caller gets status {status:d}")
 def step_status(context, status):
-    answers = context.script.play().answers
+    answers = context.node_run.run().answers
     assert [answer.status for _, answer in answers] == [status], answers
 
 
 @then("the node is not ready")
 def step_not_ready(context):
-    assert not context.script.play().node.is_ready()
+    assert not context.node_run.run().node.is_ready()
 
 
 @when("the first back end is {change}")
 def step_change(context, change):
-    async def action(script):
-        store = script.fleet.store
-        first = script.fleet.runners[0]
-        script.first = first
+    async def action(node_run):
+        store = node_run.fleet.store
+        first = node_run.fleet.runners[0]
+        node_run.first = first
         if change == "leaving":
             store.put(f"servers/{first.instance}", first.entry("draining"))
-        elif change == "gone":
+        elif change == "deregistered":
             store.delete(f"servers/{first.instance}")
         else:
             other = back_end(1, instance="later")
             store.put("servers/later", other.entry() | {"service": "another"})
 
-    context.script.actions.append(action)
+    context.node_run.actions.append(action)
 
 
-@when("the store is {fault} from {seconds:g} seconds later")
+@when("the store is {fault} starting {seconds:g} seconds later")
 def step_store_fault(context, fault, seconds):
-    async def action(script):
+    async def action(node_run):
         await anyio.sleep(seconds)
-        script.fleet.store.is_down = fault == "down"
-        script.fleet.store.is_silent = fault == "silent"
+        node_run.fleet.store.is_down = fault == "down"
+        node_run.fleet.store.is_silent = fault == "silent"
 
-    context.script.actions.append(action)
+    context.node_run.actions.append(action)
 
 
 @when("all registrations lapse while the store is down for {seconds:g} seconds")
 def step_lapse(context, seconds):
-    async def action(script):
-        store = script.fleet.store
+    async def action(node_run):
+        store = node_run.fleet.store
         store.is_down = True
-        for runner in script.fleet.runners:
+        for runner in node_run.fleet.runners:
             store.delete(f"servers/{runner.instance}")
         await anyio.sleep(seconds)
         store.is_down = False
 
-    context.script.actions.append(action)
+    context.node_run.actions.append(action)
 
 
-@given("a node that knows a ready and a leaving back end")
+@given("a node with a ready and a leaving back end")
 def step_ready_and_leaving(context):
     context.now_s = 100.0
     context.cluster = ClusterState(EventRecorder(), lambda: context.now_s)
     states = {"o-1": BackEndState.READY, "o-2": BackEndState.LEAVING}
-    ends = [
+    back_ends = [
         BackEnd(name, "orders", f"10.2.0.{number}:8080", "hall-a", state, 4)
         for number, (name, state) in enumerate(states.items())
     ]
-    changes = tuple(VersionedChange(end.instance, 1, BackEndRegistered(end)) for end in ends)
+    changes = tuple(
+        VersionedChange(back_end.instance, 1, BackEndRegistered(back_end)) for back_end in back_ends
+    )
     context.cluster.apply(StateBatch(1, changes), context.now_s)
 
 
-@when("both registrations end {seconds:g} seconds into an outage of the store")
+@when("both registrations end {seconds:g} seconds into a store outage")
 def step_both_end(context, seconds):
     ends_s = context.now_s + seconds
     while context.now_s < ends_s:
-        context.now_s += LOOK_INTERVAL_S
+        context.now_s += UPDATE_INTERVAL_S
         context.cluster.store_outages.update(context.now_s)
     changes = tuple(VersionedChange(name, 2, BackEndGone(name)) for name in ("o-1", "o-2"))
     context.cluster.apply(StateBatch(2, changes), float("-inf"))
 
 
-@then("the ready one is kept as lapsed, and the leaving one is forgotten")
+@then("the ready back end is kept as lapsed, and the leaving one is removed")
 def step_only_ready_kept(context):
     ready = context.cluster.directory.get("o-1")
     assert ready is not None
@@ -331,30 +344,30 @@
 
 @when('the registration of the first back end, "{state}" before, ends {when}')
 def step_ends(context, state, when):
-    async def action(script):
-        store = script.fleet.store
-        first = script.first = script.fleet.runners[0]
+    async def action(node_run):
+        store = node_run.fleet.store
+        first = node_run.first = node_run.fleet.runners[0]
         store.put(f"servers/{first.instance}", first.entry(state))
         await anyio.sleep(1.0)
         store.is_down = when != "while the store is up"
-        # By then no watch waits any more that could tell of it.
+        # After this time no watch call is left that could report the end.
         await anyio.sleep(1.5)
-        if when == "with the store away":
+        if when == "while the store is down":
             store.delete(f"servers/{first.instance}")
         await anyio.sleep(0.5)
         store.is_down = False
-        if when == "a while after the store's return":
+        if when == "a while after the store's recovery":
             await anyio.sleep(5.0)
         store.delete(f"servers/{first.instance}")
 
-    context.script.actions.append(action)
+    context.node_run.actions.append(action)
 
 
-@then("the first back end gets some of them")
-def step_some_of_them(context):
-    script = context.script.play()
-    assert script.first.arrivals
-    assert {answer.status for _, answer in script.answers} == {200}
+@then("the first back end gets some of the requests")
+def step_some_requests(context):
+    node_run = context.node_run.run()
+    assert node_run.first.arrivals
+    assert {answer.status for _, answer in node_run.answers} == {200}
 
 
 @given("a fleet of {count:d} nodes with a tenant's route")
@@ -376,29 +389,30 @@
         cut = ["node-1"] if who == "the first node" else list(fleet.nodes)
         if "store" in what:
             fleet.cuts |= {(name, STORE_ADDRESS) for name in cut}
-        if "others" in what:
+        if "other nodes" in what:
             fleet.mute |= set(cut)
         await anyio.sleep(seconds)
-        context.at_end = await ask_keyed(fleet.nodes["node-1"])
+        context.state_at_end = await ask_keyed(fleet.nodes["node-1"])
         fleet.cuts.clear()
         fleet.mute.clear()
         await anyio.sleep(1.5)
-        context.after = await ask_keyed(fleet.nodes["node-1"])
+        context.state_after = await ask_keyed(fleet.nodes["node-1"])
 
     run_in_virtual_time(lambda: with_fleet(fleet, body))
 
 
 async def ask_keyed(node):
-    """Return whether a node is ready, and its answer to a request with a key."""
+    """Return whether a node is ready, and its answer to a request with an API key."""
     headers = [*request_headers("q1"), (b"authorization", b"Bearer good")]
     return node.is_ready(), await ask(node, "/k/1", headers=headers)
 
 
 @then(
-    "the first node is not ready and sends on at the end, and a keyed request there gets {status:d}"
+    "the first node is not ready and closes connections at the end, and a request with an API key "
+    "gets {status:d} there"
 )
-def step_sends_on(context, status):
-    is_ready, answer = context.at_end
+def step_closes_connections(context, status):
+    is_ready, answer = context.state_at_end
     assert not is_ready
     assert answer.status == status and answer.header("connection") == b"close", answer
     if status == 503:
@@ -406,109 +420,110 @@
 
 
 @then(
-    "the first node is ready and keeps callers at the end, and a keyed request there gets {status:d}"
+    "the first node is ready and keeps connections open at the end, and a request with an API key "
+    "gets {status:d} there"
 )
-def step_keeps(context, status):
-    is_ready, answer = context.at_end
+def step_keeps_connections(context, status):
+    is_ready, answer = context.state_at_end
     assert is_ready
     assert answer.status == status and answer.header("connection") is None, answer
     if status == 503:
         assert float(answer.header("retry-after")) >= 0.2, answer
 
 
-@then("one second after that it is ready and serves again")
+@then("one second after that the first node is ready and serves again")
 def step_serves_again(context):
-    is_ready, answer = context.after
+    is_ready, answer = context.state_after
     assert is_ready and answer.status == 200, answer
 
 
-@when("the first back end registers {count:d} times with another sequence number")
+@when("the first back end registers {count:d} times with a new sequence number each time")
 def step_sequence(context, count):
-    async def action(script):
-        first = script.fleet.runners[0]
-        script.log = script.fleet.logs[script.node.settings.name]
-        script.events_before = list(script.log.events)
-        script.known_before = script.node.cluster.directory.get(first.instance)
+    async def action(node_run):
+        first = node_run.fleet.runners[0]
+        node_run.log = node_run.fleet.logs[node_run.node.settings.name]
+        node_run.events_before = list(node_run.log.events)
+        node_run.record_before = node_run.node.cluster.directory.get(first.instance)
         for number in range(count):
             entry = first.entry() | {"seq": 2 + number}
-            script.fleet.store.put(f"servers/{first.instance}", entry)
+            node_run.fleet.store.put(f"servers/{first.instance}", entry)
             await anyio.sleep(0.2)
-        script.known_after = script.node.cluster.directory.get(first.instance)
+        node_run.record_after = node_run.node.cluster.directory.get(first.instance)
 
-    context.script.actions.append(action)
+    context.node_run.actions.append(action)
 
 
-@then("the node tells of no change and keeps what it knew")
+@then("the node logs no change of a back end and keeps the back end's record")
 def step_no_change(context):
-    script = context.script.play()
-    assert script.known_before is not None
-    assert script.known_after == script.known_before
-    told = [name for name, _ in script.log.events[len(script.events_before) :]]
-    assert not [name for name in told if name.startswith("back_end")], told
+    node_run = context.node_run.run()
+    assert node_run.record_before is not None
+    assert node_run.record_after == node_run.record_before
+    events = [name for name, _ in node_run.log.events[len(node_run.events_before) :]]
+    assert not [name for name in events if name.startswith("back_end")], events
 
 
-@when("the back ends register again {seconds:g} seconds after it")
+@when("the back ends register again {seconds:g} seconds later")
 def step_register_again(context, seconds):
-    async def action(script):
+    async def action(node_run):
         await anyio.sleep(seconds)
-        for runner in script.fleet.runners:
-            script.fleet.store.put(f"servers/{runner.instance}", runner.entry())
+        for runner in node_run.fleet.runners:
+            node_run.fleet.store.put(f"servers/{runner.instance}", runner.entry())
 
-    context.script.actions.append(action)
+    context.node_run.actions.append(action)
 
 
-@then("all of them are answered")
+@then("all requests are answered with status 200")
 def step_all_answered(context):
-    answers = context.script.play().answers
+    answers = context.node_run.run().answers
     assert [answer.status for _, answer in answers] == [200] * len(answers), answers
 
 
 @when("{count:d} requests are sent after {seconds:g} seconds")
-def step_many(context, count, seconds):
-    async def action(script):
+def step_requests(context, count, seconds):
+    async def action(node_run):
         await anyio.sleep(seconds)
         for number in range(count):
-            answer = await ask(script.node, "/o/1", headers=request_headers(f"q{number}"))
-            script.answers.append((anyio.current_time(), answer))
+            answer = await ask(node_run.node, "/o/1", headers=request_headers(f"q{number}"))
+            node_run.answers.append((anyio.current_time(), answer))
 
-    context.script.actions.append(action)
+    context.node_run.actions.append(action)
 
 
-@then("the first back end gets none of them")
-def step_none_of_them(context):
-    script = context.script.play()
-    assert not script.first.arrivals
-    assert {answer.status for _, answer in script.answers} == {200}
+@then("the first back end gets none of the requests")
+def step_no_requests(context):
+    node_run = context.node_run.run()
+    assert not node_run.first.arrivals
+    assert {answer.status for _, answer in node_run.answers} == {200}
 
 
-@then('the back end saw the tenant "{tenant}" and no key')
+@then('the back end received the tenant name "{tenant}" and no API key')
 def step_tenant(context, tenant):
-    script = context.script.play()
-    seen = [one[2] for runner in script.fleet.runners for one in runner.arrivals]
-    assert [one.get("x-tenant") for one in seen] == [tenant], seen
-    assert not any("authorization" in one for one in seen)
+    node_run = context.node_run.run()
+    received = [arrival[2] for runner in node_run.fleet.runners for arrival in runner.arrivals]
+    assert [headers.get("x-tenant") for headers in received] == [tenant], received
+    assert not any("authorization" in headers for headers in received)
 
 
-@then('"{one}" got {first:d} and "{other}" {second:d} of them')
-def step_shares(context, one, first, other, second):
-    script = context.script.play()
-    counts = {one: 0, other: 0}
-    for runner in script.fleet.runners:
+@then('"{first}" gets {first_count:d} and "{second}" {second_count:d} of the requests')
+def step_shares(context, first, first_count, second, second_count):
+    node_run = context.node_run.run()
+    counts = {first: 0, second: 0}
+    for runner in node_run.fleet.runners:
         counts[runner.service] += len(runner.arrivals)
-    assert counts == {one: first, other: second}, counts
+    assert counts == {first: first_count, second: second_count}, counts
 
 
 class OvertakenFeed:
-    """Reads everything slowly: first as it was before, then as it is."""
+    """A feed with slow full reads: the first returns an outdated state, later ones the current state."""
 
-    def __init__(self, before, now):
-        self._batches = [before, now]
-        self.num_readings = 0
+    def __init__(self, outdated, current):
+        self._batches = [outdated, current]
+        self.num_full_reads = 0
 
     async def read_all(self):
-        self.num_readings += 1
+        self.num_full_reads += 1
         await anyio.sleep(0.2)
-        return Ok(self._batches[min(self.num_readings, 2) - 1])
+        return Ok(self._batches[min(self.num_full_reads, 2) - 1])
 
     async def follow(self, revision, wait_s):
         await anyio.sleep(wait_s)
@@ -518,15 +533,15 @@
         return Ok(12)
 
 
-@given("a node that reads everything while a reader tells it of a new back end")
+@given("a node that does a full read while a reader reports a new back end")
 def step_overtaken(context):
-    end = BackEnd("o-1", "orders", "10.2.0.1:8080", "hall-a", BackEndState.READY, 4)
-    context.told = StateBatch(12, (VersionedChange("b", 12, BackEndRegistered(end)),))
-    context.feed = OvertakenFeed(StateBatch(10, ()), context.told)
+    back_end = BackEnd("o-1", "orders", "10.2.0.1:8080", "hall-a", BackEndState.READY, 4)
+    context.reported = StateBatch(12, (VersionedChange("b", 12, BackEndRegistered(back_end)),))
+    context.feed = OvertakenFeed(StateBatch(10, ()), context.reported)
 
 
-@when("the reading ends with the state of before")
-def step_reading_ends(context):
+@when("the full read returns the state from before the registration")
+def step_full_read_ends(context):
     context.is_known = []
 
     async def do_nothing():
@@ -550,7 +565,7 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(follower.run)
             await anyio.sleep(0.1)
-            cluster.apply(context.told, anyio.current_time())
+            cluster.apply(context.reported, anyio.current_time())
             for _ in range(10):
                 context.is_known.append(cluster.directory.get("o-1") is not None)
                 await anyio.sleep(0.05)
@@ -559,33 +574,37 @@
     run_in_virtual_time(body)
 
 
-@then("the back end is known all along, and everything was read once more")
+@then("the back end stays known throughout, and the full read is repeated once")
 def step_known(context):
     assert all(context.is_known), context.is_known
-    assert context.feed.num_readings == 2
+    assert context.feed.num_full_reads == 2
 
 
 @when("{count:d} back ends register within {seconds:g} seconds")
 def step_register_many(context, count, seconds):
-    async def action(script):
-        script.num_watches = num_watches(script.fleet.store)
+    async def action(node_run):
+        node_run.num_watch_calls = count_watch_calls(node_run.fleet.store)
         for number in range(count):
-            script.fleet.add_runner(back_end(number + 10))
+            node_run.fleet.add_runner(back_end(number + 10))
             await anyio.sleep(seconds / count)
         await anyio.sleep(0.2)
-        script.num_watches = num_watches(script.fleet.store) - script.num_watches
-        script.num_known = len(script.node.cluster.directory.instances())
+        node_run.num_watch_calls = (
+            count_watch_calls(node_run.fleet.store) - node_run.num_watch_calls
+        )
+        node_run.num_known = len(node_run.node.cluster.directory.instances())
 
-    context.script.actions.append(action)
+    context.node_run.actions.append(action)
     context.num_registered = count + 2
 
 
-def num_watches(store):
+def count_watch_calls(store):
     return sum(path == "/v1/kv-watch" for _, path in store.calls)
 
 
-@then("the node knows them {seconds:g} seconds later, after at most {watches:d} watches")
+@then(
+    "the node knows all back ends {seconds:g} seconds later, after at most {watches:d} watch calls"
+)
 def step_known_soon(context, seconds, watches):
-    script = context.script.play()
-    assert script.num_known == context.num_registered, script.num_known
-    assert script.num_watches <= watches, script.num_watches
+    node_run = context.node_run.run()
+    assert node_run.num_known == context.num_registered, node_run.num_known
+    assert node_run.num_watch_calls <= watches, node_run.num_watch_calls
