--- a/features/gateway_state.feature
+++ b/features/gateway_state.feature
@@ -6,13 +6,13 @@
     Then within <seconds> seconds configuration <expected> is in force at the node
 
     Examples: fault of the store, version written, time limit, and version in force at that time
-      | fault       | next | seconds | expected |
-      | none        | 4    | 0.1     | 4        |
-      | none        | 2    | 1.0     | 3        |
-      | compaction  | 4    | 2.0     | 4        |
-      | outage      | 4    | 3.5     | 4        |
-      | silence     | 4    | 5.0     | 4        |
-      | bad JSON    | 4    | 1.0     | 3        |
+      | fault      | next | seconds | expected |
+      | none       | 4    | 0.1     | 4        |
+      | none       | 2    | 1.0     | 3        |
+      | compaction | 4    | 2.0     | 4        |
+      | outage     | 4    | 3.5     | 4        |
+      | silence    | 4    | 5.0     | 4        |
+      | bad JSON   | 4    | 1.0     | 3        |
 
   Scenario Outline: A request with an API key gets <status> after <seconds> seconds of the fault <fault>
     Given a node that has configuration 3 with a tenant
@@ -131,12 +131,12 @@
     And one second after that the first node is ready and serves again
 
     Examples:
-      | who            | what                          | seconds | does                                  | status |
-      | the first node | the store and the other nodes | 4       | is not ready and closes connections   | 200    |
-      | the first node | the store and the other nodes | 6       | is not ready and closes connections   | 503    |
-      | the first node | the store                     | 6       | is ready and keeps connections open   | 200    |
-      | the first node | the other nodes               | 6       | is ready and keeps connections open   | 200    |
-      | every node     | the store                     | 6       | is ready and keeps connections open   | 503    |
+      | who            | what                          | seconds | does                                | status |
+      | the first node | the store and the other nodes | 4       | is not ready and closes connections | 200    |
+      | the first node | the store and the other nodes | 6       | is not ready and closes connections | 503    |
+      | the first node | the store                     | 6       | is ready and keeps connections open | 200    |
+      | the first node | the other nodes               | 6       | is ready and keeps connections open | 200    |
+      | every node     | the store                     | 6       | is ready and keeps connections open | 503    |
 
   Scenario: A registration that differs only in its sequence number changes nothing
     Given a node that has configuration 3 and two back ends
--- a/features/gateway_store_restored.feature
+++ b/features/gateway_store_restored.feature
@@ -1,17 +1,17 @@
-Feature: A store that comes back from a copy loses its own last seconds, and the nodes lose nothing
-
-  # What callers saw: after the store had come back from a copy, a changed configuration, back ends that
-  # started and keys that were taken away were in force nowhere, for as long as the store had not made as
-  # many changes as it had lost; the nodes took themselves for current all the while.
-  # Cause: a change counted only if its revision was above the last one known, and a reading with a lower
-  # revision than the known one was thrown away as an old one. Revisions are given out again after a
-  # copy; what orders them is the number of times that the store has come back, and then the revision.
-  # Evidence: no `configuration_taken` after the copy, though `store_regained` and proofs go on.
-  Scenario Outline: Changes after the copy are in force as ever
-    Given 3 nodes before a store of which a copy was taken
-    When <lost> changes later the store comes back from the copy
+Feature: A store that is restored from a backup loses its latest changes, and the nodes lose nothing
+
+  # Guards against changes that nodes ignore after a restore. A restored store assigns the revisions of
+  # its lost changes again. Nodes that ordered changes by revision alone ignored a change unless its
+  # revision was above the last known one, and dropped a full read with a lower revision as outdated.
+  # New configurations, started back ends and revoked keys had no effect until the store had made as many
+  # changes as it had lost, while the nodes considered themselves current. The order is therefore the
+  # era, which counts restores, and then the revision. The log shows the fault as no
+  # `configuration_taken` after the restore, although `store_regained` and proofs continue.
+  Scenario Outline: Changes after the restore take effect as usual
+    Given 3 nodes and a store that was backed up
+    When <lost> changes later the store is restored from the backup
     And <later> changes later the operator writes configuration 9
-    Then each node has configuration 9 within 2 seconds of that
+    Then each node uses configuration 9 within 2 seconds of the write
 
     Examples:
       | lost | later |
@@ -20,157 +20,157 @@
       | 5    | 20    |
       | 0    | 0     |
 
-  Scenario: Two copies within seconds
-    Given 3 nodes before a store of which a copy was taken
-    When 5 changes later the store comes back from the copy
-    And 1 second later it comes back from the copy once more
+  Scenario: Two restores within seconds
+    Given 3 nodes and a store that was backed up
+    When 5 changes later the store is restored from the backup
+    And 1 second later it is restored once more
     And 0 changes later the operator writes configuration 9
-    Then each node has configuration 9 within 2 seconds of that
-
-  Scenario: What was in force stays in force until it is written again
-    Given 3 nodes before a store of which a copy was taken
-    When the operator writes configuration 5, in which a key is taken away, and the store comes back from the copy
-    And callers ask with that key for 6 seconds
-    Then none of them is served
-    And each node has configuration 5
-
-  Scenario: A back end that registered after the copy is used on, and registers again
-    Given 3 nodes before a store of which a copy was taken
-    When "lm-9" registers, and the store comes back from the copy
-    And it registers again 1.5 seconds after that
-    Then at no moment a node has no back end, and each has "lm-9" to the end
-
-  Scenario: A back end that registered after the copy and is gone is forgotten
-    Given 3 nodes before a store of which a copy was taken
-    When "lm-9" registers, and the store comes back from the copy
-    And callers ask for 4 seconds
-    Then no node has "lm-9" 2.5 seconds after the copy
-
-  Scenario: A back end that had said that it leaves is not used again, though the copy has it as ready
-    Given 3 nodes before a store of which a copy was taken
-    When "lm-1" registers as leaving, and the store comes back from the copy
-    And callers ask for 4 seconds
-    Then "lm-1" gets no request after the copy
-
-  Scenario: No node takes itself for the only one
-    Given 3 nodes before a store of which a copy was taken
-    When the nodes register after the copy, and the store comes back from the copy
-    And callers ask for 8 seconds
-    Then each node knows 3 nodes all the while
+    Then each node uses configuration 9 within 2 seconds of the write
+
+  Scenario: A configuration that the store lost stays in force
+    Given 3 nodes and a store that was backed up
+    When the operator writes configuration 5, which revokes an API key, and the store is restored from the backup
+    And callers send requests with that key for 6 seconds
+    Then none of the requests is served
+    And each node uses configuration 5
+
+  Scenario: A back end that registered after the backup stays in use, and registers again
+    Given 3 nodes and a store that was backed up
+    When "lm-9" registers, and the store is restored from the backup
+    And the back end registers again 1.5 seconds after the restore
+    Then after the restore every node has back ends at all times, and "lm-9" is one of them
+
+  Scenario: A back end that registered after the backup and does not register again is removed
+    Given 3 nodes and a store that was backed up
+    When "lm-9" registers, and the store is restored from the backup
+    And callers send requests for 4 seconds
+    Then no node has "lm-9" from 2.5 seconds after the restore on
+
+  Scenario: A back end that has announced its leaving is not used again, although the backup has it as ready
+    Given 3 nodes and a store that was backed up
+    When "lm-1" registers as leaving, and the store is restored from the backup
+    And callers send requests for 4 seconds
+    Then "lm-1" gets no request after the restore
+
+  Scenario: Nodes keep counting each other while their registrations are lost
+    Given 3 nodes and a store that was backed up
+    When the store is restored from the backup, which holds no node registrations
+    And callers send requests for 8 seconds
+    Then each node knows 3 nodes at all times after the restore
     And each node has registered again
 
-  Scenario: What was lost counts on also where everything is read again
-    Given 3 nodes before a store of which a copy was taken
-    When the nodes register after the copy, and the store comes back from the copy
-    And the store forgets its history 0.2 and 0.5 seconds later
-    And callers ask for 8 seconds
-    Then each node knows 3 nodes all the while
-
-  Scenario: Orders go on with higher fencing tokens, and not before the last ones are settled
-    Given 3 nodes before a store of which a copy was taken
-    When weights 2 are named and ordered, and the store comes back from the copy
-    And weights 3 are named at once
-    Then all engines have weights 3 within 15 seconds
-    And no order has a lower fencing token than the one before it
-    And no two nodes order within 3 seconds
-
-  Scenario: A node that starts right after the copy orders nothing before the last orders are settled
-    Given 3 nodes before a store of which a copy was taken
-    When weights 2 are named and ordered, and the store comes back from the copy
-    And all other nodes are cut off from it, a node starts, and weights 3 are named at once
-    Then no two nodes order within 3 seconds
-
-  Scenario: Whatever the copy lacks, nobody may order before the last orders are settled
-    Given 3 nodes before a store of which a copy was taken
-    When 5 changes later the store comes back from the copy
-    And a node asks all the while whether it may order
-    Then it may from 5.5 to 7.5 seconds after the copy on, and others that ask then at once
-
-  Scenario: A node that starts later orders as soon as ever
-    Given 3 nodes before a store of which a copy was taken
-    When weights 2 are named and ordered, and the store comes back from the copy
-    And weights 3 are named at once
-    And all other nodes are killed, a node starts, and weights 4 are named at once
-    Then the first order of weights 4 comes within 5.5 seconds of that
-    And no order has a lower fencing token than the one before it
-
-  Scenario Outline: An order to move traffic that the store lost counts on for a while
-    Given a node that knows an order to move traffic to "v2"
-    When the store comes back from a copy without it
-    And <later_s> seconds later <what>
-    Then the order to move traffic <stands>
+  Scenario: Lost registrations stay valid for a while even if another full read follows
+    Given 3 nodes and a store that was backed up
+    When the store is restored from the backup, which holds no node registrations
+    And the store's history is compacted 0.2 and 0.5 seconds later
+    And callers send requests for 8 seconds
+    Then each node knows 3 nodes at all times after the restore
+
+  Scenario: Orders continue with higher fencing tokens, and only after the earlier orders are settled
+    Given 3 nodes and a store that was backed up
+    When target version 2 is set and ordered, and the store is restored from the backup
+    And target version 3 is set at once
+    Then all engines have version 3 within 15 seconds
+    And no order has a lower fencing token than the order before it
+    And orders of different nodes are at least 3 seconds apart
+
+  Scenario: A node that starts right after the restore sends no orders before the earlier orders are settled
+    Given 3 nodes and a store that was backed up
+    When target version 2 is set and ordered, and the store is restored from the backup
+    And all nodes are cut off from the store, a new node starts, and target version 3 is set at once
+    Then orders of different nodes are at least 3 seconds apart
+
+  Scenario: Whatever the backup lacks, no node may send orders before the earlier orders are settled
+    Given 3 nodes and a store that was backed up
+    When 5 changes later the store is restored from the backup
+    And a node keeps asking whether it may send orders
+    Then it first may between 5.5 and 7.5 seconds after the restore, and a node that asks later may at once
+
+  Scenario: A node that starts later sends orders without an extra wait
+    Given 3 nodes and a store that was backed up
+    When target version 2 is set and ordered, and the store is restored from the backup
+    And target version 3 is set at once
+    And all nodes are killed, a new node starts, and target version 4 is set at once
+    Then the first order of version 4 comes within 5.5 seconds of that
+    And no order has a lower fencing token than the order before it
+
+  Scenario Outline: A rollout order that the store lost stays valid for a while
+    Given a node that knows an order to roll out "v2"
+    When the store is restored from a backup without it
+    And <later_s> seconds after the restore <event>
+    Then the rollout order <outcome>
 
     Examples:
-      | later_s | what                | stands         |
-      | 5       | nothing has come    | still stands   |
-      | 6.1     | nothing has come    | is withdrawn   |
-      | 3       | everything is read again | still stands |
-      | 6.1     | everything is read again | is withdrawn |
-      | 3       | it is written again | still stands   |
-      | 7       | it is written again | stands again   |
-
-  Scenario Outline: A record of the nodes that the store lost counts on for a while
-    Given a node that knows a record of the nodes
-    When the store comes back from a copy without it
-    And <later_s> seconds later <what>
-    Then the record <stands>
+      | later_s | event                 | outcome        |
+      | 5       | no change has arrived | is still valid |
+      | 6.1     | no change has arrived | is withdrawn   |
+      | 3       | a full read follows   | is still valid |
+      | 6.1     | a full read follows   | is withdrawn   |
+      | 3       | it is written again   | is still valid |
+      | 7       | it is written again   | is valid again |
+
+  Scenario Outline: A gateway record that the store lost stays valid for a while
+    Given a node that knows a gateway record
+    When the store is restored from a backup without it
+    And <later_s> seconds after the restore <event>
+    Then the gateway record <outcome>
 
     Examples:
-      | later_s | what                     | stands       |
-      | 5       | nothing has come         | still stands |
-      | 3       | everything is read again | still stands |
-      | 6.1     | everything is read again | is gone      |
-
-  Scenario: A request in quarantine stays there, and its record is written again
-    Given 3 nodes before a store of which a copy was taken
-    When a request is quarantined, and the store comes back from the copy
-    And callers ask for 8 seconds
-    Then that request is refused all the while
-    And one record of it is in the store
-
-  Scenario: Each node tells of the copy once
-    Given 3 nodes before a store of which a copy was taken
-    When 5 changes later the store comes back from the copy
-    And callers ask for 4 seconds
-    Then each node logs once that the store came back from a copy
-
-  Scenario Outline: A late answer from before the copy changes nothing
-    Given a client of a store of which a copy was taken
-    When a <call> is asked, the store comes back from the copy, a reading tells of it, and the <call> is answered
-    Then the client takes the <call> for unanswered
+      | later_s | event                 | outcome        |
+      | 5       | no change has arrived | is still valid |
+      | 3       | a full read follows   | is still valid |
+      | 6.1     | a full read follows   | is removed     |
+
+  Scenario: A quarantined request stays quarantined, and its record is written again
+    Given 3 nodes and a store that was backed up
+    When a request is quarantined, and the store is restored from the backup
+    And callers send requests for 8 seconds
+    Then that request stays quarantined after the restore
+    And the store holds its quarantine record
+
+  Scenario: Each node logs the restore once
+    Given 3 nodes and a store that was backed up
+    When 5 changes later the store is restored from the backup
+    And callers send requests for 4 seconds
+    Then each node logs once that the store was restored
+
+  Scenario Outline: A late answer from before the restore is discarded
+    Given a client of a store that was backed up
+    When a <call> is sent, the store is restored from the backup, a read reports the restore, and the <call> is answered
+    Then the client treats the <call> as unanswered
 
     Examples:
-      | call     |
-      | reading  |
-      | revision |
-      | change   |
-
-  Scenario Outline: What rests on a revision of before the copy does not hold by chance
-    Given a client of a store of which a copy was taken
-    When a key is written, the store comes back from the copy, and the key has the same revision again
-    And <seen> the client <does>
+      | call              |
+      | full read         |
+      | revision query    |
+      | conditional write |
+
+  Scenario Outline: A revision from before the restore is not mistaken for an equal one after it
+    Given a client of a store that was backed up
+    When a key is written, the store is restored from the backup, and the key gets the same revision again
+    And <noticed> the client <does>
     Then <outcome>
-    And where it had seen the copy, it knows at once and changes nothing in the store
+    And if it had noticed the restore, it knows at once and changes nothing in the store
 
     Examples:
-      | seen                          | does                            | outcome                          |
-      | having seen the copy,         | changes the key by its revision | the key is as it was             |
-      | without having seen the copy, | changes the key by its revision | the change is taken for unsure   |
-      | having seen the copy,         | watches from its revision       | it is told to read everything    |
-      | without having seen the copy, | watches from its revision       | it is told to read everything    |
-      | having seen the copy,         | renews its lease                | its lease is lost                |
-      | without having seen the copy, | renews its lease                | its lease is lost                |
-
-  Scenario Outline: How the number of the copy is written
-    Given a client of a store of which a copy was taken
-    When its answers name the copy as "<era>"
-    Then the client <takes>
+      | noticed                       | does                                        | outcome                           |
+      | having noticed the restore,   | changes the key if its revision is the same | the key is unchanged              |
+      | without noticing the restore, | changes the key if its revision is the same | the change has an unknown outcome |
+      | having noticed the restore,   | watches from its revision                   | it must do a full read            |
+      | without noticing the restore, | watches from its revision                   | it must do a full read            |
+      | having noticed the restore,   | renews its lease                            | its lease is lost                 |
+      | without noticing the restore, | renews its lease                            | its lease is lost                 |
+
+  Scenario Outline: How the client reads the store's era
+    Given a client of a store that was backed up
+    When the answers state the era "<era>"
+    Then the client <result>
 
     Examples:
-      | era     | takes                            |
-      | nothing | takes revision 7 as it is        |
-      | 0       | takes revision 7 as it is        |
-      | 1       | takes revision 7 for a later one |
-      | -1      | takes the answer for unreadable  |
-      | new     | takes the answer for unreadable  |
-      | 1e3     | takes the answer for unreadable  |
+      | era     | result                               |
+      | nothing | reads revision 7 unchanged           |
+      | 0       | reads revision 7 unchanged           |
+      | 1       | reads revision 7 as a later position |
+      | -1      | treats the answer as unreadable      |
+      | new     | treats the answer as unreadable      |
+      | 1e3     | treats the answer as unreadable      |
--- a/features/support/restored_store.py
+++ b/features/support/restored_store.py
@@ -1,4 +1,4 @@
-"""Plays nodes before a store that comes back from a copy."""
+"""Runs nodes whose store is restored from a backup."""
 
 import anyio
 
@@ -16,18 +16,18 @@
 from features.support.played_once import PlayedOnce
 
 SETTLE_S = 2.5
-"""Until the nodes know one another, the back ends and who holds the duty."""
+"""Seconds until the nodes know each other, the back ends and the holder of the duty."""
 
-AWAY_S = 0.3
-"""For how long the store is away before it comes back from the copy."""
+RESTORE_OUTAGE_S = 0.3
+"""Seconds for which the store is down before it is restored from the backup."""
 
-LOOK_INTERVAL_S = 0.05
-ASK_INTERVAL_S = 0.1
+VIEW_INTERVAL_S = 0.05
+REQUEST_INTERVAL_S = 0.1
 TENANT = {"name": "t1", "api_keys": ["good"]}
 
 
 def keyed_configuration(version, keys=("good",)):
-    """Return a configuration with a route that needs a key."""
+    """Return a configuration with a route that requires an API key."""
     routes = [
         route("keyed", "/k/", "idempotent", public=False),
         route("status", "/s/", "idempotent"),
@@ -36,8 +36,8 @@
     return configuration(version, routes, [TENANT | {"api_keys": list(keys)}])
 
 
-class RestoredStore(PlayedOnce):
-    """Gathers what is to happen, plays it once, and keeps what was seen."""
+class RestoreRun(PlayedOnce):
+    """Runs the actions of a scenario once, and records answers and the nodes' views."""
 
     def __init__(self, num_nodes=3):
         self.num_nodes = num_nodes
@@ -47,8 +47,8 @@
         self.written_s = None
         self.answers = []
         self.views = []
-        """What nodes knew at each look: `(at_s, node, back ends, nodes, configuration)`."""
-        self._num_asked = 0
+        """Samples of the nodes' state: `(at_s, node, back ends, number of nodes, configuration)`."""
+        self._num_sent = 0
 
     async def _body(self):
         fleet = self.fleet
@@ -62,51 +62,51 @@
             await fleet.start_node(f"node-{number}", is_first_start=False)
         await anyio.sleep(SETTLE_S)
         fleet.store.take_copy()
-        fleet.tasks.start_soon(self._look)
+        fleet.tasks.start_soon(self._sample_views)
         for action in self.actions:
             await action()
 
     def add_back_end(self, instance, address, service, model):
-        """Add a back end that registers."""
+        """Add a back end that registers itself."""
         runner = RunnerStandIn(instance, address, service, model=model)
         runner.version = 1
         self.fleet.add_runner(runner)
         return runner
 
     async def restore(self):
-        """Have the store go away for a moment and come back from the copy."""
+        """Stop the store for a moment and restore it from the backup."""
         store = self.fleet.store
         store.is_down = True
-        await anyio.sleep(AWAY_S)
+        await anyio.sleep(RESTORE_OUTAGE_S)
         store.is_down = False
         store.restore()
         if self.restored_s is None:
             self.restored_s = anyio.current_time()
 
-    def change_something(self, times):
-        """Have the operator write something that concerns nobody, so that revisions rise."""
+    def write_unrelated_key(self, times):
+        """Write a key that no node uses, to increase the store's revision."""
         for number in range(times):
             self.fleet.store.put("op/note", {"number": number})
 
     def write_configuration(self, version, keys=("good",)):
-        """Have the operator write a configuration."""
+        """Write a configuration as the operator."""
         self.fleet.store.put("op/config", keyed_configuration(version, keys))
         self.written_s = anyio.current_time()
 
-    async def ask_all(self, for_s, key=None):
-        """Have callers ask all nodes for some time."""
+    async def send_requests(self, for_s, key=None):
+        """Send requests to all nodes for `for_s` seconds, with an API key if one is given."""
         until_s = anyio.current_time() + for_s
         while anyio.current_time() < until_s:
             for node in list(self.fleet.nodes.values()):
-                self.fleet.tasks.start_soon(self._ask, node, key)
-            await anyio.sleep(ASK_INTERVAL_S)
+                self.fleet.tasks.start_soon(self._send_request, node, key)
+            await anyio.sleep(REQUEST_INTERVAL_S)
         await anyio.sleep(1.0)
 
-    async def _ask(self, node, key):
-        self._num_asked += 1
-        request_id = f"q{self._num_asked}"
+    async def _send_request(self, node, key):
+        self._num_sent += 1
+        request_id = f"q{self._num_sent}"
         if key is None:
-            headers = generation_headers(request_id, parts=f"a{self._num_asked}:800,b:200")
+            headers = generation_headers(request_id, parts=f"a{self._num_sent}:800,b:200")
             answer = await ask(node, "/a/1", headers=headers)
         else:
             headers = [*request_headers(request_id), (b"authorization", f"Bearer {key}".encode())]
@@ -114,21 +114,21 @@
         answer.at_s = anyio.current_time() - answer.took_s
         self.answers.append(answer)
 
-    async def _look(self):
+    async def _sample_views(self):
         while True:
             for name, node in list(self.fleet.nodes.items()):
-                back_ends = {one.instance for one in node.cluster.back_ends.ready("lm")}
+                back_ends = {back_end.instance for back_end in node.cluster.back_ends.ready("lm")}
                 table = node.cluster.table
                 version = None if table is None else table.version
                 num_nodes = node.peers.num_nodes(0.0)
                 self.views.append((anyio.current_time(), name, back_ends, num_nodes, version))
-            await anyio.sleep(LOOK_INTERVAL_S)
+            await anyio.sleep(VIEW_INTERVAL_S)
 
     def orders(self):
-        """Return all orders to engines in the order of their arrival: `(at_s, order)`."""
-        found = [one for runner in self.fleet.runners for one in runner.orders]
-        return sorted(found, key=lambda one: one[0])
+        """Return all orders to engines by time of arrival: `(at_s, order)`."""
+        orders = [order for runner in self.fleet.runners for order in runner.orders]
+        return sorted(orders, key=lambda order: order[0])
 
     def cut_off(self, name):
-        """Cut a node off from the store."""
+        """Disconnect a node from the store."""
         self.fleet.cuts.add((name, STORE_ADDRESS))
