--- a/features/gateway_suspension.feature
+++ b/features/gateway_suspension.feature
@@ -1,26 +1,26 @@
-Feature: A node whose machine was suspended knows how long ago it learnt what it knows
+Feature: A node whose machine was suspended knows the age of its state
 
-  # A suspended machine does nothing for seconds, and the clock by which processes sleep leaves the
-  # time out: leases, proofs and marks from before looked fresh as the node went on. Another clock
-  # counts it. Found by reading what is promised of machines, not seen by users.
-  Scenario Outline: What a node learnt before counts by the time that has really passed
-    Given 3 nodes and 2 runners
-    When the machine of the node that gives the orders is suspended for <seconds> seconds
+  # Guards against outdated state that looks fresh after a suspension. A suspended machine does nothing
+  # for seconds, and the clock that processes sleep by excludes this time. So leases, proofs and markers
+  # from before the suspension looked fresh when the node resumed. The boot-time clock counts the time.
+  Scenario Outline: State from before a suspension ages by the time that has really passed
+    Given 3 nodes and 2 engines
+    When the machine of the node that sends the orders is suspended for <seconds> seconds
     Then it <what> right after that
 
     Examples:
       | seconds | what                              |
       | 5       | does not hold the duty            |
       | 5       | has no proof of its configuration |
-      | 1.5     | does not hold a turn to order     |
+      | 1.5     | does not hold the order fence     |
       | 0.1     | holds the duty                    |
 
-  Scenario Outline: A node whose machine was suspended serves again as soon as it has news
-    Given 3 nodes and 2 runners
-    When the machine of the node that gives the orders is suspended for <seconds> seconds
+  Scenario Outline: A node whose machine was suspended serves again as soon as its state is current
+    Given 3 nodes and 2 engines
+    When the machine of the node that sends the orders is suspended for <seconds> seconds
     And 1 seconds pass after the suspension
     Then its proof of the configuration is less than 2 seconds old
-    And it answers a request, and has told a deadline that ends with the caller's
+    And it answers a request, and passes on a deadline that ends with the caller's
 
     Examples:
       | seconds |
@@ -29,13 +29,13 @@
 
   Scenario: The clock of the program counts suspensions
     Given the program of a node
-    Then it tells ages by the clock that counts them
+    Then it measures ages with the clock that counts suspensions
 
-  Scenario Outline: No part of a node's own state is aged by the clock that leaves suspensions out
+  Scenario Outline: No state of a node ages by the clock that excludes suspensions
     Given the modules of "weirscale.<package>"
-    Then only "<timers>" read the loop's clock
+    Then only "<timers>" read the event loop's clock
 
-    Examples: these set timers; what they read is compared with nothing that was learnt
+    Examples: these modules set timers and do not compare the time with that of any state
       | package | timers            |
       | gateway | gossip_task ticks |
       | leases  |                   |
