--- a/features/gateway_state.feature
+++ b/features/gateway_state.feature
@@ -105,14 +105,14 @@
     And 10 requests are sent after 2.5 seconds
     Then all requests are answered with status 200
 
-  Scenario Outline: A back end whose registration ends <when> gets <what>
+  Scenario Outline: A back end whose registration ends <when> gets <share>
     Given a node that has configuration 3 and two back ends
     When the registration of the first back end, "<state>" before, ends <when>
     And 20 requests are sent after <seconds> seconds
-    Then the first back end gets <what>
+    Then the first back end gets <share>
 
     Examples: a recovered store reports at once what ended during its outage; a back end must register again within 2 s
-      | when                               | state    | seconds | what                 |
+      | when                               | state    | seconds | share                |
       | while the store is up              | ready    | 1       | none of the requests |
       | while the store is down            | ready    | 0.9     | some of the requests |
       | while the store is down            | ready    | 3.5     | none of the requests |
@@ -124,14 +124,14 @@
     When both registrations end 3 seconds into a store outage
     Then the ready back end is kept as lapsed, and the leaving one is removed
 
-  Scenario Outline: The first node <does> after <who> could not reach <what> for <seconds> seconds
+  Scenario Outline: The first node <does> after <nodes> could not reach <target> for <seconds> seconds
     Given a fleet of 4 nodes with a tenant's route
-    When <who> cannot reach <what> for <seconds> seconds
+    When <nodes> cannot reach <target> for <seconds> seconds
     Then the first node <does> at the end, and a request with an API key gets <status> there
     And one second after that the first node is ready and serves again
 
     Examples:
-      | who            | what                          | seconds | does                                | status |
+      | nodes          | target                        | seconds | does                                | status |
       | the first node | the store and the other nodes | 4       | is not ready and closes connections | 200    |
       | the first node | the store and the other nodes | 6       | is not ready and closes connections | 503    |
       | the first node | the store                     | 6       | is ready and keeps connections open | 200    |
--- a/features/gateway_store_silence.feature
+++ b/features/gateway_store_silence.feature
@@ -83,14 +83,14 @@
   # Guards against using a back end whose registration has ended. A node that had just failed to reach
   # the store used it for 1.7 s more, because the registration might have lapsed in a store outage. The
   # store had answered all other nodes.
-  Scenario Outline: An engine whose registration ends after a store silence for <nodes> gets <what>
+  Scenario Outline: An engine whose registration ends after a store silence for <nodes> gets <share>
     Given 3 nodes and 2 engines
     When the store is unreachable for "<cut>" for <cut_s> seconds and an engine's registration ends
     And generation requests are sent for 1 seconds
-    Then the engine gets <what>
+    Then the engine gets <share>
 
     Examples:
-      | nodes      | cut                  | cut_s | what                 |
+      | nodes      | cut                  | cut_s | share                |
       | some nodes | node-1               | 1.5   | none of the requests |
       | some nodes | node-1,node-2        | 1.5   | none of the requests |
       | all nodes  | node-1,node-2,node-3 | 4     | some of the requests |
--- a/features/steps/foreign_entries_steps.py
+++ b/features/steps/foreign_entries_steps.py
@@ -16,8 +16,8 @@
 from weirscale.gateway.state.cluster_state import ClusterState
 from weirscale_platform.items import StoreItem, read_item
 
-WHOLE = {
-    "bytes that are no text": b"\xff\xfe\x00",
+WHOLE_ENTRIES = {
+    "bytes that are not text": b"\xff\xfe\x00",
     "null": b"null",
     "NaN": b"NaN",
     "deep nesting": b"[" * 100_000,
@@ -27,7 +27,7 @@
 FOREIGN = b"not an entry"
 
 
-def good_entry(number):
+def valid_entry(number):
     return {
         "service": "lm", "address": f"10.3.0.{number}:8080", "zone": "hall-a", "version": "v1",
         "slots": 4, "state": "ready", "cold_left_ms": 0, "seq": 1,
@@ -38,8 +38,8 @@
     return StoreItem(f"servers/{name}", revision, b64encode(value).decode())
 
 
-class World:
-    """A node's state, fed with entries of the store."""
+class NodeState:
+    """The cluster state of one node, which reads entries of the store."""
 
     def __init__(self):
         self.log = EventRecorder()
@@ -48,34 +48,34 @@
         self.entries = {}
 
     def write(self, name, value):
-        """Have the watch bring an entry."""
+        """Write an entry and apply the change that a watch reports."""
         self.revision += 1
         self.entries[name] = item(name, value, self.revision)
         changes = (read_item(self.entries[name]),)
         self.cluster.apply(StateBatch(self.revision, changes), 100.0)
 
-    def read_all(self, cluster=None):
-        """Read everything anew."""
-        changes = tuple(read_item(one) for one in self.entries.values())
+    def apply_full_read(self, cluster=None):
+        """Apply a full read of all entries."""
+        changes = tuple(read_item(entry) for entry in self.entries.values())
         (cluster or self.cluster).replace_all(StateBatch(self.revision, changes), 100.0)
 
     def used(self):
-        return {one.instance for one in self.cluster.back_ends.ready(ServiceName("lm"))}
+        return {back_end.instance for back_end in self.cluster.back_ends.ready(ServiceName("lm"))}
 
 
 @given('a node that knows back ends "A" and "B"')
 def step_node(context):
-    context.world = World()
+    context.node_state = NodeState()
     for number, name in enumerate("AB", start=1):
-        context.world.write(name, json.dumps(good_entry(number)).encode())
-    assert context.world.used() == {"A", "B"}
+        context.node_state.write(name, json.dumps(valid_entry(number)).encode())
+    assert context.node_state.used() == {"A", "B"}
 
 
 def changed_entry(field, value):
-    """Return the bytes of an entry of which one field is as a cell of a table says."""
-    if field == "the whole":
-        return WHOLE[value]
-    entry = good_entry(1)
+    """Return the bytes of an entry in which one field has the value of a table cell."""
+    if field == "the whole entry":
+        return WHOLE_ENTRIES[value]
+    entry = valid_entry(1)
     if value == "nothing":
         del entry[field]
     else:
@@ -83,88 +83,88 @@
     return json.dumps(entry).encode()
 
 
-@when('the entry of "A" is written anew with {field} as {value}')
+@when('the entry of "A" is overwritten with {field} as {value}')
 def step_foreign(context, field, value):
-    context.world.write("A", changed_entry(field.strip(), value))
+    context.node_state.write("A", changed_entry(field.strip(), value))
 
 
-@when('the entry of "A" is written as before')
-def step_as_before(context):
-    context.world.write("A", json.dumps(good_entry(1)).encode())
+@when('the entry of "A" is written as it was')
+def step_as_it_was(context):
+    context.node_state.write("A", json.dumps(valid_entry(1)).encode())
 
 
-def from_another_node(world):
-    world.revision += 1
-    foreign = read_item(item("A", FOREIGN, world.revision))
-    reply = StateReply("node-2", 0, 0, world.revision, 5, changes=(foreign,))
+def read_from_another_node(node_state):
+    node_state.revision += 1
+    foreign = read_item(item("A", FOREIGN, node_state.revision))
+    reply = StateReply("node-2", 0, 0, node_state.revision, 5, changes=(foreign,))
     received = decode_message(encode_message(reply))
-    world.cluster.apply(StateBatch(received.revision, received.changes), 100.0)
+    node_state.cluster.apply(StateBatch(received.revision, received.changes), 100.0)
 
 
-def with_everything(world):
-    world.revision += 1
-    world.entries["A"] = item("A", FOREIGN, world.revision)
-    world.read_all()
+def read_in_full_read(node_state):
+    node_state.revision += 1
+    node_state.entries["A"] = item("A", FOREIGN, node_state.revision)
+    node_state.apply_full_read()
 
 
-def at_start(world):
-    world.revision += 1
-    world.entries["A"] = item("A", FOREIGN, world.revision)
-    world.cluster = ClusterState(world.log, lambda: 100.0)
-    world.read_all()
+def read_at_start(node_state):
+    node_state.revision += 1
+    node_state.entries["A"] = item("A", FOREIGN, node_state.revision)
+    node_state.cluster = ClusterState(node_state.log, lambda: 100.0)
+    node_state.apply_full_read()
 
 
-HOW = {
-    "by the watch": lambda world: world.write("A", FOREIGN),
-    "with everything else": with_everything,
-    "from another node": from_another_node,
-    "at the start of the node": at_start,
+READERS = {
+    "by a watch": lambda node_state: node_state.write("A", FOREIGN),
+    "in a full read": read_in_full_read,
+    "from another node": read_from_another_node,
+    "at the start of the node": read_at_start,
 }
 
 
 @when('the entry of "A" is foreign, read {how}')
 def step_how(context, how):
-    HOW[how](context.world)
+    READERS[how](context.node_state)
 
 
-@when("{num:d} foreign entries are read with everything else")
+@when("{num:d} foreign entries are read in a full read")
 def step_many(context, num):
-    world = context.world
+    node_state = context.node_state
     for number in range(num):
-        world.revision += 1
-        world.entries[f"f{number}"] = item(f"f{number}", FOREIGN, world.revision)
-    world.read_all()
+        node_state.revision += 1
+        node_state.entries[f"f{number}"] = item(f"f{number}", FOREIGN, node_state.revision)
+    node_state.apply_full_read()
 
 
-@then('it uses "B" alone, and tells once that the entry of "A" cannot be read')
+@then('the node uses only "B", and logs once that the entry of "A" is unreadable')
 def step_b_alone(context):
-    world = context.world
-    assert world.used() == {"B"}, world.used()
-    lines = world.log.named("state_unreadable")
+    node_state = context.node_state
+    assert node_state.used() == {"B"}, node_state.used()
+    lines = node_state.log.named("state_unreadable")
     assert [line["key"] for line in lines] == ["servers/A"], lines
 
 
-@then('it uses "A" and "B"')
+@then('the node uses "A" and "B"')
 def step_both(context):
-    assert context.world.used() == {"A", "B"}, context.world.used()
+    assert context.node_state.used() == {"A", "B"}, context.node_state.used()
 
 
 ANY_JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(),
-    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(), inner, max_size=3),
+    lambda values: st.lists(values, max_size=3) | st.dictionaries(st.text(), values, max_size=3),
     max_leaves=8,
 )
-ENTRY_FIELDS = [*good_entry(1), "models", "born"]
+ENTRY_FIELDS = [*valid_entry(1), "models", "born"]
 
 
-@given("any bytes, and good entries with any field changed, left out or doubled")
+@given("any bytes, and valid entries with any field changed, omitted or duplicated")
 def step_any(context):
     context.read = []
 
     @settings(max_examples=300, deadline=None, database=None, derandomize=True)
     @given_examples(
         st.binary(max_size=200)
-        | st.builds(changed_by, st.sampled_from(ENTRY_FIELDS), ANY_JSON, st.booleans())
+        | st.builds(entry_with_change, st.sampled_from(ENTRY_FIELDS), ANY_JSON, st.booleans())
     )
     def read_any(value):
         context.read.append(read_item(item("A", value, 1)).change)
@@ -172,17 +172,17 @@
     read_any()
 
 
-def changed_by(field, value, is_doubled):
-    """Return a good entry's bytes with one field changed, or standing there twice."""
-    entry = json.dumps(good_entry(1)).encode()
+def entry_with_change(field, value, is_duplicated):
+    """Return the bytes of a valid entry with one field changed or duplicated."""
+    entry = json.dumps(valid_entry(1)).encode()
     changed = json.dumps({field: value}).encode()
-    if is_doubled:
+    if is_duplicated:
         return entry[:-1] + b"," + changed[1:]
-    return json.dumps(good_entry(1) | {field: value}).encode()
+    return json.dumps(valid_entry(1) | {field: value}).encode()
 
 
-@then("each is read as an entry or refused, and never anything else")
-def step_read_or_refused(context):
+@then("each is read as an entry or rejected as unreadable, and nothing else happens")
+def step_read_or_rejected(context):
     assert len(context.read) >= 100
     kinds = {type(change) for change in context.read}
     assert kinds == {BackEndRegistered, Unreadable}, kinds
--- a/features/steps/gateway_instances_steps.py
+++ b/features/steps/gateway_instances_steps.py
@@ -37,19 +37,19 @@
     return [RunnerStandIn(f"o-{n}", f"10.2.0.{n}:8080", "orders", model=None) for n in (1, 2)]
 
 
-@given("two back ends, of which the first's address has passed to another service unnoticed")
-def step_passed(context):
+@given("two back ends, of which the first's address now belongs to another service unnoticed")
+def step_other_service(context):
     context.fleet = Fleet()
-    context.ends = services()
-    context.other = RunnerStandIn("another", "10.2.0.1:8080", "elsewhere", model=None)
+    context.back_ends = services()
+    context.other_process = RunnerStandIn("another", "10.2.0.1:8080", "elsewhere", model=None)
     context.path = "/o/1"
 
 
-@given("two runners, of which the first has taken new weights unnoticed")
+@given("two engines, of which the first has loaded new weights unnoticed")
 def step_new_weights(context):
     context.fleet = Fleet()
-    context.ends = [RunnerStandIn(f"r-{n}", f"10.3.0.{n}:8080", "lm") for n in (1, 2)]
-    context.other = None
+    context.back_ends = [RunnerStandIn(f"r-{n}", f"10.3.0.{n}:8080", "lm") for n in (1, 2)]
+    context.other_process = None
     context.path = "/a/1"
 
 
@@ -60,34 +60,34 @@
 
     async def body():
         fleet.store.put("op/config", configuration())
-        for end in context.ends:
-            fleet.add_runner(end)
+        for back_end in context.back_ends:
+            fleet.add_runner(back_end)
         node = await fleet.start_node()
-        if context.other is not None:
-            fleet.targets[context.other.address] = context.other
+        if context.other_process is not None:
+            fleet.targets[context.other_process.address] = context.other_process
         else:
-            context.ends[0].version = 2
+            context.back_ends[0].version = 2
         for number in range(count):
-            make = request_headers if context.path == "/o/1" else generation_headers
-            answer = await ask(node, context.path, headers=make(f"q{number}"))
+            make_headers = request_headers if context.path == "/o/1" else generation_headers
+            answer = await ask(node, context.path, headers=make_headers(f"q{number}"))
             context.answers.append(answer)
             await anyio.sleep(0.2)
 
     run_in_virtual_time(lambda: with_fleet(fleet, body))
 
 
-@then("all are answered by the second back end")
+@then("all requests are answered by the second back end")
 def step_second(context):
     assert {answer.status for answer in context.answers} == {200}, context.answers
     assert {answer.body for answer in context.answers} == {b"done by o-2"}
 
 
-@then("the process at the first's address ran none of them")
+@then("the process at the first's address ran none of the requests")
 def step_none_ran(context):
-    assert context.other.arrivals and not context.other.runs
+    assert context.other_process.arrivals and not context.other_process.runs
 
 
-@then("no run was over a scope of other weights than its runner had")
+@then("no request ran with the cache scope of weights that its engine did not have")
 def step_scope(context):
     assert {answer.status for answer in context.answers} == {200}, context.answers
     for runner in context.fleet.runners:
@@ -96,28 +96,28 @@
             assert run.headers["x-expect-version"] == str(run.version), run
 
 
-@given("{nodes:d} nodes and {runners:d} runners, all of which have taken new weights unnoticed")
-def step_all_new(context, nodes, runners):
+@given("{nodes:d} nodes and {engines:d} engines, all of which have loaded new weights unnoticed")
+def step_all_new(context, nodes, engines):
     context.fleet = Fleet()
     context.num_nodes = nodes
-    context.ends = [
-        RunnerStandIn(f"r-{number}", f"10.3.0.{number}:8080", "lm") for number in range(runners)
+    context.back_ends = [
+        RunnerStandIn(f"r-{number}", f"10.3.0.{number}:8080", "lm") for number in range(engines)
     ]
 
 
-@when("{count:d} generations that may be sent once are sent to the nodes in turn")
+@when("{count:d} generation requests that allow one attempt are sent to the nodes in turn")
 def step_in_turn(context, count):
     fleet = context.fleet
     context.answers = []
 
     async def body():
         fleet.store.put("op/config", configuration())
-        for end in context.ends:
-            fleet.add_runner(end)
+        for back_end in context.back_ends:
+            fleet.add_runner(back_end)
         nodes = [await fleet.start_node(f"node-{number}") for number in range(context.num_nodes)]
         await anyio.sleep(1.0)
-        for end in context.ends:
-            end.version = 2
+        for back_end in context.back_ends:
+            back_end.version = 2
         for number in range(count):
             headers = generation_headers(f"q{number}", parts=f"a{number}:800,b{number}:200")
             node = nodes[number % len(nodes)]
@@ -127,40 +127,40 @@
     run_in_virtual_time(lambda: with_fleet(fleet, body))
 
 
-@then("at most {count:d} of them met a refusal")
+@then("at most {count:d} of them were refused")
 def step_few_refused(context, count):
-    arrivals = sum(len(end.arrivals) for end in context.ends)
-    runs = sum(len(end.runs) for end in context.ends)
+    arrivals = sum(len(back_end.arrivals) for back_end in context.back_ends)
+    runs = sum(len(back_end.runs) for back_end in context.back_ends)
     assert 0 < arrivals - runs <= count, (arrivals, runs)
 
 
-@then("the {count:d} latest were answered")
-def step_latest(context, count):
+@then("the last {count:d} were answered")
+def step_last_answered(context, count):
     assert {answer.status for answer in context.answers[-count:]} == {200}, context.answers
 
 
-@given("a runner whose address has passed to its next incarnation")
-def step_next(context):
+@given("an engine whose address now belongs to its next run")
+def step_next_run(context):
     context.fleet = Fleet()
     context.runner = RunnerStandIn("next", "10.3.0.1:8080", "lm")
     context.fleet.add_runner(context.runner)
 
 
-@when("an order meant for the earlier incarnation is given")
+@when("an order for the earlier run is sent")
 def step_order(context):
     def transport(_connections, _keepalive_s):
         return Transport(context.fleet, "n")
 
     async def main():
-        end = BackEnd("earlier", "lm", "10.3.0.1:8080", "z", BackEndState.READY, 4)
-        port = BackEndClientConnector(transport)(end, 4, lambda *_: None)
+        back_end = BackEnd("earlier", "lm", "10.3.0.1:8080", "z", BackEndState.READY, 4)
+        client = BackEndClientConnector(transport)(back_end, 4, lambda *_: None)
         order = WeightOrder(MODEL, 2, "n", 7, 0, "earlier")
-        context.outcome = await port.order(order, 1.0)
+        context.outcome = await client.order(order, 1.0)
 
     run_in_virtual_time(main)
 
 
-@then('it is answered with "{outcome}" and no order was taken')
+@then('it is answered with "{outcome}" and no order was accepted')
 def step_outcome(context, outcome):
     assert context.outcome.value == outcome, context.outcome
     assert not context.runner.orders
@@ -171,10 +171,10 @@
 
 
 @given(
-    "a node's knowledge at revision 10 with configuration {version:d}, weights {weights:d} and a "
+    "a node's state at revision 10 with configuration {version:d}, weights {weights:d} and a "
     "leaving back end"
 )
-def step_knowledge(context, version, weights):
+def step_state(context, version, weights):
     context.cluster = ClusterState(EventRecorder(), lambda: 100.0)
     changes = (
         VersionedChange("c", 5, ConfigurationChanged(GatewayConfiguration(version))),
@@ -188,21 +188,23 @@
 def step_arrives(context, change, revision):
     words = change.split()
     if words[0] == "configuration":
-        told = ConfigurationChanged(GatewayConfiguration(int(words[1])))
+        change_of_state = ConfigurationChanged(GatewayConfiguration(int(words[1])))
     elif words[0] == "weights":
-        told = TargetVersionChanged(MODEL, int(words[1]))
-    elif words[-1] == "gone":
-        told = BackEndGone("i-1")
+        change_of_state = TargetVersionChanged(MODEL, int(words[1]))
+    elif words[-1] == "removed":
+        change_of_state = BackEndGone("i-1")
     else:
-        told = BackEndRegistered(back_end(BackEndState.READY))
-    batch = StateBatch(revision, (VersionedChange(KEYS[words[0]], revision, told),))
+        change_of_state = BackEndRegistered(back_end(BackEndState.READY))
+    batch = StateBatch(revision, (VersionedChange(KEYS[words[0]], revision, change_of_state),))
     context.cluster.apply(batch, 99.5)
 
 
-@then('it knows configuration {version:d}, weights {weights:d} and a back end that is "{state}"')
-def step_knows(context, version, weights, state):
+@then(
+    'the node has configuration {version:d}, weights {weights:d} and a back end that is "{state}"'
+)
+def step_has_state(context, version, weights, state):
     cluster = context.cluster
-    known = cluster.directory.get("i-1")
+    listed = cluster.directory.get("i-1")
     assert cluster.table.version == version
     assert cluster.target_versions.newest(MODEL) == weights
-    assert (known.state.value if known else "gone") == state
+    assert (listed.state.value if listed else "removed") == state
--- a/features/steps/gateway_state_steps.py
+++ b/features/steps/gateway_state_steps.py
@@ -376,8 +376,8 @@
     context.num_nodes = count
 
 
-@when("{who} cannot reach {what} for {seconds:g} seconds")
-def step_cut(context, who, what, seconds):
+@when("{nodes} cannot reach {target} for {seconds:g} seconds")
+def step_cut(context, nodes, target, seconds):
     fleet = context.fleet
 
     async def body():
@@ -386,10 +386,10 @@
         for number in range(context.num_nodes):
             await fleet.start_node(f"node-{number + 1}")
         await anyio.sleep(5.0)
-        cut = ["node-1"] if who == "the first node" else list(fleet.nodes)
-        if "store" in what:
+        cut = ["node-1"] if nodes == "the first node" else list(fleet.nodes)
+        if "store" in target:
             fleet.cuts |= {(name, STORE_ADDRESS) for name in cut}
-        if "other nodes" in what:
+        if "other nodes" in target:
             fleet.mute |= set(cut)
         await anyio.sleep(seconds)
         context.state_at_end = await ask_keyed(fleet.nodes["node-1"])
--- a/features/steps/gateway_store_silence_steps.py
+++ b/features/steps/gateway_store_silence_steps.py
@@ -113,9 +113,9 @@
     context.fleet_run.actions.append(action)
 
 
-@then("the engine gets {what} of the requests")
-def step_engine_gets(context, what):
+@then("the engine gets {share} of the requests")
+def step_engine_gets(context, share):
     fleet_run = context.fleet_run.run()
     num_arrivals = len(fleet_run.first.arrivals) - fleet_run.num_before
-    assert (num_arrivals > 0) == (what == "some"), num_arrivals
+    assert (num_arrivals > 0) == (share == "some"), num_arrivals
     assert {answer.status for answer in fleet_run.answers} == {200}
