--- a/features/gateway_instances.feature
+++ b/features/gateway_instances.feature
@@ -20,7 +20,7 @@
   Scenario: An order for an ended run of an engine has no effect on the next run
     Given an engine whose address now belongs to its next run
     When an order for the earlier run is sent
-    Then it is answered with "wrong_instance" and no order was accepted
+    Then the order is answered with "wrong_instance" and no order was accepted
 
   Scenario Outline: A change that arrives late never reverts newer state
     Given a node's state at revision 10 with configuration 5, weights 3 and a leaving back end
--- a/features/gateway_store_restored.feature
+++ b/features/gateway_store_restored.feature
@@ -23,7 +23,7 @@
   Scenario: Two restores within seconds
     Given 3 nodes and a store that was backed up
     When 5 changes later the store is restored from the backup
-    And 1 second later it is restored once more
+    And 1 second later the store is restored once more
     And 0 changes later the operator writes configuration 9
     Then each node uses configuration 9 within 2 seconds of the write
 
@@ -84,7 +84,7 @@
     Given 3 nodes and a store that was backed up
     When 5 changes later the store is restored from the backup
     And a node keeps asking whether it may send orders
-    Then it first may between 5.5 and 7.5 seconds after the restore, and a node that asks later may at once
+    Then the node first may between 5.5 and 7.5 seconds after the restore, and a node that asks later may at once
 
   Scenario: A node that starts later sends orders without an extra wait
     Given 3 nodes and a store that was backed up
@@ -126,7 +126,7 @@
     When a request is quarantined, and the store is restored from the backup
     And callers send requests for 8 seconds
     Then that request stays quarantined after the restore
-    And the store holds its quarantine record
+    And the store holds the request's quarantine record
 
   Scenario: Each node logs the restore once
     Given 3 nodes and a store that was backed up
@@ -150,16 +150,16 @@
     When a key is written, the store is restored from the backup, and the key gets the same revision again
     And <noticed> the client <does>
     Then <outcome>
-    And if it had noticed the restore, it knows at once and changes nothing in the store
+    And if the client had noticed the restore, it knows at once and changes nothing in the store
 
     Examples:
       | noticed                       | does                                        | outcome                           |
       | having noticed the restore,   | changes the key if its revision is the same | the key is unchanged              |
       | without noticing the restore, | changes the key if its revision is the same | the change has an unknown outcome |
-      | having noticed the restore,   | watches from its revision                   | it must do a full read            |
-      | without noticing the restore, | watches from its revision                   | it must do a full read            |
-      | having noticed the restore,   | renews its lease                            | its lease is lost                 |
-      | without noticing the restore, | renews its lease                            | its lease is lost                 |
+      | having noticed the restore,   | watches from its revision                   | the client must do a full read    |
+      | without noticing the restore, | watches from its revision                   | the client must do a full read    |
+      | having noticed the restore,   | renews its lease                            | the client's lease is lost        |
+      | without noticing the restore, | renews its lease                            | the client's lease is lost        |
 
   Scenario Outline: How the client reads the store's era
     Given a client of a store that was backed up
--- a/features/gateway_store_silence.feature
+++ b/features/gateway_store_silence.feature
@@ -7,46 +7,46 @@
 
   Scenario Outline: Which silences count as an outage of the store
     Given a node that knows <others> other nodes
-    When it records "<answers>"
+    When the node records "<records>"
     Then at <now> s the last outage ended at "<ended>"
 
     Examples: records, time of the check, and end of the last outage at that time
-      | others | answers                                               | now  | ended |
-      | 0      | 0 own 0, 1 own 1                                      | 2.9  | never |
-      | 0      | 0 own 0, 1 own 1                                      | 5    | 5     |
-      | 0      | 0 own 0, 1 own 1, 7 own 7                             | 7    | 7     |
-      | 0      | 0 own 0, 1 own 1, 7 own 7, 14 own 14                  | 14   | 14    |
-      | 2      | 0 own 0, 1 own 1, 7 own 7                             | 7.5  | never |
-      | 2      | 0 own 0, 1 own 1, 7 own 7                             | 16   | never |
-      | 2      | 0 own 0, 1 own 1, 7 own 7, 7.1 a 0-7                  | 7.2  | never |
-      | 6      | 1 own 1, 7 own 7, 7.1 a 0-7, 7.1 b 0-7                | 9    | never |
-      | 6      | 1 own 1, 7 own 7, 7.1 a 1<7-7, 7.1 b 0-7              | 9    | never |
-      | 6      | 1 own 1, 7 own 7, 7.1 b 0-7, 7.1 a 1<7-7, 7.1 c 1<7-7 | 9    | never |
-      | 6      | 1 own 1, 7 own 7, 7.1 a 1<6.8-7                       | 7.2  | never |
-      | 6      | 1 own 1, 7 own 7, 7.1 a 1<6.8-7, 7.1 b 1.2<6.9-7      | 7.2  | 6.8   |
-      | 6      | 1 own 1, 7 own 7, 7.1 a 0-5.5, 7.1 b 1<7-7            | 7.2  | never |
-      | 6      | 1 own 1, 4 a 0-1.8, 4 b 0-1.4                         | 5    | 5     |
-      | 6      | 1 own 1, 4 a 0-1.8, 4 b 0-1.4, 7 own 7                | 7    | 7     |
-      | 6      | 1 own 1, 4 a 0-4, 4 b 0-4, 5 own 5                    | 5    | never |
-      | 1      | 1 own 1, 7 own 7, 7.1 a 1<6.9-7                       | 7.2  | 6.9   |
+      | others | records                                               | now | ended |
+      | 0      | 0 own 0, 1 own 1                                      | 2.9 | never |
+      | 0      | 0 own 0, 1 own 1                                      | 5   | 5     |
+      | 0      | 0 own 0, 1 own 1, 7 own 7                             | 7   | 7     |
+      | 0      | 0 own 0, 1 own 1, 7 own 7, 14 own 14                  | 14  | 14    |
+      | 2      | 0 own 0, 1 own 1, 7 own 7                             | 7.5 | never |
+      | 2      | 0 own 0, 1 own 1, 7 own 7                             | 16  | never |
+      | 2      | 0 own 0, 1 own 1, 7 own 7, 7.1 a 0-7                  | 7.2 | never |
+      | 6      | 1 own 1, 7 own 7, 7.1 a 0-7, 7.1 b 0-7                | 9   | never |
+      | 6      | 1 own 1, 7 own 7, 7.1 a 1<7-7, 7.1 b 0-7              | 9   | never |
+      | 6      | 1 own 1, 7 own 7, 7.1 b 0-7, 7.1 a 1<7-7, 7.1 c 1<7-7 | 9   | never |
+      | 6      | 1 own 1, 7 own 7, 7.1 a 1<6.8-7                       | 7.2 | never |
+      | 6      | 1 own 1, 7 own 7, 7.1 a 1<6.8-7, 7.1 b 1.2<6.9-7      | 7.2 | 6.8   |
+      | 6      | 1 own 1, 7 own 7, 7.1 a 0-5.5, 7.1 b 1<7-7            | 7.2 | never |
+      | 6      | 1 own 1, 4 a 0-1.8, 4 b 0-1.4                         | 5   | 5     |
+      | 6      | 1 own 1, 4 a 0-1.8, 4 b 0-1.4, 7 own 7                | 7   | 7     |
+      | 6      | 1 own 1, 4 a 0-4, 4 b 0-4, 5 own 5                    | 5   | never |
+      | 1      | 1 own 1, 7 own 7, 7.1 a 1<6.9-7                       | 7.2 | 6.9   |
 
     Examples: other nodes that started during the silence and cannot confirm it
-      | others | answers                                               | now  | ended |
-      | 6      | 1 own 1, 7 own 7, 7.1 a 6.8-7, 7.1 b 6.9-7            | 9    | never |
+      | others | records                                    | now | ended |
+      | 6      | 1 own 1, 7 own 7, 7.1 a 6.8-7, 7.1 b 6.9-7 | 9   | never |
 
     Examples: queries that were sent before the silence was noticed
-      | others | answers                                               | now  | ended |
-      | 6      | 1 own 1, 7 a 0-1@1, 7 b 0-0.9@1                       | 7    | never |
-      | 6      | 1 own 1, 7 own 7, 7.1 a 1<7-7@1, 7.1 b 1<7-7@1        | 7.2  | never |
+      | others | records                                        | now | ended |
+      | 6      | 1 own 1, 7 a 0-1@1, 7 b 0-0.9@1                | 7   | never |
+      | 6      | 1 own 1, 7 own 7, 7.1 a 1<7-7@1, 7.1 b 1<7-7@1 | 7.2 | never |
 
     Examples: a second silence before any node has reported on the first, or after two have confirmed it
-      | others | answers                                               | now  | ended |
+      | others | records                                               | now  | ended |
       | 6      | 1 own 1, 7 own 7, 11 own 11, 11.1 a 0-11, 11.1 b 0-11 | 11.2 | never |
       | 6      | 1 own 1, 7 own 7, 7.1 a 1<7-7, 7.1 b 1<7-7, 12 own 12 | 12   | 7     |
       | 6      | 1 own 1, 4 a 0-1, 4 b 0-1, 7 own 7, 11 own 11         | 11   | 7     |
 
     Examples: time in which this node was paused
-      | others | answers                                                | now | ended |
+      | others | records                                                | now | ended |
       | 0      | 1 own 1, 1 paused 7, 7 own 7                           | 7   | never |
       | 0      | 1 own 1, 1 paused 7                                    | 8.5 | never |
       | 6      | 1 own 1, 1 paused 7, 7 own 7, 7.1 a 1<7-7, 7.1 b 1<7-7 | 7.2 | never |
--- a/features/gateway_suspension.feature
+++ b/features/gateway_suspension.feature
@@ -6,10 +6,10 @@
   Scenario Outline: State from before a suspension ages by the time that has really passed
     Given 3 nodes and 2 engines
     When the machine of the node that sends the orders is suspended for <seconds> seconds
-    Then it <what> right after that
+    Then the node <state> right after that
 
     Examples:
-      | seconds | what                              |
+      | seconds | state                             |
       | 5       | does not hold the duty            |
       | 5       | has no proof of its configuration |
       | 1.5     | does not hold the order fence     |
@@ -19,8 +19,8 @@
     Given 3 nodes and 2 engines
     When the machine of the node that sends the orders is suspended for <seconds> seconds
     And 1 seconds pass after the suspension
-    Then its proof of the configuration is less than 2 seconds old
-    And it answers a request, and passes on a deadline that ends with the caller's
+    Then the node's proof of the configuration is less than 2 seconds old
+    And the node answers a request, and passes on a deadline that ends with the caller's
 
     Examples:
       | seconds |
@@ -29,7 +29,7 @@
 
   Scenario: The clock of the program counts suspensions
     Given the program of a node
-    Then it measures ages with the clock that counts suspensions
+    Then the program measures ages with the clock that counts suspensions
 
   Scenario Outline: No state of a node ages by the clock that excludes suspensions
     Given the modules of "weirscale.<package>"
--- a/features/steps/gateway_instances_steps.py
+++ b/features/steps/gateway_instances_steps.py
@@ -160,7 +160,7 @@
     run_in_virtual_time(main)
 
 
-@then('it is answered with "{outcome}" and no order was accepted')
+@then('the order is answered with "{outcome}" and no order was accepted')
 def step_outcome(context, outcome):
     assert context.outcome.value == outcome, context.outcome
     assert not context.runner.orders
--- a/features/steps/gateway_store_restored_steps.py
+++ b/features/steps/gateway_store_restored_steps.py
@@ -57,7 +57,7 @@
     restore_run.actions.append(act)
 
 
-@when("1 second later it is restored once more")
+@when("1 second later the store is restored once more")
 def step_again(context):
     restore_run = context.restore_run
 
@@ -236,7 +236,7 @@
 
 
 @then(
-    "it first may between {from_s:g} and {to_s:g} seconds after the restore, and a node that asks "
+    "the node first may between {from_s:g} and {to_s:g} seconds after the restore, and a node that asks "
     "later may at once"
 )
 def step_first_permitted(context, from_s, to_s):
@@ -459,7 +459,7 @@
     assert all(remaining_s is not None for remaining_s in remaining)
 
 
-@then("the store holds its quarantine record")
+@then("the store holds the request's quarantine record")
 def step_record(context):
     assert quarantine_key() in context.restore_run.play().fleet.store.items
 
@@ -557,19 +557,19 @@
     async def script():
         written = (await fixture.keys.compare_and_swap("weirscale/x", 0, b"first")).ok_value
         lease = (await fixture.keys.grant_lease(60.0)).ok_value
-        known = written.current.mod_revision
+        revision = written.current.mod_revision
         fixture.store.restore()
         fixture.store.put("weirscale/x", b"another")
-        assert fixture.store.items["weirscale/x"]["revision"] == known
+        assert fixture.store.items["weirscale/x"]["revision"] == revision
         fixture.store.leases[lease] = anyio.current_time() + 60.0
         fixture.store.lives_ms[lease] = 60_000
         if has_noticed:
             await fixture.feed.current_revision()
         actions = {
             "changes the key if its revision is the same": lambda: fixture.keys.compare_and_swap(
-                "weirscale/x", known, b"second"
+                "weirscale/x", revision, b"second"
             ),
-            "watches from its revision": lambda: fixture.feed.follow(known, 0.5),
+            "watches from its revision": lambda: fixture.feed.follow(revision, 0.5),
             "renews its lease": lambda: fixture.keys.keep_lease_alive(lease),
         }
         fixture.has_noticed = has_noticed
@@ -582,7 +582,7 @@
     fixture.run(script)
 
 
-@then("if it had noticed the restore, it knows at once and changes nothing in the store")
+@then("if the client had noticed the restore, it knows at once and changes nothing in the store")
 def step_nothing_changed(context):
     fixture = context.client_fixture
     if fixture.has_noticed:
@@ -606,14 +606,14 @@
     assert outcome.err_value.kind is KeyValueFailureKind.AMBIGUOUS, outcome
 
 
-@then("it must do a full read")
+@then("the client must do a full read")
 def step_full_read(context):
     outcome = context.client_fixture.outcome
     assert isinstance(outcome, Err), outcome
     assert outcome.err_value.kind is KeyValueFailureKind.COMPACTED, outcome
 
 
-@then("its lease is lost")
+@then("the client's lease is lost")
 def step_lease_lost(context):
     outcome = context.client_fixture.outcome
     assert isinstance(outcome, Err), outcome
--- a/features/steps/gateway_store_silence_steps.py
+++ b/features/steps/gateway_store_silence_steps.py
@@ -23,10 +23,10 @@
         context.store_outages.update(context.now_s)
 
 
-@when('it records "{answers}"')
-def step_records(context, answers):
-    for answer in answers.split(", "):
-        at_s, source, value = answer.split(" ")
+@when('the node records "{records}"')
+def step_records(context, records):
+    for record in records.split(", "):
+        at_s, source, value = record.split(" ")
         if source == "paused":
             # The detector is not updated until then.
             context.now_s = float(value)
--- a/features/steps/gateway_suspension_steps.py
+++ b/features/steps/gateway_suspension_steps.py
@@ -32,22 +32,22 @@
     context.fleet_run.actions.append(action)
 
 
-@then("it holds the duty right after that")
+@then("the node holds the duty right after that")
 def step_holds(context):
     assert context.fleet_run.run().state_after["holds the duty"]
 
 
-@then("it does not hold the duty right after that")
+@then("the node does not hold the duty right after that")
 def step_does_not_hold(context):
     assert not context.fleet_run.run().state_after["holds the duty"]
 
 
-@then("it does not hold the order fence right after that")
+@then("the node does not hold the order fence right after that")
 def step_no_fence(context):
     assert not context.fleet_run.run().state_after["holds the order fence"]
 
 
-@then("it has no proof of its configuration right after that")
+@then("the node has no proof of its configuration right after that")
 def step_no_proof(context):
     assert not context.fleet_run.run().state_after["has a proof of its configuration"]
 
@@ -67,12 +67,12 @@
     context.fleet_run.actions.append(action)
 
 
-@then("its proof of the configuration is less than {seconds:g} seconds old")
+@then("the node's proof of the configuration is less than {seconds:g} seconds old")
 def step_proof(context, seconds):
     assert context.fleet_run.run().age_s < seconds, context.fleet_run.age_s
 
 
-@then("it answers a request, and passes on a deadline that ends with the caller's")
+@then("the node answers a request, and passes on a deadline that ends with the caller's")
 def step_answers(context):
     fleet_run = context.fleet_run.run()
     assert fleet_run.answer.status == 200
@@ -100,7 +100,7 @@
     context.program = anyio.run(make)
 
 
-@then("it measures ages with the clock that counts suspensions")
+@then("the program measures ages with the clock that counts suspensions")
 def step_clock(context):
     assert context.program.node._clock is boot_time_s
     before_s = time.clock_gettime(time.CLOCK_BOOTTIME)
