--- a/features/gateway_requests.feature
+++ b/features/gateway_requests.feature
@@ -1,12 +1,19 @@
-Feature: The gateway answers each request once, whole and truthfully, whatever a back end does
-
-  Scenario Outline: One back end does "<fault>" to <kind> request
+Feature: Each request gets one complete and correct answer, whatever a back end does
+  Guards against requests that run twice although their route forbids it, against answers that are
+  mixed up, cut or missing although a retry was allowed, and against forged headers at back ends.
+  Orders are mutating requests, statuses idempotent ones, and the other kinds streams: resumable, with
+  a single attempt, or fixed (two attempts, not resumable).
+  Faults: connect (no connection), refuse (503 with proof that the request did not run), reset (no
+  answer), break (body cut), cross (answer of another request), unsealed (no response seal), unproved
+  (503 without proof), error (500), stall (silence between events), hang (silence before the answer).
+
+  Scenario Outline: One back end has the fault "<fault>" during <kind> request
     Given two back ends of which the one asked first does "<fault>" once
     When <kind> request is sent
     Then the caller gets "<answer>"
     And the request has run <runs> times
 
-    Examples: kind of request, fault, what the caller gets and how often it ran
+    Examples: kind of request, fault, answer to the caller, and number of runs
       | kind             | fault    | answer   | runs |
       | an order         | none     | whole    | 1    |
       | an order         | connect  | whole    | 1    |
@@ -49,36 +56,36 @@
       | a fixed          | break    | cut      | 1    |
       | a fixed          | unsealed | 502      | 1    |
 
-  Scenario: A refusal that promises "not run" says when to come back
+  Scenario: A refusal with proof that the request did not run has a Retry-After
     Given two back ends of which the one asked first does "refuse" once
     When a single request is sent
     Then the caller gets "503"
-    And it is told to come back within 1 second
+    And the answer's Retry-After is at most 1 second
 
-  Scenario: Nobody serves
+  Scenario: Without any back end a request is refused at once
     Given no back end
     When an order request is sent
     Then the caller gets "503"
-    And it was answered within 0.05 seconds
+    And the answer took at most 0.05 seconds
 
-  Scenario: A resumed stream is joined at the event where it broke
+  Scenario: A resumed stream continues after the last complete event
     Given two back ends of which the one asked first does "break" once
     When a resumable request is sent
     Then the caller gets "stream"
-    And the second back end was asked to go on after event 2
-    And the answer keeps the head of the back end asked first
+    And the second back end was asked to resume after event 2
+    And the answer has the headers of the back end tried first
 
-  Scenario: A caller that leaves ends the run
+  Scenario: A run is cancelled when its caller disconnects
     Given two back ends of which the one asked first does "hang" once
-    When a single request is sent and its caller leaves after 0.2 seconds
+    When a single request is sent and its caller disconnects after 0.2 seconds
     Then the run is cancelled within 0.3 seconds
 
-  Scenario Outline: A request is given up at its route's time-out, and answered then
+  Scenario Outline: A request is answered at its deadline or its route's timeout, whichever is earlier
     Given two back ends of which the one asked first does "hang" once
-    And the route of <kind> requests holds them for <timeout_ms> ms
+    And the route of <kind> requests has a timeout of <timeout_ms> ms
     When <kind> request is sent with a deadline of <deadline_ms> ms
-    Then it was answered within <seconds> seconds
-    And no run was given more than <left_ms> ms
+    Then the answer took at most <seconds> seconds
+    And no back end was given a deadline of more than <left_ms> ms
 
     Examples:
       | kind     | timeout_ms | deadline_ms | seconds | left_ms |
@@ -86,10 +93,10 @@
       | a single | 4000       | 500         | 0.55    | 500     |
       | an order | 700        | 700         | 0.75    | 700     |
 
-  Scenario Outline: What the caller sends in a header that the system sets goes no further
+  Scenario Outline: A caller's value of a header that only the system sets is not forwarded
     Given two back ends of which the one asked first does "none" once
     When a single request is sent with the header "<header>" of "forged"
-    Then the back end does not see "forged" in "<header>"
+    Then the back end does not receive "forged" in "<header>"
 
     Examples:
       | header             |
@@ -106,52 +113,52 @@
       | kv-from            |
       | authorization      |
 
-  Scenario Outline: A field that only the system sets reaches no runner, <form>
+  Scenario Outline: A header that only the system sets is not forwarded when it is sent <form>
     Given two back ends of which the one asked first does "none" once
-    When a single request is sent with each such field <form>
-    Then no back end sees any of them as the caller sent it
-    And the request's own fields reach the back end
+    When a single request is sent with each such header <form>
+    Then no back end receives a forged value of them
+    And the request's other headers reach the back end
 
     Examples:
-      | form                                |
-      | twice                               |
-      | in upper case                       |
-      | in mixed case                       |
-      | after all other fields              |
-      | named in the connection field       |
-      | beside one named like it            |
-      | with an empty value and then forged |
-
-  Scenario: Method, path, query and body reach the back end as they were sent
+      | form                                      |
+      | twice                                     |
+      | in upper case                             |
+      | in mixed case                             |
+      | after all other headers                   |
+      | named in the connection header            |
+      | next to a header with a similar name      |
+      | with an empty value and then a forged one |
+
+  Scenario: Path, query and body reach the back end unchanged
     Given two back ends of which the one asked first does "none" once
     When a single request is sent to "/n/%7Ex/..//y?q=%20&r"
-    Then the back end saw the target "/n/%7Ex/..//y?q=%20&r" and the body
+    Then the back end received the target "/n/%7Ex/..//y?q=%20&r" and the body
 
-  Scenario: A header that the caller names as of its connection goes no further
+  Scenario: A header that the caller's connection header names is not forwarded
     Given two back ends of which the one asked first does "none" once
     When a single request is sent with the header "connection" of "close, x-secret"
-    Then the back end does not see "x-secret"
+    Then the back end does not receive the header "x-secret"
 
-  Scenario: The fleet's retry budget bounds repeats
+  Scenario: The fleet's retry budget limits retries
     Given two back ends that fail each request
-    And a retry budget of 0.2 with 5 extra and 10 seconds
+    And a retry budget of 0.2 per request and 5 extra in 10 seconds
     When 40 status requests are sent
-    Then at most 13 of them were repeated
+    Then at most 13 of them were retried
 
-  Scenario: A stream goes on to its end although its back end's registration has ended
+  Scenario: A stream continues to its end after its back end's registration was removed
     Given two back ends of which the one asked first does "none" once
-    And every stream takes 3 seconds to its first event
-    When a single request is sent while all registrations end
+    And the first event of every stream takes 3 seconds
+    When a single request is sent while all registrations are removed
     Then the caller gets "stream"
     And no run was cancelled
 
-  Scenario Outline: Under overload a caller with time left is told to come back, once
+  Scenario Outline: Under overload a request is refused only at its caller's first try
     Given two back ends of which the one asked first does "none" once
-    And both back ends of generations have <tokens> prompt tokens waiting
+    And both engines have <tokens> prompt tokens waiting
     When a single request is sent with a deadline of <deadline_ms> ms
     Then the caller gets "<answer>"
 
-    Examples: an objective of 800 ms, a route's time-out of 4000 ms
+    Examples: an objective of 800 ms, a route's timeout of 4000 ms; another deadline may be that of a retry
       | tokens | deadline_ms | answer |
       | 0      | 4000        | stream |
       | 20000  | 4000        | stream |
@@ -160,12 +167,12 @@
       | 60000  | 3700        | stream |
       | 60000  | 5000        | stream |
 
-  Scenario Outline: Who was told to come back is known again, however long the route allows
+  Scenario Outline: A refused caller's retry is recognized, whatever the route's timeout
     Given two back ends of which the one asked first does "none" once
-    And a route's time-out of <timeout_ms> ms for all generations
-    And both back ends of generations have 60000 prompt tokens waiting
+    And a timeout of <timeout_ms> ms on all routes to engines
+    And both engines have 60000 prompt tokens waiting
     When a single request is sent with a deadline of <timeout_ms> ms
-    And the caller comes back when it was told to
+    And the caller retries after the stated Retry-After
     Then the caller gets "stream"
 
     Examples:
@@ -175,13 +182,13 @@
       | 12000      |
       | 60000      |
 
-  Scenario Outline: A prompt that alone takes longer to read than the objective is sent away only for the queue
+  Scenario Outline: A prompt whose own prefill exceeds the objective is refused only because of the queue
     Given two back ends of which the one asked first does "none" once
-    And both back ends of generations have <tokens> prompt tokens waiting
+    And both engines have <tokens> prompt tokens waiting
     When a single request of <prompt> prompt tokens is sent with a deadline of 4000 ms
     Then the caller gets "<answer>"
 
-    Examples: an objective of 800 ms; 60,000 tokens take longer than it, by the rates at a start
+    Examples: an objective of 800 ms; the prefill of 60,000 tokens takes longer at the initial rates
       | tokens | prompt | answer |
       | 0      | 20000  | stream |
       | 0      | 60000  | stream |
@@ -189,19 +196,18 @@
       | 60000  | 60000  | 503    |
       | 60000  | 1000   | 503    |
 
-  # A caller got the beginning of an answer, and its connection was closed 1.35 s before its time was over.
-  # Order of events: the first engine's stream ended after 1 s; the second one was asked 2 ms later,
-  # held the request for 2 s and refused it unrun; the route allows two attempts, and both were used.
-  # Cause: a refusal that proves that nothing ran counted as an attempt like one that ran, also for an
-  # answer that has begun and that cannot be refused any more.
-  # Evidence: the line of the request: `200 cut`, `refused_503`, `max_attempts`, with time left.
-  Scenario Outline: A stream that has begun goes on after a refusal
-    Given two back ends of which those asked do "<faults>"
+  # Guards against an answer that is cut 1.35 s before the caller's deadline. The first engine's stream
+  # broke after 1 s. The second engine, tried 2 ms later, held the request for 2 s and refused it with
+  # proof that it did not run. That refusal used up the second of the route's two attempts, although an
+  # answer that has begun cannot be refused any more. The request's log line then has `200 cut`,
+  # `refused_503` and `max_attempts`, with time left.
+  Scenario Outline: A stream that has begun continues after a refusal
+    Given two back ends that have the faults "<faults>", one at each attempt
     When a resumable request is sent
     Then the caller gets "<answer>"
     And the request has run <runs> times
 
-    Examples: a route of two attempts, which counts back ends; at most three refusals count as none
+    Examples: the route allows attempts at two back ends; up to three refusals do not count
       | faults                                 | answer | runs |
       | break, refuse                          | stream | 2    |
       | break, refuse, refuse, refuse          | stream | 2    |
@@ -210,15 +216,15 @@
       | break, break                           | cut    | 2    |
       | refuse, break                          | stream | 2    |
 
-  Scenario Outline: What uses up the attempts of a route
+  Scenario Outline: Which attempts count towards the maximum of a route
     Given attempts that ended "<attempts>"
-    Then <before> of the route's attempts are used before an answer has begun, and <after> afterwards
+    Then <before> attempts count before an answer has begun, and <after> afterwards
 
-    Examples: back ends count once; who has run it counts, whatever else it did
+    Examples: each back end counts once; one that may have run the request counts whatever else it did
       | attempts                                       | before | after |
       | A broken                                       | 1      | 1     |
       | A refused                                      | 1      | 0     |
-      | A absent                                       | 0      | 0     |
+      | A unreachable                                  | 0      | 0     |
       | A broken, B refused                            | 2      | 1     |
       | A broken, B refused, A broken                  | 2      | 1     |
       | A broken, B refused, B broken                  | 2      | 2     |
@@ -226,12 +232,11 @@
       | A broken, B refused, C refused, D refused      | 4      | 1     |
       | A broken, B refused, B refused, B refused, C refused | 3 | 3     |
 
-  # A node spent its processor on one request: a back end had failed it and then ended, and nobody else
-  # was left; the node tried to connect some thousand times a second until the request's time was over.
-  # Cause: an attempt that reaches nobody costs nothing and is followed at once; with nobody else left,
-  # by one at a back end that has just not been there.
-  # Found by a test of another fault, which never ended.
-  Scenario: A request whose back ends have all gone is given up at once
-    Given two back ends of which one fails a request, and which then cannot be reached
+  # Guards against a node that spends its processor time on one request. A back end failed the request
+  # and then ended, and no other one was left. An attempt that reaches no back end costs nothing and is
+  # followed at once by another, so the node tried to connect to the unreachable back ends about a
+  # thousand times a second until the request's deadline.
+  Scenario: A request whose back ends are all unreachable is given up at once
+    Given two back ends, of which one fails a request before both become unreachable
     When a status request is sent
-    Then it is over within 0.1 seconds, after at most 3 attempts
+    Then the request ends within 0.1 seconds, after at most 3 attempts
--- a/features/steps/gateway_requests_steps.py
+++ b/features/steps/gateway_requests_steps.py
@@ -45,7 +45,7 @@
     prepare(context, [fault])
 
 
-@given('two back ends of which those asked do "{faults}"')
+@given('two back ends that have the faults "{faults}", one at each attempt')
 def step_faults(context, faults):
     prepare(context, faults.split(", "))
 
@@ -53,7 +53,7 @@
 ENDS = {
     "broken": AttemptEnd.UNCERTAIN,
     "refused": AttemptEnd.NOT_RUN,
-    "absent": AttemptEnd.NEVER_SENT,
+    "unreachable": AttemptEnd.NEVER_SENT,
 }
 
 
@@ -65,10 +65,8 @@
         context.history.add_verdict(InstanceId(name), Verdict(ENDS[end], end))
 
 
-@then(
-    "{before:d} of the route's attempts are used before an answer has begun, and {after:d} afterwards"
-)
-def step_used(context, before, after):
+@then("{before:d} attempts count before an answer has begun, and {after:d} afterwards")
+def step_counted_attempts(context, before, after):
     assert context.history.num_used_attempts(has_begun=False) == before
     assert context.history.num_used_attempts(has_begun=True) == after
 
@@ -78,13 +76,13 @@
     prepare(context, ["error"] * 1000)
 
 
-@given("two back ends of which one fails a request, and which then cannot be reached")
-def step_all_gone(context):
+@given("two back ends, of which one fails a request before both become unreachable")
+def step_all_unreachable(context):
     prepare(context, ["error"] + ["connect"] * 100_000)
 
 
-@then("it is over within {bound_s:g} seconds, after at most {most:d} attempts")
-def step_over(context, bound_s, most):
+@then("the request ends within {bound_s:g} seconds, after at most {most:d} attempts")
+def step_ends(context, bound_s, most):
     num_attempts = sum(len(runner.arrivals) for runner in context.fleet.runners)
     assert num_attempts <= most, num_attempts
     assert context.answer.took_s <= bound_s, context.answer.took_s
@@ -96,20 +94,20 @@
     prepare(context, None)
 
 
-@given("the route of {kind} requests holds them for {timeout_ms:d} ms")
+@given("the route of {kind} requests has a timeout of {timeout_ms:d} ms")
 def step_timeout(context, kind, timeout_ms):
     for entry in context.configuration["routes"]:
         if entry["name"] == ROUTES[kind]:
             entry["timeout_ms"] = timeout_ms
 
 
-@given("a retry budget of {share:g} with {extra:g} extra and {window_s:g} seconds")
+@given("a retry budget of {share:g} per request and {extra:g} extra in {window_s:g} seconds")
 def step_budget(context, share, extra, window_s):
     context.budget = RetryBudgetRules(share, extra, window_s)
 
 
 def add_back_ends(context, fleet):
-    """Add two of each service; the faults are shared, so the one asked first gets them."""
+    """Add two back ends of each service, which take their faults from one list, one per attempt."""
     if context.faults is None:
         return
     faults = list(context.faults)
@@ -124,8 +122,8 @@
         fleet.add_runner(runner)
 
 
-def play(context, script):
-    """Run `script(node)` on a fleet of one node."""
+def run_with_node(context, script):
+    """Run `script(node)` in a fleet of one node, in virtual time."""
     fleet = Fleet()
     if context.budget is not None:
         fleet.budget = context.budget
@@ -162,7 +160,7 @@
             node, path or PATHS[kind], headers=headers, leave_after_s=leave_after_s
         )
 
-    play(context, script)
+    run_with_node(context, script)
 
 
 @when("{kind} request is sent")
@@ -181,7 +179,7 @@
     send(context, "a single", x_deadline_ms=deadline_ms, **prompt)
 
 
-@given("a route's time-out of {timeout_ms:d} ms for all generations")
+@given("a timeout of {timeout_ms:d} ms on all routes to engines")
 def step_generation_timeout(context, timeout_ms):
     context.timeout_ms = timeout_ms
     for entry in context.configuration["routes"]:
@@ -189,16 +187,16 @@
             entry["timeout_ms"] = timeout_ms
 
 
-@when("the caller comes back when it was told to")
-def step_come_back(context):
+@when("the caller retries after the stated Retry-After")
+def step_retry(context):
     assert context.answer.status == 503, context.answer
     waited_ms = 1000 * float(context.answer.header("retry-after"))
     send(context, "a single", x_deadline_ms=int(context.timeout_ms - waited_ms))
 
 
-@when("{kind} request is sent and its caller leaves after {seconds:g} seconds")
-def step_send_leave(context, kind, seconds):
-    context.left_after_s = seconds
+@when("{kind} request is sent and its caller disconnects after {seconds:g} seconds")
+def step_send_disconnect(context, kind, seconds):
+    context.disconnect_after_s = seconds
     send(context, kind, leave_after_s=seconds)
 
 
@@ -208,71 +206,71 @@
     send(context, kind, extra=[(header.encode(), value.encode()), secret])
 
 
-SYSTEM_FIELDS = (
+SYSTEM_HEADERS = (
     b"x-hold", b"x-pin-ms", b"x-kv-backup", b"kv-from", b"x-cache-salt", b"x-kv-source",
     b"x-kv-target", b"x-tenant", b"x-request-priority", b"x-expect-instance", b"x-expect-version",
 )  # fmt: skip
 FORGED = b"forged"
 
 
-def forged(name, form):
-    """Return a caller's header fields that try to pass one of the system's own on."""
+def forge_header(name, form):
+    """Return the header fields with which a caller tries to forge a header of the system."""
     forms = {
         "twice": [(name, FORGED), (name, FORGED)],
         "in upper case": [(name.upper(), FORGED)],
         "in mixed case": [(name.title(), FORGED)],
-        "after all other fields": [(name, FORGED)],
-        "named in the connection field": [(b"connection", name), (name, FORGED)],
-        "beside one named like it": [(name + b"-x", b"own"), (name, FORGED)],
-        "with an empty value and then forged": [(name, b""), (name, FORGED)],
+        "after all other headers": [(name, FORGED)],
+        "named in the connection header": [(b"connection", name), (name, FORGED)],
+        "next to a header with a similar name": [(name + b"-x", b"own"), (name, FORGED)],
+        "with an empty value and then a forged one": [(name, b""), (name, FORGED)],
     }
     return forms[form]
 
 
-@when("a single request is sent with each such field {form}")
+@when("a single request is sent with each such header {form}")
 def step_send_forged(context, form):
-    fields = [field for name in SYSTEM_FIELDS for field in forged(name, form)]
+    fields = [field for name in SYSTEM_HEADERS for field in forge_header(name, form)]
     send(context, "a single", extra=[*fields, (b"x-secret", b"1")])
 
 
-@then("no back end sees any of them as the caller sent it")
+@then("no back end receives a forged value of them")
 def step_none_forged(context):
-    seen = [headers for runner in context.fleet.runners for _, _, headers in runner.arrivals]
-    assert seen
-    for headers in seen:
+    received = [headers for runner in context.fleet.runners for _, _, headers in runner.arrivals]
+    assert received
+    for headers in received:
         assert FORGED.decode() not in "".join(headers.values()), headers
 
 
-@then("the request's own fields reach the back end")
-def step_own_fields(context):
-    seen = [headers for runner in context.fleet.runners for _, _, headers in runner.arrivals]
-    for headers in seen:
+@then("the request's other headers reach the back end")
+def step_other_headers(context):
+    received = [headers for runner in context.fleet.runners for _, _, headers in runner.arrivals]
+    for headers in received:
         assert headers["x-secret"] == "1" and headers["x-model"] == "m", headers
 
 
-@given("every stream takes {seconds:g} seconds to its first event")
+@given("the first event of every stream takes {seconds:g} seconds")
 def step_read_s(context, seconds):
     context.read_s = seconds
 
 
-@when("{kind} request is sent while all registrations end")
+@when("{kind} request is sent while all registrations are removed")
 def step_send_unregistered(context, kind):
     async def script(node):
-        async def end_registrations():
+        async def remove_registrations():
             await anyio.sleep(0.2)
             for runner in context.fleet.runners:
                 context.fleet.store.delete(f"servers/{runner.instance}")
 
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(end_registrations)
+            tasks.start_soon(remove_registrations)
             context.answer = await ask(node, PATHS[kind], headers=headers_of(kind))
 
-    play(context, script)
+    run_with_node(context, script)
 
 
 @then("no run was cancelled")
 def step_none_cancelled(context):
-    assert not [one for runner in context.fleet.runners for one in runner.cancelled]
+    assert not [entry for runner in context.fleet.runners for entry in runner.cancelled]
 
 
 @when('{kind} request is sent to "{target}"')
@@ -287,17 +285,18 @@
             await ask(node, PATHS["a status"], headers=headers_of("a status", f"q{number}"))
             await anyio.sleep(0.1)
 
-    play(context, script)
+    run_with_node(context, script)
 
 
 def arrivals(context):
-    found = [one for runner in context.fleet.runners for one in runner.arrivals]
-    return sorted(found, key=lambda one: one[0])
+    """Return (time, request id, headers) of each request at a back end, in order of time."""
+    entries = [entry for runner in context.fleet.runners for entry in runner.arrivals]
+    return sorted(entries, key=lambda entry: entry[0])
 
 
 def runs(context):
-    found = [run for runner in context.fleet.runners for run in runner.runs]
-    return sorted(found, key=lambda run: run.began_s)
+    all_runs = [run for runner in context.fleet.runners for run in runner.runs]
+    return sorted(all_runs, key=lambda run: run.began_s)
 
 
 @then('the caller gets "{answer}"')
@@ -324,29 +323,29 @@
     assert len(runs(context)) == count, runs(context)
 
 
-@then("it is told to come back within {seconds:g} second")
+@then("the answer's Retry-After is at most {seconds:g} second")
 def step_retry_after(context, seconds):
     assert 0.0 < float(context.answer.header("retry-after")) <= seconds
 
 
-@then("it was answered within {seconds:g} seconds")
+@then("the answer took at most {seconds:g} seconds")
 def step_within(context, seconds):
     assert context.answer.took_s <= seconds, context.answer
 
 
-@then("no run was given more than {left_ms:d} ms")
-def step_given(context, left_ms):
-    given_ms = [int(one[2]["x-deadline-ms"]) for one in arrivals(context)]
+@then("no back end was given a deadline of more than {left_ms:d} ms")
+def step_given_deadline(context, left_ms):
+    given_ms = [int(arrival[2]["x-deadline-ms"]) for arrival in arrivals(context)]
     assert given_ms and max(given_ms) <= left_ms, given_ms
 
 
-@then("the second back end was asked to go on after event {number:d}")
+@then("the second back end was asked to resume after event {number:d}")
 def step_resumed_after(context, number):
     assert arrivals(context)[1][2]["last-event-id"] == str(number), arrivals(context)
 
 
-@then("the answer keeps the head of the back end asked first")
-def step_first_head(context):
+@then("the answer has the headers of the back end tried first")
+def step_first_headers(context):
     first = next(
         runner for runner in context.fleet.runners if arrivals(context)[0] in runner.arrivals
     )
@@ -355,33 +354,33 @@
 
 @then("the run is cancelled within {seconds:g} seconds")
 def step_cancelled(context, seconds):
-    cancelled = [one for runner in context.fleet.runners for one in runner.cancelled]
+    cancelled = [entry for runner in context.fleet.runners for entry in runner.cancelled]
     assert len(cancelled) == 1, cancelled
-    assert cancelled[0][0] - arrivals(context)[0][0] <= context.left_after_s + seconds
+    assert cancelled[0][0] - arrivals(context)[0][0] <= context.disconnect_after_s + seconds
 
 
-@then('the back end does not see "{value}" in "{header}"')
-def step_unseen_in(context, value, header):
+@then('the back end does not receive "{value}" in "{header}"')
+def step_value_not_forwarded(context, value, header):
     assert arrivals(context)[0][2].get(header) != value, arrivals(context)[0]
 
 
-@then('the back end does not see "{header}"')
-def step_unseen(context, header):
+@then('the back end does not receive the header "{header}"')
+def step_header_not_forwarded(context, header):
     assert arrivals(context) and header not in arrivals(context)[0][2]
 
 
-@then('the back end saw the target "{target}" and the body')
+@then('the back end received the target "{target}" and the body')
 def step_target(context, target):
-    seen = [run for runner in context.fleet.runners for run in runner.targets]
-    assert seen == [(target.encode(), b"hello")], seen
+    received = [entry for runner in context.fleet.runners for entry in runner.targets]
+    assert received == [(target.encode(), b"hello")], received
 
 
-@then("at most {count:d} of them were repeated")
-def step_repeated(context, count):
-    ids = [one[1] for one in arrivals(context)]
+@then("at most {count:d} of them were retried")
+def step_retried(context, count):
+    ids = [arrival[1] for arrival in arrivals(context)]
     assert 0 < len(ids) - len(set(ids)) <= count, len(ids) - len(set(ids))
 
 
-@given("both back ends of generations have {tokens:d} prompt tokens waiting")
+@given("both engines have {tokens:d} prompt tokens waiting")
 def step_waiting(context, tokens):
     context.waiting_tokens = tokens
