--- a/features/steps/gateway_choice_steps.py
+++ b/features/steps/gateway_choice_steps.py
@@ -49,65 +49,69 @@
 SCOPE = CacheScope("m", VERSION).text()
 LOADS = {
     "busy": Load(4, 6000, 4000),
-    "waiting": Load(3, 12_000, 3000),
+    "long queue": Load(3, 12_000, 3000),
     "full memory": Load(2, 0, 9500),
     "full slots": Load(SLOTS + 2, 0, 0),
-    "far behind": Load(4, 20_000, 4000),
+    "very long queue": Load(4, 20_000, 4000),
 }
 TRIALS = 300
 
 
 def parse_blocks(text):
     blocks = []
-    for one in text.split(","):
-        block_id, _, tokens = one.partition(":")
+    for entry in text.split(","):
+        block_id, _, tokens = entry.partition(":")
         blocks.append(PromptBlock(block_id, int(tokens)))
     return tuple(blocks)
 
 
 def make_candidate(name, traits):
     cache = CachedBlocks(CAPACITY)
-    if "keeps it" in traits:
+    if "caches it" in traits:
         cache.record(SCOPE, (SHARED,), is_ready=True)
-    if "keeps it unread" in traits:
+    if "was sent it" in traits:
         cache.record(SCOPE, (SHARED,), is_ready=False)
-    if "keeps it for another" in traits:
+    if "caches it for another tenant" in traits:
         cache.record(CacheScope("m", VERSION, "t9").text(), (SHARED,), is_ready=True)
-    if "keeps it of old weights" in traits:
+    if "caches it for old weights" in traits:
         cache.record(CacheScope("m", VERSION - 1).text(), (SHARED,), is_ready=True)
     load = next((LOADS[trait] for trait in traits if trait in LOADS), Load())
-    zone = "there" if "elsewhere" in traits else "here"
-    end = BackEnd(name, "lm", f"10.0.0.1:{len(name)}", zone, BackEndState.READY, SLOTS)
+    zone = "there" if "other zone" in traits else "here"
+    back_end = BackEnd(name, "lm", f"10.0.0.1:{len(name)}", zone, BackEndState.READY, SLOTS)
     return Candidate(
-        end,
+        back_end,
         load,
         "suspect" in traits,
         cache,
         CAPACITY,
         VERSION,
-        newest_version=VERSION + 1 if "newer named" in traits else None,
+        newest_version=VERSION + 1 if "newer target" in traits else None,
     )
 
 
-@given('runners that differ: "{first}" and "{second}"')
-def step_runners(context, first, second):
+@given('two engines, "{first}" and "{second}"')
+def step_engines(context, first, second):
     context.candidates = [
         make_candidate("first", first.split(",")),
         make_candidate("second", second.split(",")),
     ]
 
 
-@when('a prompt of 800 shared and 200 own tokens is to be placed in zone "{zone}"')
-def step_place(context, zone):
-    need = ScopedPrompt(PROMPT, {VERSION: SCOPE})
+@when('a node in zone "{zone}" chooses an engine for a prompt of 800 shared and 200 own tokens')
+def step_choose(context, zone):
+    prompt = ScopedPrompt(PROMPT, {VERSION: SCOPE})
     sources = [
         FetchSource(
-            one.back_end.address, one.back_end.zone, one.cache, VERSION, one.back_end.instance
+            candidate.back_end.address,
+            candidate.back_end.zone,
+            candidate.cache,
+            VERSION,
+            candidate.back_end.instance,
         )
-        for one in context.candidates
+        for candidate in context.candidates
     ]
     context.choices = [
-        choose(context.candidates, need, sources, zone, ChoiceRules(), Random(seed))
+        choose(context.candidates, prompt, sources, zone, ChoiceRules(), Random(seed))
         for seed in range(20)
     ]
 
@@ -115,7 +119,7 @@
 @then('"{name}" is chosen, with {cached:d} tokens cached and {fetched:d} fetched')
 def step_chosen(context, name, cached, fetched):
     names = {choice.candidate.back_end.instance for choice in context.choices}
-    assert len(names) == 1 if name == "one" else names == {name}, names
+    assert len(names) == 1 if name == "always the same" else names == {name}, names
     assert {choice.cached_tokens for choice in context.choices} == {cached}
     assert {choice.fetched_tokens for choice in context.choices} == {fetched}
     for choice in context.choices:
@@ -123,44 +127,49 @@
         assert choice.read_tokens == PROMPT.num_tokens - cached - fetched
 
 
-@when("{count:d} prompts that nobody keeps are to be placed by {nodes:d} nodes")
-def step_place_cold(context, count, nodes):
-    context.placed = []
+@when("{nodes:d} nodes choose an engine for each of {count:d} prompts that no engine caches")
+def step_choose_uncached(context, count, nodes):
+    context.chosen_names = []
     for number in range(count):
-        parts = (PromptBlock(f"{number:x}", 800), PromptBlock(f"own{number:x}", 200))
-        need = ScopedPrompt(Prompt("m", parts, 1000, 20), {VERSION: SCOPE})
-        context.placed.append(
+        blocks = (PromptBlock(f"{number:x}", 800), PromptBlock(f"own{number:x}", 200))
+        prompt = ScopedPrompt(Prompt("m", blocks, 1000, 20), {VERSION: SCOPE})
+        context.chosen_names.append(
             {
                 choose(
-                    context.candidates, need, [], "here", ChoiceRules(), Random(seed)
+                    context.candidates, prompt, [], "here", ChoiceRules(), Random(seed)
                 ).candidate.back_end.instance
                 for seed in range(nodes)
             }
         )
 
 
-@then("each prompt goes to one runner, and each runner gets between {least:d} and {most:d}")
-def step_cold_spread(context, least, most):
-    together = [names for names in context.placed if len(names) == 1]
-    assert len(together) >= 0.9 * len(context.placed), len(together)
-    num_first = sum("first" in names for names in together)
+@then(
+    "the nodes agree on nearly all prompts, and the first engine gets between {least:d} and {most:d} of "
+    "these"
+)
+def step_uncached_spread(context, least, most):
+    agreed = [names for names in context.chosen_names if len(names) == 1]
+    assert len(agreed) >= 0.9 * len(context.chosen_names), len(agreed)
+    num_first = sum("first" in names for names in agreed)
     assert least <= num_first <= most, num_first
 
 
-@given("{count:d} idle runners, each with up to {most_ms:d} ms of waiting prompts")
-def step_waiting_runners(context, count, most_ms):
+@given("{count:d} engines without requests, each with up to {most_ms:d} ms of waiting prompts")
+def step_waiting_engines(context, count, most_ms):
     context.candidates = []
     for number in range(count):
         cache = CachedBlocks(CAPACITY)
         cache.record(SCOPE, (SHARED,), is_ready=True)
         waiting = int(most_ms * number / count / 1000.0 / START_RATES.waiting_token_s)
-        end = BackEnd(f"r-{number}", "lm", f"10.0.1.{number}:1", "here", BackEndState.READY, SLOTS)
+        engine = BackEnd(
+            f"r-{number}", "lm", f"10.0.1.{number}:1", "here", BackEndState.READY, SLOTS
+        )
         load = Load(0, waiting, 0)
-        context.candidates.append(Candidate(end, load, False, cache, CAPACITY, VERSION))
+        context.candidates.append(Candidate(engine, load, False, cache, CAPACITY, VERSION))
 
 
-@when("{nodes:d} nodes place a prompt each while news is {delay:g} seconds late")
-def step_late_news(context, nodes, delay):
+@when("{nodes:d} nodes choose an engine for a prompt each while gossip is {delay:g} seconds late")
+def step_late_gossip(context, nodes, delay):
     dispatcher = Dispatcher(
         Location("here"),
         None,
@@ -171,44 +180,44 @@
         lambda: 0.0,
         peers=PeerView(gossip_delay_s=lambda: delay),
     )
-    need = ScopedPrompt(PROMPT, {VERSION: SCOPE})
+    prompt = ScopedPrompt(PROMPT, {VERSION: SCOPE})
     rules = dispatcher.rules("lm")
-    chosen = [
-        choose(context.candidates, need, [], "here", rules, Random(seed)) for seed in range(nodes)
+    choices = [
+        choose(context.candidates, prompt, [], "here", rules, Random(seed)) for seed in range(nodes)
     ]
-    context.counts = Counter(choice.candidate.back_end.instance for choice in chosen)
+    context.counts = Counter(choice.candidate.back_end.instance for choice in choices)
 
 
-@then("the busiest runner gets between {least:d} and {most:d} of them")
-def step_busiest(context, least, most):
-    busiest = max(context.counts.values())
-    assert least <= busiest <= most, context.counts
+@then("the most chosen engine gets between {least:d} and {most:d} of the prompts")
+def step_most_chosen(context, least, most):
+    max_count = max(context.counts.values())
+    assert least <= max_count <= most, context.counts
 
 
-@given("a place that keeps {tokens:d} tokens")
-def step_place_keeps(context, tokens):
+@given("an engine that caches {tokens:d} tokens")
+def step_cache(context, tokens):
     context.cache = CachedBlocks(tokens)
 
 
-@when('the parts "{first}" and then "{second}" are noted there')
-def step_noted(context, first, second):
+@when('the blocks "{first}" and then "{second}" are recorded there')
+def step_recorded_blocks(context, first, second):
     context.cache.record(SCOPE, parse_blocks(first), is_ready=True)
     context.cache.record(SCOPE, parse_blocks(second), is_ready=True)
 
 
-@when('the parts "{parts}" are sent there and not read')
-def step_unread(context, parts):
-    context.cache.record(SCOPE, parse_blocks(parts), is_ready=False)
-    context.cache.forget(SCOPE, parse_blocks(parts))
+@when('the blocks "{blocks}" are sent there and not prefilled')
+def step_not_prefilled(context, blocks):
+    context.cache.record(SCOPE, parse_blocks(blocks), is_ready=False)
+    context.cache.forget(SCOPE, parse_blocks(blocks))
 
 
-@then('"{parts}" matches {tokens:d} tokens')
-def step_matches(context, parts, tokens):
-    assert context.cache.matched_tokens(SCOPE, parse_blocks(parts)) == tokens
+@then('"{blocks}" matches {tokens:d} cached tokens')
+def step_matches(context, blocks, tokens):
+    assert context.cache.matched_tokens(SCOPE, parse_blocks(blocks)) == tokens
 
 
 class CacheFleet:
-    """Nodes and runners, with tenants."""
+    """Nodes with tenants, in front of two engines."""
 
     def __init__(self, num_nodes):
         self.num_nodes = num_nodes
@@ -222,7 +231,7 @@
                 tenants = [
                     {"name": "open", "api_keys": ["k-open"]},
                     {"name": "open2", "api_keys": ["k-open2"]},
-                    {"name": "walled", "api_keys": ["k-walled"], "isolated": True},
+                    {"name": "isolated", "api_keys": ["k-isolated"], "isolated": True},
                 ]
                 routes = [
                     route("note", "/n/", "streaming", service="lm", public=False, max_attempts=1),
@@ -250,72 +259,74 @@
         return [(runner, run) for runner in self.fleet.runners for run in runner.runs]
 
 
-@given("{nodes:d} nodes and 2 runners that keep prompts")
+@given("{nodes:d} nodes and 2 engines that cache prompts")
 def step_cache_fleet(context, nodes):
-    context.caches = CacheFleet(nodes)
+    context.cache_fleet = CacheFleet(nodes)
 
 
-@when("one node sends a generation and the other one the same prompt")
+@when("one node sends a prompt, and then the other node the same prompt")
 def step_same_prompt(context):
     async def script(nodes):
-        await context.caches.generate(nodes[0], "q1")
+        await context.cache_fleet.generate(nodes[0], "q1")
         await anyio.sleep(0.2)
         for number in range(5):
-            await context.caches.generate(nodes[1], f"p{number}")
+            await context.cache_fleet.generate(nodes[1], f"p{number}")
 
-    context.caches.run(script)
+    context.cache_fleet.run(script)
 
 
-@then("both runs were at one runner")
-def step_one_runner(context):
-    assert {runner.instance for runner, _ in context.caches.runs()}.__len__() == 1
+@then("all runs were at the same engine")
+def step_same_engine(context):
+    assert {runner.instance for runner, _ in context.cache_fleet.runs()}.__len__() == 1
 
 
-@when('tenants "{one}" and "{two}" and "{three}" send the same prompt')
-def step_tenants(context, one, two, three):
+@when('tenants "{first}" and "{second}" and "{third}" send the same prompt')
+def step_tenants(context, first, second, third):
     async def script(nodes):
-        for tenant in (one, two, three):
-            await context.caches.generate(nodes[0], tenant, f"k-{tenant}")
+        for tenant in (first, second, third):
+            await context.cache_fleet.generate(nodes[0], tenant, f"k-{tenant}")
 
-    context.caches.run(script)
+    context.cache_fleet.run(script)
 
 
-@then('the scopes of "{one}" and "{two}" are one and that of "{three}" is its own')
-def step_scopes(context, one, two, three):
-    scopes = {run.request_id: run.salt for _, run in context.caches.runs()}
-    assert scopes[one] == scopes[two] != scopes[three], scopes
+@then('the cache scopes of "{first}" and "{second}" are the same and that of "{other}" differs')
+def step_scopes(context, first, second, other):
+    scopes = {run.request_id: run.salt for _, run in context.cache_fleet.runs()}
+    assert scopes[first] == scopes[second] != scopes[other], scopes
 
 
-@when("the runner chosen first refuses, and 5 more generations are sent at once")
+@when("the engine chosen first refuses a request, and 5 more are sent at once")
 def step_refuses(context):
     async def script(nodes):
         faults = ["refuse"]
-        for runner in context.caches.fleet.runners:
+        for runner in context.cache_fleet.fleet.runners:
             runner.faults = faults
-        await context.caches.generate(nodes[0], "q0")
+        await context.cache_fleet.generate(nodes[0], "q0")
         for number in range(1, 6):
-            context.caches.fleet.tasks.start_soon(context.caches.generate, nodes[0], f"q{number}")
+            context.cache_fleet.fleet.tasks.start_soon(
+                context.cache_fleet.generate, nodes[0], f"q{number}"
+            )
         await anyio.sleep(1.0)
 
-    context.caches.run(script)
+    context.cache_fleet.run(script)
 
 
-@then("the refusing runner got 1 request")
+@then("the engine that refused received 1 request")
 def step_refusing(context):
-    runners = context.caches.fleet.runners
+    runners = context.cache_fleet.fleet.runners
     refusing = [runner for runner in runners if len(runner.arrivals) > len(runner.runs)]
     assert [len(runner.arrivals) for runner in refusing] == [1]
-    assert sorted(context.caches.statuses) == [200] * 5 + [503]
+    assert sorted(context.cache_fleet.statuses) == [200] * 5 + [503]
 
 
-@given("a back end's circuit")
+@given("a back end's circuit breaker")
 def step_circuit(context):
     context.health = BackEndHealth(EventRecorder(), Random(1))
     context.now_s = 100.0
 
 
-@when('it sees "{events}"')
-def step_sees(context, events):
+@when('the circuit breaker observes "{events}"')
+def step_observe_events(context, events):
     for event in events.split(","):
         if event == "wait":
             context.now_s += 1.0
@@ -332,7 +343,7 @@
             context.now_s += 3.0
 
 
-@then('its circuit "{admits}" requests')
+@then('the circuit breaker "{admits}" requests')
 def step_admits(context, admits):
     admitted = sum(context.health.admits("r", context.now_s) for _ in range(TRIALS))
     if admits == "admits":
@@ -344,7 +355,7 @@
 
 
 @given(
-    "a retry budget of {share:g} with {extra:g} extra over {window_s:g} seconds, shared by "
+    "a retry budget of {share:g} per request and {extra:g} extra in {window_s:g} seconds, shared by "
     "{nodes:d} nodes"
 )
 def step_shared_budget(context, share, extra, window_s, nodes):
@@ -352,15 +363,15 @@
     context.num_nodes = nodes
 
 
-@when("a node that {start} has seen {requests:d} requests")
-def step_seen(context, start, requests):
-    context.budget = SharedRetryBudget(context.rules, 100.0, start == "starts anew")
+@when("a node that {start} has received {requests:d} requests")
+def step_received(context, start, requests):
+    context.budget = SharedRetryBudget(context.rules, 100.0, start == "was restarted")
     for _ in range(requests):
         context.budget.record_request("lm", 105.0)
 
 
-@then("it may repeat at most {most:d} and at least {least:d}")
-def step_may_repeat(context, most, least):
+@then("it may retry at most {most:d} and at least {least:d} times")
+def step_may_retry(context, most, least):
     taken = 0
     while context.budget.try_take("lm", context.num_nodes, 106.0):
         taken += 1
@@ -373,37 +384,37 @@
 
 
 def make_work(random):
-    """Return what requests of mixed sizes meet at a runner."""
+    """Return the work of an engine for a request of random size."""
     waiting = max(0, int(random.gauss(0, 6000)))
     return PrefillWork(int(random.lognormvariate(7.5, 1.2)), waiting, random.randrange(12))
 
 
 @given(
-    "runners that read {tokens_per_ms:g} tokens a ms, with {base_ms:g} ms and {active_ms:g} ms "
-    "a request on top"
+    "engines that prefill {tokens_per_ms:g} tokens per ms, plus {base_ms:g} ms and {active_ms:g} ms "
+    "per active request"
 )
 def step_true_rates(context, tokens_per_ms, base_ms, active_ms):
     token_s = 1e-3 / tokens_per_ms
     context.true_rates = FirstEventRates(base_ms / 1e3, token_s, 0.7 * token_s, active_ms / 1e3)
 
 
-def observe_one(context, random, far_off=0):
-    """Observe a first event of a prompt without any fetch."""
+def observe_first_event(context, random, late_percent=0):
+    """Observe the first event of a prompt without any fetch."""
     work = make_work(random)
     took_s = first_event_s(context.true_rates, work) * random.gauss(1.0, SPREAD_SHARE)
-    took_s += LATE_S if random.random() < far_off / 100 else 0.0
+    took_s += LATE_S if random.random() < late_percent / 100 else 0.0
     context.model.observe(work, took_s)
 
 
-@when("{count:d} first events are observed, {far_off:d} in a hundred of them 2 s late")
-def step_observe(context, count, far_off):
+@when("{count:d} first events are observed, {late_percent:d} in a hundred of them 2 s late")
+def step_observe(context, count, late_percent):
     context.model = FirstEventModel()
-    random = Random(count + far_off)
+    random = Random(count + late_percent)
     for _ in range(count):
-        observe_one(context, random, far_off)
+        observe_first_event(context, random, late_percent)
 
 
-@then("the median error of the next estimates is under {share:g} of the time")
+@then("the median error of the next estimates is below {share:g} of the actual time")
 def step_error(context, share):
     random = Random(7)
     errors = []
@@ -428,25 +439,25 @@
         assert getattr(MIN_RATES, name) <= rate <= getattr(MAX_RATES, name), (name, rate)
 
 
-@given("a runner with old weights where a request is to wait for {seconds:g} s")
-def step_waiting_runner(context, seconds):
+@given("an engine with old weights and an estimated wait of {seconds:g} s")
+def step_old_weights(context, seconds):
     waiting = int(seconds / START_RATES.waiting_token_s)
-    end = BackEnd("r", "lm", "10.0.1.1:1", "here", BackEndState.READY, SLOTS)
+    engine = BackEnd("r", "lm", "10.0.1.1:1", "here", BackEndState.READY, SLOTS)
     context.candidate = Candidate(
-        end, Load(0, waiting, 0), False, CachedBlocks(CAPACITY), CAPACITY, VERSION,
+        engine, Load(0, waiting, 0), False, CachedBlocks(CAPACITY), CAPACITY, VERSION,
         newest_version=VERSION + 1,
     )  # fmt: skip
 
 
-@when("its weights are too old in {left_s:g} s and the longest wait of late was {recent_s:g} s")
+@when("its weights are too old in {left_s:g} s and the longest recent wait was {recent_s:g} s")
 def step_time_left(context, left_s, recent_s):
     candidate = msgspec.structs.replace(
         context.candidate, max_start_delay_s=left_s, recent_wait_s=recent_s
     )
-    need = ScopedPrompt(PROMPT, {VERSION: SCOPE})
-    context.choice = choose([candidate], need, [], "here", ChoiceRules(), Random(1))
+    prompt = ScopedPrompt(PROMPT, {VERSION: SCOPE})
+    context.choice = choose([candidate], prompt, [], "here", ChoiceRules(), Random(1))
 
 
-@then("it gets {what} request")
-def step_gets(context, what):
-    assert (context.choice is not None) == (what == "a"), context.choice
+@then("the engine gets {article} request")
+def step_gets(context, article):
+    assert (context.choice is not None) == (article == "a"), context.choice
--- a/features/steps/gateway_fetches_steps.py
+++ b/features/steps/gateway_fetches_steps.py
@@ -14,7 +14,7 @@
     SPREAD_SHARE,
     VERSION,
     make_work,
-    observe_one,
+    observe_first_event,
 )
 from features.support.attempt_records import attempt_records
 from weirscale.gateway.model.back_ends import BackEnd, BackEndState
@@ -34,66 +34,66 @@
 
 
 @when(
-    "{count:d} first events are observed, after fetches of 1500 tokens from {places} of which "
-    "{missed:d} in 100 do not come, and as many without a fetch"
+    "{count:d} first events are observed, after fetches of 1500 tokens from {sources} of which "
+    "{failed:d} in 100 fail, and as many without a fetch"
 )
-def step_observe_fetches(context, count, places, missed):
+def step_observe_fetches(context, count, sources, failed):
     context.model = FirstEventModel()
-    random = Random(count + missed)
+    random = Random(count + failed)
     for _ in range(count):
-        observe_one(context, random)
+        observe_first_event(context, random)
         work = make_work(random)
-        read = FETCHED_TOKENS if random.random() < missed / 100 else 0
-        seen = msgspec.structs.replace(work, num_tokens=work.num_tokens + read)
-        took_s = first_event_s(context.true_rates, seen) * random.gauss(1.0, SPREAD_SHARE)
-        kind = "num_from_engine" if places == "engines" else "num_from_store"
-        context.model.observe(msgspec.structs.replace(work, **{kind: FETCHED_TOKENS}), took_s)
+        num_prefilled = FETCHED_TOKENS if random.random() < failed / 100 else 0
+        actual_work = msgspec.structs.replace(work, num_tokens=work.num_tokens + num_prefilled)
+        took_s = first_event_s(context.true_rates, actual_work) * random.gauss(1.0, SPREAD_SHARE)
+        field = "num_from_engine" if sources == "engines" else "num_from_store"
+        context.model.observe(msgspec.structs.replace(work, **{field: FETCHED_TOKENS}), took_s)
 
 
-@then("of tokens from {place} a share of {least:g} to {most:g} is expected to be read")
-def step_missed_share(context, place, least, most):
-    share = missed_share(context.model.rates, place == "stores")
+@then("a share of {least:g} to {most:g} of the tokens from {source} is expected to be prefilled")
+def step_missed_share(context, source, least, most):
+    share = missed_share(context.model.rates, source == "stores")
     assert least <= share <= most, share
 
 
 @given(
-    '{place} "{name}" with a prompt\'s shared 800 tokens and {waiting:d} tokens waiting, and an idle '
-    "runner without them"
+    '{source} "{name}" that caches a prompt\'s 800 shared tokens and has {waiting:d} tokens waiting, '
+    "and an idle engine that caches none"
 )
-def step_keeper(context, place, name, waiting):
-    keeps = CachedBlocks(CAPACITY)
-    keeps.record(SCOPE, (SHARED,), is_ready=True)
+def step_holder(context, source, name, waiting):
+    cache = CachedBlocks(CAPACITY)
+    cache.record(SCOPE, (SHARED,), is_ready=True)
     idle = BackEnd("idle", "lm", "idle:1", "here", BackEndState.READY, SLOTS)
     context.candidates = [Candidate(idle, Load(), False, CachedBlocks(CAPACITY), CAPACITY, VERSION)]
-    if place == "a store":
-        context.source = FetchSource(f"{name}:1", "here", keeps)
+    if source == "a store":
+        context.source = FetchSource(f"{name}:1", "here", cache)
         return
-    keeper = BackEnd(name, "lm", f"{name}:1", "here", BackEndState.READY, SLOTS)
+    holder = BackEnd(name, "lm", f"{name}:1", "here", BackEndState.READY, SLOTS)
     load = Load(0, waiting, 0)
-    context.candidates.append(Candidate(keeper, load, False, keeps, CAPACITY, VERSION))
-    context.source = FetchSource(keeper.address, "here", keeps, VERSION, keeper.instance)
+    context.candidates.append(Candidate(holder, load, False, cache, CAPACITY, VERSION))
+    context.source = FetchSource(holder.address, "here", cache, VERSION, holder.instance)
 
 
-@when("a choice is made while fetches from engines miss {missed:g} of the tokens")
-def step_fetches_miss(context, missed):
-    fetch_s, read_s = START_RATES.engine_token_s, START_RATES.token_s
+@when("an engine is chosen while fetches from engines fail for {failed:g} of the tokens")
+def step_choose_failing_fetches(context, failed):
+    fetch_s, prefill_s = START_RATES.engine_token_s, START_RATES.token_s
     rates = msgspec.structs.replace(
-        START_RATES, engine_token_s=fetch_s + missed * (read_s - fetch_s)
+        START_RATES, engine_token_s=fetch_s + failed * (prefill_s - fetch_s)
     )
-    need = ScopedPrompt(PROMPT, {VERSION: SCOPE})
+    prompt = ScopedPrompt(PROMPT, {VERSION: SCOPE})
     rules = ChoiceRules(rates=rates, affinity_s=0.0)
-    context.choice = choose(context.candidates, need, [context.source], "here", rules, Random(1))
+    context.choice = choose(context.candidates, prompt, [context.source], "here", rules, Random(1))
 
 
 @then(
-    '"{name}" is chosen, expected after {least:d} to {most:d} ms, and {unread:d} tokens count there '
-    "as unread"
+    '"{name}" is chosen with an estimate of {least:d} to {most:d} ms, and {added:d} tokens are added '
+    "to those waiting there"
 )
-def step_recorded(context, name, least, most, unread):
+def step_chosen_with_load(context, name, least, most, added):
     instance = context.choice.candidate.back_end.instance
     assert instance == name, context.choice
     assert least <= 1000 * context.choice.estimate_s <= most, context.choice
     load = FleetLoad()
     records = attempt_records(load, lambda: None)
     records.record_start(context.choice, None, is_unreached=True)
-    assert load.own(instance).waiting_tokens == unread, load.own(instance)
+    assert load.own(instance).waiting_tokens == added, load.own(instance)
