--- a/features/gateway_silent_engines.feature
+++ b/features/gateway_silent_engines.feature
@@ -1,40 +1,42 @@
-Feature: A silent engine is left for another one, but not while it reads the prompts of others
+Feature: An attempt at a silent engine is abandoned, but not while the engine prefills other prompts
+  Guards against waiting for dead engines, and against prompts that are prefilled again elsewhere
+  although their engine is only busy, or the node itself was suspended.
 
-  # Guards against streams that were left for a pause that reading explains: their prompts were read
-  # once more elsewhere, which made the streams there pause as well.
-  Scenario Outline: Streams whose engines read many prompts that come to <where> are not read once more elsewhere
-    Given 2 nodes before 2 runners that read 14000 tokens a second
-    When a stream has begun at each runner and 16 prompts of 2000 tokens come at once to <where>
-    Then every request has run once and is answered whole
+  # Guards against streams that are abandoned for a pause that other prompts explain: their own prompts
+  # were prefilled again elsewhere, which made the streams there pause as well.
+  Scenario Outline: Streams that pause because of many prompts sent to <where> are not prefilled again elsewhere
+    Given 2 nodes and 2 engines that prefill 14000 tokens per second
+    When a stream has begun at each engine and 16 prompts of 2000 tokens are sent at once to <where>
+    Then every request has run once and its answer is complete
 
-    Examples: a node hears of prompts that were read for others by gossip
+    Examples: a node learns by gossip of prompts that engines prefill for other nodes
       | where          |
       | the same node  |
       | the other node |
 
-  # Guards against waiting for a dead engine, or for one connection that went silent alone.
-  Scenario Outline: When a silent attempt is left
-    Given an engine that <worked> since the attempt's last event, with <others> tokens of others to read
-    When the attempt, with 400 tokens of its own unread, may be silent for 0.75 seconds
-    Then it is left after <left> seconds
+  # Guards against waiting for a dead engine, or on a single dead connection of a working engine.
+  Scenario Outline: When a silent attempt is abandoned
+    Given an engine that <activity> since the attempt's last event, with <others> tokens of other requests to prefill
+    When the attempt, with 400 own tokens to prefill, has a timeout of 0.75 seconds
+    Then the attempt is abandoned after <seconds> seconds
 
-    Examples: not while the engine reads for others, but after three times as long in any case
-      | worked                       | others | left |
-      | made events                  | 2000   | 2.25 |
-      | made events                  | 0      | 0.75 |
-      | made no event                | 2000   | 0.75 |
-      | made events until 0.5 s      | 2000   | 1.25 |
-      | has read for others by 1.1 s | 2000   | 1.25 |
+    Examples: not while the engine prefills for others, but in any case after three times the timeout
+      | activity                            | others | seconds |
+      | emitted events                      | 2000   | 2.25    |
+      | emitted events                      | 0      | 0.75    |
+      | emitted no event                    | 2000   | 0.75    |
+      | emitted events until 0.5 s          | 2000   | 1.25    |
+      | finished the other prefill at 1.1 s | 2000   | 1.25    |
 
-  # Guards against streams that were sent elsewhere because their own node had stood still.
-  Scenario Outline: A node that stood still looks first at what has arrived
-    Given a watch of attempts that are checked on ticks
-    When the node stands still for <still> seconds, <apart> s before an event of an attempt that may be silent for 0.75 seconds
-    Then the attempt is "<ended>"
+  # Guards against streams that are sent elsewhere because their own node was suspended.
+  Scenario Outline: A node that was suspended processes what has arrived before it abandons an attempt
+    Given a watch that checks attempts on ticks
+    When the node is suspended for <suspended> seconds, <apart> s before an event of an attempt with a timeout of 0.75 seconds
+    Then the attempt is "<outcome>"
 
-    Examples: the event came while the node stood still, or never
-      | still | apart | ended |
-      | 2.0   | 0.081 | kept  |
-      | 2.0   | 9.0   | ended |
-      | 0.0   | 0.5   | kept  |
-      | 0.0   | 9.0   | ended |
+    Examples: the event arrived during the suspension, or never
+      | suspended | apart | outcome   |
+      | 2.0       | 0.081 | kept      |
+      | 2.0       | 9.0   | abandoned |
+      | 0.0       | 0.5   | kept      |
+      | 0.0       | 9.0   | abandoned |
--- a/features/steps/gateway_overload_steps.py
+++ b/features/steps/gateway_overload_steps.py
@@ -37,33 +37,40 @@
 SHORT_OWN, SHORT_OUT = 400, 36
 SHARED_TOKENS, NUM_SHARED = 1500, 20
 LATE_WORTH = 0.3
+"""Value to users of a late answer, relative to one in time."""
 SEEDS = (1, 2, 3)
-"""One seed's goodput is some 10 in 100 off the mean."""
+"""Several seeds, since the goodput of one is about 10 % off the mean."""
 MEAN_OWN = (LONG_OWN + SHORT_OWN) / 2
 
 
 class OfferedLoad:
-    """Callers that ask at random times and come back once when they are told to."""
+    """Callers that send requests at random times and retry once after a refusal.
+
+    Args:
+        factor: Offered load as a multiple of what the engines can prefill.
+        seed: Seed of the random numbers.
+        make_runner: Creates an engine.
+    """
 
     def __init__(self, factor, seed, make_runner=ReadingRunner):
         self.random = Random(seed)
         self.make_runner = make_runner
         self.per_s = factor * NUM_RUNNERS * TOKENS_PER_S / MEAN_OWN
         self.num_callers = 0
-        self.num_served_well = 0
+        self.num_served_in_time = 0
         self.num_served_late = 0
         self.refusals = []
-        self.runs_refused = set()
+        self.refused_runs = set()
 
     def goodput(self):
-        """Return the callers served, late ones at the users' price of a late answer."""
-        return self.num_served_well + LATE_WORTH * self.num_served_late
+        """Return the number of callers served, each late one weighted by `LATE_WORTH`."""
+        return self.num_served_in_time + LATE_WORTH * self.num_served_late
 
     def run(self):
         self.fleet = Fleet()
         run_in_virtual_time(self._main)
         ran = {run.request_id for runner in self.fleet.runners for run in runner.runs}
-        self.runs_refused = {one for one, _, _ in self.refusals} & ran
+        self.refused_runs = {request_id for request_id, _, _ in self.refusals} & ran
         return self
 
     async def _main(self):
@@ -114,7 +121,7 @@
                 answer = await ask(self.random.choice(nodes), path, headers=headers, note=stream)
                 if answer.status != 503:
                     if answer.is_complete and answer.status == 200:
-                        self.num_served_well += stream.is_in_time()
+                        self.num_served_in_time += stream.is_in_time()
                         self.num_served_late += not stream.is_in_time()
                     return
                 wait_s = float(answer.header("retry-after") or 0.0)
@@ -124,7 +131,7 @@
 
 
 class TimedStream:
-    """When the parts of an answer came."""
+    """Records when the parts of an answer arrive."""
 
     def __init__(self):
         self.began_s = anyio.current_time()
@@ -140,13 +147,16 @@
         return all(later - earlier <= LONGEST_PAUSE_S for earlier, later in pauses)
 
 
-@given("3 nodes before 3 runners that read a quarter as fast as usual")
+@given("3 nodes and 3 engines that prefill at a quarter of the usual rate")
 def step_fleet(context):
     pass
 
 
-def runners(fetch_each):
-    """Return what makes a runner; of `fetch_each` requests one is fetched for, of 0 none."""
+def runner_factory(fetch_each):
+    """Return a function that creates an engine.
+
+    The engine fetches for one in `fetch_each` requests with a source; with 0 for none.
+    """
     if not fetch_each:
         return ReadingRunner
     others = {}
@@ -159,40 +169,40 @@
     return make
 
 
-class PlayedLoad:
-    """What came of an offered load, over all seeds."""
+class LoadResult:
+    """Results of an offered load, summed over all seeds."""
 
     def __init__(self, factor, seeds=SEEDS, fetch_each=0):
-        loads = [OfferedLoad(factor, seed, runners(fetch_each)).run() for seed in seeds]
+        loads = [OfferedLoad(factor, seed, runner_factory(fetch_each)).run() for seed in seeds]
         self.num_callers = sum(load.num_callers for load in loads)
         self.goodput = sum(load.goodput() for load in loads)
-        self.refusals = [one for load in loads for one in load.refusals]
-        self.runs_refused = {one for load in loads for one in load.runs_refused}
+        self.refusals = [refusal for load in loads for refusal in load.refusals]
+        self.refused_runs = {run for load in loads for run in load.refused_runs}
 
 
-play_load = lru_cache(maxsize=None)(PlayedLoad)
+run_load = lru_cache(maxsize=None)(LoadResult)
 
 
-@when("callers offer {first:g} times what the runners can read, and then {second:g} times")
+@when("callers offer {first:g} times what the engines can prefill, and then {second:g} times")
 def step_offer(context, first, second):
-    context.loads = [play_load(first), play_load(second)]
+    context.loads = [run_load(first), run_load(second)]
 
 
 @when(
-    "callers drawn with seeds {least:d} to {most:d} offer {first:g} times what the runners can read, "
-    "and then {second:g} times"
+    "callers drawn with seeds {least:d} to {most:d} offer {first:g} times what the engines can "
+    "prefill, and then {second:g} times"
 )
 def step_offer_seeds(context, least, most, first, second):
     seeds = tuple(range(least, most + 1))
-    context.loads = [play_load(first, seeds), play_load(second, seeds)]
+    context.loads = [run_load(first, seeds), run_load(second, seeds)]
 
 
 @when(
-    "callers drawn with seeds {least:d} to {most:d} offer {factor:g} times that, to runners that "
-    "fetch for one in {each:d} requests with a source"
+    "callers drawn with seeds {least:d} to {most:d} offer {factor:g} times what engines can "
+    "prefill that fetch for one in {each:d} requests with a source"
 )
 def step_offer_fetching(context, least, most, factor, each):
-    context.loads = [play_load(factor, tuple(range(least, most + 1)), each)]
+    context.loads = [run_load(factor, tuple(range(least, most + 1)), each)]
 
 
 @then("the second load has at least {share:g} of the first one's goodput")
@@ -202,12 +212,14 @@
     assert second >= share * first, (first, second)
 
 
-@then("every refusal is told within {seconds:g} seconds, with when to come back, and has not run")
+@then(
+    "every refusal takes at most {seconds:g} seconds and has a Retry-After, and its request has not run"
+)
 def step_refusals(context, seconds):
     for load in context.loads:
         assert all(took_s <= seconds for _, took_s, _ in load.refusals)
         assert all(wait_s > 0.0 for _, _, wait_s in load.refusals)
-        assert not load.runs_refused, load.runs_refused
+        assert not load.refused_runs, load.refused_runs
 
 
 @then("at most {share:d} in 100 callers of either load are refused")
@@ -216,54 +228,56 @@
         assert len(load.refusals) <= share * load.num_callers / 100, len(load.refusals)
 
 
-@then("between {least:g} and {most:g} of the bound is in force")
+@then("between {least:g} and {most:g} of the queue limit is in force")
 def step_in_force(context, least, most):
     assert least <= context.limit.share <= most, context.limit.share
 
 
 RUNNER = BackEnd("r-1", "lm", "10.3.0.1:8080", "here", BackEndState.READY, 4)
-AIMED = Route(
+ROUTE = Route(
     "draft", "h", "/", RequestKind.STREAMING, (), timeout_s=4.0, objective_s=1.0, max_pause_s=0.5
 )
 
 
-@given("a wait of {others:g} seconds that others cause and {own:g} seconds of its own")
+@given(
+    "an estimated wait of {others:g} seconds for other requests and {own:g} seconds for the own prompt"
+)
 def step_wait(context, others, own):
     candidate = Candidate(RUNNER, Load(), False)
     context.choice = Choice(candidate, scope="m@1", estimate_s=others + own, idle_s=own)
 
 
-@when('a caller that "{asks}" asks with {share:g} of the bound in force')
-def step_asks(context, asks, share):
-    timeout_s = AIMED.timeout_s if asks == "first" else 0.8 * AIMED.timeout_s
-    context.is_told = should_refuse(context.choice, AIMED, timeout_s, QueueLimit(share))
+@when("a caller's {number} try arrives with {share:g} of the queue limit in force")
+def step_try(context, number, share):
+    timeout_s = ROUTE.timeout_s if number == "first" else 0.8 * ROUTE.timeout_s
+    context.is_refused = should_refuse(context.choice, ROUTE, timeout_s, QueueLimit(share))
 
 
-@then('that caller is "{answer}"')
-def step_told(context, answer):
-    assert context.is_told == (answer == "told")
+@then('the try is "{result}"')
+def step_refused(context, result):
+    assert context.is_refused == (result == "refused")
 
 
-@given("an attempt expected to take {expected:g} seconds at a runner that {lives}")
-def step_attempt(context, expected, lives):
+@given("an attempt with an expected wait of {expected:g} seconds at an engine that {activity}")
+def step_attempt(context, expected, activity):
     context.overdue = OverdueAttempts()
     candidate = Candidate(RUNNER, Load(), False)
     context.choice = Choice(candidate, scope="m@1", estimate_s=expected)
     context.overdue.engine_alive(RUNNER.instance, 9.9)
     context.overdue.attempt_sent(context.choice, 10.0)
-    if lives == "makes other events":
+    if activity == "emits other events":
         context.overdue.engine_alive(RUNNER.instance, 10.01)
 
 
-@when("{waited:g} seconds have passed")
+@when("the attempt has waited for {waited:g} seconds")
 def step_waited(context, waited):
     context.waited_s = waited
     context.due = context.overdue.take_due(10.0 + waited)
 
 
-@then('it "{tells}", and tells once more after {again} seconds')
-def step_tells(context, tells, again):
-    assert bool(context.due) == (tells == "tells"), context.due
+@then('the attempt is "{reported}", and reported again after {again} seconds')
+def step_reported(context, reported, again):
+    assert bool(context.due) == (reported == "reported"), context.due
     assert all(abs(waited_s - context.waited_s) < 1e-9 for _, waited_s in context.due)
     if again == "never":
         assert not context.overdue.take_due(100.0)
@@ -274,12 +288,12 @@
     assert not context.overdue.take_due(100.0)
 
 
-def play_with_node(body, faults=()):
-    """Run a body with one node before two runners of which the first one asked has faults."""
+def run_with_node(body, faults=()):
+    """Run `body(node)` with one node and two engines, each of which has the faults once."""
     fleet = Fleet()
 
     async def main():
-        async def inner():
+        async def run_body():
             fleet.store.put("op/config", configuration(1))
             for number in (1, 2):
                 runner = RunnerStandIn(f"r-{number}", f"10.3.0.{number}:8080", "lm")
@@ -289,58 +303,59 @@
             await anyio.sleep(0.5)
             await body(node)
 
-        await with_fleet(fleet, inner)
+        await with_fleet(fleet, run_body)
 
     run_in_virtual_time(main)
     return fleet
 
 
 @given(
-    "streams of a service that usually pause for {usual:g} seconds and may for {allowed:g} seconds"
+    "streams of a service with usual pauses of {usual:g} seconds and allowed pauses of {allowed:g} "
+    "seconds"
 )
 def step_usual(context, usual, allowed):
     async def body(node):
         for _ in range(400):
             node.context.pauses.record_pause("lm", usual)
-        context.timeout_s = node.context.pauses.stall_timeout_s(AIMED, "lm")
+        context.timeout_s = node.context.pauses.stall_timeout_s(ROUTE, "lm")
 
-    assert allowed == AIMED.max_pause_s
-    play_with_node(body)
+    assert allowed == ROUTE.max_pause_s
+    run_with_node(body)
 
 
-@then("a silent one is left after {patience:g} seconds")
-def step_patience(context, patience):
-    assert abs(context.timeout_s - patience) < 0.01, context.timeout_s
+@then("a silent stream is abandoned after {timeout:g} seconds")
+def step_timeout(context, timeout):
+    assert abs(context.timeout_s - timeout) < 0.01, context.timeout_s
 
 
-@when("the retry budget is spent and a stream pauses for {seconds:g} seconds")
-def step_no_repeat(context, seconds):
+@when("the retry budget is used up and a stream pauses for {seconds:g} seconds")
+def step_no_retry(context, seconds):
     async def body(node):
         while node.context.retry_budget.try_take("lm"):
             pass
         headers = generation_headers("q1", parts="own:200", x_deadline_ms=4000)
         context.answer = await ask(node, "/a/x", headers=headers)
 
-    context.fleet = play_with_node(body, [f"pause:{seconds}"])
+    context.fleet = run_with_node(body, [f"pause:{seconds}"])
 
 
-@then("the stream is answered by its first runner")
+@then("the first engine completes the stream")
 def step_first_runner(context):
     runs = [run for runner in context.fleet.runners for run in runner.runs]
     assert len(runs) == 1, runs
     assert context.answer.status == 200 and context.answer.is_complete
 
 
-@given("a node that knows of no idle runners")
+@given("a node with no reserve from idle engines")
 def step_no_reserve(context):
     context.level = 1.0
 
 
 @when(
-    "a stream whose runner pauses for {runner:g} seconds is read by a caller that takes "
-    "{caller:g} seconds a part"
+    "a stream whose engine pauses for {engine:g} seconds is read by a caller that takes "
+    "{caller:g} seconds per part"
 )
-def step_slow_reader(context, runner, caller):
+def step_slow_caller(context, engine, caller):
     async def body(node):
         node.context.pauses.queue_limit("lm").level = context.level
         headers = generation_headers("q1", parts="own:200", x_deadline_ms=9000)
@@ -348,4 +363,4 @@
         assert answer.status == 200 and answer.is_complete
         context.limit = node.context.pauses.queue_limit("lm")
 
-    play_with_node(body, [f"pause:{runner}"])
+    run_with_node(body, [f"pause:{engine}"])
--- a/features/steps/gateway_patience_steps.py
+++ b/features/steps/gateway_patience_steps.py
@@ -1,3 +1,5 @@
+"""Steps of `gateway_overload.feature` about silent streams and the retry budget."""
+
 import anyio
 from behave import given, then, when
 
@@ -13,8 +15,8 @@
 from weirscale.gateway.settings import RetryBudgetRules
 
 
-@given("a node with three runners of streams and one repeat to spend")
-def step_one_repeat(context):
+@given("a node with three engines and a retry budget of one retry")
+def step_one_retry(context):
     context.fleet = Fleet()
     context.fleet.budget = RetryBudgetRules(0.0, 1.5, 60.0)
     context.fleet.store.put("op/config", configuration())
@@ -25,11 +27,11 @@
         context.fleet.add_runner(runner)
 
 
-@when("two resumable streams fall silent for {pause:g} seconds at the same moment")
+@when("two resumable streams become silent for {pause:g} seconds at the same time")
 def step_silent(context, pause):
     context.answers = []
 
-    async def one(node, number):
+    async def send_request(node, number):
         headers = generation_headers(f"q{number}", parts=f"a{number}:800,b{number}:200")
         context.answers.append(await ask(node, "/a/x", headers=headers))
 
@@ -40,14 +42,14 @@
             runner.faults = [f"pause:{pause}"]
         async with anyio.create_task_group() as tasks:
             for number in range(2):
-                tasks.start_soon(one, node, number)
+                tasks.start_soon(send_request, node, number)
 
     run_in_virtual_time(lambda: with_fleet(context.fleet, body))
 
 
-@then("both are answered whole, one of them by another runner")
-def step_both_whole(context):
+@then("both streams are complete, one of them resumed at another engine")
+def step_both_complete(context):
     expected = b"".join(b"id: %d\ndata: token-%d\n\n" % (n, n) for n in range(1, NUM_EVENTS + 1))
     for answer in context.answers:
         assert answer.is_complete and answer.body == expected, answer
-    assert sum(len(one.runs) for one in context.runners) == 3
+    assert sum(len(runner.runs) for runner in context.runners) == 3
--- a/features/steps/gateway_queue_limit_steps.py
+++ b/features/steps/gateway_queue_limit_steps.py
@@ -21,29 +21,29 @@
 
 
 def stay_idle(limit, seconds):
-    """Let requests that come every tenth of a second find all engines idle."""
+    """Observe that all engines are idle, every tenth of a second."""
     began_s = limit.idle_updated_at_s
     for number in range(1, 10 * seconds + 1):
         limit.record_idle_share(1.0, began_s + number / 10)
 
 
-@when("all of them stall for {stalled:g} seconds and then are idle for {idle:d} seconds")
+@when("all of these engines stall for {stalled:g} seconds and are then idle for {idle:d} seconds")
 def step_stall(context, stalled, idle):
     context.limit.record_stall(stalled)
     stay_idle(context.limit, idle)
 
 
 @when(
-    "at one of {engines:d} engines with streams {streams:d} pause for {pause:g} s, "
-    "each begun {apart:g} s later"
+    "at one of {engines:d} engines with streams {streams:d} streams pause for {pause:g} s, "
+    "starting {apart:g} s apart"
 )
 def step_pause_together(context, engines, streams, pause, apart):
-    backs = [
+    back_ends = [
         BackEnd(f"r-{number}", "lm", f"10.3.0.{number}:8080", "here", BackEndState.READY, 4)
         for number in range(engines)
     ]
-    for back_end in backs:
+    for back_end in back_ends:
         context.pauses.stream_began(back_end)
     for number in range(streams):
-        context.pauses.stream_began(backs[0])
-        context.pauses.record_stall(backs[0], ROUTE, pause, pause + number * apart)
+        context.pauses.stream_began(back_ends[0])
+        context.pauses.record_stall(back_ends[0], ROUTE, pause, pause + number * apart)
--- a/features/steps/gateway_silent_engines_steps.py
+++ b/features/steps/gateway_silent_engines_steps.py
@@ -26,11 +26,11 @@
 PROMPT_OUT = 9
 TIMEOUT_S = 60.0
 CHECK_INTERVAL_S = 0.01
-GIVEN_UP_S = 10.0
+MAX_WAIT_S = 10.0
 ENGINE = BackEnd("r-1", "lm", "10.3.0.1:8080", "here", BackEndState.READY, 4)
 
 
-@given("2 nodes before {count:d} runners that read {rate:d} tokens a second")
+@given("2 nodes and {count:d} engines that prefill {rate:d} tokens per second")
 def step_runners(context, count, rate):
     context.runners = [
         ReadingRunner(f"r-{number}", f"10.3.0.{number}:8080", "lm", tokens_per_s=rate)
@@ -39,15 +39,15 @@
 
 
 @when(
-    "a stream has begun at each runner and {count:d} prompts of {tokens:d} tokens come at once to "
-    "{where}"
+    "a stream has begun at each engine and {count:d} prompts of {tokens:d} tokens are sent at once "
+    "to {where}"
 )
 def step_prompts(context, count, tokens, where):
     fleet = context.fleet = Fleet()
     context.answers = []
 
     async def call(node, request_id, own, out):
-        # Without a deadline nobody is refused for the queue.
+        # Without a deadline, no request is refused because of the queue.
         headers = request_headers(
             request_id, x_model=MODEL, x_token_usage=f"{own},{out}",
             x_prefix_hash=f"{request_id}:{own}",
@@ -67,8 +67,8 @@
                 callers.start_soon(call, node, f"a{number:x}", 400, STREAM_OUT)
                 await anyio.sleep(0.04)
             for number in range(count):
-                asked = node if where == "the same node" else other
-                callers.start_soon(call, asked, f"b{number:x}", tokens, PROMPT_OUT)
+                target = node if where == "the same node" else other
+                callers.start_soon(call, target, f"b{number:x}", tokens, PROMPT_OUT)
 
     async def main():
         await with_fleet(fleet, body)
@@ -76,22 +76,23 @@
     run_in_virtual_time(main)
 
 
-@then("every request has run once and is answered whole")
+@then("every request has run once and its answer is complete")
 def step_ran_once(context):
     ran = [run.request_id for runner in context.runners for run in runner.runs]
     assert len(ran) == len(set(ran)) == len(context.answers), ran
-    assert all(one.status == 200 and one.is_complete for one in context.answers)
+    assert all(answer.status == 200 and answer.is_complete for answer in context.answers)
 
 
 @given(
-    "an engine that {worked} since the attempt's last event, with {others:d} tokens of others to read"
+    "an engine that {activity} since the attempt's last event, with {others:d} tokens of other requests "
+    "to prefill"
 )
-def step_engine(context, worked, others):
-    context.worked, context.others = worked, others
+def step_engine(context, activity, others):
+    context.activity, context.others = activity, others
 
 
-async def play_silence(worked, others, own, timeout_s):
-    """Return when an attempt is left that an engine leaves without an event from 0 s on."""
+async def time_until_abandoned(activity, others, own, timeout_s):
+    """Return after how many seconds an attempt is abandoned that receives no event from 0 s on."""
     now_s = 0.0
     load = FleetLoad()
     dispatcher = Dispatcher(
@@ -104,41 +105,46 @@
         scope, lambda: True, lambda since_s: dispatcher.is_busy_with_others(choice, own, since_s)
     )
     timeout.start(now_s, timeout_s)
-    while not scope.cancel_called and now_s < GIVEN_UP_S:
+    while not scope.cancel_called and now_s < MAX_WAIT_S:
         now_s += CHECK_INTERVAL_S
-        if worked != "made no event" and (now_s < 0.5 or "until" not in worked):
+        if activity != "emitted no event" and (now_s < 0.5 or "until" not in activity):
             dispatcher.event_received(ENGINE.instance)
-        if worked == "has read for others by 1.1 s" and abs(now_s - 1.1) < CHECK_INTERVAL_S / 2:
+        if (
+            activity == "finished the other prefill at 1.1 s"
+            and abs(now_s - 1.1) < CHECK_INTERVAL_S / 2
+        ):
             load.first_event_received(ENGINE.instance, others)
         timeout.check(now_s)
     return now_s
 
 
-@when("the attempt, with {own:d} tokens of its own unread, may be silent for {timeout_s:g} seconds")
+@when("the attempt, with {own:d} own tokens to prefill, has a timeout of {timeout_s:g} seconds")
 def step_silent(context, own, timeout_s):
     async def main():
-        context.left_s = await play_silence(context.worked, context.others, own, timeout_s)
+        context.abandoned_s = await time_until_abandoned(
+            context.activity, context.others, own, timeout_s
+        )
 
     run_in_virtual_time(main)
 
 
-@then("it is left after {seconds:g} seconds")
-def step_left_after(context, seconds):
-    assert abs(context.left_s - seconds) <= 2 * CHECK_INTERVAL_S, context.left_s
+@then("the attempt is abandoned after {seconds:g} seconds")
+def step_abandoned_after(context, seconds):
+    assert abs(context.abandoned_s - seconds) <= 2 * CHECK_INTERVAL_S, context.abandoned_s
 
 
-@given("a watch of attempts that are checked on ticks")
+@given("a watch that checks attempts on ticks")
 def step_watch(context):
-    context.still_s = 0.0
+    context.suspended_s = 0.0
 
 
 @when(
-    "the node stands still for {still:g} seconds, {apart:g} s before an event of an attempt that may "
-    "be silent for {timeout_s:g} seconds"
+    "the node is suspended for {suspended:g} seconds, {apart:g} s before an event of an attempt with a "
+    "timeout of {timeout_s:g} seconds"
 )
-def step_stand_still(context, still, apart, timeout_s):
+def step_suspend(context, suspended, apart, timeout_s):
     def clock():
-        return anyio.current_time() + context.still_s
+        return anyio.current_time() + context.suspended_s
 
     async def main():
         watch = AttemptTimeoutWatch(clock)
@@ -150,18 +156,18 @@
             timeout.start(clock(), timeout_s)
             watch.watch(timeout)
             await anyio.sleep(0.2)
-            # The ticks' own clock does not see a standstill; the node's does.
-            context.still_s = still
+            # The clock of the ticks leaves the suspension out; the clock of the node includes it.
+            context.suspended_s = suspended
             with anyio.move_on_after(2.0):
                 await anyio.sleep(apart)
                 timeout.start(clock(), timeout_s)
                 await anyio.sleep(0.5)
-            context.ended = scope.cancel_called
+            context.is_abandoned = scope.cancel_called
             tasks.cancel_scope.cancel()
 
     run_in_virtual_time(main)
 
 
-@then('the attempt is "{ended}"')
-def step_ended(context, ended):
-    assert context.ended == (ended == "ended"), context.ended
+@then('the attempt is "{outcome}"')
+def step_outcome(context, outcome):
+    assert context.is_abandoned == (outcome == "abandoned"), context.is_abandoned
