--- a/features/support/relay_history.py
+++ b/features/support/relay_history.py
@@ -1,7 +1,8 @@
-"""Random histories of a store, a reader of it and a node that asks the reader, in steps of a clock.
+"""Random histories of a store, a reader of the store and a node that queries the reader.
 
-Messages are lost, delayed, repeated and reordered; the reader's watch is late; its log is cut. After
-each step, whatever the node holds must have been the store's value at the time of its proof or later.
+The clock advances in steps. Messages are lost, delayed, repeated and reordered, the reader's watch is
+late, and its change log is truncated. After each step, each value at the node must have been the
+store's value at the time of the node's proof or later.
 """
 
 from random import Random
@@ -20,24 +21,24 @@
 NUM_STEPS = 120
 ADDRESS = ListenAddress("10.0.0.1", 1)
 READERS = ("r-1", "r-2", "r-3")
-ASKER = next(
+NODE_NAME = next(
     name
     for name in map(str, range(100))
-    if name not in choose_readers([Member(one, "") for one in (*READERS, name)])
+    if name not in choose_readers([Member(member, "") for member in (*READERS, name)])
 )
 
 
-def finish(coroutine):
-    """Run a coroutine that never waits."""
+def run_without_waiting(coroutine):
+    """Run a coroutine to its end; raise AssertionError if it waits."""
     try:
         coroutine.send(None)
     except StopIteration:
         return
-    raise AssertionError("it waits")
+    raise AssertionError("the coroutine waits")
 
 
 class RelayHistory:
-    """One history; `run` returns the violations."""
+    """One random history; `run` returns the first violation."""
 
     def __init__(self, seed):
         self.random = Random(seed)
@@ -45,18 +46,24 @@
         self.revision = 10
         self.values = {key: [(0.0, None)] for key in KEYS}
         self.revisions = dict.fromkeys(KEYS, 0)
-        self.flying = []
+        self.in_flight = []
         self.num_proofs = 0
         self.reader = ClusterState(EventRecorder(), self.clock)
-        self.asker = ClusterState(EventRecorder(), self.clock)
-        for cluster in (self.reader, self.asker):
+        self.node = ClusterState(EventRecorder(), self.clock)
+        for cluster in (self.reader, self.node):
             self.read_all(cluster)
-        self.publisher = ChangePublisher("r-1", self.reader, self.fly_to_asker, self.clock)
-        peers = PeerDirectory(ASKER, self.asker, self.clock)
+        self.publisher = ChangePublisher("r-1", self.reader, self.send_to_node, self.clock)
+        peers = PeerDirectory(NODE_NAME, self.node, self.clock)
         peers.addresses = lambda: dict.fromkeys(READERS, ADDRESS)
-        peers.members = lambda: [Member(name, "") for name in (ASKER, *READERS)]
+        peers.members = lambda: [Member(name, "") for name in (NODE_NAME, *READERS)]
         self.subscription = StateSubscription(
-            ASKER, self.asker, peers, self.fly_to_reader, EventRecorder(), self.random, self.clock
+            NODE_NAME,
+            self.node,
+            peers,
+            self.send_to_reader,
+            EventRecorder(),
+            self.random,
+            self.clock,
         )
 
     def clock(self):
@@ -78,7 +85,7 @@
         cluster.replace_all(StateBatch(self.revision, present), self.now_s)
 
     def watch(self, cluster, proves):
-        """The reader hears of all changes; only sometimes has it asked for the revision too."""
+        """Apply all changes at the reader; with `proves`, they also prove its state as of now."""
         changes = sorted(
             (
                 VersionedChange(key, self.revisions[key], RecordChanged(key, history[-1][1]))
@@ -87,28 +94,30 @@
             ),
             key=lambda change: change.revision,
         )
-        asked_s = self.now_s if proves else float("-inf")
-        cluster.apply(StateBatch(self.revision, tuple(changes)), asked_s)
+        proved_at_s = self.now_s if proves else float("-inf")
+        cluster.apply(StateBatch(self.revision, tuple(changes)), proved_at_s)
 
-    async def fly_to_asker(self, message, _address):
-        self.fly(message, self.subscription.receive)
+    async def send_to_node(self, message, _address):
+        self.enqueue(message, self.subscription.receive)
 
-    async def fly_to_reader(self, message, _address):
-        self.fly(message, lambda query: finish(self.publisher.answer(query, ADDRESS)))
+    async def send_to_reader(self, message, _address):
+        self.enqueue(
+            message, lambda query: run_without_waiting(self.publisher.answer(query, ADDRESS))
+        )
 
-    def fly(self, message, deliver):
+    def enqueue(self, message, deliver):
         for _ in range(self.random.choice((0, 1, 1, 1, 2))):
             delay_s = self.random.choice((0.001, 0.01, 0.3, 3.0))
-            self.flying.append((self.now_s + delay_s, message, deliver))
+            self.in_flight.append((self.now_s + delay_s, message, deliver))
 
     def deliver(self):
-        due = [one for one in self.flying if one[0] <= self.now_s]
-        self.flying = [one for one in self.flying if one[0] > self.now_s]
+        due = [entry for entry in self.in_flight if entry[0] <= self.now_s]
+        self.in_flight = [entry for entry in self.in_flight if entry[0] > self.now_s]
         self.random.shuffle(due)
         for _, message, deliver in due:
-            before_s = self.asker.confirmed_at_s
+            previous_s = self.node.confirmed_at_s
             deliver(message)
-            self.num_proofs += self.asker.confirmed_at_s > before_s
+            self.num_proofs += self.node.confirmed_at_s > previous_s
 
     def step(self):
         self.now_s += self.random.choice((0.0, 0.001, 0.05, 0.4))
@@ -118,32 +127,34 @@
             self.change_store()
         elif action == 2:
             self.watch(self.reader, self.random.random() < 0.5)
-            finish(self.publisher.publish())
+            run_without_waiting(self.publisher.publish())
         elif action == 3 and self.random.random() < 0.2:
             self.read_all(self.reader)
         elif action <= 6:
-            finish(self.subscription._send_query())
+            run_without_waiting(self.subscription._send_query())
         elif self.subscription.is_full_read_due() and self.random.random() < 0.5:
-            self.read_all(self.asker)
+            self.read_all(self.node)
             self.subscription.record_full_read()
 
     def stale_keys(self):
-        """Return the keys whose value at the node ended before the node's proof."""
-        return [key for key in KEYS if not self._was_later(key, self.asker.records.get(key))]
+        """Return the keys whose value at the node was replaced before the node's proof."""
+        return [
+            key for key in KEYS if not self._was_current_at_proof(key, self.node.records.get(key))
+        ]
 
-    def _was_later(self, key, value):
+    def _was_current_at_proof(self, key, value):
         history = self.values[key]
-        ends = [begun_s for begun_s, _ in history[1:]] + [float("inf")]
+        ends = [start_s for start_s, _ in history[1:]] + [float("inf")]
         return any(
-            one == value and end_s >= self.asker.confirmed_at_s
-            for (_, one), end_s in zip(history, ends, strict=True)
+            past_value == value and end_s >= self.node.confirmed_at_s
+            for (_, past_value), end_s in zip(history, ends, strict=True)
         )
 
     def run(self):
-        """Return a violation, or None."""
+        """Return the step, the stale keys and the time of the proof of the first violation, or None."""
         for number in range(NUM_STEPS):
             self.step()
             stale = self.stale_keys()
             if stale:
-                return number, stale, self.asker.confirmed_at_s
+                return number, stale, self.node.confirmed_at_s
         return None
