--- a/features/gateway_runner_shares.feature
+++ b/features/gateway_runner_shares.feature
@@ -1,32 +1,34 @@
-Feature: Groups of nodes prefer model runners of their own
+Feature: Groups of nodes prefer the engines that are assigned to them
+  Guards against nodes of several groups that send long prompts to the same engine at once, because
+  gossip between groups is late.
 
-  Scenario Outline: <nodes> nodes in <zones> zones share <runners> runners out
+  Scenario Outline: <engines> engines are assigned to the groups of <nodes> nodes in <zones> zones
     Given <nodes> nodes in <zones> zones
-    When <runners> runners are shared out among their groups
-    Then every group of a zone has as many runners as the others there, or one less
-    And every order of the runners gives the same shares
-    And when one runner is gone, at most <moved> of the others change hands
+    When <engines> engines are assigned to their groups
+    Then the numbers of engines of the groups in a zone differ by at most one
+    And shuffled engines get the same assignment
+    And when one engine is removed, at most <moved> of the others move to another group
 
-    Examples: within one group nobody is preferred
-      | nodes | zones | runners | moved |
+    Examples: with a single group no engine is assigned
+      | nodes | zones | engines | moved |
       | 12    | 3     | 9       | 0     |
       | 79    | 3     | 45      | 8     |
       | 195   | 5     | 59      | 12    |
       | 400   | 18    | 1700    | 200   |
 
-  Scenario Outline: A node <does> when a runner of its own group has <waiting> tokens waiting
-    Given 79 nodes in 3 zones of which one chooses between a runner of its group and a foreign one
-    When its group's runner has <waiting> tokens waiting
-    Then the node <does>
+  Scenario Outline: A node chooses <chosen> when its group's engine has <waiting> tokens waiting
+    Given 79 nodes in 3 zones of which one chooses between an engine of its group and one of another group
+    When its group's engine has <waiting> tokens waiting
+    Then the node chooses <chosen>
 
     Examples:
-      | waiting | does                   |
-      | 0       | chooses its group's    |
-      | 1500    | chooses its group's    |
-      | 20000   | chooses the foreign one |
+      | waiting | chosen                   |
+      | 0       | its group's engine       |
+      | 1500    | its group's engine       |
+      | 20000   | the other group's engine |
 
-  Scenario: What other groups prefer follows the runners and the groups
-    Given a node of 79 in 3 zones and 45 runners that it knows
-    Then the runners that it takes for foreign are those of other groups
-    When a runner is gone and another one comes
-    Then the runners that it takes for foreign are those of other groups
+  Scenario: The engines of other groups are updated when the engines change
+    Given one of 79 nodes in 3 zones, and 45 registered engines
+    Then the node regards the engines of other groups as such
+    When an engine is removed and another one is added
+    Then the node regards the engines of other groups as such
--- a/features/steps/gateway_overload_steps.py
+++ b/features/steps/gateway_overload_steps.py
@@ -17,7 +17,7 @@
     with_fleet,
 )
 from features.support.platform_runner import RunnerStandIn
-from features.support.reading_runner import FetchingRunner, ReadingRunner
+from features.support.reading_runner import FetchingRunner, PrefillRunner
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.gateway.model.back_ends import BackEnd, BackEndState
 from weirscale.gateway.model.configuration import RequestKind, Route
@@ -52,7 +52,7 @@
         make_runner: Creates an engine.
     """
 
-    def __init__(self, factor, seed, make_runner=ReadingRunner):
+    def __init__(self, factor, seed, make_runner=PrefillRunner):
         self.random = Random(seed)
         self.make_runner = make_runner
         self.per_s = factor * NUM_RUNNERS * TOKENS_PER_S / MEAN_OWN
@@ -158,7 +158,7 @@
     The engine fetches for one in `fetch_each` requests with a source; with 0 for none.
     """
     if not fetch_each:
-        return ReadingRunner
+        return PrefillRunner
     others = {}
 
     def make(instance, address, service):
--- a/features/steps/gateway_places_steps.py
+++ b/features/steps/gateway_places_steps.py
@@ -1,3 +1,5 @@
+"""Steps of `gateway_places.feature`."""
+
 from random import Random
 from types import SimpleNamespace
 
@@ -40,50 +42,50 @@
 
 def candidate_in(region, load=None):
     zone = "z1" if region == "one" else "z2"
-    end = BackEnd(f"r-{region}", "lm", f"10.0.0.{zone[1]}:80", zone, BackEndState.READY, 12)
+    engine = BackEnd(f"r-{region}", "lm", f"10.0.0.{zone[1]}:80", zone, BackEndState.READY, 12)
     return Candidate(
-        end, load or Load(), False, CachedBlocks(CAPACITY), CAPACITY, 1,
+        engine, load or Load(), False, CachedBlocks(CAPACITY), CAPACITY, 1,
         region=region, is_cross_region=region != "one",
     )  # fmt: skip
 
 
-@given("a node in region one, and idle runners in regions one and two")
-def step_two(context):
+@given("a node in region one, and idle engines in regions one and two")
+def step_two_regions(context):
     context.near, context.far = candidate_in("one"), candidate_in("two")
-    context.need = ScopedPrompt(PROMPT, {1: SCOPE})
+    context.prompt = ScopedPrompt(PROMPT, {1: SCOPE})
 
 
-def chosen(context, sources=()):
+def choose_engine(context, sources=()):
     candidates = [context.near, context.far]
-    return choose(candidates, context.need, sources, "z1", ChoiceRules(), Random(1))
+    return choose(candidates, context.prompt, sources, "z1", ChoiceRules(), Random(1))
 
 
-@when("the near runner has {requests:d} requests and {tokens:d} tokens waiting")
+@when("the near engine has {requests:d} requests and {tokens:d} tokens waiting")
 def step_busy(context, requests, tokens):
     context.near = candidate_in("one", Load(requests, tokens, tokens))
 
 
-@then('the runner in "{region}" is chosen')
+@then('the engine in region "{region}" is chosen')
 def step_chosen(context, region):
-    assert chosen(context).candidate.region == region
+    assert choose_engine(context).candidate.region == region
 
 
-@when('a runner in region "{region}" keeps a prompt\'s parts and the near runner keeps none')
-def step_keeps(context, region):
+@when('an engine in region "{region}" caches a prompt\'s blocks and the near engine caches none')
+def step_caches(context, region):
     cache = CachedBlocks(CAPACITY)
     cache.record(SCOPE, BLOCKS[:-1], is_ready=True)
     zone = "z1" if region == "one" else "z2"
     context.sources = [FetchSource("10.0.0.9:80", zone, cache, 1, "r-other", region)]
 
 
-@then("the near runner would get them {fetched}")
-def step_fetched(context, fetched):
+@then("the near engine would get them {how}")
+def step_how(context, how):
     rules = ChoiceRules()
-    choice = choose([context.near], context.need, context.sources, "z1", rules, Random(1))
-    assert (choice.fetched_tokens > 0) == (fetched == "from there"), choice
+    choice = choose([context.near], context.prompt, context.sources, "z1", rules, Random(1))
+    assert (choice.fetched_tokens > 0) == (how == "by a fetch"), choice
 
 
-@when("kept stores stand in region two and region one, in this order")
+@when("kept-KV stores are configured in region two and region one, in this order")
 def step_stores(context):
     stores = [
         Service("k2", kept_kv=KeptKvStore("10.9.0.2:80", "z2", 1_000_000)),
@@ -92,11 +94,11 @@
     engine = Service("lm", engine=EngineProfile(12, CAPACITY, ("m",)))
     log = EventRecorder()
     cluster = ClusterState(log, lambda: 100.0)
-    named = ConfigurationChanged(GatewayConfiguration(1, services=(engine, *stores)))
-    changes = [VersionedChange("c", 1, named)]
-    for one in (context.near, context.far):
-        instance = one.back_end.instance
-        changes.append(VersionedChange(instance, 2, BackEndRegistered(one.back_end)))
+    configuration_change = ConfigurationChanged(GatewayConfiguration(1, services=(engine, *stores)))
+    changes = [VersionedChange("c", 1, configuration_change)]
+    for candidate in (context.near, context.far):
+        instance = candidate.back_end.instance
+        changes.append(VersionedChange(instance, 2, BackEndRegistered(candidate.back_end)))
     cluster.replace_all(StateBatch(2, tuple(changes)), 100.0)
     context.dispatcher = Dispatcher(
         Location("z1", REGIONS), cluster, FleetLoad(), BackEndHealth(log, Random(1)), 8.0,
@@ -104,17 +106,20 @@
     )  # fmt: skip
 
 
-@then('runners of region "{one}" use the store in "{own}", and those of "{two}" that in "{other}"')
-def step_own_stores(context, one, own, two, other):
-    for candidate, region in ((context.near, own), (context.far, other)):
+@then(
+    'engines in region "{near}" use the store in "{near_store}", and those in "{far}" the store in '
+    '"{far_store}"'
+)
+def step_own_stores(context, near, near_store, far, far_store):
+    for candidate, region in ((context.near, near_store), (context.far, far_store)):
         address = f"10.9.0.{1 if region == 'one' else 2}:80"
         choice = SimpleNamespace(candidate=candidate, scope=SCOPE)
         assert context.dispatcher.save_address(choice, PROMPT) == address
         context.dispatcher.record_blocks(candidate.back_end.instance, SCOPE, BLOCKS, True)
         assert context.dispatcher.save_address(choice, PROMPT) is None
         sources = context.dispatcher._store_sources(100.0)
-        found = choose([candidate], context.need, sources, "z1", ChoiceRules(), Random(1))
-        assert found.fetch_from == address and found.fetched_tokens > 0
+        fetching = choose([candidate], context.prompt, sources, "z1", ChoiceRules(), Random(1))
+        assert fetching.fetch_from == address and fetching.fetched_tokens > 0
 
 
 @given("{regions:d} regions of {nodes:d} nodes each")
@@ -126,20 +131,20 @@
     ]
     names = {1: "one", 2: "two"}
     context.topology = Topology(
-        {f"z{one}": names.get(one, f"r{one}") for one in range(1, regions + 1)}
+        {f"z{number}": names.get(number, f"r{number}") for number in range(1, regions + 1)}
     )
 
 
-@then("{count:d} nodes read the store, and every region has one")
+@then("{count:d} nodes read the store, at least one of them in every region")
 def step_readers(context, count):
     readers = choose_readers(context.members, context.topology)
     assert len(readers) == count, readers
     zones = {member.name: member.zone for member in context.members}
-    assert {zones[one] for one in readers} == set(zones.values())
+    assert {zones[reader] for reader in readers} == set(zones.values())
 
 
-@then("a node of region two asks the reader of region two")
-def step_asks_near(context):
+@then("a node in region two queries the reader of region two")
+def step_queries_own_region(context):
     name = "n2-3"
     readers = choose_readers(context.members, context.topology)
     if name in readers:
@@ -153,8 +158,8 @@
     assert context.reader.startswith("n2-") and context.reader in readers
 
 
-@then("while that one is avoided it asks the reader of region one")
-def step_asks_far(context):
+@then("while that reader is avoided the node queries the reader of region one")
+def step_queries_other_region(context):
     context.subscription._reader = None
     context.subscription._avoided_until_s[context.reader] = 200.0
     assert context.subscription._choose_reader().startswith("n1-")
@@ -165,7 +170,7 @@
     context.topology = ONE_REGION
 
 
-@then("no zone is far from another")
-def step_none_far(context):
+@then("no two zones count as different regions")
+def step_no_different_regions(context):
     assert not context.topology.is_cross_region("z1", "z2")
     assert not REGIONS.is_cross_region("z1", "unknown")
--- a/features/steps/gateway_silent_engines_steps.py
+++ b/features/steps/gateway_silent_engines_steps.py
@@ -13,7 +13,7 @@
     request_headers,
     with_fleet,
 )
-from features.support.reading_runner import ReadingRunner
+from features.support.reading_runner import PrefillRunner
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.gateway.model.back_ends import BackEnd, BackEndState
 from weirscale.gateway.model.topology import Location
@@ -33,7 +33,7 @@
 @given("2 nodes and {count:d} engines that prefill {rate:d} tokens per second")
 def step_runners(context, count, rate):
     context.runners = [
-        ReadingRunner(f"r-{number}", f"10.3.0.{number}:8080", "lm", tokens_per_s=rate)
+        PrefillRunner(f"r-{number}", f"10.3.0.{number}:8080", "lm", tokens_per_s=rate)
         for number in range(1, count + 1)
     ]
 
--- a/features/support/attempt_records.py
+++ b/features/support/attempt_records.py
@@ -1,18 +1,18 @@
-"""Records of attempts for tests that only look at a part of them."""
+"""Attempt records for tests that check only the load and the gossip."""
 
 from weirscale.gateway.requests.attempt_records import AttemptRecords
 
 
 def attempt_records(load, send_gossip_now):
-    """Return records of attempts of which only load and gossip matter."""
-    parts = dict.fromkeys(("dispatcher", "outbox", "pauses", "verdicts"))
+    """Return attempt records without the parts that are not needed for load and gossip."""
+    unused = dict.fromkeys(("dispatcher", "outbox", "pauses", "verdicts"))
     return AttemptRecords(
-        load=load, budget=NoBudget(), send_gossip_now=send_gossip_now, clock=lambda: 0.0, **parts
+        load=load, budget=NoBudget(), send_gossip_now=send_gossip_now, clock=lambda: 0.0, **unused
     )
 
 
 class NoBudget:
-    """A retry budget that nobody spends."""
+    """A retry budget that ignores requests."""
 
     def record_request(self, _service, _now_s):
-        """Take no notice."""
+        """Do nothing."""
--- a/features/support/reading_runner.py
+++ b/features/support/reading_runner.py
@@ -1,8 +1,8 @@
-"""Stand-in of a model runner that reads prompts in pieces between the tokens of its streams.
+"""Stand-in of an engine with chunked prefill: it prefills prompts between the tokens of its streams.
 
-Each step reads at most `CHUNK_TOKENS` of the prompts that wait, the more urgent first, and makes one
-token of every stream. So a runner that reads without end makes its streams pause. Shared parts that
-it has read before are not read again.
+Each step prefills at most `CHUNK_TOKENS` of the waiting prompts, the most urgent first, and generates
+one token for every stream. Streams therefore pause while the engine prefills without interruption.
+Shared blocks of a prompt that were prefilled before are cached and not prefilled again.
 """
 
 from dataclasses import dataclass, field
@@ -15,37 +15,37 @@
 CHUNK_TOKENS = 4096
 STEP_S = 0.004
 EVENT_TOKENS = 6
-"""Tokens of one event, but for the first, which is made with the first token."""
+"""Tokens per event, except for the first event, which is emitted with the first token."""
 
 
 @dataclass(eq=False)
 class Job:
-    """One run: a prompt to read, then tokens to make."""
+    """One run: a prompt to prefill, then tokens to generate."""
 
     request_id: str
     priority: int
-    left_to_read: int
-    left_to_make: int
+    prefill_left: int
+    num_tokens_left: int
     arrival: int
-    parts: tuple
-    num_made: int = 0
+    block_keys: tuple
+    num_generated: int = 0
     num_events: int = 0
     is_done: bool = False
     changed: anyio.Event = field(default_factory=anyio.Event)
 
 
 @dataclass
-class ReadingRunner(RunnerStandIn):
-    """A runner with a batch; `work` must be running."""
+class PrefillRunner(RunnerStandIn):
+    """An engine that serves all its requests in one batch; `work` must be running."""
 
     tokens_per_s: float = 10_000.0
     jobs: list = field(default_factory=list)
-    kept: set = field(default_factory=set)
+    cached_keys: set = field(default_factory=set)
     num_arrived: int = 0
     woken: anyio.Event = field(default_factory=anyio.Event)
 
     async def work(self):
-        """Step until cancelled."""
+        """Run steps until cancelled."""
         while True:
             if not self.jobs:
                 self.woken = anyio.Event()
@@ -54,41 +54,45 @@
 
     async def _step(self):
         budget = CHUNK_TOKENS
-        readers = sorted(
-            (job for job in self.jobs if job.left_to_read > 0),
+        prefilling = sorted(
+            (job for job in self.jobs if job.prefill_left > 0),
             key=lambda job: (job.priority, job.arrival),
         )
-        for job in readers:
-            num_read = min(budget, job.left_to_read)
-            job.left_to_read -= num_read
-            budget -= num_read
+        for job in prefilling:
+            num_prefilled = min(budget, job.prefill_left)
+            job.prefill_left -= num_prefilled
+            budget -= num_prefilled
         await anyio.sleep(STEP_S + (CHUNK_TOKENS - budget) / self.tokens_per_s)
-        for job in [job for job in self.jobs if job.left_to_read == 0]:
-            self._make_token(job)
-
-    def _make_token(self, job):
-        job.num_made += 1
-        job.left_to_make -= 1
-        self.kept.update(job.parts)
-        if job.num_made == 1 or job.num_made % EVENT_TOKENS == 0 or job.left_to_make == 0:
+        for job in [job for job in self.jobs if job.prefill_left == 0]:
+            self._generate_token(job)
+
+    def _generate_token(self, job):
+        job.num_generated += 1
+        job.num_tokens_left -= 1
+        self.cached_keys.update(job.block_keys)
+        if (
+            job.num_generated == 1
+            or job.num_generated % EVENT_TOKENS == 0
+            or job.num_tokens_left == 0
+        ):
             job.num_events += 1
-            job.is_done = job.left_to_make == 0
+            job.is_done = job.num_tokens_left == 0
             changed, job.changed = job.changed, anyio.Event()
             changed.set()
-        if job.left_to_make == 0:
+        if job.num_tokens_left == 0:
             self.jobs.remove(job)
 
     async def _run(self, request, request_id, fault):
         answer = await super()._run(request, request_id, fault)
         salt = request.headers.get("x-cache-salt")
-        parts = [one.split(":") for one in request.headers["x-prefix-hash"].split(",")]
-        shared = [((salt, name), int(tokens)) for name, tokens in parts[:-1]]
-        to_read = int(parts[-1][1]) + sum(n for key, n in shared if key not in self.kept)
+        blocks = [block.split(":") for block in request.headers["x-prefix-hash"].split(",")]
+        shared = [((salt, name), int(tokens)) for name, tokens in blocks[:-1]]
+        to_prefill = int(blocks[-1][1]) + sum(n for key, n in shared if key not in self.cached_keys)
         self.num_arrived += 1
         job = Job(
             request_id,
             int(request.headers.get("x-request-priority", 5)),
-            to_read,
+            to_prefill,
             int(request.headers["x-token-usage"].split(",")[1]),
             self.num_arrived,
             tuple(key for key, _ in shared),
@@ -100,43 +104,45 @@
 
 
 @dataclass
-class FetchingRunner(ReadingRunner):
-    """A reading runner that fetches shared parts from the source that a request names.
+class FetchingRunner(PrefillRunner):
+    """An engine that also fetches shared blocks from the source that a request names.
 
-    By the published protocol it takes what that source keeps, and reads the rest. A fetch takes
-    no time here; of `fetch_each` requests only the last one fetches.
+    By the published protocol, it fetches the blocks that the source caches and prefills the rest. A
+    fetch takes no time here. Only the last of every `fetch_each` requests with a source fetches.
     """
 
     others: dict = field(default_factory=dict)
-    """Runners by address, from which it may fetch."""
+    """Engines that this one may fetch from, by address."""
     fetch_each: int = 1
-    num_named: int = 0
+    num_with_source: int = 0
 
     async def _run(self, request, request_id, fault):
         source = self.others.get(request.headers.get("x-kv-source"))
         if source is not None:
-            self.num_named += 1
-            if self.num_named % self.fetch_each == 0:
+            self.num_with_source += 1
+            if self.num_with_source % self.fetch_each == 0:
                 salt = request.headers.get("x-cache-salt")
-                parts = [one.split(":") for one in request.headers["x-prefix-hash"].split(",")]
-                self.kept.update({(salt, name) for name, _ in parts[:-1]} & source.kept)
+                blocks = [block.split(":") for block in request.headers["x-prefix-hash"].split(",")]
+                self.cached_keys.update(
+                    {(salt, name) for name, _ in blocks[:-1]} & source.cached_keys
+                )
         return await super()._run(request, request_id, fault)
 
 
 class JobEvents(httpx.AsyncByteStream):
-    """The events of a job as they are made."""
+    """Streams the events of a job as they are generated."""
 
     def __init__(self, runner, job):
         self._runner = runner
         self._job = job
 
     async def __aiter__(self):
-        told = 0
+        num_sent = 0
         try:
             while True:
-                while told < self._job.num_events:
-                    told += 1
-                    yield f"id: {told}\ndata: token-{told}\n\n".encode()
+                while num_sent < self._job.num_events:
+                    num_sent += 1
+                    yield f"id: {num_sent}\ndata: token-{num_sent}\n\n".encode()
                 if self._job.is_done:
                     return
                 await self._job.changed.wait()
