--- a/features/support/permit_fleet.py
+++ b/features/support/permit_fleet.py
@@ -1,7 +1,7 @@
-"""Nodes that keep a back end's request limit, told one another without the network.
+"""Nodes that enforce a back end's request limit, simulated without a network.
 
-Messages arrive at the next tick, as datagrams do; nothing else of a node is there. What callers ask
-for is drawn at random, and sent as soon as the node may send it.
+Messages arrive at the next tick, as datagrams do. The nodes have no other parts. Callers' requests
+are drawn at random, and each is sent at once if its node may send it, or else dropped.
 """
 
 import bisect
@@ -21,14 +21,14 @@
 
 
 class NoLog:
-    """A log that keeps nothing."""
+    """An event log that drops all events."""
 
     def event(self, name, **fields):
-        """Take an event."""
+        """Drop an event."""
 
 
 class PermitNode:
-    """A node's part in keeping limits."""
+    """The parts of a node that enforce request limits."""
 
     def __init__(self, name, names, limit_per_s, seed, clock):
         self.name = name
@@ -49,7 +49,7 @@
 
 
 class PermitFleet:
-    """Plays the nodes and keeps when each request was sent."""
+    """Runs the nodes and records when each request was sent."""
 
     def __init__(self, num_nodes, limit_per_s, seed=1):
         self.limit_per_s = limit_per_s
@@ -65,30 +65,30 @@
         }
         self._arriving = []
 
-    def play(self, for_s, asked_per_s, at_one_node=False, uses_permits=True):
-        """Let callers ask for some time."""
+    def run(self, for_s, asked_per_s, at_one_node=False, uses_permits=True):
+        """Run the nodes while callers send requests at a mean rate."""
         names = list(self._nodes)
         for _ in range(int(for_s / TICK_S)):
             self._now_s += TICK_S
             self._deliver()
-            for _ in range(self._num_asked(asked_per_s)):
+            for _ in range(self._draw_num_requests(asked_per_s)):
                 name = names[0] if at_one_node else self._random.choice(names)
-                self._ask(self._nodes[name], uses_permits)
+                self._try_request(self._nodes[name], uses_permits)
             for node in self._nodes.values():
-                for due in node.permits.due_queries():
-                    self._send(due.issuer, due.query)
+                for addressed_query in node.permits.due_queries():
+                    self._send(addressed_query.issuer, addressed_query.query)
 
-    def _num_asked(self, asked_per_s):
+    def _draw_num_requests(self, asked_per_s):
         expected = asked_per_s * TICK_S
         return int(expected) + (self._random.random() < expected % 1.0)
 
     def send_all(self):
-        """Have each node send as many requests as it may, in one moment."""
+        """Let each node send as many requests as it may at the current time."""
         for node in self._nodes.values():
             while node.permits.admits(RUN):
-                self._ask(node)
+                self._try_request(node)
 
-    def _ask(self, node, uses_permits=True):
+    def _try_request(self, node, uses_permits=True):
         if node.permits.admits(RUN) and uses_permits:
             node.permits.take(RUN)
             self.sent_s.append(self._now_s)
@@ -107,7 +107,7 @@
                 node.permits.receive(message)
 
     def most_in_window(self):
-        """Return the most requests that were sent in any window."""
+        """Return the maximum number of requests sent in any window."""
         ends = [
             bisect.bisect_left(self.sent_s, at_s + WINDOW_S - ROUNDING_S) for at_s in self.sent_s
         ]
--- a/features/support/speaking_back_ends.py
+++ b/features/support/speaking_back_ends.py
@@ -1,4 +1,4 @@
-"""Plays nodes before back ends that say of themselves that they leave, want a rest, or are limited."""
+"""Simulates nodes whose back ends state that they are leaving, ask for a rest, or state a limit."""
 
 import itertools
 
@@ -16,11 +16,11 @@
 from features.support.played_once import PlayedOnce
 
 SETTLE_S = 2.0
-"""Until the nodes know one another and the back ends."""
+"""Seconds until the nodes have found one another and the back ends."""
 
 
-class SpeakingBackEnds(PlayedOnce):
-    """Gathers what is to happen, plays it once, and tells who got what when."""
+class StatementSimulation(PlayedOnce):
+    """Collects actions, runs them once, and records requests and statements with their times."""
 
     def __init__(self, num_nodes, num_back_ends, num_zones=1):
         self.num_nodes = num_nodes
@@ -34,17 +34,17 @@
         self.background = []
         self.actions = []
         self.answers = []
-        self.told_s = {}
-        """When a node was first answered that a back end leaves, by their names."""
-        self.said_s = {}
-        """When a back end last said in any answer that it leaves, by its name."""
-        self.rests_s = {}
-        """By node and back end: when each rest was asked for, and for how long."""
-        self.limits = []
-        """What was stated of limits, in order: each `(at_s, node or None, back end, as written)`."""
+        self.first_leaving_s = {}
+        """By node and back end: time of the first answer which states that it is leaving."""
+        self.last_leaving_s = {}
+        """By back end: time of the last answer which states that it is leaving."""
+        self.rest_requests_s = {}
+        """By node and back end: times of the answers that ask for a rest."""
+        self.limit_statements = []
+        """Statements of limits, in order: each `(at_s, node or None, back end, as written)`."""
         self.arrived_s = {}
-        """By node and back end: when requests arrived."""
-        self.num_asked = itertools.count(1)
+        """By node and back end: times at which requests arrived."""
+        self.request_numbers = itertools.count(1)
 
     def _add(self, instance, address, service, model):
         self.back_ends[instance] = RunnerStandIn(instance, address, service, model=model)
@@ -53,23 +53,28 @@
         return [f"node-{number}" for number in range(1, self.num_nodes + 1)]
 
     def logged(self, name):
-        """Return the events of a name in the nodes' logs, by node."""
+        """Return the events with this name in the logs of the nodes, by node."""
         return {node: log.named(name) for node, log in self.fleet.logs.items()}
 
     def arrivals_s(self, name):
-        """Return when requests arrived at a back end."""
-        found = [at_s for (_, to), all_s in self.arrived_s.items() if to == name for at_s in all_s]
-        return sorted(found)
+        """Return the times at which requests arrived at a back end, in order."""
+        arrived_s = [
+            at_s
+            for (_, back_end), times_s in self.arrived_s.items()
+            if back_end == name
+            for at_s in times_s
+        ]
+        return sorted(arrived_s)
 
     def all_nodes(self):
         return list(self.fleet.nodes.values())
 
-    async def until_said(self, name, node=None, path=None):
-        """Ask until a back end says that it leaves; from then on it does not say so any more."""
+    async def send_until_leaving(self, name, node=None, path=None):
+        """Send requests until a back end has stated once that it is leaving, and not again."""
         back_end = self.back_ends[name]
         back_end.is_leaving = True
-        while name not in self.said_s:
-            self.fleet.tasks.start_soon(self.ask_node, node or self.node_names()[0], path)
+        while name not in self.last_leaving_s:
+            self.fleet.tasks.start_soon(self.send_request, node or self.node_names()[0], path)
             await anyio.sleep(0.1)
         back_end.is_leaving = False
 
@@ -77,7 +82,7 @@
         self.fleet.store.put("op/config", configuration())
         for back_end in self.back_ends.values():
             self.fleet.add_runner(back_end)
-            self.watch(back_end)
+            self.record_traffic(back_end)
         for number, name in enumerate(self.node_names()):
             zone = f"hall-{number % self.num_zones}"
             await self.fleet.start_node(name, is_first_start=False, zone=zone)
@@ -87,28 +92,28 @@
         for action in self.actions:
             await action()
 
-    def watch(self, back_end):
-        """Note what arrives at a back end and what its answers say."""
-        self.fleet.targets[back_end.address] = Watched(self, back_end)
+    def record_traffic(self, back_end):
+        """Record the requests that arrive at a back end and the statements in its answers."""
+        self.fleet.targets[back_end.address] = RecordedBackEnd(self, back_end)
 
-    async def ask_nodes(self, interval_s, for_s):
-        """Ask each node in turn, over and over."""
+    async def send_to_all_nodes(self, interval_s, for_s):
+        """Send each node a request at each interval, for some time."""
         until_s = anyio.current_time() + for_s
         while anyio.current_time() < until_s:
             for name in list(self.fleet.nodes):
                 if name in self.fleet.nodes:
-                    self.fleet.tasks.start_soon(self.ask_node, name)
+                    self.fleet.tasks.start_soon(self.send_request, name)
             await anyio.sleep(interval_s)
         await anyio.sleep(SETTLE_S)
 
-    async def ask_node(self, name, path=None, **more):
-        number = next(self.num_asked)
+    async def send_request(self, name, path=None, **more):
+        number = next(self.request_numbers)
         path = path or self.path
         request_id = f"q{name}-{number}"
         if path.startswith(("/o/", "/s/")):
             headers = request_headers(request_id)
         else:
-            # Prompts that share nothing draw requests to no back end more than to another.
+            # Prompts without common blocks, so cached blocks make no back end preferable.
             headers = generation_headers(request_id, parts=f"a{number}:800,b{number}:200")
         answer = await ask(self.fleet.nodes[name], path, headers=headers, **more)
         answer.at_s = anyio.current_time() - answer.took_s
@@ -116,11 +121,11 @@
         return answer
 
 
-class Watched:
-    """A back end whose arrivals and answers are noted by node."""
+class RecordedBackEnd:
+    """A back end whose requests and statements are recorded by node."""
 
-    def __init__(self, play, back_end):
-        self._play = play
+    def __init__(self, simulation, back_end):
+        self._simulation = simulation
         self._back_end = back_end
 
     async def handle(self, request):
@@ -129,16 +134,16 @@
         node = None if request_id is None else request_id[1:].rpartition("-")[0]
         key = (node, name)
         if node is not None:
-            self._play.arrived_s.setdefault(key, []).append(anyio.current_time())
+            self._simulation.arrived_s.setdefault(key, []).append(anyio.current_time())
         response: httpx.Response = await self._back_end.handle(request)
         now_s = anyio.current_time()
         if "server-leaving" in response.headers:
-            self._play.said_s[name] = now_s
+            self._simulation.last_leaving_s[name] = now_s
             if node is not None:
-                self._play.told_s.setdefault(key, now_s)
+                self._simulation.first_leaving_s.setdefault(key, now_s)
         if node is not None and "retry-after" in response.headers:
-            self._play.rests_s.setdefault(key, []).append(now_s)
+            self._simulation.rest_requests_s.setdefault(key, []).append(now_s)
         limit = response.headers.get("server-limit")
         if limit is not None:
-            self._play.limits.append((now_s, node, name, limit))
+            self._simulation.limit_statements.append((now_s, node, name, limit))
         return response
