--- a/features/support/crashing_runners.py
+++ b/features/support/crashing_runners.py
@@ -1,45 +1,47 @@
-"""Runners that crash under some requests and are back after a while, before several gateways."""
+"""Runners that crash while serving fatal requests and restart later, with several gateways."""
 
 import anyio
 
 from features.support.platform_fleet import Fleet, ask, generation_headers
 from features.support.platform_runner import RunnerStandIn
 
-CRASH_AFTER_S = 0.01
-"""From the beginning of a run until its runner's process has ended."""
+CRASH_DELAY_S = 0.01
+"""Seconds from the beginning of a fatal run until the process of its runner ends."""
 
-BACK_AFTER_S = 2.0
-"""A process that ended is started again after this, as another incarnation at the same address."""
+RESTART_DELAY_S = 2.0
+"""Seconds until a crashed process restarts, as another incarnation at the same address."""
 
-LAPSE_S = 2.4
-"""The registration of a crashed runner ends this long after its last heartbeat."""
+REGISTRATION_EXPIRY_S = 2.4
+"""Seconds after its last heartbeat at which the registration of a crashed runner expires."""
 
 NUM_RUNNERS = 6
 FATAL_BODY = b"crash"
 
 
 class CrashingRunners:
-    """A fleet whose runners end, with all that they are at work on, once they run a fatal body.
+    """A fleet whose runners crash once they run a request with a fatal body.
+
+    A crash interrupts everything else that the runner serves.
 
     Args:
-        num_runners: Runners of the generating service.
+        num_runners: Number of runners of each service that is started.
         fleet: The fleet to add them to.
-        back_after_s: Until a runner that crashed has started again.
+        restart_delay_s: Seconds until a crashed runner restarts.
     """
 
-    def __init__(self, fleet=None, num_runners=NUM_RUNNERS, back_after_s=BACK_AFTER_S):
+    def __init__(self, fleet=None, num_runners=NUM_RUNNERS, restart_delay_s=RESTART_DELAY_S):
         self.fleet = fleet or Fleet()
         self.keeps_names = False
-        """Whether a runner that starts again has the name that it had, and a later start."""
-        self.is_mended = False
-        """Whether no request crashes a runner any more."""
+        """Whether a runner that restarts has the same name, with a later start time."""
+        self.is_fixed = False
+        """Whether requests no longer crash runners."""
         self.num_runners = num_runners
-        self.back_after_s = back_after_s
+        self.restart_delay_s = restart_delay_s
         self.num_started = 0
         self.fatal_runs = []
-        """When fatal requests began to run."""
+        """Times at which fatal requests began to run."""
         self.crashes = []
-        """When runners crashed, and which."""
+        """Times of crashes, each with the name of the runner."""
 
     def start_all(self, service="lm", network="10.3.0"):
         """Start the runners of a service."""
@@ -59,12 +61,12 @@
         return runner
 
     def _begin(self, runner, body):
-        if body.startswith(FATAL_BODY) and not self.is_mended:
+        if body.startswith(FATAL_BODY) and not self.is_fixed:
             self.fatal_runs.append(anyio.current_time())
-            self.fleet.tasks.start_soon(self.crash, runner, CRASH_AFTER_S)
+            self.fleet.tasks.start_soon(self.crash, runner, CRASH_DELAY_S)
 
-    async def leave(self, runner):
-        """Let a runner end as planned, with a word before, under what it still runs."""
+    async def shut_down(self, runner):
+        """End a runner as planned: registered as draining first, but before its requests end."""
         self.fleet.store.put(f"servers/{runner.instance}", runner.entry("draining"))
         await anyio.sleep(1.0)
         runner.is_crashed = True
@@ -73,25 +75,25 @@
         self.start(runner.address, runner.service)
 
     async def crash(self, runner, after_s=0.0):
-        """End a runner's process; it starts again as another incarnation."""
+        """End the process of a runner, which later restarts as another incarnation."""
         await anyio.sleep(after_s)
         if runner.is_crashed:
             return
         runner.is_crashed = True
         self.crashes.append((anyio.current_time(), runner.instance))
         self.fleet.remove_runner(runner)
-        self.fleet.tasks.start_soon(self._lapse, runner)
-        await anyio.sleep(self.back_after_s)
+        self.fleet.tasks.start_soon(self._expire_registration, runner)
+        await anyio.sleep(self.restart_delay_s)
         self.start(runner.address, runner.service, runner.instance if self.keeps_names else None)
 
-    async def _lapse(self, runner):
-        if self.keeps_names and self.back_after_s < LAPSE_S:
+    async def _expire_registration(self, runner):
+        if self.keeps_names and self.restart_delay_s < REGISTRATION_EXPIRY_S:
             return
-        await anyio.sleep(LAPSE_S)
+        await anyio.sleep(REGISTRATION_EXPIRY_S)
         self.fleet.store.delete(f"servers/{runner.instance}")
 
     def num_fatal_runs_after(self, num_crashes, seconds):
-        """Return how often a fatal request ran later than some seconds after so many crashes."""
+        """Return how many fatal runs began later than some seconds after the given crash."""
         if len(self.crashes) < num_crashes:
             return 0
         since_s = self.crashes[num_crashes - 1][0] + seconds
@@ -99,5 +101,5 @@
 
 
 async def generate(node, number, body=FATAL_BODY, path="/n/1", key=None):
-    """Send a generation that is never repeated by itself; `number` makes the caller's try new."""
+    """Send a generation without retries by the gateway; `number` makes its attempt ID new."""
     return await ask(node, path, headers=generation_headers(f"try-{number}", key=key), body=body)
