--- a/features/gateway_quota.feature
+++ b/features/gateway_quota.feature
@@ -4,7 +4,7 @@
 
   Scenario Outline: A tenant at <times> times its usual, <where>, over <nodes> nodes with <rate> tokens a second
     Given <nodes> nodes in 3 zones and a tenant with <rate> tokens a second and a burst of <burst>
-    When it sends <times> times its usual through <where>
+    When it sends <times> times its usual load through <where>
     Then no window holds more than the rule allows
     And before that nothing was refused
     And under the load it gets between <least> and 1.1 of what each window allows
@@ -21,7 +21,7 @@
 
   Scenario Outline: <trouble> brings no allowance back, over <nodes> nodes
     Given <nodes> nodes in 3 zones and a tenant with <rate> tokens a second and a burst of <burst>
-    When it sends 7.5 times its usual through all nodes while "<trouble>"
+    When it sends 7.5 times its usual load to all nodes while "<trouble>"
     Then no window holds more than the rule allows
     And the tenant is served afterwards
 
--- a/features/steps/gateway_quota_steps.py
+++ b/features/steps/gateway_quota_steps.py
@@ -76,7 +76,7 @@
     context.fleet = make_fleet(nodes, zones, [context.tenant])
 
 
-@when("it sends {times:g} times its usual through {where}")
+@when("it sends {times:g} times its usual load through {where}")
 def step_hot(context, times, where):
     names = ["node-3"] if where == "one node" else None
     become_hot(context.fleet, context.tenant, times, names)
@@ -127,7 +127,7 @@
 }
 
 
-@when('it sends {times:g} times its usual through all nodes while "{trouble}"')
+@when('it sends {times:g} times its usual load to all nodes while "{trouble}"')
 def step_trouble(context, times, trouble):
     become_hot(context.fleet, context.tenant, times)
     TROUBLES[trouble](context.fleet)
