--- a/features/gateway_leaving.feature
+++ b/features/gateway_leaving.feature
@@ -68,7 +68,7 @@
   Scenario Outline: All nodes stop sending requests after a statement to only one of them
     Given <num> nodes in <zones> zones and 3 scripted back ends of each service
     When "lm-1" states to node-1 only that it is leaving
-    And 1 seconds later each node gets a request every 0.3 seconds for 3 seconds
+    And after 1 more seconds each node gets a request every 0.3 seconds for 3 seconds
     Then "lm-1" gets no request after that answer
     And each node logs once that "lm-1" is leaving, one of them because of an answer
 
--- a/features/gateway_quota.feature
+++ b/features/gateway_quota.feature
@@ -1,14 +1,14 @@
-Feature: Tenants' quotas hold over all nodes, whoever is cut off, frozen or starts anew
+Feature: Tenants' quotas hold over all nodes despite partitions, suspensions and restarts
 
-  Bounds of the rule: (rate x 8 s + burst) x 1.1 + 110,000 tokens in any 8 seconds.
+  Maximum usage in any window of 8 seconds: (rate x 8 s + burst) x 1.1 + 110,000 tokens.
 
-  Scenario Outline: A tenant at <times> times its usual, <where>, over <nodes> nodes with <rate> tokens a second
+  Scenario Outline: A tenant with <rate> tokens a second sends <times> times its usual load through <where> of <nodes> nodes
     Given <nodes> nodes in 3 zones and a tenant with <rate> tokens a second and a burst of <burst>
     When it sends <times> times its usual load through <where>
-    Then no window holds more than the rule allows
-    And before that nothing was refused
-    And under the load it gets between <least> and 1.1 of what each window allows
-    And its urgent requests are served more often than the others
+    Then usage exceeds the maximum in no window
+    And no request was refused before the load increased
+    And under the load it uses between <least> and 1.1 of what each window allows
+    And its urgent requests are admitted more than twice as often as the others
 
     Examples:
       | nodes | rate   | burst  | times | where     | least |
@@ -19,65 +19,65 @@
       | 79    | 150000 | 150000 | 7.5   | all nodes | 0.85  |
       | 79    | 150000 | 150000 | 7.5   | one node  | 0.85  |
 
-  Scenario Outline: <trouble> brings no allowance back, over <nodes> nodes
+  Scenario Outline: No quota is regained when <disruption>, over <nodes> nodes
     Given <nodes> nodes in 3 zones and a tenant with <rate> tokens a second and a burst of <burst>
-    When it sends 7.5 times its usual load to all nodes while "<trouble>"
-    Then no window holds more than the rule allows
-    And the tenant is served afterwards
+    When it sends 7.5 times its usual load to all nodes while "<disruption>"
+    Then usage exceeds the maximum in no window
+    And the tenant's requests are admitted afterwards
 
     Examples:
-      | trouble                                      | nodes | rate   | burst  |
-      | all nodes are killed and come back           | 8     | 29000  | 69000  |
-      | all nodes are killed and come back           | 79    | 150000 | 150000 |
-      | nodes are killed again and again             | 79    | 29000  | 69000  |
-      | every head stands still for 8 s and wakes    | 79    | 29000  | 69000  |
-      | a third of the nodes stand still for 8 s     | 8     | 150000 | 150000 |
+      | disruption                                   | nodes | rate   | burst  |
+      | all nodes are killed and restart             | 8     | 29000  | 69000  |
+      | all nodes are killed and restart             | 79    | 150000 | 150000 |
+      | nodes are killed repeatedly                  | 79    | 29000  | 69000  |
+      | every group head is suspended for 8 s        | 79    | 29000  | 69000  |
+      | a third of the nodes are suspended for 8 s   | 8     | 150000 | 150000 |
       | a third of the nodes are cut off together    | 8     | 29000  | 69000  |
       | a third of the nodes are cut off together    | 79    | 29000  | 69000  |
       | a third of the nodes are cut off, each alone | 8     | 150000 | 150000 |
       | a third of the nodes are cut off, each alone | 79    | 29000  | 69000  |
       | a third of the nodes are cut off, each alone | 79    | 150000 | 150000 |
 
-  Scenario Outline: A limit that is lowered <when> binds a window later
+  Scenario Outline: A rate that is lowered <when> applies one window later
     Given <nodes> nodes in 3 zones and a tenant with 90000 tokens a second and a burst of 90000
-    When it sends its usual and the limit becomes 15000 tokens a second <when>
-    Then no window that begins after it is in force everywhere holds more than the lower limit allows
+    When it sends its usual load and its rate is lowered to 15000 tokens a second <when>
+    Then usage exceeds the lower maximum in no window that begins after all nodes have applied it
 
     Examples:
-      | nodes | when                              |
-      | 8     | while all hear each other         |
-      | 79    | while all hear each other         |
-      | 8     | while a third is cut off          |
-      | 79    | while a third is cut off          |
-      | 79    | after being raised a moment before |
+      | nodes | when                             |
+      | 8     | while all nodes are in contact   |
+      | 79    | while all nodes are in contact   |
+      | 8     | while a third is cut off         |
+      | 79    | while a third is cut off         |
+      | 79    | shortly after it was raised      |
 
-  Scenario Outline: A full tenant takes nothing from the others, over <nodes> nodes
-    Given <nodes> nodes in 3 zones and 6 tenants of which the first sends 7.5 times its usual
-    Then nothing of the other tenants is refused
+  Scenario Outline: A tenant over its quota causes no refusals of other tenants, over <nodes> nodes
+    Given <nodes> nodes in 3 zones and 6 tenants of which the first sends 7.5 times its usual load
+    Then no request of the other tenants is refused
 
     Examples:
       | nodes |
       | 8     |
       | 79    |
 
-  Scenario Outline: A node <event> gives no burst, only the rate from then on
-    Given a node alone with a tenant of 30000 tokens a second and a burst of 90000
+  Scenario Outline: A node that <event> begins without burst and admits the rate from then on
+    Given a single node and a tenant with 30000 tokens a second and a burst of 90000
     When it <event>
-    Then of 20 requests of 9000 tokens at once none is let in
-    And 10 seconds later 8 to 10 of 20 are
+    Then of 20 requests of 9000 tokens at once none is admitted
+    And 10 seconds later 8 to 10 of 20 are admitted
 
     Examples:
-      | event                            |
-      | starts                           |
-      | stands still for 8 s with a full bucket |
+      | event                                    |
+      | starts                                   |
+      | is suspended for 8 s with a full bucket  |
 
-  Scenario: Of requests that cost the same the more urgent are let in first
+  Scenario: Of requests with the same cost the more urgent are admitted first
     Given 8 nodes in 3 zones and a tenant with 29000 tokens a second and a burst of 69000
-    When half of its requests are urgent, all cost 900 tokens, and it sends 4 times its usual
-    Then its urgent requests are served more often than the others
+    When half of its requests are urgent, all cost 900 tokens, and it sends 4 times its usual load
+    Then its urgent requests are admitted more than twice as often as the others
 
-  Scenario Outline: What a request costs
-    Given a tenant's quota that counts <unit>, with 200 for what names no tokens
+  Scenario Outline: The cost of a request
+    Given a tenant's quota that counts <unit>, with 200 for a request that names no tokens
     Then a request that names <named> costs <cost>
 
     Examples:
@@ -88,8 +88,8 @@
       | requests | 1460,80 | 1    |
       | requests | nothing | 1    |
 
-  Scenario Outline: A quota as operators write it: <fields>
-    Given a tenant that operators write with <fields>
+  Scenario Outline: A quota in the operators' configuration: <fields>
+    Given a tenant that is configured with <fields>
     Then its quota is <quota>
 
     Examples:
@@ -100,26 +100,26 @@
       | {"rate_per_s": 5, "burst": 9, "unit": "other"}                                | 5 requests/s, burst 9   |
       | {"rate_per_s": 900, "burst": 70, "unit": "token_stream", "uncached_tokens": 200} | 900 tokens/s, burst 70 |
 
-  Scenario: A request over the limit is refused unrun with the time when it would fit
+  Scenario: A request over the quota is refused and not run, with the time when it would be admitted
     Given a gateway whose tenant may spend 1000 tokens a second and a burst of 3000
     When 10 requests of 1020 tokens arrive at once after 5 seconds
-    Then 2 or 3 are answered, and the others get 429 with a time between 0.05 and 15 seconds
-    And no back end ran one that was refused
-    And the lines of the refused tell cost, what was left, share and age
-    And the metrics count them for the tenant
+    Then 2 or 3 are answered, and the others get 429 with a Retry-After between 0.05 and 15 seconds
+    And no back end ran a refused request
+    And the log lines of the refusals give cost, remaining quota, share and age
+    And the metrics count the refusals for the tenant
 
-  Scenario: A request that alone costs more than the quota ever holds is told no time
+  Scenario: A request that costs more than the quota ever holds is refused without a Retry-After
     Given a gateway whose tenant may spend 10 tokens a second and a burst of 100
     When 1 requests of 1020 tokens arrive at once after 5 seconds
-    Then it gets 429 without a time to come back
+    Then it gets 429 without a Retry-After
 
-  Scenario: What was proved unrun is given back
+  Scenario: The cost of a request that provably was not run is refunded
     Given a gateway whose tenant may spend 1000 tokens a second and a burst of 3000
-    And its back ends refuse every request unrun
+    And its back ends refuse every request with proof that it was not run
     When 6 requests of 1020 tokens arrive one after the other after 5 seconds
     Then none of them gets 429
 
-  Scenario: Other tenants and public routes are not limited
+  Scenario: Other tenants are not limited
     Given a gateway whose tenant may spend 10 tokens a second and a burst of 100
     When 5 requests of another tenant without a quota arrive
     Then every one of them is answered
--- a/features/gateway_quota_schedules.feature
+++ b/features/gateway_quota_schedules.feature
@@ -1,8 +1,8 @@
-Feature: Tenants' quotas hold under drawn schedules, and at the size designed for
+Feature: Tenants' quotas hold under random schedules, and at the largest intended size
 
-  Scenario: 50 schedules of load, kills, freezes, cuts and changed limits
-    Then in 50 drawn schedules over 6 to 40 nodes no window holds more than the rule allows
+  Scenario: 50 schedules of load, kills, suspensions and partitions
+    Then in 50 random schedules over 6 to 40 nodes usage exceeds the maximum in no window
 
-  Scenario: 290 tenants over 400 nodes cost what control may cost
-    Given 400 nodes in 18 zones and 290 tenants of which each sends its usual
-    Then a node that is no head sends at most 5000 bytes a second about quotas
+  Scenario: Gossip about 290 tenants over 400 nodes stays within its byte rate
+    Given 400 nodes in 18 zones and 290 tenants of which each sends its usual load
+    Then nodes other than group heads send on average at most 5000 bytes a second about quotas
--- a/features/gateway_request_limits.feature
+++ b/features/gateway_request_limits.feature
@@ -130,7 +130,7 @@
   Scenario Outline: All nodes keep to a limit that was first stated to only one of them
     Given <num> nodes in <zones> zones and 3 scripted back ends of each service
     When "lm-1" states a limit of "0.2", at first only to node-1
-    And 1 seconds later each node gets a request every 0.3 seconds for 3 seconds
+    And after 1 more seconds each node gets a request every 0.3 seconds for 3 seconds
     Then "lm-1" gets at most 4 requests in the last 4 seconds
 
     Examples:
--- a/features/steps/gateway_leaving_steps.py
+++ b/features/steps/gateway_leaving_steps.py
@@ -127,8 +127,8 @@
 
 
 @when(
-    "{later_s:g} seconds later each node gets a request every {interval_s:g} seconds for {for_s:g} "
-    "seconds"
+    "after {later_s:g} more seconds each node gets a request every {interval_s:g} seconds for "
+    "{for_s:g} seconds"
 )
 def step_send_later(context, later_s, interval_s, for_s):
     simulation = context.simulation
--- a/features/steps/gateway_quota_steps.py
+++ b/features/steps/gateway_quota_steps.py
@@ -20,8 +20,8 @@
     ORDINARY,
     URGENT,
     QuotaFleet,
-    allowed,
-    worst_window,
+    max_usage,
+    max_window_usage,
 )
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.gateway.limits.quota import QuotaLedger
@@ -31,15 +31,15 @@
 from weirscale_platform.request_codec import HeaderCodec
 
 USUAL_SHARE = 0.55
-"""Share of its limit that a tenant usually sends."""
+"""Share of its rate that a tenant usually sends."""
 
 MEAN_COST = 0.65 * 875 + 0.35 * 9200
-FILLED_S = 5.0
-HOT_AT_S, END_S = 10.0, 40.0
-LAST_S = 10.0
-CUT_AT_S, HEALED_AT_S = 9.0, 25.0
+BUCKETS_FILLED_S = 5.0
+LOAD_AT_S, END_S = 10.0, 40.0
+FINAL_S = 10.0
+PARTITION_AT_S, HEALED_AT_S = 9.0, 25.0
 LOWERED_RATE = 15_000.0
-IN_FORCE_S = 3.0
+APPLIED_WITHIN_S = 3.0
 NUM_SCHEDULES = 50
 
 
@@ -53,16 +53,16 @@
 
 def make_fleet(nodes, zones, tenants, seed=1):
     fleet = QuotaFleet(nodes, zones, tenants, BOUNDS, seed)
-    # Buckets are empty at first, since nobody knows what was spent before.
-    fleet.run_until(FILLED_S)
+    # Buckets are empty at first, because what was spent before the start is unknown.
+    fleet.run_until(BUCKETS_FILLED_S)
     for tenant in tenants:
         fleet.traffic[tenant.name] = (usual_per_s(tenant), None)
     return fleet
 
 
-def become_hot(fleet, tenant, times, names=None):
-    fleet.at(
-        HOT_AT_S,
+def increase_load(fleet, tenant, times, names=None):
+    fleet.schedule(
+        LOAD_AT_S,
         lambda: fleet.traffic.__setitem__(tenant.name, (times * usual_per_s(tenant), names)),
     )
 
@@ -77,206 +77,217 @@
 
 
 @when("it sends {times:g} times its usual load through {where}")
-def step_hot(context, times, where):
+def step_load(context, times, where):
     names = ["node-3"] if where == "one node" else None
-    become_hot(context.fleet, context.tenant, times, names)
+    increase_load(context.fleet, context.tenant, times, names)
     context.fleet.run_until(END_S)
 
 
-def some(fleet, share):
+def draw_nodes(fleet, share):
     return fleet.random.sample(list(fleet.nodes), int(share * len(fleet.nodes)))
 
 
-def cut_each(fleet, names):
-    for side, name in enumerate(names):
-        fleet.cut([name], side + 1)
+def isolate_each(fleet, names):
+    for number, name in enumerate(names):
+        fleet.move_to_partition([name], number + 1)
 
 
-def kill_often(fleet):
+def kill_repeatedly(fleet):
     for at_s in (11.0, 14.0, 17.0):
-        fleet.at(at_s, lambda: fleet.kill(some(fleet, 0.6)))
+        fleet.schedule(at_s, lambda: fleet.kill(draw_nodes(fleet, 0.6)))
 
 
 def heal(fleet):
-    fleet.at(HEALED_AT_S, lambda: fleet.cut(list(fleet.nodes), 0))
+    fleet.schedule(HEALED_AT_S, lambda: fleet.move_to_partition(list(fleet.nodes), 0))
 
 
-def cut_together(fleet):
-    fleet.at(CUT_AT_S, lambda: fleet.cut(some(fleet, 1 / 3), 1))
+def cut_off_together(fleet):
+    fleet.schedule(PARTITION_AT_S, lambda: fleet.move_to_partition(draw_nodes(fleet, 1 / 3), 1))
     heal(fleet)
 
 
-def cut_alone(fleet):
-    fleet.at(CUT_AT_S, lambda: cut_each(fleet, some(fleet, 1 / 3)))
+def cut_off_each_alone(fleet):
+    fleet.schedule(PARTITION_AT_S, lambda: isolate_each(fleet, draw_nodes(fleet, 1 / 3)))
     heal(fleet)
 
 
-TROUBLES = {
-    "all nodes are killed and come back": lambda fleet: fleet.at(
+DISRUPTIONS = {
+    "all nodes are killed and restart": lambda fleet: fleet.schedule(
         13.0, lambda: fleet.kill(list(fleet.nodes))
     ),
-    "nodes are killed again and again": kill_often,
-    "every head stands still for 8 s and wakes": lambda fleet: fleet.at(
-        12.0, lambda: fleet.freeze(fleet.heads(), 8.0)
+    "nodes are killed repeatedly": kill_repeatedly,
+    "every group head is suspended for 8 s": lambda fleet: fleet.schedule(
+        12.0, lambda: fleet.suspend(fleet.heads(), 8.0)
     ),
-    "a third of the nodes stand still for 8 s": lambda fleet: fleet.at(
-        12.0, lambda: fleet.freeze(some(fleet, 1 / 3), 8.0)
+    "a third of the nodes are suspended for 8 s": lambda fleet: fleet.schedule(
+        12.0, lambda: fleet.suspend(draw_nodes(fleet, 1 / 3), 8.0)
     ),
-    "a third of the nodes are cut off together": cut_together,
-    "a third of the nodes are cut off, each alone": cut_alone,
+    "a third of the nodes are cut off together": cut_off_together,
+    "a third of the nodes are cut off, each alone": cut_off_each_alone,
 }
 
 
-@when('it sends {times:g} times its usual load to all nodes while "{trouble}"')
-def step_trouble(context, times, trouble):
-    become_hot(context.fleet, context.tenant, times)
-    TROUBLES[trouble](context.fleet)
+@when('it sends {times:g} times its usual load to all nodes while "{disruption}"')
+def step_disruption(context, times, disruption):
+    increase_load(context.fleet, context.tenant, times)
+    DISRUPTIONS[disruption](context.fleet)
     context.fleet.run_until(END_S)
 
 
-@then("no window holds more than the rule allows")
+@then("usage exceeds the maximum in no window")
 def step_within(context):
-    worst = worst_window(context.fleet.spent["a"], BOUNDS.window_s)
-    assert worst <= allowed(context.tenant.quota, BOUNDS), worst
+    usage = max_window_usage(context.fleet.spent["a"], BOUNDS.window_s)
+    assert usage <= max_usage(context.tenant.quota, BOUNDS), usage
 
 
-@then("before that nothing was refused")
+@then("no request was refused before the load increased")
 def step_nothing_refused(context):
-    early = [one for one in context.fleet.refused["a"] if one[0] < HOT_AT_S]
+    early = [refusal for refusal in context.fleet.refused["a"] if refusal[0] < LOAD_AT_S]
     assert not early, early
 
 
-@then("under the load it gets between {least:g} and {most:g} of what each window allows")
+@then("under the load it uses between {least:g} and {most:g} of what each window allows")
 def step_use(context, least, most):
-    spent = sum(cost for at_s, cost, _ in context.fleet.spent["a"] if at_s > END_S - 2 * LAST_S)
+    spent = sum(cost for at_s, cost, _ in context.fleet.spent["a"] if at_s > END_S - 2 * FINAL_S)
     quota = context.tenant.quota
     # In each window the quota allows the rate and the burst.
-    share = spent / (2 * LAST_S * (quota.rate_per_s + quota.burst / BOUNDS.window_s))
+    share = spent / (2 * FINAL_S * (quota.rate_per_s + quota.burst / BOUNDS.window_s))
     assert least <= share <= most, share
 
 
-@then("its urgent requests are served more often than the others")
+@then("its urgent requests are admitted more than twice as often as the others")
 def step_urgent(context):
-    def served(priority):
+    def admitted_share(priority):
         fleet = context.fleet
-        spent = [one for one in fleet.spent["a"] if one[0] > HOT_AT_S and one[2] == priority]
-        refused = [one for one in fleet.refused["a"] if one[0] > HOT_AT_S and one[2] == priority]
+        spent = [
+            request
+            for request in fleet.spent["a"]
+            if request[0] > LOAD_AT_S and request[2] == priority
+        ]
+        refused = [
+            request
+            for request in fleet.refused["a"]
+            if request[0] > LOAD_AT_S and request[2] == priority
+        ]
         return len(spent) / (len(spent) + len(refused))
 
-    assert served(URGENT) > 2 * served(ORDINARY), (served(URGENT), served(ORDINARY))
+    assert admitted_share(URGENT) > 2 * admitted_share(ORDINARY), (
+        admitted_share(URGENT),
+        admitted_share(ORDINARY),
+    )
 
 
-@then("the tenant is served afterwards")
-def step_served_after(context):
-    last = sum(cost for at_s, cost, _ in context.fleet.spent["a"] if at_s > END_S - LAST_S)
-    assert last > 0.7 * LAST_S * context.tenant.quota.rate_per_s, last
+@then("the tenant's requests are admitted afterwards")
+def step_admitted_after(context):
+    spent = sum(cost for at_s, cost, _ in context.fleet.spent["a"] if at_s > END_S - FINAL_S)
+    assert spent > 0.7 * FINAL_S * context.tenant.quota.rate_per_s, spent
 
 
-LOWERED = {
-    "while all hear each other": lambda fleet: None,
-    "while a third is cut off": cut_together,
-    "after being raised a moment before": lambda fleet: fleet.at(
-        HOT_AT_S - 0.4,
-        lambda: fleet.configure([make_tenant("a", 180_000, 90_000)], IN_FORCE_S / 4),
+LOWERING_CONDITIONS = {
+    "while all nodes are in contact": lambda fleet: None,
+    "while a third is cut off": cut_off_together,
+    "shortly after it was raised": lambda fleet: fleet.schedule(
+        LOAD_AT_S - 0.4,
+        lambda: fleet.configure([make_tenant("a", 180_000, 90_000)], APPLIED_WITHIN_S / 4),
     ),
 }
 
 
-@when("it sends its usual and the limit becomes {rate:d} tokens a second {when}")
+@when("it sends its usual load and its rate is lowered to {rate:d} tokens a second {when}")
 def step_lowered(context, rate, when):
     fleet = context.fleet
     context.lower = make_tenant("a", rate, context.tenant.quota.burst)
-    LOWERED[when](fleet)
-    fleet.at(HOT_AT_S + 1.0, lambda: fleet.configure([context.lower], IN_FORCE_S))
+    LOWERING_CONDITIONS[when](fleet)
+    fleet.schedule(LOAD_AT_S + 1.0, lambda: fleet.configure([context.lower], APPLIED_WITHIN_S))
     fleet.run_until(END_S)
 
 
-@then(
-    "no window that begins after it is in force everywhere holds more than the lower limit allows"
-)
-def step_lower_binds(context):
-    in_force_s = HOT_AT_S + 1.0 + IN_FORCE_S
-    worst = worst_window(context.fleet.spent["a"], BOUNDS.window_s, in_force_s)
-    assert 0.0 < worst <= allowed(context.lower.quota, BOUNDS), worst
+@then("usage exceeds the lower maximum in no window that begins after all nodes have applied it")
+def step_lower_applies(context):
+    applied_at_s = LOAD_AT_S + 1.0 + APPLIED_WITHIN_S
+    usage = max_window_usage(context.fleet.spent["a"], BOUNDS.window_s, applied_at_s)
+    assert 0.0 < usage <= max_usage(context.lower.quota, BOUNDS), usage
 
 
 def draw_schedule(seed):
-    """Return a fleet with drawn load and troubles, and its tenant."""
+    """Return a fleet with random load and disruptions, and its tenant."""
     random = Random(seed)
     rate = random.choice((15_000, 29_000, 60_000, 150_000))
     tenant = make_tenant("a", rate, max(69_000, rate))
     fleet = make_fleet(random.randint(6, 40), random.randint(1, 4), [tenant], seed)
-    hot_names = [next(iter(fleet.nodes))] if random.random() < 0.2 else None
-    become_hot(fleet, tenant, random.uniform(1.0, 8.0), hot_names)
+    loaded_nodes = [next(iter(fleet.nodes))] if random.random() < 0.2 else None
+    increase_load(fleet, tenant, random.uniform(1.0, 8.0), loaded_nodes)
     for _ in range(random.randint(1, 4)):
-        draw_trouble(fleet, random)
+        draw_disruption(fleet, random)
     return fleet, tenant
 
 
-def draw_trouble(fleet, random):
+def draw_disruption(fleet, random):
     at_s = random.uniform(6.0, 22.0)
     share = random.uniform(0.05, 0.4)
     kind = random.choice(("kill", "kill all", "freeze", "cut", "alone", "heal", "heads"))
     actions = {
-        "kill": lambda: fleet.kill(some(fleet, share)),
+        "kill": lambda: fleet.kill(draw_nodes(fleet, share)),
         "kill all": lambda: fleet.kill(list(fleet.nodes)),
-        "freeze": lambda: fleet.freeze(some(fleet, share), random.uniform(1.0, 9.0)),
-        "cut": lambda: fleet.cut(some(fleet, share), 1),
-        "alone": lambda: cut_each(fleet, some(fleet, share)),
-        "heal": lambda: fleet.cut(list(fleet.nodes), 0),
-        "heads": lambda: fleet.freeze(fleet.heads(), 8.0),
+        "freeze": lambda: fleet.suspend(draw_nodes(fleet, share), random.uniform(1.0, 9.0)),
+        "cut": lambda: fleet.move_to_partition(draw_nodes(fleet, share), 1),
+        "alone": lambda: isolate_each(fleet, draw_nodes(fleet, share)),
+        "heal": lambda: fleet.move_to_partition(list(fleet.nodes), 0),
+        "heads": lambda: fleet.suspend(fleet.heads(), 8.0),
     }
-    fleet.at(at_s, actions[kind])
+    fleet.schedule(at_s, actions[kind])
 
 
-@then("in {count:d} drawn schedules over 6 to 40 nodes no window holds more than the rule allows")
+@then("in {count:d} random schedules over 6 to 40 nodes usage exceeds the maximum in no window")
 def step_schedules(context, count):
-    broken = {}
+    excesses = {}
     for seed in range(count):
         fleet, tenant = draw_schedule(seed)
         fleet.run_until(30.0)
-        worst = worst_window(fleet.spent["a"], BOUNDS.window_s)
-        if worst > allowed(tenant.quota, BOUNDS):
-            broken[seed] = worst / allowed(tenant.quota, BOUNDS)
-    assert not broken, broken
+        usage = max_window_usage(fleet.spent["a"], BOUNDS.window_s)
+        if usage > max_usage(tenant.quota, BOUNDS):
+            excesses[seed] = usage / max_usage(tenant.quota, BOUNDS)
+    assert not excesses, excesses
 
 
 @given(
     "{nodes:d} nodes in {zones:d} zones and {count:d} tenants of which the first sends"
-    " {times:g} times its usual"
+    " {times:g} times its usual load"
 )
 def step_tenants(context, nodes, zones, count, times):
     tenants = [make_tenant(name, 40_000, 69_000) for name in "abcdefgh"[:count]]
     context.fleet = make_fleet(nodes, zones, tenants)
-    become_hot(context.fleet, tenants[0], times)
+    increase_load(context.fleet, tenants[0], times)
 
 
-@then("nothing of the other tenants is refused")
+@then("no request of the other tenants is refused")
 def step_others(context):
     context.fleet.run_until(25.0)
     assert context.fleet.refused.pop("a")
     assert not any(context.fleet.refused.values()), context.fleet.refused
 
 
-@given("{nodes:d} nodes in {zones:d} zones and {count:d} tenants of which each sends its usual")
-def step_many(context, nodes, zones, count):
+@given(
+    "{nodes:d} nodes in {zones:d} zones and {count:d} tenants of which each sends its usual load"
+)
+def step_many_tenants(context, nodes, zones, count):
     tenants = [make_tenant(f"t{number}", 12_000, 69_000) for number in range(count)]
     context.fleet = make_fleet(nodes, zones, tenants)
 
 
-@then("a node that is no head sends at most {most:d} bytes a second about quotas")
+@then("nodes other than group heads send on average at most {most:d} bytes a second about quotas")
 def step_bytes(context, most):
     fleet, seconds = context.fleet, 2.0
-    fleet.run_until(FILLED_S + seconds)
+    fleet.run_until(BUCKETS_FILLED_S + seconds)
     heads = set(fleet.heads())
     fleet.bytes_by_sender.clear()
-    fleet.run_until(FILLED_S + 2 * seconds)
+    fleet.run_until(BUCKETS_FILLED_S + 2 * seconds)
     sent = [fleet.bytes_by_sender[name] / seconds for name in fleet.nodes if name not in heads]
     assert sum(sent) / len(sent) <= most, sum(sent) / len(sent)
 
 
-class LoneNode:
-    """A ledger of a fleet of one node, and its clock."""
+class SingleNode:
+    """The ledger of the only node of a fleet, and its clock."""
 
     def __init__(self, tenant):
         self.now_s = 50.0
@@ -285,14 +296,14 @@
         self.ledger.set_tenants((tenant,))
 
     def pass_time(self, seconds):
-        """Let the node run on."""
+        """Run the node for some seconds."""
         end_s = self.now_s + seconds
         while self.now_s < end_s:
             self.now_s += 0.05
             self.ledger.tick()
 
     def num_admitted(self, count, cost):
-        """Ask for requests at once and send those that are let in."""
+        """Send requests at once and return how many were admitted."""
         num_admitted = 0
         for _ in range(count):
             if self.ledger.admit(self.tenant, cost, ORDINARY).is_admitted:
@@ -301,9 +312,9 @@
         return num_admitted
 
 
-@given("a node alone with a tenant of {rate:d} tokens a second and a burst of {burst:d}")
-def step_lone_node(context, rate, burst):
-    context.node = LoneNode(make_tenant("a", rate, burst))
+@given("a single node and a tenant with {rate:d} tokens a second and a burst of {burst:d}")
+def step_single_node(context, rate, burst):
+    context.node = SingleNode(make_tenant("a", rate, burst))
 
 
 @when("it starts")
@@ -311,20 +322,20 @@
     pass
 
 
-@when("it stands still for {seconds:g} s with a full bucket")
-def step_stands_still(context, seconds):
+@when("it is suspended for {seconds:g} s with a full bucket")
+def step_suspended(context, seconds):
     context.node.pass_time(20.0)
     assert context.node.ledger.levels()["a"] == context.node.tenant.quota.burst
     context.node.now_s += seconds
 
 
-@then("of {count:d} requests of {cost:d} tokens at once none is let in")
+@then("of {count:d} requests of {cost:d} tokens at once none is admitted")
 def step_none_admitted(context, count, cost):
     context.cost = cost
     assert context.node.num_admitted(count, cost) == 0
 
 
-@then("{seconds:g} seconds later {least:d} to {most:d} of {count:d} are")
+@then("{seconds:g} seconds later {least:d} to {most:d} of {count:d} are admitted")
 def step_admitted_later(context, seconds, least, most, count):
     context.node.pass_time(seconds)
     num_admitted = context.node.num_admitted(count, context.cost)
@@ -333,18 +344,18 @@
 
 @when(
     "half of its requests are urgent, all cost {cost:d} tokens, and it sends {times:g} times"
-    " its usual"
+    " its usual load"
 )
 def step_same_cost(context, cost, times):
     fleet, tenant = context.fleet, context.tenant
     fleet.costs = ((0.5, cost, URGENT), (0.5, cost, ORDINARY))
     usual = tenant.quota.rate_per_s * USUAL_SHARE / cost
     fleet.traffic[tenant.name] = (usual, None)
-    fleet.at(HOT_AT_S, lambda: fleet.traffic.__setitem__(tenant.name, (times * usual, None)))
+    fleet.schedule(LOAD_AT_S, lambda: fleet.traffic.__setitem__(tenant.name, (times * usual, None)))
     fleet.run_until(END_S)
 
 
-@given("a tenant's quota that counts {unit}, with {unnamed:d} for what names no tokens")
+@given("a tenant's quota that counts {unit}, with {unnamed:d} for a request that names no tokens")
 def step_quota(context, unit, unnamed):
     context.quota = Quota(1000.0, 0.0, QuotaUnit(unit), unnamed)
 
@@ -356,21 +367,21 @@
     assert cost_of(context.quota, HeaderCodec().parse(scope).num_tokens) == cost
 
 
-@given("a tenant that operators write with {fields}")
-def step_written(context, fields):
+@given("a tenant that is configured with {fields}")
+def step_configured(context, fields):
     tenant = {"name": "a", "api_keys": ["k"], **json.loads(fields)}
     entry = configuration(tenants=[tenant])
     context.quota = read_configuration(json.dumps(entry).encode()).tenants[0].quota
 
 
 @then("its quota is {text}")
-def step_is(context, text):
+def step_quota_is(context, text):
     quota = context.quota
     if quota is None:
         assert text == "none"
         return
-    found = f"{quota.rate_per_s:g} {quota.unit.value}/s, burst {quota.burst:g}"
-    assert found == text, found
+    actual = f"{quota.rate_per_s:g} {quota.unit.value}/s, burst {quota.burst:g}"
+    assert actual == text, actual
 
 
 @given("a gateway whose tenant may spend {rate:d} tokens a second and a burst of {burst:d}")
@@ -386,16 +397,16 @@
     context.faults = []
 
 
-@given("its back ends refuse every request unrun")
+@given("its back ends refuse every request with proof that it was not run")
 def step_refusing(context):
     context.faults = ["refuse"] * 1000
 
 
-def send(context, count, key, at_once):
+def send_requests(context, count, key, at_once):
     fleet = context.fleet = Fleet()
     context.answers = {}
 
-    async def one(node, request_id):
+    async def send_one(node, request_id):
         headers = generation_headers(request_id, key=key)
         context.answers[request_id] = await ask(node, "/a/1", headers=headers)
 
@@ -410,9 +421,9 @@
         async with anyio.create_task_group() as tasks:
             for number in range(count):
                 if at_once:
-                    tasks.start_soon(one, node, f"q{number}")
+                    tasks.start_soon(send_one, node, f"q{number}")
                 else:
-                    await one(node, f"q{number}")
+                    await send_one(node, f"q{number}")
         context.metrics_text = node.metrics_text().decode()
 
     run_in_virtual_time(lambda: with_fleet(fleet, body))
@@ -420,44 +431,44 @@
 
 @when("{count:d} requests of 1020 tokens arrive at once after 5 seconds")
 def step_at_once(context, count):
-    send(context, count, "key-a", at_once=True)
+    send_requests(context, count, "key-a", at_once=True)
 
 
 @when("{count:d} requests of 1020 tokens arrive one after the other after 5 seconds")
 def step_one_by_one(context, count):
-    send(context, count, "key-a", at_once=False)
+    send_requests(context, count, "key-a", at_once=False)
 
 
 @when("{count:d} requests of another tenant without a quota arrive")
 def step_others_arrive(context, count):
-    send(context, count, "key-b", at_once=True)
+    send_requests(context, count, "key-b", at_once=True)
 
 
 def refused(context):
-    return {name: one for name, one in context.answers.items() if one.status == 429}
+    return {name: answer for name, answer in context.answers.items() if answer.status == 429}
 
 
 @then(
-    "{least:d} or {most:d} are answered, and the others get 429 with a time between {first:g}"
-    " and {last:g} seconds"
+    "{least:d} or {most:d} are answered, and the others get 429 with a Retry-After between"
+    " {first:g} and {last:g} seconds"
 )
 def step_some(context, least, most, first, last):
-    answered = [one for one in context.answers.values() if one.status == 200]
+    answered = [answer for answer in context.answers.values() if answer.status == 200]
     assert least <= len(answered) <= most, len(answered)
     assert len(refused(context)) == len(context.answers) - len(answered)
     for answer in refused(context).values():
         assert first <= float(answer.header("retry-after")) <= last, answer
 
 
-@then("no back end ran one that was refused")
+@then("no back end ran a refused request")
 def step_not_run(context):
-    run = {one.request_id for runner in context.fleet.runners for one in runner.runs}
-    assert run and not run & set(refused(context)), run
+    run_ids = {run.request_id for runner in context.fleet.runners for run in runner.runs}
+    assert run_ids and not run_ids & set(refused(context)), run_ids
 
 
-@then("the lines of the refused tell cost, what was left, share and age")
+@then("the log lines of the refusals give cost, remaining quota, share and age")
 def step_lines(context):
-    lines = {one["id"]: one for one in context.fleet.logs["node-1"].named("request_ended")}
+    lines = {line["id"]: line for line in context.fleet.logs["node-1"].named("request_ended")}
     for name in refused(context):
         line = lines[name]
         assert line["causes"] == "over_quota" and line["status"] == 429, line
@@ -466,14 +477,14 @@
         assert line["quota_age_ms"] == 0, line
 
 
-@then("the metrics count them for the tenant")
+@then("the metrics count the refusals for the tenant")
 def step_metrics(context):
     text = f'weirscale_quota_refusals_total{{tenant="a"}} {len(refused(context)):.1f}'
     assert text in context.metrics_text, context.metrics_text
     assert 'weirscale_quota_left{tenant="a"}' in context.metrics_text
 
 
-@then("it gets 429 without a time to come back")
+@then("it gets 429 without a Retry-After")
 def step_never(context):
     answer = context.answers["q0"]
     assert answer.status == 429 and answer.header("retry-after") is None, answer
@@ -483,11 +494,11 @@
 
 @then("none of them gets 429")
 def step_none_refused(context):
-    statuses = {one.status for one in context.answers.values()}
+    statuses = {answer.status for answer in context.answers.values()}
     assert statuses == {503}, statuses
 
 
 @then("every one of them is answered")
 def step_all_answered(context):
-    statuses = {one.status for one in context.answers.values()}
+    statuses = {answer.status for answer in context.answers.values()}
     assert statuses == {200}, statuses
--- a/features/support/quota_fleet.py
+++ b/features/support/quota_fleet.py
@@ -1,7 +1,8 @@
-"""Nodes that share tenants' quotas over the product's own news, in simulated time.
+"""Nodes that enforce tenants' quotas with the product's own gossip, in simulated time.
 
-Each node has the product's ledger, relay between groups and directory; datagrams take a moment, get
-lost, and stop at cuts. What is spent is noted from outside, as the back ends would see it.
+Each node has the product's ledger, group relay and peer directory. Datagrams are delayed, sometimes
+lost, and never cross between partitions. Usage is recorded outside the nodes, as back ends would
+see it.
 """
 
 import heapq
@@ -26,38 +27,38 @@
 from weirscale.gateway.state.cluster_state import ClusterState
 
 STEP_S = 0.01
-LEAST_DELAY_S, MOST_DELAY_S = 0.0005, 0.003
-RESTART_S = 1.0
+MIN_DELAY_S, MAX_DELAY_S = 0.0005, 0.003
+RESTART_DURATION_S = 1.0
 URGENT, ORDINARY = 0, 1
 
 
-def run(coroutine):
-    """Run a coroutine that never waits."""
+def run_without_waiting(coroutine):
+    """Run a coroutine to its end; raise AssertionError if it waits."""
     try:
         coroutine.send(None)
     except StopIteration:
         return
-    raise AssertionError("it waits")
+    raise AssertionError("the coroutine waits")
 
 
 class QuotaNode:
-    """One node."""
+    """A node with the parts that enforce quotas."""
 
     ledger_class = QuotaLedger
 
     def __init__(self, fleet, name, zone, offset_s):
         self.fleet, self.name, self.zone = fleet, name, zone
         self.offset_s = offset_s
-        self.frozen_until_s = self.off_until_s = 0.0
-        self.side = 0
-        self.late = []
+        self.suspended_until_s = self.down_until_s = 0.0
+        self.partition = 0
+        self.delayed_messages = []
         self.start()
 
     def clock(self):
         return self.fleet.now_s + self.offset_s
 
     def start(self):
-        """Start the process: nothing is remembered."""
+        """Start the process without any state."""
         fleet = self.fleet
         cluster = ClusterState(EventRecorder(), self.clock)
         cluster.apply(fleet.registrations, self.clock())
@@ -72,21 +73,21 @@
             self.clock,
         )
         self.quotas.set_tenants(fleet.tenants)
-        self.telling = UsageReporter()
+        self.usage_reporter = UsageReporter()
         self.relay = GroupRelay(
             self.name, self.peers, self.load, self.quotas, self.send, self.clock
         )
         self.refresh, self.head_refresh = RefreshTimer(), RefreshTimer()
-        self.life = RefreshTimer(HEARTBEAT_INTERVAL_S)
-        self.head_life = RefreshTimer(HEARTBEAT_INTERVAL_S)
+        self.heartbeat = RefreshTimer(HEARTBEAT_INTERVAL_S)
+        self.head_heartbeat = RefreshTimer(HEARTBEAT_INTERVAL_S)
         self.next_tick_s = fleet.now_s + fleet.random.random() * self.relay.interval_s()
 
     def is_up(self):
         now_s = self.fleet.now_s
-        return now_s >= self.frozen_until_s and now_s >= self.off_until_s
+        return now_s >= self.suspended_until_s and now_s >= self.down_until_s
 
     async def send(self, message, addresses):
-        self.fleet.deliver(self, message, [one.host for one in addresses])
+        self.fleet.deliver(self, message, [address.host for address in addresses])
 
     def tick(self):
         if not self.is_up() or self.fleet.now_s < self.next_tick_s:
@@ -94,35 +95,35 @@
         self.next_tick_s = self.fleet.now_s + self.relay.interval_s()
         must_refresh = self.refresh.is_due(self.clock())
         self.quotas.tick()
-        self.telling.add_to(self.outbox, dict(self.quotas.own_usage()), must_refresh)
-        is_heartbeat = must_refresh or self.relay.is_heartbeat_due(self.life)
+        self.usage_reporter.add_to(self.outbox, dict(self.quotas.own_usage()), must_refresh)
+        is_heartbeat = must_refresh or self.relay.is_heartbeat_due(self.heartbeat)
         gossip = self.outbox.take(with_empty=is_heartbeat)
         if gossip is not None:
             self.fleet.deliver(self, gossip, self.relay.group_peers())
-            run(self.relay.forward_own(gossip))
+            run_without_waiting(self.relay.forward_own(gossip))
         if self.relay.is_head():
             must_refresh = self.head_refresh.is_due(self.clock())
             self.relay.gather(must_refresh)
-            is_heartbeat = must_refresh or self.relay.is_heartbeat_due(self.head_life)
-            run(self.relay.flush(is_heartbeat=is_heartbeat))
+            is_heartbeat = must_refresh or self.relay.is_heartbeat_due(self.head_heartbeat)
+            run_without_waiting(self.relay.flush(is_heartbeat=is_heartbeat))
 
     def receive(self, gossip):
         source = self.relay.source_of(gossip)
         if source is not None:
-            usage = [read_usage(one) for one in gossip.usage]
+            usage = [read_usage(usage_gossip) for usage_gossip in gossip.usage]
             self.quotas.fleet_usage.receive(source, gossip.num_nodes, usage, self.clock())
-        run(self.relay.receive(gossip))
+        run_without_waiting(self.relay.receive(gossip))
 
 
 class QuotaFleet:
-    """A fleet in fixed steps."""
+    """A fleet that is simulated in fixed time steps."""
 
     def __init__(self, num_nodes, num_zones, tenants, bounds, seed, ledger_class=QuotaLedger):
         self.random = random.Random(seed)
         self.now_s = 0.0
         self.tenants, self.bounds, self.ledger_class = tuple(tenants), bounds, ledger_class
         self.loss = 0.01
-        self.wire, self.order = [], itertools.count()
+        self.in_flight, self.sequence = [], itertools.count()
         self.num_messages = self.num_bytes = 0
         self.bytes_by_sender = Counter()
         names = [f"node-{number}" for number in range(num_nodes)]
@@ -151,7 +152,7 @@
         self.spent = {tenant.name: [] for tenant in tenants}
         self.refused = {tenant.name: [] for tenant in tenants}
         self.traffic = {}
-        """By tenant: requests a second, nodes that they come to (None: all)."""
+        """By tenant: requests per second, and the names of the nodes that get them (None: all)."""
         self.events = []
         self.costs = ((0.65, 875, URGENT), (0.35, 9200, ORDINARY))
 
@@ -162,14 +163,14 @@
             self.num_bytes += size
             self.bytes_by_sender[sender.name] += size
             node = self.nodes[name]
-            if node.side != sender.side or self.random.random() < self.loss:
+            if node.partition != sender.partition or self.random.random() < self.loss:
                 continue
-            at_s = self.now_s + self.random.uniform(LEAST_DELAY_S, MOST_DELAY_S)
-            heapq.heappush(self.wire, (at_s, next(self.order), name, message))
+            at_s = self.now_s + self.random.uniform(MIN_DELAY_S, MAX_DELAY_S)
+            heapq.heappush(self.in_flight, (at_s, next(self.sequence), name, message))
 
-    def at(self, at_s, action):
-        """Have something happen at a time."""
-        self.events.append((at_s, next(self.order), action))
+    def schedule(self, at_s, action):
+        """Schedule an action for a time."""
+        self.events.append((at_s, next(self.sequence), action))
         self.events.sort()
 
     def run_until(self, end_s):
@@ -177,41 +178,41 @@
             self.now_s += STEP_S
             while self.events and self.events[0][0] <= self.now_s:
                 self.events.pop(0)[2]()
-            while self.wire and self.wire[0][0] <= self.now_s:
-                _, _, name, message = heapq.heappop(self.wire)
+            while self.in_flight and self.in_flight[0][0] <= self.now_s:
+                _, _, name, message = heapq.heappop(self.in_flight)
                 node = self.nodes[name]
-                if self.now_s < node.frozen_until_s:
-                    node.late.append(message)
+                if self.now_s < node.suspended_until_s:
+                    node.delayed_messages.append(message)
                 elif node.is_up():
-                    self._wake(node)
+                    self._deliver_delayed(node)
                     node.receive(message)
             for node in self.nodes.values():
-                self._wake(node)
+                self._deliver_delayed(node)
                 node.tick()
-            self._arrive()
+            self._send_requests()
 
-    def _wake(self, node):
-        if node.late and node.is_up():
-            late, node.late = node.late, []
-            for message in late:
+    def _deliver_delayed(self, node):
+        if node.delayed_messages and node.is_up():
+            messages, node.delayed_messages = node.delayed_messages, []
+            for message in messages:
                 node.receive(message)
 
-    def _arrive(self):
+    def _send_requests(self):
         for tenant in self.tenants:
             per_s, names = self.traffic.get(tenant.name, (0.0, None))
             for _ in range(self._poisson(per_s * STEP_S)):
                 name = self.random.choice(names or list(self.nodes))
                 if self.nodes[name].is_up():
-                    self.ask(self.nodes[name], tenant)
+                    self.send_request(self.nodes[name], tenant)
 
     def _poisson(self, mean):
-        count, left = 0, self.random.expovariate(1.0)
-        while left < mean:
+        count, total = 0, self.random.expovariate(1.0)
+        while total < mean:
             count += 1
-            left += self.random.expovariate(1.0)
+            total += self.random.expovariate(1.0)
         return count
 
-    def ask(self, node, tenant):
+    def send_request(self, node, tenant):
         weights = [share for share, _, _ in self.costs]
         _, cost, priority = self.random.choices(self.costs, weights)[0]
         decision = node.quotas.admit(tenant, cost, priority)
@@ -221,27 +222,27 @@
         else:
             self.refused[tenant.name].append((self.now_s, cost, priority))
 
-    def cut(self, names, side):
+    def move_to_partition(self, names, partition):
         for name in names:
-            self.nodes[name].side = side
+            self.nodes[name].partition = partition
 
-    def freeze(self, names, for_s):
+    def suspend(self, names, for_s):
         for name in names:
-            self.nodes[name].frozen_until_s = self.now_s + for_s
+            self.nodes[name].suspended_until_s = self.now_s + for_s
 
-    def kill(self, names, for_s=RESTART_S):
+    def kill(self, names, for_s=RESTART_DURATION_S):
         for name in names:
             node = self.nodes[name]
-            node.off_until_s = self.now_s + for_s
+            node.down_until_s = self.now_s + for_s
             node.start()
-            node.late = []
+            node.delayed_messages = []
             node.next_tick_s += for_s
 
     def configure(self, tenants, within_s):
-        """Put changed quotas in force, at each node within some time."""
+        """Change the quotas, at each node within some seconds."""
         self.tenants = tuple(tenants)
         for node in self.nodes.values():
-            self.at(
+            self.schedule(
                 self.now_s + self.random.uniform(0.1, within_s),
                 lambda node=node: node.quotas.set_tenants(self.tenants),
             )
@@ -250,9 +251,9 @@
         return [name for name, node in self.nodes.items() if node.relay.is_head()]
 
 
-def worst_window(spent, window_s, since_s=0.0, until_s=float("inf")):
-    """Return the most that was spent in any window between two times."""
-    inside, total, worst = deque(), 0.0, 0.0
+def max_window_usage(spent, window_s, since_s=0.0, until_s=float("inf")):
+    """Return the maximum that was spent in any window between two times."""
+    inside, total, maximum = deque(), 0.0, 0.0
     for at_s, cost, _ in spent:
         if not since_s <= at_s <= until_s:
             continue
@@ -260,14 +261,14 @@
         total += cost
         while inside[0][0] <= at_s - window_s:
             total -= inside.popleft()[1]
-        worst = max(worst, total)
-    return worst
+        maximum = max(maximum, total)
+    return maximum
 
 
-def allowed(quota, bounds):
-    """Return what may be spent in a window."""
-    usual = quota.rate_per_s * bounds.window_s + quota.burst
-    return usual * (1.0 + bounds.overage) + bounds.tolerance
+def max_usage(quota, bounds):
+    """Return the maximum that may be spent in a window."""
+    window_quota = quota.rate_per_s * bounds.window_s + quota.burst
+    return window_quota * (1.0 + bounds.overage) + bounds.tolerance
 
 
 BOUNDS = QuotaPrecision(window_s=8.0, overage=0.1, tolerance=110_000.0)
