--- a/features/gateway_leaving.feature
+++ b/features/gateway_leaving.feature
@@ -42,12 +42,12 @@
 
   Scenario Outline: The same run stays excluded, whatever its registration says
     Given 1 node and 3 scripted back ends of each service
-    When "lm-1" states once that it is leaving, and then <what>
+    When "lm-1" states once that it is leaving, and then <event>
     And each node gets a request every 0.1 seconds for 8 seconds
     Then "lm-1" gets no request after that answer
 
     Examples:
-      | what                                             |
+      | event                                            |
       | its registration is written again as ready       |
       | its registration ends and returns as ready       |
       | the node reads the full state from the store     |
@@ -56,12 +56,12 @@
 
   Scenario Outline: The successor of a back end that was leaving gets requests
     Given 1 node and 3 scripted back ends of each service
-    When "lm-1" states once that it is leaving, and then <what>
+    When "lm-1" states once that it is leaving, and then <event>
     And each node gets a request every 0.1 seconds for 8 seconds
     Then the successor of "lm-1" gets requests from 2 seconds after that answer on
 
     Examples:
-      | what                                          |
+      | event                                         |
       | its process restarts under the same name      |
       | another process registers at its address      |
 
--- a/features/gateway_quarantine.feature
+++ b/features/gateway_quarantine.feature
@@ -3,7 +3,7 @@
   A fatal request ends the process of each back end that runs it.
 
   # Guards against a fatal request whose caller retries it until many back ends have crashed. Callers
-  # of one route saw failures for many seconds. One of their requests ended the process of each runner
+  # of one route saw failures for seconds on end. One of their requests ended the process of each runner
   # about 40 ms after it began to run there, and interrupted all other requests there. Its caller got
   # 502, retried at another node under a new ID, and ended the next runner: 16 in 12 s.
   # Cause: nodes stored nothing about a request beyond its own attempts, and attributed a crash only
--- a/features/gateway_request_limits.feature
+++ b/features/gateway_request_limits.feature
@@ -1,13 +1,13 @@
 Feature: All nodes together send a back end no more requests than the limit that it states
 
-  # Guards against nodes that ignore the request limits in answers. Two overloaded back ends stated
-  # limits of 1.1 and 1.2 requests per second for all nodes together, and still got 3 to 4 per
+  # Guards against nodes that ignore the request limits in answers. Two back ends that needed relief
+  # stated limits of 1.1 and 1.2 requests per second for all nodes together, and still got 3 to 4 per
   # second: 12 and 15 in 4 s from nodes that had received the statements. Callers noticed nothing,
-  # but the back ends were not relieved.
+  # but the back ends got no relief.
   # Sequence: both began to state their limits at 8.0 s; seven nodes forwarded the answers; the
   # bounds were exceeded at 11.2 s and 11.4 s, as soon as they applied.
   # Cause: no node read the header. It was forwarded to the caller with the rest of the head, as the
-  # headers for leaving and rest had been: each was read only after a failure without it.
+  # headers for leaving and rest had been: each was read only after its neglect caused a failure.
   # Evidence: after 8.0 s, these two back ends got as many requests per second as before, and so did
   # the other seven; all nine were candidates of every request at every node.
   Scenario: Two of nine back ends state limits to seven nodes
--- a/features/gateway_rest.feature
+++ b/features/gateway_rest.feature
@@ -3,8 +3,8 @@
   # Guards against nodes that ignore the rest that a back end asks for. More than a tenth of the
   # callers of a service got 503 for seven seconds, although six of its nine back ends had room. The
   # other three refused requests with 503 and asked for 3 s of rest. Each node tried each of the three
-  # again every 0.15 s, because a back end that runs nothing looks idle, and was refused again. Where
-  # a route allows only one attempt, the caller was refused too.
+  # again after 0.15 s, repeatedly, because a back end that runs nothing looks idle, and was refused
+  # again. Where a route allows only one attempt, the caller was refused too.
   # Cause: the requested duration was not read. Each refusal was followed by the same short pause,
   # whatever its reason.
   # Evidence: the three back ends refused 186 requests in 5 s at seven nodes. In 164 of 165 cases, two
@@ -111,12 +111,12 @@
 
   Scenario Outline: A rest belongs to one run of a back end at one node, and passes with real time
     Given 1 node and 3 scripted back ends of each service
-    When "lm-1" refuses one request, asks for a rest of "5", and then <what>
+    When "lm-1" refuses one request, asks for a rest of "5", and then <event>
     And each node gets a request every 0.1 seconds for 7 seconds
     Then "lm-1" gets a request within 2 seconds: <gets>
 
     Examples:
-      | what                                           | gets |
+      | event                                          | gets |
       | its process restarts under the same name       | yes  |
       | its registration ends and returns as ready     | no   |
       | the node's machine is suspended for 6 seconds  | yes  |
