--- a/bench/fault_soak/back_ends.py
+++ b/bench/fault_soak/back_ends.py
@@ -107,7 +107,7 @@
             on_run=self._note_run,
             on_break=lambda request: self._note_broken(request, instance),
             refusal_rest=str(REFUSAL_REST_S),
-            on_said=partial(self._note_said, instance),
+            on_statement=partial(self._note_said, instance),
             on_limit=partial(self._note_limit, instance),
         )
         self._served = ServedStandIn(self.stand_in, self._host, RUNNER_PORT)
--- a/bench/fault_soak/operator.py
+++ b/bench/fault_soak/operator.py
@@ -22,7 +22,7 @@
     KEYED_PATH,
     WEIGHTS_KEY,
     configuration,
-    naming,
+    target_version_entry,
 )
 
 NUM_KEYS = 2
@@ -82,7 +82,7 @@
     def name_weights(self) -> None:
         """Name the next weights."""
         self._weights = WeightsVersion(self._weights + 1)
-        self._store.put(WEIGHTS_KEY, naming(self._weights))
+        self._store.put(WEIGHTS_KEY, target_version_entry(self._weights))
         self._recorder.note(WeightsNamed(at_s=self._recorder.now_s(), version=self._weights))
 
     @property
--- a/features/steps/gateway_old_weights_steps.py
+++ b/features/steps/gateway_old_weights_steps.py
@@ -232,7 +232,7 @@
 )
 def step_no_late_event(context, version, seconds):
     play = context.play.run()
-    took = [run.first_s - play.named_s for run in runs_on(play, version) if run.first_s]
+    took = [run.first_event_s - play.named_s for run in runs_on(play, version) if run.first_event_s]
     assert took and max(took) <= seconds, max(took)
 
 
--- a/features/steps/gateway_overload_steps.py
+++ b/features/steps/gateway_overload_steps.py
@@ -111,7 +111,9 @@
             )  # fmt: skip
             stream = TimedStream()
             with anyio.move_on_after(left_s):
-                answer = await ask(self.random.choice(nodes), path, headers=headers, note=stream)
+                answer = await ask(
+                    self.random.choice(nodes), path, headers=headers, on_body_part=stream
+                )
                 if answer.status != 503:
                     if answer.is_complete and answer.status == 200:
                         self.num_served_well += stream.is_in_time()
@@ -344,7 +346,7 @@
     async def body(node):
         node.context.pauses.queue_limit("lm").level = context.level
         headers = generation_headers("q1", parts="own:200", x_deadline_ms=9000)
-        answer = await ask(node, "/n/x", headers=headers, takes_s=caller)
+        answer = await ask(node, "/n/x", headers=headers, part_delay_s=caller)
         assert answer.status == 200 and answer.is_complete
         context.limit = node.context.pauses.queue_limit("lm")
 
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -69,7 +69,7 @@
         elif fault == "datagrams lost":
             fleet.silent.add(reader)
     if fault == "a deaf watch":
-        fleet.store.is_deaf = True
+        fleet.store.withholds_events = True
     if fault == "forgotten history":
         fleet.store.compact()
     return sound if fault in ("killed", "cut off") else list(fleet.nodes)
@@ -97,7 +97,7 @@
         for number in range(seconds):
             fleet.add_runner(back_end(number + 2))
             if number == seconds - 5:
-                fleet.asked.clear()
+                fleet.sent_requests.clear()
             await anyio.sleep(1.0)
         context.known = {
             name: set(node.cluster.directory.instances()) for name, node in fleet.nodes.items()
@@ -108,7 +108,7 @@
 
 @then("at most {count:d} nodes have asked the store for changes in the last 5 seconds")
 def step_few(context, count):
-    readers = {name for name, path in context.fleet.asked if path == "/v1/kv-watch"}
+    readers = {name for name, path in context.fleet.sent_requests if path == "/v1/kv-watch"}
     assert 0 < len(readers) <= count, readers
 
 
--- a/features/steps/gateway_state_steps.py
+++ b/features/steps/gateway_state_steps.py
@@ -133,14 +133,14 @@
         store = script.fleet.store
         await begin_fault(store, fault)
         if fault == "compaction":
-            store.is_deaf = True
+            store.withholds_events = True
         store.put("op/config", b"{" if fault == "nonsense" else configuration(version))
         script.written_s = anyio.current_time()
         if fault in ("outage", "silence"):
             await anyio.sleep(2.0)
         if fault == "compaction":
             await anyio.sleep(1.0)
-            store.is_deaf = False
+            store.withholds_events = False
             store.compact()
         end_fault(store)
 
@@ -197,14 +197,14 @@
 def step_deaf(context):
     async def action(script):
         store = script.fleet.store
-        store.is_deaf = True
+        store.withholds_events = True
         await anyio.sleep(0.3)
         store.put("op/config", keyed_configuration(4, keys=["other"]))
         script.changed_s = anyio.current_time()
 
         async def heal():
             await anyio.sleep(0.7)
-            store.is_deaf = False
+            store.withholds_events = False
             store.compact()
 
         script.fleet.tasks.start_soon(heal)
@@ -215,7 +215,7 @@
 @when("watches hear nothing for good while the key is taken away")
 def step_deaf_for_good(context):
     async def action(script):
-        script.fleet.store.is_deaf = True
+        script.fleet.store.withholds_events = True
         await anyio.sleep(0.3)
         script.fleet.store.put("op/config", keyed_configuration(4, keys=["other"]))
         script.changed_s = anyio.current_time()
--- a/features/steps/gateway_store_restored_steps.py
+++ b/features/steps/gateway_store_restored_steps.py
@@ -147,7 +147,7 @@
 
     async def act():
         # The copy has no registration of a node: they hang on leases.
-        assert not [key for key in play.fleet.store.copy[0] if key.startswith("weirscale/nodes/")]
+        assert not [key for key in play.fleet.store.backup[0] if key.startswith("weirscale/nodes/")]
         await play.restore()
 
     play.actions.append(act)
@@ -465,7 +465,7 @@
     def __init__(self):
         self.store = StoreStandIn()
         self.store.put("op/config", {"version": 1})
-        self.store.take_copy()
+        self.store.take_backup()
         client = StoreClient(STORE_ADDRESS, lambda _most, _keep_s: StoreTransport(self.store))
         self.keys = KeyValueAdapter(client)
         self.feed = StateFeedAdapter(client)
@@ -505,7 +505,7 @@
     }
 
     async def script():
-        one.store.late_answers.append(LATE_CALLS[call])
+        one.store.withheld_answers.append(LATE_CALLS[call])
 
         async def late():
             one.outcome = await calls[call]()
@@ -515,7 +515,7 @@
             await anyio.sleep(0.1)
             one.store.restore()
             assert isinstance(await one.feed.current_revision(), Ok)
-            one.store.hand_out()
+            one.store.release_answers()
 
     one.run(script)
 
--- a/features/support/platform_fleet.py
+++ b/features/support/platform_fleet.py
@@ -65,7 +65,7 @@
 
     async def handle_async_request(self, request):
         address = f"{request.url.host}:{request.url.port}"
-        self._fleet.asked.append((self._node_name, request.url.path))
+        self._fleet.sent_requests.append((self._node_name, request.url.path))
         await self._fleet.wait_while_frozen(self._node_name)
         if (self._node_name, address) in self._fleet.cuts:
             await anyio.sleep(0.3)
@@ -147,7 +147,7 @@
         self.thawed = anyio.Event()
         self.suspended_s = {}
         """By name: for how long a node's machine was suspended, which the loop's clock leaves out."""
-        self.asked = []
+        self.sent_requests = []
         self.nodes = {}
         self.num_datagrams = 0
         self.logs = {}
@@ -316,13 +316,13 @@
     body=b"hello",
     host="h.example",
     leave_after_s=None,
-    note=None,
-    takes_s=0.0,
+    on_body_part=None,
+    part_delay_s=0.0,
 ):
     """Send one request to a node's application.
 
-    `leave_after_s` closes the caller's side; `note` is called with each part of the answer's body,
-    and the caller needs `takes_s` for each before it takes the next one.
+    `leave_after_s` closes the caller's side; `on_body_part` is called with each part of the answer's body,
+    and the caller needs `part_delay_s` for each before it takes the next one.
     """
     answer = Answer()
     began_s = anyio.current_time()
@@ -342,10 +342,10 @@
             answer.status = message["status"]
             answer.headers = list(message["headers"])
             return
-        if note is not None and message.get("body"):
-            note()
+        if on_body_part is not None and message.get("body"):
+            on_body_part()
         answer.body += message.get("body", b"")
-        await anyio.sleep(takes_s)
+        await anyio.sleep(part_delay_s)
         answer.is_complete = not message.get("more_body", False)
 
     scope = {
--- a/features/support/platform_runner.py
+++ b/features/support/platform_runner.py
@@ -32,7 +32,7 @@
     headers: dict
     began_s: float
     ended_s: float | None = None
-    first_s: float | None = None
+    first_event_s: float | None = None
     """When its first event was made: only then has it begun for good."""
 
 
@@ -79,7 +79,7 @@
     """The only path whose answers say so; None for all."""
     refusal_rest: str | None = None
     """The time of rest that it asks for where a fault has it refuse one request."""
-    on_said: object = None
+    on_statement: object = None
     """Called with the id of each request in whose answer it says that it leaves or wants a rest,
     whether it leaves, and the rest as written or None."""
     on_limit: object = None
@@ -134,8 +134,8 @@
         request_id = request.headers.get("x-attempt-id")
         is_leaving = "server-leaving" in response.headers
         rest = response.headers.get("retry-after")
-        if self.on_said is not None and request_id is not None and (is_leaving or rest):
-            self.on_said(request_id, is_leaving, rest)
+        if self.on_statement is not None and request_id is not None and (is_leaving or rest):
+            self.on_statement(request_id, is_leaving, rest)
 
     async def _answer(self, request):
         await anyio.sleep(0.001)
@@ -285,7 +285,7 @@
         self._runner.num_running += 1
         try:
             await self._runner.take_time(self._runner.read_s)
-            self._run.first_s = anyio.current_time()
+            self._run.first_event_s = anyio.current_time()
             for number in range(self._after + 1, NUM_EVENTS + 1):
                 event = f"id: {number}\ndata: {self._token(number)}\n\n".encode()
                 if self._fault == "break" and number == 3:
--- a/features/support/platform_store.py
+++ b/features/support/platform_store.py
@@ -34,15 +34,15 @@
         self.random = Random(5)
         self.jitter_s = 0.0
         self.late_writes_s = None
-        self.is_deaf = False
+        self.withholds_events = False
         self.next_lease = 100
         self.num_cuts = 0
         self.era = 0
         """How often it has come back from a copy; named in its answers from the first time on."""
-        self.copy = None
-        self.late_answers = []
-        """Paths of calls whose next answer is kept back until `hand_out` is called, in order."""
-        self.handed_out = anyio.Event()
+        self.backup = None
+        self.withheld_answers = []
+        """Paths of calls whose next answer is kept back until `release_answers` is called, in order."""
+        self.released = anyio.Event()
 
     # What tests do directly, as the operator or a runner.
 
@@ -67,24 +67,24 @@
         self.num_cuts += 1
         self._wake()
 
-    def take_copy(self):
+    def take_backup(self):
         """Copy all items; what hangs on a lease is not in it."""
         kept = {key: item for key, item in self.items.items() if not item["lease"]}
-        self.copy = (kept, self.revision)
+        self.backup = (kept, self.revision)
 
     def restore(self):
         """Come back from the copy: what was written since is gone, and so are all leases."""
-        kept, self.revision = self.copy
+        kept, self.revision = self.backup
         self.items = dict(kept)
         self.leases.clear()
         self.era += 1
         self.compact()
         self.cut_watches()
 
-    def hand_out(self):
+    def release_answers(self):
         """Give the answers that were kept back."""
-        handed_out, self.handed_out = self.handed_out, anyio.Event()
-        handed_out.set()
+        released, self.released = self.released, anyio.Event()
+        released.set()
 
     def _change(self, key, raw, lease):
         self.revision += 1
@@ -132,9 +132,9 @@
         response = await self._answer(request, path, body)
         if self.era:
             response.headers["Store-Era"] = str(self.era)
-        if path in self.late_answers:
-            self.late_answers.remove(path)
-            await self.handed_out.wait()
+        if path in self.withheld_answers:
+            self.withheld_answers.remove(path)
+            await self.released.wait()
         return response
 
     async def _answer(self, request, path, body):
@@ -170,10 +170,10 @@
                     for event in self.history
                     if event["revision"] > after and event["private_key"].startswith(prefix)
                 ]
-                if events and not self.is_deaf:
+                if events and not self.withholds_events:
                     return reply(200, {"events": events, "at": self.revision})
                 await self.changed.wait()
-        return reply(200, {"events": [], "at": after if self.is_deaf else self.revision})
+        return reply(200, {"events": [], "at": after if self.withholds_events else self.revision})
 
     async def _write(self, change):
         if self.late_writes_s is not None:
--- a/features/support/platform_words.py
+++ b/features/support/platform_words.py
@@ -136,7 +136,7 @@
     }
 
 
-def naming(version: WeightsVersion) -> dict[str, object]:
+def target_version_entry(version: WeightsVersion) -> dict[str, object]:
     """Return the naming of newer weights."""
     return {"model": MODEL, "version": version}
 
--- a/features/support/restored_store.py
+++ b/features/support/restored_store.py
@@ -61,7 +61,7 @@
         for number in range(1, self.num_nodes + 1):
             await fleet.start_node(f"node-{number}", is_first_start=False)
         await anyio.sleep(SETTLE_S)
-        fleet.store.take_copy()
+        fleet.store.take_backup()
         fleet.tasks.start_soon(self._look)
         for action in self.actions:
             await action()
