--- a/features/steps/transport_connections_steps.py
+++ b/features/steps/transport_connections_steps.py
@@ -1,3 +1,5 @@
+"""Steps of `transport_connections.feature`."""
+
 from random import Random
 
 import anyio
@@ -18,24 +20,24 @@
 HUGE_BYTES = 32 * 1024 * 1024
 
 
-def run(script, does=None, **transport):
-    """Run `script(server, transport)` against a scripted server."""
+def run(script, behaviour=None, **options):
+    """Run `script(server, transport)` with a scripted server; `options` are the transport's."""
     watch = LoopWatch()
 
     async def main():
-        server = ScriptedServer(does)
-        made = H11Transport(transport.get("most", 4), transport.get("keep_s", KEEP_S))
+        server = ScriptedServer(behaviour)
+        transport = H11Transport(options.get("max_connections", 4), options.get("keep_s", KEEP_S))
         with anyio.fail_after(FAIL_AFTER_S):
             async with anyio.create_task_group() as tasks:
                 await tasks.start(server.run)
                 tasks.start_soon(watch.run)
                 try:
-                    return await script(server, made)
+                    return await script(server, transport)
                 except httpx.HTTPError as error:
                     error.add_note(str(watch))
                     raise
                 finally:
-                    await made.aclose()
+                    await transport.aclose()
                     tasks.cancel_scope.cancel()
 
     return anyio.run(main, backend_options={"use_uvloop": True})
@@ -47,7 +49,7 @@
 
 
 async def ask(transport, address, body=b"question"):
-    """Return the body of the answer, or the name of what went wrong."""
+    """Return the body of the answer, or the name of the error."""
     try:
         response = await transport.handle_async_request(request_to(address, body))
     except httpx.HTTPError as error:
@@ -62,9 +64,9 @@
         await response.aclose()
 
 
-@given('a server that "{does}"')
-def step_server(context, does):
-    context.does = does
+@given('a server that "{behaviour}"')
+def step_server(context, behaviour):
+    context.behaviour = behaviour
 
 
 @when("two requests are sent to it, one after the other")
@@ -75,11 +77,11 @@
         context.answers = [first, await ask(transport, server.address)]
         context.server = server
 
-    run(script, context.does)
+    run(script, context.behaviour)
 
 
-@then('they get "{first}" and "{second}" over {count:d} connections')
-def step_they_get(context, first, second, count):
+@then('the answers are "{first}" and "{second}" over {count:d} connections')
+def step_answers(context, first, second, count):
     assert context.answers == [first, second], context.answers
     assert context.server.num_connections == count, context.server.num_connections
 
@@ -90,22 +92,22 @@
         context.outcome = await ask(transport, server.address, bytes(HUGE_BYTES))
         context.num_used = len(transport._used)
 
-    run(script, context.does)
+    run(script, context.behaviour)
 
 
-@then('it ends with "{outcome}" and its connection is closed')
+@then('the request ends with "{outcome}" and its connection is closed')
 def step_ends_closed(context, outcome):
     assert context.outcome == outcome, context.outcome
     assert context.num_used == 0
 
 
-@given("an address where nobody listens")
-def step_nobody(context):
+@given("an address without a listening socket")
+def step_no_listener(context):
     context.address = str(free_address())
 
 
 @when("a request is sent to it")
-def step_sent_to_nobody(context):
+def step_send(context):
     async def script(_server, transport):
         try:
             await transport.handle_async_request(request_to(context.address))
@@ -115,8 +117,8 @@
     run(script, "answers with a length")
 
 
-@then('it ends with "{name}", which proves that it was never sent')
-@then('one ends with "{name}", which proves that it was never sent')
+@then('the request ends with "{name}", which proves that it was never sent')
+@then('one request ends with "{name}", which proves that it was never sent')
 def step_never_sent(context, name):
     assert type(context.error).__name__ == name, context.error
     assert was_never_sent(context.error)
@@ -139,26 +141,26 @@
             for _ in range(3):
                 tasks.start_soon(send, transport, server.address)
             await anyio.sleep(TIMEOUTS["pool"] + 0.1)
-            server.told.set()
+            server.may_answer.set()
 
-    run(script, context.does, most=2)
+    run(script, context.behaviour, max_connections=2)
 
 
-@then("the two others are answered once the server is told, over 2 connections")
+@then("the two others are answered once the server may answer, over 2 connections")
 def step_two_answered(context):
     assert sorted(context.bodies) == ["answer 1", "answer 2"], context.bodies
     assert context.server.num_connections == 2
 
 
-async def leave(transport, address, how):
-    """Send a request and leave its answer."""
+async def abandon(transport, address, how):
+    """Send a request and abandon it."""
     if how == "by cancellation":
         response = None
         with anyio.move_on_after(0.02):
             response = await transport.handle_async_request(request_to(address))
             await response.aread()
             raise AssertionError("it was answered")
-        # On a busy machine the cancellation may come before the head: nothing is to be closed then.
+        # On a busy machine the cancellation may precede the head; then there is no response to close.
         if response is not None:
             await response.aclose()
         return
@@ -171,13 +173,13 @@
     await response.aclose()
 
 
-@when("forty requests over two connections are left, some before and some in their answer")
-def step_many_left(context):
+@when("forty requests over two connections are abandoned, some before and some during their answer")
+def step_many_abandoned(context):
     async def script(server, transport):
         for number in range(40):
-            kinds = ("by cancellation", "after the head", "after a part of the body")
-            await leave(transport, server.address, kinds[number % 3])
-        server.told.set()
+            times = ("by cancellation", "after the head", "after a part of the body")
+            await abandon(transport, server.address, times[number % 3])
+        server.may_answer.set()
         context.answers = []
         async with anyio.create_task_group() as tasks:
             for _ in range(2):
@@ -186,26 +188,26 @@
     async def collect(transport, address):
         context.answers.append(await ask(transport, address))
 
-    run(script, context.does, most=2)
+    run(script, context.behaviour, max_connections=2)
 
 
 @then("two more requests can be sent at once")
 def step_two_more(context):
-    assert all(one.startswith("answer") for one in context.answers), context.answers
+    assert all(answer.startswith("answer") for answer in context.answers), context.answers
 
 
-@when('a request is left "{how}"')
-def step_left(context, how):
+@when('a request is abandoned "{how}"')
+def step_abandoned(context, how):
     async def script(server, transport):
-        await leave(transport, server.address, how)
-        left_at_s = anyio.current_time()
+        await abandon(transport, server.address, how)
+        abandoned_at_s = anyio.current_time()
         await anyio.sleep(0.3)
-        context.ended_after_s = [one - left_at_s for one in server.ended_at_s]
+        context.ended_after_s = [ended_at_s - abandoned_at_s for ended_at_s in server.ended_at_s]
 
-    run(script, context.does)
+    run(script, context.behaviour)
 
 
-@then("the server sees its connection end within {most_s:f} seconds")
+@then("the server sees the end of its connection within {most_s:f} seconds")
 def step_sees_end(context, most_s):
     assert len(context.ended_after_s) == 1, context.ended_after_s
     assert context.ended_after_s[0] <= most_s, context.ended_after_s
@@ -213,7 +215,7 @@
 
 @when(
     "two requests are sent to it {apart_s:f} seconds apart by a transport that keeps connections "
-    "for {keep_s:f}"
+    "for {keep_s:f} seconds"
 )
 def step_apart(context, apart_s, keep_s):
     async def script(server, transport):
@@ -223,18 +225,18 @@
         await anyio.sleep(SETTLE_S)
         context.server = server
 
-    run(script, context.does, keep_s=keep_s)
+    run(script, context.behaviour, keep_s=keep_s)
 
 
 @then("the server saw the first connection end before the second request")
 def step_first_ended(context):
     server = context.server
     assert server.ended_at_s, "no connection ended"
-    assert server.ended_at_s[0] <= server.asked_at_s[1] + SETTLE_S
+    assert server.ended_at_s[0] <= server.requested_at_s[1] + SETTLE_S
 
 
 class ResetStream:
-    """A stream whose socket the event loop has given up, as anyio shows it."""
+    """A stream whose socket the event loop has dropped, with the error that anyio raises then."""
 
     def __init__(self, stream):
         self._stream = stream
@@ -248,14 +250,14 @@
         await self._stream.aclose()
 
 
-@when("a connection to it is reset as it is made")
-def step_reset_as_made(context):
-    connect, made = anyio.connect_tcp, []
+@when("a connection to it is reset while it is opened")
+def step_reset_while_opened(context):
+    connect, opened = anyio.connect_tcp, []
 
-    async def connect_once(*where):
-        made.append(ResetStream(await connect(*where)))
+    async def connect_once(*address):
+        opened.append(ResetStream(await connect(*address)))
         anyio.connect_tcp = connect
-        return made[0]
+        return opened[0]
 
     async def script(server, transport):
         anyio.connect_tcp = connect_once
@@ -267,8 +269,8 @@
             anyio.connect_tcp = connect
         context.answers = [await ask(transport, server.address)]
 
-    run(script, context.does)
-    context.is_closed = made[0].is_closed
+    run(script, context.behaviour)
+    context.is_closed = opened[0].is_closed
 
 
 @then("the request was never sent, the connection is closed, and the next request is answered")
@@ -278,7 +280,7 @@
     assert context.answers[0].startswith("answer"), context.answers
 
 
-@given("200 answers drawn at random, each cut into random pieces")
+@given("200 random answers, each split into random pieces")
 def step_random_answers(context):
     random = Random(7)
     context.bodies = []
@@ -295,7 +297,7 @@
         )
 
 
-@when("they are read over one connection")
+@when("these answers are read over one connection")
 def step_read_all(context):
     class PieceServer(ScriptedServer):
         async def _serve_one(self, stream):
@@ -321,7 +323,7 @@
     anyio.run(main, backend_options={"use_uvloop": True})
 
 
-@then("each body is as it was sent")
+@then("each body equals the one that was sent")
 def step_bodies_equal(context):
     assert context.read == context.bodies
     assert context.num_connections == 1
--- a/features/support/async_steps.py
+++ b/features/support/async_steps.py
@@ -1,4 +1,4 @@
-"""Steps written as coroutines, run on what their scenario is about."""
+"""Registers coroutines as steps; each is run with the subject of its scenario."""
 
 from behave import when
 
@@ -6,7 +6,7 @@
 def async_when(phrase, run):
     """Register `async def step(context, subject, **arguments)` as a when step.
 
-    `run(context, script)` makes the subject (a fleet, a pair of nodes) and runs `script(subject)`.
+    `run(context, script)` creates the subject, such as a fleet, and runs `script(subject)`.
     """
 
     def register(function):
--- a/features/support/http_exchange.py
+++ b/features/support/http_exchange.py
@@ -1,10 +1,10 @@
-"""HTTP exchanges that break as a scenario wants, in place of a server."""
+"""Simulated HTTP exchanges that fail as a scenario requires."""
 
 import httpx
 
 
 def broken_exchange(error, answer):
-    """Return a transport that raises an error, or answers with a status and a body."""
+    """Return a transport that raises `error`, or answers with the status and body in `answer`."""
 
     def handle(request):
         if error is not None:
--- a/features/support/loop_watch.py
+++ b/features/support/loop_watch.py
@@ -1,6 +1,6 @@
-"""Watches how long a test's process stands still, for tests with time-outs on real connections.
+"""Measures how long a test's process did not run, for tests with timeouts on real connections.
 
-A time-out that passes says nothing of the connection if the process could not look at it meanwhile.
+A timeout says nothing about the connection if the process could not read from it meanwhile.
 """
 
 import gc
@@ -8,44 +8,44 @@
 
 import anyio
 
-LOOK_INTERVAL_S = 0.01
+CHECK_INTERVAL_S = 0.01
 
 
 class LoopWatch:
-    """Keeps the longest time in which the event loop ran nothing; `run` must be running."""
+    """Keeps the longest pause of the event loop that occurred while `run` was running."""
 
     def __init__(self):
-        self.stood_still_s = 0.0
-        self.worked_s = 0.0
-        """Processor time of this process in that time: little of it means that it was not run."""
-        self.collected_s = 0.0
-        """Longest collection of garbage."""
+        self.longest_pause_s = 0.0
+        self.processor_s = 0.0
+        """Processor time that this process used in that pause; if low, it was not scheduled."""
+        self.longest_collection_s = 0.0
+        """Duration of the longest garbage collection."""
         self._collection_began_s = 0.0
 
     async def run(self):
-        """Look until cancelled."""
-        gc.callbacks.append(self._note_collection)
+        """Measure until cancelled."""
+        gc.callbacks.append(self._record_collection)
         try:
             while True:
-                looked_s, worked_s = time.monotonic(), time.process_time()
-                await anyio.sleep(LOOK_INTERVAL_S)
-                gap_s = time.monotonic() - looked_s - LOOK_INTERVAL_S
-                if gap_s > self.stood_still_s:
-                    self.stood_still_s = gap_s
-                    self.worked_s = time.process_time() - worked_s
+                began_s, processor_s = time.monotonic(), time.process_time()
+                await anyio.sleep(CHECK_INTERVAL_S)
+                gap_s = time.monotonic() - began_s - CHECK_INTERVAL_S
+                if gap_s > self.longest_pause_s:
+                    self.longest_pause_s = gap_s
+                    self.processor_s = time.process_time() - processor_s
         finally:
-            gc.callbacks.remove(self._note_collection)
+            gc.callbacks.remove(self._record_collection)
 
-    def _note_collection(self, phase, _info):
+    def _record_collection(self, phase, _info):
         if phase == "start":
             self._collection_began_s = time.monotonic()
         else:
             took_s = time.monotonic() - self._collection_began_s
-            self.collected_s = max(self.collected_s, took_s)
+            self.longest_collection_s = max(self.longest_collection_s, took_s)
 
     def __str__(self):
         return (
-            f"the event loop stood still for {self.stood_still_s:.3f} s at the most, with "
-            f"{self.worked_s:.3f} s of processor time; garbage was collected for "
-            f"{self.collected_s:.3f} s at the most"
+            f"longest pause of the event loop: {self.longest_pause_s:.3f} s, with "
+            f"{self.processor_s:.3f} s of processor time; longest garbage collection: "
+            f"{self.longest_collection_s:.3f} s"
         )
--- a/features/support/loopback.py
+++ b/features/support/loopback.py
@@ -1,4 +1,4 @@
-"""Serves an ASGI app on a loopback port for the length of a scenario."""
+"""Serves an ASGI app on a loopback port for the duration of a scenario."""
 
 import socket
 from contextlib import asynccontextmanager
@@ -12,7 +12,7 @@
 
 @asynccontextmanager
 async def served(app):
-    """Serve an app on a free port and yield its address; for asyncio only."""
+    """Serve an app on a free port and yield its address; works with asyncio only."""
     listener = open_listener(LOOPBACK, 0)
     address = f"{LOOPBACK}:{port_of(listener)}"
     stop = anyio.Event()
@@ -23,7 +23,7 @@
 
 
 def free_address():
-    """Return a loopback address at whose port nothing listens."""
+    """Return a loopback address on which no socket listens."""
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as probe:
         probe.bind((LOOPBACK, 0))
         return NodeAddress(*probe.getsockname())
--- a/features/support/platform_fleet.py
+++ b/features/support/platform_fleet.py
@@ -1,4 +1,4 @@
-"""Gateways in virtual time on stand-ins of the platform, spoken to over the adapter."""
+"""Runs gateway nodes in virtual time; the platform adapter connects them to stand-ins."""
 
 import sys
 from contextvars import ContextVar
@@ -39,7 +39,7 @@
 
 
 class EventRecorder:
-    """An event log that keeps its events."""
+    """An event log that keeps its events in memory."""
 
     def __init__(self):
         self.events = []
@@ -48,11 +48,11 @@
         self.events.append((name, fields))
 
     def named(self, name):
-        return [fields for one, fields in self.events if one == name]
+        return [fields for event_name, fields in self.events if event_name == name]
 
 
 class Transport(httpx.AsyncBaseTransport):
-    """Hands requests to stand-ins by address; nobody there refuses the connection."""
+    """Passes requests to the stand-in at their address; without one, the connection is refused."""
 
     def __init__(self, fleet, node_name):
         self._fleet = fleet
@@ -60,7 +60,7 @@
         self.is_closed = False
 
     async def aclose(self):
-        """Close all connections, those in use too, as the real transport does."""
+        """Close all connections, including those in use, as the real transport does."""
         self.is_closed = True
 
     async def handle_async_request(self, request):
@@ -77,12 +77,12 @@
             request.extensions["seen_target"] = request.extensions["target"]
         response = await target.handle(request)
         await self._fleet.wait_while_frozen(self._node_name)
-        response.stream = Guarded(self, response.stream)
+        response.stream = ClosableBody(self, response.stream)
         return response
 
 
-class Guarded(httpx.AsyncByteStream):
-    """A body that breaks when its transport is closed."""
+class ClosableBody(httpx.AsyncByteStream):
+    """A response body that raises a read error once its transport is closed."""
 
     def __init__(self, transport, stream):
         self._transport = transport
@@ -97,7 +97,7 @@
 
 @dataclass
 class Answer:
-    """What a caller got."""
+    """The answer that a caller received."""
 
     status: int = 0
     headers: list = field(default_factory=list)
@@ -109,29 +109,29 @@
         return dict(self.headers).get(name.encode())
 
 
-RUNNING = ContextVar("RUNNING")
-"""The fleet and the name of the node whose task this is."""
+CURRENT_NODE = ContextVar("CURRENT_NODE")
+"""The fleet and the name of the node that the current task belongs to."""
 
 
-class StandingStill:
-    """Takes the place of `anyio` where nodes wait for ticks: one that stands still goes on late."""
+class FreezableTicks:
+    """Replaces `anyio` where nodes wait for ticks, so that a frozen node's ticks are late."""
 
     current_time = staticmethod(anyio.current_time)
 
     @staticmethod
     async def sleep_until(at_s):
         await anyio.sleep_until(at_s)
-        running = RUNNING.get(None)
-        if running is not None:
-            fleet, name = running
+        current_node = CURRENT_NODE.get(None)
+        if current_node is not None:
+            fleet, name = current_node
             await fleet.wait_while_frozen(name)
 
 
-ticks.anyio = StandingStill
+ticks.anyio = FreezableTicks
 
 
 class Fleet:
-    """A store, runners and gateways."""
+    """A store, runners and gateway nodes that run in one event loop."""
 
     def __init__(self, seed=1, **bounds):
         self.store = StoreStandIn()
@@ -139,14 +139,14 @@
         self.runners = []
         self.cuts = set()
         self.silent = set()
-        """Nodes whose datagrams to single nodes are lost; what they tell their group arrives."""
+        """Nodes whose datagrams to single nodes are lost, while their gossip to their group arrives."""
         self.mute = set()
-        """Nodes all of whose datagrams are lost."""
+        """Nodes whose datagrams are all lost, gossip included."""
         self.frozen = {}
-        """By name: nodes that stand still, each with what it is told meanwhile."""
+        """By name: nodes that do not run, each with the messages that arrived meanwhile."""
         self.thawed = anyio.Event()
         self.suspended_s = {}
-        """By name: for how long a node's machine was suspended, which the loop's clock leaves out."""
+        """By name: how long a node's machine was suspended; the event loop's clock excludes this time."""
         self.sent_requests = []
         self.nodes = {}
         self.num_datagrams = 0
@@ -203,12 +203,12 @@
         return node
 
     async def _run_node(self, node, scope):
-        RUNNING.set((self, node.settings.name))
+        CURRENT_NODE.set((self, node.settings.name))
         with scope:
             await node.run()
 
-    def hears(self, sender, receiver):
-        """Whether datagrams between two nodes arrive."""
+    def can_deliver(self, sender, receiver):
+        """Return whether datagrams between two nodes arrive."""
         names = {sender.settings.name, receiver.settings.name}
         return not names & (self.silent | self.mute)
 
@@ -217,15 +217,15 @@
         del self.nodes[name]
 
     def freeze(self, name):
-        """Let a node stand still: it neither gets nor sends anything; what it is told waits."""
+        """Stop a node: it receives and sends nothing, and messages to it are kept."""
         self.frozen[name] = []
 
     def suspend(self, name, seconds):
-        """Suspend a node's machine: to it, and to the loop's clock, no time passes."""
+        """Suspend a node's machine: the event loop's clock does not count the time."""
         self.suspended_s[name] = self.suspended_s.get(name, 0.0) + seconds
 
     async def thaw(self, name):
-        """Let a node go on; it first takes what waited for it."""
+        """Resume a frozen node; it first receives the messages that were kept for it."""
         backlog = self.frozen.pop(name)
         thawed, self.thawed = self.thawed, anyio.Event()
         thawed.set()
@@ -237,7 +237,7 @@
             await self.thawed.wait()
 
     async def deliver(self, node, message, sender):
-        """Hand a message to a node, or keep it until the node goes on."""
+        """Deliver a message to a node, or keep it until the frozen node is resumed."""
         name = node.settings.name
         if name in self.frozen:
             self.frozen[name].append((message, sender))
@@ -245,7 +245,7 @@
             await node.inbox.receive(message, sender)
 
     async def tick(self):
-        """Let time pass for runners: loads end and registrations follow."""
+        """Complete due loads of runners, and update their registrations, every `TICK_S`."""
         while True:
             for runner in self.runners:
                 version = runner.version
@@ -256,12 +256,12 @@
 
 
 class InMemoryPeers:
-    """Takes the place of the datagram socket: what a node tells arrives at the others at once."""
+    """Replaces the datagram socket: a node's messages arrive at the other nodes at once."""
 
     def __init__(self, fleet, node):
         self._fleet = fleet
         self._node = node
-        self._hurried = anyio.Event()
+        self._flush_requested = anyio.Event()
 
     async def run(self):
         while True:
@@ -269,18 +269,18 @@
             self._node.gatherer.gather(True)
             await self.flush()
             with anyio.move_on_after(0.1):
-                await self._hurried.wait()
-            self._hurried = anyio.Event()
+                await self._flush_requested.wait()
+            self._flush_requested = anyio.Event()
 
     def request_flush(self):
-        self._hurried.set()
+        self._flush_requested.set()
 
     async def flush(self):
         gossip = self._node.outbox.take(with_empty=True)
         division = self._node.peers.division()
         group_peers = set(self._node.relay.group_peers())
         for name, node in list(self._fleet.nodes.items()):
-            # Nodes of one group hear one another even before they have read the registrations.
+            # Nodes of one group exchange gossip even before they have read the registrations.
             is_peer = name in group_peers or len(division.groups) == 1
             is_lost = {name, self._node.settings.name} & self._fleet.mute
             if node is not self._node and is_peer and not is_lost:
@@ -294,12 +294,12 @@
         for address in addresses:
             self._fleet.num_datagrams += 1
             for node in list(self._fleet.nodes.values()):
-                if node.settings.peers == address and self._fleet.hears(self._node, node):
+                if node.settings.peers == address and self._fleet.can_deliver(self._node, node):
                     await self._fleet.deliver(node, decoded, self._node.settings.peers)
 
 
 async def with_fleet(fleet, body):
-    """Run a test body while the fleet's tasks run."""
+    """Run a test body while the fleet's tasks run, and return its result."""
     async with anyio.create_task_group() as tasks:
         fleet.tasks = tasks
         tasks.start_soon(fleet.tick)
@@ -321,8 +321,8 @@
 ):
     """Send one request to a node's application.
 
-    `leave_after_s` closes the caller's side; `on_body_part` is called with each part of the answer's body,
-    and the caller needs `part_delay_s` for each before it takes the next one.
+    The caller disconnects after `leave_after_s`. `on_body_part` is called for each part of the
+    answer's body, and the caller waits `part_delay_s` before it accepts the next part.
     """
     answer = Answer()
     began_s = anyio.current_time()
@@ -363,7 +363,7 @@
 
 
 def request_headers(request_id="q1", **more):
-    """Return the header fields of a caller's request."""
+    """Return the header fields of a request of a caller."""
     headers = [(b"x-attempt-id", request_id.encode())]
     return headers + [
         (name.replace("_", "-").encode(), str(value).encode()) for name, value in more.items()
@@ -371,7 +371,7 @@
 
 
 def generation_headers(request_id="q1", parts="aa:800,bb:200", key=None, tokens="1000,20", **more):
-    """Return the header fields of a generation."""
+    """Return the header fields of a generation request."""
     headers = request_headers(
         request_id, x_model=MODEL, x_token_usage=tokens, x_prefix_hash=parts, **more
     )
@@ -381,7 +381,7 @@
 
 
 def route(name, prefix, kind, **more):
-    """Return a route as operators write it."""
+    """Return a route in the form that operators write to the store."""
     entry = {
         "name": name,
         "host": "h.example",
@@ -397,7 +397,7 @@
 
 
 def configuration(version=1, routes=None, tenants=(), **more):
-    """Return a configuration as operators write it."""
+    """Return a configuration in the form that operators write to the store."""
     default_routes = [
         route("orders", "/o/", "mutating"),
         route("status", "/s/", "idempotent"),
--- a/features/support/platform_runner.py
+++ b/features/support/platform_runner.py
@@ -1,6 +1,7 @@
 """Stand-in of a runner and of an ordering service, written from the published protocol.
 
-It records every arrival and every run, so that a test can say what ran how often and over what.
+The stand-in records every arrival and every run of a request, with its header fields, so that a
+test can check how often each request ran.
 """
 
 import json
@@ -14,10 +15,10 @@
 READ_S = 0.03
 HANG_S = 3600.0
 LOOK_INTERVAL_S = 0.05
-"""How much later than a process ends its connections may be cut."""
+"""The longest time between the end of a process and the cut of its connections."""
 
 BREAKING = ("hang", "reset", "break", "stall")
-"""Faults after which an answer never ends."""
+"""Faults with which an answer never completes."""
 
 
 @dataclass
@@ -33,12 +34,12 @@
     began_s: float
     ended_s: float | None = None
     first_event_s: float | None = None
-    """When its first event was made: only then has it begun for good."""
+    """When the first event was generated; before, the run does not count as begun."""
 
 
 @dataclass
 class RunnerStandIn:
-    """One incarnation; `faults` are taken one for each arrival, then all is well."""
+    """One incarnation of a back end. Each arriving request takes one of `faults` while any are left."""
 
     instance: str
     address: str
@@ -64,42 +65,44 @@
     num_running: int = 0
     event_interval_s: float = EVENT_INTERVAL_S
     names_request: bool = False
-    """Whether bodies and events name the request and the incarnation that they come from."""
+    """Whether bodies and events contain the id of the request and the name of this instance."""
     on_run: object = None
     """Called with each `Run` that begins, its target and its body."""
     on_break: object = None
-    """Called with the id of each request whose answer this runner breaks off."""
+    """Called with the id of each request whose answer this runner will not complete."""
     born_ms: int | None = None
-    """When its process started, if it tells."""
+    """The start time of its process, if the registration states it."""
     is_crashed: bool = False
-    """Whether the process has ended: all that it was at work on is cut."""
+    """Whether the process has ended; the connections of its requests in flight are then cut."""
     is_leaving: bool = False
-    """Whether its answers say that it leaves."""
+    """Whether its answers state that it is leaving."""
     leaving_path: str | None = None
-    """The only path whose answers say so; None for all."""
+    """The only path whose answers state that it is leaving; None for all paths."""
     refusal_rest: str | None = None
-    """The time of rest that it asks for where a fault has it refuse one request."""
+    """The Retry-After value of an answer that refuses one request because of a fault."""
     on_statement: object = None
-    """Called with the id of each request in whose answer it says that it leaves or wants a rest,
-    whether it leaves, and the rest as written or None."""
+    """Called for each request whose answer states that this runner is leaving or asks for a rest.
+
+    The arguments are the request's id, whether the runner is leaving, and Retry-After or None.
+    """
     on_limit: object = None
-    """Called with the id of each request in whose answer it states a request limit."""
+    """Called with the id of each request whose answer states a request limit."""
     rests: tuple = ()
-    """While it has any, it turns all requests away and writes these times of rest."""
+    """Unless empty, it refuses all requests and sends these Retry-After values."""
     refusal_status: int = 503
-    """The status with which it then does so."""
+    """The status of a refusal that asks for a rest."""
     proves_refusals: bool = True
-    """Whether it then says that it does not run what it turns away."""
+    """Whether a refusal that asks for a rest states that the request was not run."""
     limits: tuple = ()
-    """The request limits that all its answers state, as written."""
+    """The request limits that all its answers state, as header values."""
     unknown_header: str | None = None
-    """A header of the same kind in all its answers that no release knows."""
+    """A header that all its answers have and that no release of the gateway supports."""
     limited_path: str | None = None
-    """The only path whose answers state them; None for all."""
+    """The only path whose answers state `limits`; None for all paths."""
     probe_rests: tuple = ()
-    """While it has any, it turns health checks away and writes these times of rest."""
+    """Unless empty, it refuses health checks and sends these Retry-After values."""
     probed_s: list = field(default_factory=list)
-    """When it was asked for its health."""
+    """The times of the health checks that it received."""
 
     def entry(self, state="ready"):
         models = [{"name": self.model, "version": self.version, "adapters": []}]
@@ -127,10 +130,10 @@
             self.on_limit(request_id)
         if self.unknown_header is not None:
             response.headers[self.unknown_header] = "1"
-        self._note_said(request, response)
+        self._report_statement(request, response)
         return response
 
-    def _note_said(self, request, response):
+    def _report_statement(self, request, response):
         request_id = request.headers.get("x-attempt-id")
         is_leaving = "server-leaving" in response.headers
         rest = response.headers.get("retry-after")
@@ -147,7 +150,7 @@
         if path == "/healthz":
             self.probed_s.append(anyio.current_time())
             if self.probe_rests:
-                return self._turn_away(self.probe_rests)
+                return self._refuse(self.probe_rests)
             return httpx.Response(200, headers={"X-Instance-Id": self.instance})
         return await self._request(request)
 
@@ -161,18 +164,18 @@
         expected = request.headers.get("x-expect-instance")
         if expected not in (None, self.instance):
             return httpx.Response(421, headers={"X-Instance-Id": self.instance})
-        wanted = request.headers.get("x-expect-version")
-        if wanted is not None and int(wanted) != self.version:
+        expected_version = request.headers.get("x-expect-version")
+        if expected_version is not None and int(expected_version) != self.version:
             return httpx.Response(421, headers={"X-Not-Executed": "1"})
         if self.rests:
-            return self._turn_away(self.rests)
+            return self._refuse(self.rests)
         if fault == "refuse" and self.refusal_rest is not None:
-            return self._turn_away((self.refusal_rest,))
+            return self._refuse((self.refusal_rest,))
         if fault == "refuse" or self.is_loading:
             return httpx.Response(503, headers={"X-Not-Executed": "1"})
         return await self._run(request, request_id, fault)
 
-    def _turn_away(self, rests):
+    def _refuse(self, rests):
         headers = [("Retry-After", rest) for rest in rests]
         if self.proves_refusals:
             headers.append(("X-Not-Executed", "1"))
@@ -194,7 +197,7 @@
         if fault in BREAKING and self.on_break is not None:
             self.on_break(request_id)
         if fault == "hang":
-            await self._sleep_or_note(request_id, HANG_S)
+            await self._sleep_or_record(request_id, HANG_S)
         if fault == "reset":
             raise httpx.ReadError("reset")
         headers = {"X-Attempt-Id": request_id, "X-Response-Seal": f"seal-{self.instance}"}
@@ -212,16 +215,16 @@
             if self.names_request:
                 body += b" for " + request_id.encode()
             if fault == "break":
-                return httpx.Response(200, headers=headers, stream=Broken([body[:4]]))
+                return httpx.Response(200, headers=headers, stream=TruncatedBody([body[:4]]))
             run.ended_s = anyio.current_time()
             return httpx.Response(200, headers=headers, content=body)
         headers["X-Weight-Versions"] = str(self.version)
         after = int(request.headers.get("last-event-id") or 0)
-        stream = Events(self, run, after, fault)
+        stream = EventStream(self, run, after, fault)
         return httpx.Response(200, headers=headers, stream=stream)
 
     async def take_time(self, seconds):
-        """Take some time; whoever waits has its connection cut if the process ends meanwhile."""
+        """Sleep; raise a read error if the process ends meanwhile, as a cut connection does."""
         until_s = anyio.current_time() + seconds
         while True:
             await anyio.sleep_until(min(until_s, anyio.current_time() + LOOK_INTERVAL_S))
@@ -230,7 +233,7 @@
             if anyio.current_time() >= until_s:
                 return
 
-    async def _sleep_or_note(self, request_id, seconds):
+    async def _sleep_or_record(self, request_id, seconds):
         try:
             await anyio.sleep(seconds)
         except BaseException:
@@ -264,7 +267,7 @@
         return httpx.Response(202)
 
     def tick(self):
-        """End a load whose time has come; in one mode it begins once all runs have ended."""
+        """Complete a load that is due; in "block" mode, a load starts after all runs have ended."""
         if self.is_loading and self.load_mode == "block" and self.num_running:
             self.ends_load_s = anyio.current_time() + self.load_s
         if self.is_loading and anyio.current_time() >= self.ends_load_s:
@@ -272,8 +275,8 @@
             self.version = self.loading_version
 
 
-class Events(httpx.AsyncByteStream):
-    """A stream of numbered events, perhaps broken off."""
+class EventStream(httpx.AsyncByteStream):
+    """A stream of numbered events that a fault may break off, pause or stall."""
 
     def __init__(self, runner, run, after, fault):
         self._runner = runner
@@ -309,8 +312,8 @@
         return f"token-{number}"
 
 
-class Broken(httpx.AsyncByteStream):
-    """A body that ends early."""
+class TruncatedBody(httpx.AsyncByteStream):
+    """A body whose connection is closed before its end."""
 
     def __init__(self, parts):
         self._parts = parts
--- a/features/support/platform_store.py
+++ b/features/support/platform_store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's store, written from its published protocol, with faults to switch on."""
+"""Stand-in of the platform's store with injectable faults, written from the published protocol."""
 
 import base64
 import json
@@ -10,13 +10,13 @@
 HISTORY_LENGTH = 200
 SILENT_S = 3600.0
 LOST_ANSWER_S = 1.0
-"""When the adapter gives an answer up."""
+"""The time after which the adapter stops waiting for an answer."""
 
 JSON_TYPE = {"content-type": "application/json"}
 
 
 class StoreStandIn:
-    """Items, leases, transactions and watches at one linearizable store."""
+    """A linearizable store with items, leases, transactions and watches."""
 
     def __init__(self):
         self.items = {}
@@ -38,13 +38,13 @@
         self.next_lease = 100
         self.num_cuts = 0
         self.era = 0
-        """How often it has come back from a copy; named in its answers from the first time on."""
+        """How often the store was restored from a backup; unless 0, every answer states it."""
         self.backup = None
         self.withheld_answers = []
-        """Paths of calls whose next answer is kept back until `release_answers` is called, in order."""
+        """Paths of calls whose next answer is withheld until `release_answers` is called."""
         self.released = anyio.Event()
 
-    # What tests do directly, as the operator or a runner.
+    # Changes that a test makes directly, in place of the operator or a runner.
 
     def put(self, key, value, lease=0):
         raw = value if isinstance(value, bytes) else json.dumps(value).encode()
@@ -57,23 +57,23 @@
             self._note({"private_key": key, "revision": self.revision, "gone": True})
 
     def compact(self):
-        """Forget all history and cut the watches."""
+        """Drop all history, which ends the watches from earlier revisions."""
         self.history.clear()
         self.oldest = self.revision
         self._wake()
 
     def cut_watches(self):
-        """Reset the connections of all watches that wait."""
+        """Reset the connections of all waiting watches."""
         self.num_cuts += 1
         self._wake()
 
     def take_backup(self):
-        """Copy all items; what hangs on a lease is not in it."""
+        """Back up all items, except those that are attached to a lease."""
         kept = {key: item for key, item in self.items.items() if not item["lease"]}
         self.backup = (kept, self.revision)
 
     def restore(self):
-        """Come back from the copy: what was written since is gone, and so are all leases."""
+        """Restore the backup: later writes and all leases are lost."""
         kept, self.revision = self.backup
         self.items = dict(kept)
         self.leases.clear()
@@ -82,7 +82,7 @@
         self.cut_watches()
 
     def release_answers(self):
-        """Give the answers that were kept back."""
+        """Send the answers that were withheld."""
         released, self.released = self.released, anyio.Event()
         released.set()
 
@@ -109,7 +109,7 @@
 
     def _expire(self):
         now_s = anyio.current_time()
-        for lease in [one for one, until_s in self.leases.items() if until_s <= now_s]:
+        for lease in [lease for lease, until_s in self.leases.items() if until_s <= now_s]:
             self._end_lease(lease)
 
     def _end_lease(self, lease):
@@ -187,12 +187,12 @@
         return answer
 
     def _transaction(self, body):
-        for row in body["if_revision"]:
-            item = self.items.get(row["private_key"])
-            if (item["revision"] if item else 0) != row["revision"]:
-                keys = [one["private_key"] for one in body["if_revision"]]
-                found = [self.items[key] for key in keys if key in self.items]
-                return reply(412, {"items": found})
+        for condition in body["if_revision"]:
+            item = self.items.get(condition["private_key"])
+            if (item["revision"] if item else 0) != condition["revision"]:
+                keys = [condition["private_key"] for condition in body["if_revision"]]
+                current = [self.items[key] for key in keys if key in self.items]
+                return reply(412, {"items": current})
         for put in body["put"]:
             if put["lease"] and put["lease"] not in self.leases:
                 return reply(404, {})
--- a/features/support/platform_words.py
+++ b/features/support/platform_words.py
@@ -1,6 +1,6 @@
-"""Stand-in of the platform's side of the soak: its words for settings, requests and configurations.
+"""The platform's names for settings, requests and configurations, as the fault soak uses them.
 
-Nothing else of the soak knows them.
+No other module of the soak contains these names.
 """
 
 from collections.abc import Mapping, Sequence
@@ -29,7 +29,7 @@
 MODEL = "m"
 TENANT = "soak-tenant"
 STOP_TIME_S = 8.0
-"""SIGKILL follows a SIGTERM after this time."""
+"""Time between SIGTERM and SIGKILL."""
 KEY_REMOVAL_S = 5.0
 WEIGHTS_BOUND_S = 8.0
 CONFIGURATION_BOUND_S = 2.0
@@ -40,7 +40,7 @@
 REQUIRED_FIELDS = frozenset({"id", "data"})
 EVENT_FIELDS = REQUIRED_FIELDS | {"x-weight-versions"}
 MALFORMED = -1
-"""In place of the number of an event that has no proper form."""
+"""Stands for the number of a malformed event."""
 
 CONFIGURATION_KEY = "op/config"
 WEIGHTS_KEY = f"op/version/{MODEL}"
@@ -68,7 +68,7 @@
 def node_settings(
     name: str, host: str, zone: str, store_host: str, *, is_first_start: bool, extra: int
 ) -> str:
-    """Return a node's settings file; `extra` is the figure that the soak changes."""
+    """Return the text of a node's settings file; the soak changes `extra`, the retry budget's extra."""
     return f"""node_name = "{name}"
 ip = "{host}"
 zone = "{zone}"
@@ -116,7 +116,7 @@
 def configuration(
     version: ConfigurationVersion, marker: str, keys: Sequence[str]
 ) -> dict[str, object]:
-    """Return a configuration whose route `marker` no other version has."""
+    """Return a configuration whose route `marker` is unique to its version."""
     routes = [
         _route(prefix.strip("/"), prefix, kind, is_public=prefix != KEYED_PATH)
         for prefix, kind in PATHS.items()
@@ -137,14 +137,14 @@
 
 
 def target_version_entry(version: WeightsVersion) -> dict[str, object]:
-    """Return the naming of newer weights."""
+    """Return the store entry that sets the target version of the weights."""
     return {"model": MODEL, "version": version}
 
 
 def request_headers(
     request: RequestId, kind: RequestKind, deadline_s: float, key: str | None
 ) -> dict[str, str]:
-    """Return the header fields of a caller's request."""
+    """Return the header fields of a request of a caller."""
     headers = {
         "Host": HOST,
         "X-Attempt-Id": request,
@@ -155,17 +155,17 @@
     if kind in (RequestKind.STREAM, RequestKind.RESUMABLE_STREAM):
         headers["X-Model"] = MODEL
         headers["X-Token-Usage"] = "1000,20"
-        headers["X-Prefix-Hash"] = f"aa:800,{hash_of(request):x}:200"
+        headers["X-Prefix-Hash"] = f"aa:800,{prompt_hash(request):x}:200"
     return headers
 
 
-def hash_of(request: RequestId) -> int:
-    """Return a number for the last part of a request's prompt."""
+def prompt_hash(request: RequestId) -> int:
+    """Return the hash of the last part of a request's prompt."""
     return int.from_bytes(request.encode()[-6:], "big")
 
 
 class AnswerHead(msgspec.Struct, frozen=True):
-    """What the header fields of an answer say; see `RequestEnded`."""
+    """The signature and the request id in an answer's header fields; see `RequestEnded`."""
 
     signature: str | None
     named: str | None
@@ -177,17 +177,17 @@
 
 
 def signature_of(instance: InstanceName) -> str:
-    """Return the signature that a back end's answers bear."""
+    """Return the signature that a back end adds to its answers."""
     return f"seal-{instance}"
 
 
 def whole_body(request: RequestId, instance: InstanceName) -> str:
-    """Return the body of a back end's whole answer, unless it is a stream."""
+    """Return the complete body of an answer that is not a stream."""
     return f"done by {instance} for {request}"
 
 
 def parse_events(body: str) -> tuple[tuple[int, ...], tuple[str, ...]]:
-    """Return number and origin of each event that arrived whole; MALFORMED of any other bytes."""
+    """Return number and data of each complete event; the number of a malformed event is MALFORMED."""
     numbers, origins = [], []
     for event in body.split("\n\n")[:-1]:
         lines = [line.partition(": ") for line in event.split("\n")]
@@ -199,9 +199,9 @@
 
 
 def with_events(ended: RequestEnded) -> RequestEnded:
-    """Return a stream's end with its events read from the body.
+    """Return the end of a stream with the events that its body contains.
 
-    Bytes after the last event are part of one if the stream broke off, else they are malformed.
+    Bytes after the last event are ignored if the stream broke off, and malformed if it completed.
     """
     numbers, origins = parse_events(ended.body)
     if ended.outcome is Outcome.ANSWERED and not ended.body.endswith("\n\n") and ended.body:
@@ -210,5 +210,5 @@
 
 
 def fence_of(order: Mapping[str, Any]) -> tuple[str, int]:
-    """Return holder and fencing token of an order."""
+    """Return the holder and the fencing token of an order."""
     return order["holder"], order["fence_token"]
--- a/features/support/recorded_forms.py
+++ b/features/support/recorded_forms.py
@@ -1,7 +1,7 @@
-"""Examples of all that leaves a node: messages, records, calls, log events and metrics.
+"""Examples of all data that leaves a node: messages, records, calls, log events and metrics.
 
-`features/recorded_forms/` holds what each example looked like when it was recorded. The examples
-follow the names of the code; the recordings do not change.
+`features/recorded_forms/` holds the recorded form of each example. The examples follow the names
+of the code; the recordings do not change.
 """
 
 import ast
@@ -117,7 +117,7 @@
 RUNS = ("i-1@0", "i-2@1700000000001", "i-3@0")
 LEASE_ID = 7
 WRITTEN_WITHIN_S = 20.0
-"""Virtual time within which every task of the examples writes its record."""
+"""Virtual time within which each task of the examples must write its record."""
 
 
 def recorded(kind):
@@ -236,7 +236,7 @@
         "query": StateQuery("node-2", 5, 99),
         "reply_empty": StateReply("node-1", 5, 99, 99, 12, True),
         "reply_configuration": _reply([ConfigurationChanged(_configuration())]),
-        "reply_back_ends": _reply([BackEndRegistered(one) for one in _back_ends()]),
+        "reply_back_ends": _reply([BackEndRegistered(back_end) for back_end in _back_ends()]),
         "reply_other_changes": _reply(_other_changes()),
         "ages_query": AgesQuery("node-2", 6),
         "ages_reply": AgesReply("node-1", 6, 5000, 120),
@@ -253,25 +253,25 @@
     "leaving": {"leaving": (), "ended": (), "limits": ()},
     "limits": {"limits": ()},
 }
-"""By what came with a release: the fields of gossip that the release before does not know."""
+"""By the name of an addition to gossip: its fields, which earlier releases do not support, empty."""
 
 
 def earlier_messages():
-    """Return what a message of an earlier release says, by the name of its recording."""
-    now = messages()
+    """Return the content of the messages of earlier releases, by the name of their recording."""
+    current_messages = messages()
     return {
-        f"{name}_before_{came}": msgspec.structs.replace(now[name], **fields)
-        for came, fields in FIELDS_SINCE.items()
+        f"{name}_before_{addition}": msgspec.structs.replace(current_messages[name], **fields)
+        for addition, fields in FIELDS_SINCE.items()
         for name in ("news_empty", "news_full", "news_of_group")
     }
 
 
-def read_by_release_before(came, encoded):
-    """Read a gossip message as the release does before something came."""
+def read_by_release_before(addition, encoded):
+    """Decode a gossip message as the last release before an addition does."""
     fields = [
-        (one.name, one.type, one.default)
-        for one in msgspec.structs.fields(Gossip)
-        if one.name not in ("sender", *FIELDS_SINCE[came])
+        (field.name, field.type, field.default)
+        for field in msgspec.structs.fields(Gossip)
+        if field.name not in ("sender", *FIELDS_SINCE[addition])
     ]
     earlier = msgspec.defstruct(
         "EarlierGossip", [("sender", str), *fields], frozen=True, array_like=True, tag="news"
@@ -280,18 +280,18 @@
 
 
 class RecordingStore:
-    """A key-value service that takes everything and keeps what was written."""
+    """A key-value service that accepts every call and keeps the written values."""
 
     def __init__(self):
         self.written = []
         self.has_written = anyio.Event()
 
     async def read(self, prefix):
-        """Answer that nothing is there."""
+        """Return an empty answer."""
         return Ok(ReadAnswer(1, ()))
 
     async def grant_lease(self, time_to_live_s):
-        """Grant the same lease each time."""
+        """Grant the same lease for every call."""
         return Ok(LEASE_ID)
 
     async def keep_lease_alive(self, lease_id):
@@ -299,18 +299,18 @@
         return Ok(6.0)
 
     async def revoke_lease(self, lease_id):
-        """End any lease."""
+        """Accept the end of any lease."""
         return Ok(None)
 
     async def compare_and_swap(self, key, expected_mod_revision, value, lease_id=0):
-        """Keep the change."""
+        """Record the write and let it succeed."""
         self.written.append((key, value))
         self.has_written.set()
         return Ok(SwapAnswer(True, 2, KeyValue(key, value, 2, 2, lease_id)))
 
 
 def _written_by(start):
-    """Return the first key and value that a task writes; `start` gets the store and clock."""
+    """Return the first key and value that a task writes; `start(store, tasks)` starts the task."""
     stores = []
 
     async def body():
@@ -326,10 +326,10 @@
 
 
 class AlwaysEligible:
-    """Lets a node try for any duty."""
+    """Makes a node eligible for every duty."""
 
     def is_own(self, duty, count, /):
-        """Whether this node should try."""
+        """Return True: the node should try to get the duty."""
         return True
 
 
@@ -391,17 +391,17 @@
 
 
 def _rollout_status():
-    made = _made_call("store_status")
-    entry = json.loads(made["body"])["put"][0]
+    made_call = _made_call("store_status")
+    entry = json.loads(made_call["body"])["put"][0]
     return entry["private_key"], entry["value"].encode()
 
 
 def record(name):
-    """Return the key and value of an example of a record."""
+    """Return the key and value of an example record."""
     rollouts = {"rollout": _rollout, "rollout_begun": _rollout_begun}
     if name in rollouts:
-        made = rollouts[name]()
-        return record_key(made.service), encode_record(made)
+        rollout = rollouts[name]()
+        return record_key(rollout.service), encode_record(rollout)
     if name == "weights_age":
         return _weights_age().key(), _weights_age().value()
     makers = {
@@ -415,7 +415,7 @@
 
 
 def read_record(name, key, value):
-    """Return what is read of a recorded record, and what it is to say."""
+    """Return the decoded form of a recorded record, and the expected one."""
     if name in ("rollout", "rollout_begun"):
         return decode_record(value), _rollout() if name == "rollout" else _rollout_begun()
     if name == "weights_age":
@@ -426,13 +426,13 @@
 
 
 class RecordingTransport(httpx.AsyncBaseTransport):
-    """Keeps the requests that it is given and answers each with an empty body."""
+    """Records its requests and answers each with status 500 and an empty body."""
 
     def __init__(self, *_):
         self.requests = []
 
     async def handle_async_request(self, request):
-        """Keep a request."""
+        """Record a request and its body."""
         self.requests.append((request, await request.aread()))
         return httpx.Response(500, content=b"")
 
@@ -491,17 +491,17 @@
 def _made_call(name):
     transport = RecordingTransport()
     if name in _RUNNER_CALLS:
-        made = _RUNNER_CALLS[name]
+        make_call = _RUNNER_CALLS[name]
         client = BackEndClient(_back_ends()[0], 5, lambda *_: None, lambda *_: transport)
     elif name in _FEED_CALLS:
-        made = _FEED_CALLS[name]
+        make_call = _FEED_CALLS[name]
         client = StateFeedAdapter(StoreClient("10.0.0.1:7000", lambda *_: transport))
     else:
-        made = _STORE_CALLS[name]
+        make_call = _STORE_CALLS[name]
         client = KeyValueAdapter(StoreClient("10.0.0.1:7000", lambda *_: transport))
 
     async def body():
-        await made(client)
+        await make_call(client)
 
     run_in_virtual_time(body)
     request, content = transport.requests[0]
@@ -516,15 +516,15 @@
 
 
 def call(name):
-    """Return method, target, headers and body of an example of a call."""
+    """Return the method, target, headers and body of an example call."""
     return _made_call(name)
 
 
 def log_events():
     """Return the names of the events that the gateway logs, each with the fields of its line.
 
-    Read off the sources: the keywords of each call of `event`, and every name that a function whose
-    own name ends in `fields` gives to a part of a line.
+    The names come from the sources: the keywords of each call of `event`, and the keys that are
+    set in each function whose name ends in `fields`.
     """
     events = defaultdict(set)
     for folder in LOGGING_SOURCES:
@@ -548,11 +548,11 @@
         is_event = isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute)
         if is_event and node.func.attr == "event" and node.args:
             for name in _texts(node.args[0], function):
-                yield name, {one.arg for one in node.keywords if one.arg is not None}
+                yield name, {keyword.arg for keyword in node.keywords if keyword.arg is not None}
 
 
 def _texts(node, function):
-    """Return the texts that an expression may stand for."""
+    """Return the texts that an expression may evaluate to."""
     if isinstance(node, ast.Constant):
         return [node.value]
     if isinstance(node, ast.IfExp):
@@ -560,15 +560,15 @@
     if isinstance(node, ast.Name):
         return [
             text
-            for one in ast.walk(function)
-            if isinstance(one, ast.Assign) and any(_names(one.targets, node.id))
-            for text in _texts(one.value, function)
+            for statement in ast.walk(function)
+            if isinstance(statement, ast.Assign) and any(_are_names(statement.targets, node.id))
+            for text in _texts(statement.value, function)
         ]
     return []
 
 
-def _names(targets, name):
-    return (isinstance(one, ast.Name) and one.id == name for one in targets)
+def _are_names(targets, name):
+    return (isinstance(target, ast.Name) and target.id == name for target in targets)
 
 
 def _keys_of(function):
@@ -584,13 +584,13 @@
 
 
 def metrics():
-    """Return the metrics of a node by name, each with its type, labels and buckets."""
+    """Return the type, labels and buckets of each metric of a node, by name."""
     registry = GatewayMetrics().registry
     return {
-        one._name: {
-            "type": one._type,
-            "labels": list(one._labelnames),
-            "buckets": [str(bound) for bound in getattr(one, "_upper_bounds", ())],
+        metric._name: {
+            "type": metric._type,
+            "labels": list(metric._labelnames),
+            "buckets": [str(bound) for bound in getattr(metric, "_upper_bounds", ())],
         }
-        for one in sorted(set(registry._collector_to_names), key=lambda one: one._name)
+        for metric in sorted(set(registry._collector_to_names), key=lambda metric: metric._name)
     }
--- a/features/support/scripted_server.py
+++ b/features/support/scripted_server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server on a loopback port that misbehaves as told; written byte by byte."""
+"""An HTTP/1.1 server on a loopback port that writes raw bytes and misbehaves as a test requires."""
 
 import socket
 import struct
@@ -8,7 +8,7 @@
 
 from weirscale.standins.asgi_server import LOOPBACK
 
-LATER_S = 0.05
+DELAY_S = 0.05
 
 
 def with_length(body):
@@ -21,26 +21,26 @@
 
 
 async def reset(stream):
-    """Close so that the other side sees a reset."""
+    """Close the connection with a reset."""
     raw = stream.extra(SocketAttribute.raw_socket)
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     await stream.aclose()
 
 
 class ScriptedServer:
-    """Answers request number n with `answer n`, in the way that its script says."""
+    """Answers request number n with `answer n`; the method that `behaviour` names writes the answer."""
 
-    def __init__(self, does):
-        self.does = does
+    def __init__(self, behaviour):
+        self.behaviour = behaviour
         self.num_connections = 0
         self.num_requests = 0
         self.ended_at_s = []
-        self.asked_at_s = []
-        self.told = anyio.Event()
+        self.requested_at_s = []
+        self.may_answer = anyio.Event()
         self.address = None
 
     async def run(self, *, task_status):
-        if self.does == "reads nothing":
+        if self.behaviour == "reads nothing":
             await self._read_nothing(task_status)
         listener = await anyio.create_tcp_listener(local_host=LOOPBACK)
         self.address = f"{LOOPBACK}:{listener.extra(SocketAttribute.local_port)}"
@@ -48,7 +48,7 @@
         await listener.serve(self._serve)
 
     async def _read_nothing(self, task_status):
-        """Let connections come up and take what the kernel takes."""
+        """Accept connections in the kernel only: its receive buffer fills, and nothing reads it."""
         with socket.create_server((LOOPBACK, 0)) as listener:
             host, port = listener.getsockname()
             self.address = f"{host}:{port}"
@@ -70,22 +70,22 @@
         await self._read_request(stream)
         self.num_requests += 1
         body = b"answer %d" % self.num_requests
-        script = getattr(self, "_" + self.does.replace(" ", "_").replace(",", ""), None)
-        if script is None:
-            raise AssertionError(f"no script for {self.does!r}")
-        return await script(stream, body, self.num_requests == 1)
+        answer = getattr(self, "_" + self.behaviour.replace(" ", "_").replace(",", ""), None)
+        if answer is None:
+            raise AssertionError(f"no method for {self.behaviour!r}")
+        return await answer(stream, body, self.num_requests == 1)
 
     async def _read_request(self, stream):
         data = b""
         while b"\r\n\r\n" not in data:
             data += await stream.receive()
-        self.asked_at_s.append(anyio.current_time())
+        self.requested_at_s.append(anyio.current_time())
         head, _, rest = data.partition(b"\r\n\r\n")
         length = 0
         for line in head.lower().split(b"\r\n"):
             if line.startswith(b"content-length:"):
                 length = int(line.partition(b":")[2])
-        if self.does == "answers before it reads the body":
+        if self.behaviour == "answers before it reads the body":
             await stream.send(with_length(b"answer %d" % (self.num_requests + 1)))
         while len(rest) < length:
             rest += await stream.receive()
@@ -106,22 +106,22 @@
             await stream.send(bytes([byte]))
         return True
 
-    async def _tells_first_that_it_goes_on(self, stream, body, _is_first):
+    async def _sends_100_Continue_first(self, stream, body, _is_first):
         await stream.send(b"HTTP/1.1 100 Continue\r\n\r\n")
         await stream.send(with_length(body))
         return True
 
-    async def _closes_after_each_answer_and_says_so(self, stream, body, _is_first):
+    async def _closes_after_each_answer_and_announces_it(self, stream, body, _is_first):
         await stream.send(with_length(body).replace(b"\r\n", b"\r\nConnection: close\r\n", 1))
         return False
 
-    async def _closes_after_each_answer_without_a_word(self, stream, body, _is_first):
+    async def _closes_after_each_answer_unannounced(self, stream, body, _is_first):
         await stream.send(with_length(body))
         return False
 
     async def _resets_after_each_answer(self, stream, body, _is_first):
         await stream.send(with_length(body))
-        await anyio.sleep(LATER_S)
+        await anyio.sleep(DELAY_S)
         await reset(stream)
         return False
 
@@ -135,18 +135,18 @@
 
     async def _answers_twice_the_second_time_later(self, stream, body, _is_first):
         await stream.send(with_length(body))
-        await anyio.sleep(LATER_S)
+        await anyio.sleep(DELAY_S)
         await stream.send(with_length(b"surplus"))
         return True
 
-    async def _breaks_the_first_answer_off(self, stream, body, is_first):
-        whole = with_length(body)
-        await stream.send(whole[:-2] if is_first else whole)
+    async def _truncates_the_first_answer(self, stream, body, is_first):
+        answer = with_length(body)
+        await stream.send(answer[:-2] if is_first else answer)
         return not is_first
 
-    async def _breaks_a_chunk_of_the_first_answer_off(self, stream, body, is_first):
-        whole = in_chunks([body])
-        await stream.send(whole[:-7] if is_first else whole)
+    async def _truncates_a_chunk_of_the_first_answer(self, stream, body, is_first):
+        answer = in_chunks([body])
+        await stream.send(answer[:-7] if is_first else answer)
         return not is_first
 
     async def _resets_instead_of_the_first_answer(self, stream, body, is_first):
@@ -172,23 +172,23 @@
             return False
         return await self._answers_with_a_length(stream, body, is_first)
 
-    async def _falls_silent_in_the_first_answer(self, stream, body, is_first):
+    async def _stalls_in_the_first_answer(self, stream, body, is_first):
         if is_first:
             await stream.send(with_length(body)[:-2])
             await anyio.sleep(2.0)
             return False
         return await self._answers_with_a_length(stream, body, is_first)
 
-    async def _answers_when_told(self, stream, body, _is_first):
+    async def _answers_when_allowed(self, stream, body, _is_first):
         await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body[:2])
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._watch_end, stream, tasks.cancel_scope)
-            await self.told.wait()
+            tasks.start_soon(self._cancel_at_end, stream, tasks.cancel_scope)
+            await self.may_answer.wait()
             await stream.send(body[2:])
             tasks.cancel_scope.cancel()
-        return self.told.is_set()
+        return self.may_answer.is_set()
 
-    async def _watch_end(self, stream, scope):
+    async def _cancel_at_end(self, stream, scope):
         try:
             await stream.receive()
         except (anyio.EndOfStream, anyio.BrokenResourceError):
--- a/features/support/virtual_time.py
+++ b/features/support/virtual_time.py
@@ -1,4 +1,4 @@
-"""Virtual time for tests: no test waits on a wall clock, and a test's schedule never varies."""
+"""Virtual time for tests: they do not wait for a wall clock, and their schedules are repeatable."""
 
 from weirscale.experiments.virtual_time import run_in_virtual_time
 
