--- a/features/architecture_layers.feature
+++ b/features/architecture_layers.feature
@@ -1,8 +1,11 @@
-Feature: Packages keep to their layers
+Feature: Packages import only from their own layer and the layers below
+  Imports across layers make rules depend on input and output, and let small changes affect distant
+  modules. These checks read the imports from the sources.
+
   Scenario Outline: A package imports only what its layer allows
     Given the modules of "weirscale.<package>"
-    When their imports of the project are listed
-    Then each is of one of "<allowed>"
+    When the imports of these modules from the project are listed
+    Then each import is of one of "<allowed>"
 
     Examples:
       | package     | allowed                                                    |
@@ -18,10 +21,10 @@
 
   Scenario Outline: A package of the gateway imports only packages below it
     Given the modules of "weirscale.gateway.<package>"
-    When their imports of the gateway are listed
-    Then each is of one of the gateway's "<allowed>"
+    When the imports of these modules from the gateway are listed
+    Then each import is of one of the gateway's "<allowed>"
 
-    Examples: from the ground up; `settings`, `ticks` and `durations` are single modules
+    Examples: from the lowest layer up; `settings`, `ticks` and `durations` are single modules
       | package     | allowed                                                                                                              |
       | model       | model                                                                                                                |
       | ports       | ports model                                                                                                          |
@@ -38,23 +41,23 @@
       | telemetry   | telemetry quarantine routing limits ports model settings ticks                                                       |
       | requests    | requests telemetry quarantine weights routing rollouts limits peers state ports model settings ticks durations       |
 
-  Scenario: Modules of the gateway and of its adapter import one another in no circle
+  Scenario: The modules of the gateway and of its adapter have no cyclic imports
     Given the modules of the gateway and of its adapter
-    When their imports of one another are listed
-    Then no module is reached from itself
+    When the imports of these modules from one another are listed
+    Then no module imports itself directly or through others
 
   Scenario: Modules, functions and constructors of the gateway and of its adapter stay small
     Given the modules of the gateway and of its adapter
     Then no module has over 350 lines, no function over 50 and no constructor over 10 arguments
 
-  Scenario: Each mutation changes one place of the code as it is
+  Scenario: Each mutation applies to exactly one place of the current code
     Given the table of mutations
-    Then what each replaces stands once in its file, and its features are there
+    Then the text that each mutation replaces occurs once in its file, and its features exist
 
-  Scenario Outline: Rules do no input or output and read no clock
+  Scenario Outline: Domain rules do no input or output and read no clock
     Given the modules of "weirscale.domain"
-    When all their imports are listed
-    Then none is of "<module>"
+    When all imports of these modules are listed
+    Then no import is of "<module>"
 
     Examples:
       | module     |
@@ -70,8 +73,8 @@
 
   Scenario Outline: The product starts no process and uses one concurrency library
     Given the modules of "weirscale"
-    When all their imports are listed
-    Then none is of "<module>"
+    When all imports of these modules are listed
+    Then no import is of "<module>"
 
     Examples:
       | module          |
--- a/features/gateway_connection_limits.feature
+++ b/features/gateway_connection_limits.feature
@@ -1,23 +1,26 @@
-Feature: Connections of callers are bounded as operators configure it
+Feature: Timeouts of callers' connections follow the operators' configuration
+  Callers that keep connections idle, or send a request head slowly, would occupy the node's
+  connections for as long as they like. The limits are part of the configuration in the store and
+  change while connections are open.
 
-  Scenario: A changed idle timeout closes a caller's unused connection
-    Given a node's program whose operators configure an idle timeout of 0.3 s
-    When a caller is answered and then leaves its connection unused
+  Scenario: A configured idle timeout closes a caller's idle connection
+    Given a program of a node with a configured idle timeout of 0.3 s
+    When a caller is answered and then leaves its connection idle
     Then the node closes the connection after 0.25 s to 1.8 s
 
-  Scenario: A longer idle timeout holds for connections that are unused already
-    Given a node's program whose operators configure an idle timeout of 0.5 s
+  Scenario: A longer idle timeout applies to connections that are already idle
+    Given a program of a node with a configured idle timeout of 0.5 s
     When a caller is answered, and 0.2 s later the idle timeout becomes 1.2 s
     Then the node closes the connection after 1.1 s to 1.8 s
 
-  Scenario: A caller whose request head takes too long is told to come again
-    Given a node's program whose operators configure a header timeout of 0.3 s
-    When a caller sends a part of a request head each 0.1 s
-    Then it gets 408 after 0.25 s to 1 s, and the connection is closed
+  Scenario: A caller that sends its request head too slowly gets 408
+    Given a program of a node with a configured header timeout of 0.3 s
+    When a caller sends one byte of a request head every 0.1 s
+    Then the caller gets 408 after 0.25 s to 1 s, and the connection is closed
 
-  Scenario Outline: A time that is none leaves the limits as they were
-    Given a node's program whose operators configure an idle timeout of <seconds> s
-    When a caller is answered and then leaves its connection unused
+  Scenario Outline: A timeout that is not positive leaves the limits unchanged
+    Given a program of a node with a configured idle timeout of <seconds> s
+    When a caller is answered and then leaves its connection idle
     Then the node keeps the connection open
 
     Examples:
--- a/features/platform_adapter.feature
+++ b/features/platform_adapter.feature
@@ -1,8 +1,10 @@
-Feature: The adapter to the users' platform translates, and nothing else knows its names
+Feature: The platform adapter translates between the platform's protocol and the gateway's ports
+  The gateway is bound to one platform as soon as a name of the platform's protocol stands in the
+  product. A wrong translation loses state, requests or idle connections without an error message.
 
-  Scenario Outline: No name of the platform stands outside its folder
+  Scenario Outline: No name of the platform occurs outside the adapter
     Given the source files outside the adapter
-    Then none contains "<name>"
+    Then no source file contains "<name>"
 
     Examples:
       | name               |
@@ -30,16 +32,16 @@
 
   Scenario: The product does not import the adapter, and the adapter is small
     Given the source files outside the adapter
-    Then none imports "weirscale_platform"
+    Then no source file imports "weirscale_platform"
     And the adapter has fewer than 2500 lines
 
-  Scenario: The adapter never shadows the standard module of its folder's name
-    Then the module "platform" is the standard one
+  Scenario: The adapter's folder does not shadow the standard module of the same name
+    Then the module "platform" is that of the standard library
 
-  Scenario Outline: A wrong settings file is one line that names the remedy
+  Scenario Outline: An invalid settings file raises an error of one line with the remedy
     Given a settings file with "<change>"
-    When it is read
-    Then the error names "<problem>"
+    When the settings file is read
+    Then the error contains "<problem>"
 
     Examples:
       | change                  | problem     |
@@ -49,14 +51,14 @@
       | without listen          | listen      |
       | a frontend without port | IP:PORT     |
 
-  Scenario: Fields that are not known are ignored, and bounds arrive in seconds
-    Given a settings file with "fields of a later day"
-    When it is read
-    Then the settings have a stop of 8 s, weights in 8 s, keys in 5 s and a budget of 0.2 and 54
+  Scenario: Unknown fields are ignored, and bounds are converted to seconds
+    Given a settings file with "fields of a later release"
+    When the settings file is read
+    Then the settings have a stop of 8 s, weights in 8 s, keys in 5 s and a retry budget of 0.2 and 54
 
-  Scenario Outline: An entry of the store becomes a change, or a problem that keeps the last state
+  Scenario Outline: A store entry becomes a change, or a problem report that keeps the last state
     When the item "<key>" with "<value>" is read
-    Then it is "<change>"
+    Then the resulting change is "<change>"
 
     Examples:
       | key          | value                                                              | change               |
@@ -72,7 +74,7 @@
       | weirscale/x  | anything                                                           | RecordChanged        |
       | other/x      | anything                                                           | nothing              |
 
-  Scenario Outline: The outline of a prompt
+  Scenario Outline: The prompt headers of a request are parsed
     When a request has the prompt headers "<model>", "<parts>", "<usage>"
     Then its prompt has <num> parts and <tokens> tokens
 
@@ -84,13 +86,13 @@
       | m     | a:100       | many   | 0   | 0      |
       |       | a:100       | 120,9  | 0   | 0      |
 
-  Scenario Outline: Unused connections to a runner are kept as long as its answers allow
-    Given a runner whose answers tell "<told>" of idle connections
-    When two requests are sent to it, the second while the first one's answer goes on
-    Then unused connections were kept for "<idle>" seconds, and each kind was closed after its last use
+  Scenario Outline: Idle connections to a runner are kept as long as its answers allow
+    Given a runner whose answers have the Keep-Alive header "<header>"
+    When two requests are sent to it, the second while the answer to the first is incomplete
+    Then idle connections were kept for "<idle>" seconds, and each transport was closed after its last use
 
-    Examples: nine seconds are assumed until an answer tells
-      | told              | idle |
+    Examples: nine seconds are assumed until an answer has the header
+      | header            | idle |
       | nothing           | 9    |
       | timeout=10        | 9    |
       | timeout=60        | 9    |
@@ -100,12 +102,12 @@
       | timeout=soon      | 9    |
       | max=5             | 9    |
 
-  Scenario Outline: Unused connections are kept for less after <failure>
-    Given a runner whose answers tell "nothing" of idle connections
+  Scenario Outline: Idle connections are kept for a shorter time after <failure>
+    Given a runner whose answers have the Keep-Alive header "nothing"
     When <count> requests to it end with "<failure>" and one is answered
-    Then unused connections were kept for "<idle>" seconds, and each kind was closed after its last use
+    Then idle connections were kept for "<idle>" seconds, and each transport was closed after its last use
 
-    Examples: a back end may forget a connection without a word
+    Examples: a back end may drop an idle connection without closing it
       | failure        | count | idle              |
       | ReadError      | 1     | 9,4.5             |
       | WriteError     | 1     | 9,4.5             |
--- a/features/recorded_forms.feature
+++ b/features/recorded_forms.feature
@@ -1,13 +1,13 @@
-Feature: What leaves a node keeps its form
-  Nodes of two releases run side by side during a rolling restart, records of an older release lie in
-  the store, and operators search logs and metrics by name. The recorded forms are not changed to
-  follow the code: a form that differs is a break of compatibility.
+Feature: Data that leaves a node keeps its form
+  Nodes of two releases run side by side during a rolling restart, the store contains records of
+  older releases, and operators search logs and metrics by name. The recorded forms are not changed
+  to follow the code: a different form breaks compatibility.
 
   Scenario Outline: A message between nodes has exactly the recorded bytes and is read back
     Given the recorded forms of "messages"
     When the message "<message>" is encoded
     Then its bytes are the recorded ones
-    And a node that gets the recorded bytes reads the same message
+    And a node that receives the recorded bytes reads the same message
 
     Examples:
       | message               |
@@ -28,8 +28,8 @@
 
   Scenario Outline: A message of an earlier release is read
     Given the recorded forms of "messages"
-    When a node gets the recorded "<message>" of an earlier release
-    Then it reads what that release says
+    When a node receives the recorded "<message>" of an earlier release
+    Then the node reads the content that the earlier release sent
 
     Examples:
       | message                      |
@@ -40,14 +40,14 @@
       | news_full_before_limits      |
       | news_of_group_before_limits  |
 
-  Scenario Outline: A node of the release before reads all that it knows of a message
-    When a node of the release before "<came>" gets the message "news_full"
-    Then it reads the same message without them
+  Scenario Outline: A node of an earlier release reads all fields of a message that its release supports
+    When a node of the release before "<addition>" receives the message "news_full"
+    Then the node reads the same message without the added fields
 
     Examples:
-      | came    |
-      | leaving |
-      | limits  |
+      | addition |
+      | leaving  |
+      | limits   |
 
   Scenario Outline: A record in the store has exactly the recorded key and value
     Given the recorded forms of "records"
@@ -68,7 +68,7 @@
   Scenario Outline: A record of an older release is read
     Given the recorded forms of "records"
     When the recorded value of "<record>" is read
-    Then it says what the record says
+    Then the content is that of the example record
 
     Examples:
       | record        |
@@ -78,10 +78,10 @@
       | rollout       |
       | rollout_begun |
 
-  Scenario Outline: What is sent to the platform has exactly the recorded form
+  Scenario Outline: A call to the platform has exactly the recorded form
     Given the recorded forms of "calls"
     When the gateway makes the call "<call>"
-    Then method, target, headers and body are the recorded ones
+    Then the call's method, target, headers and body are the recorded ones
 
     Examples:
       | call                |
@@ -104,9 +104,9 @@
   Scenario: The names of log events and their fields are the recorded ones
     Given the recorded forms of "log_events"
     When the events and fields that the gateway logs are listed
-    Then they are the recorded ones
+    Then the listed names are the recorded ones
 
   Scenario: The names of metrics, their labels and buckets are the recorded ones
     Given the recorded forms of "metrics"
-    When the metrics that a node offers are listed
-    Then they are the recorded ones
+    When the metrics that a node exports are listed
+    Then the listed names are the recorded ones
--- a/features/steps/architecture_layers_steps.py
+++ b/features/steps/architecture_layers_steps.py
@@ -1,3 +1,5 @@
+"""Steps of `architecture_layers.feature`."""
+
 import ast
 import functools
 import tomllib
@@ -13,7 +15,7 @@
 
 @functools.cache
 def imported_names(file):
-    """Return the dotted names that a module imports, at the top or inside functions."""
+    """Return the dotted names that a module imports, at its top level or inside functions."""
     names = []
     for node in ast.walk(ast.parse(file.read_text())):
         if isinstance(node, ast.Import):
@@ -29,7 +31,7 @@
     assert context.modules
 
 
-@when("their imports of the project are listed")
+@when("the imports of these modules from the project are listed")
 def step_project_imports(context):
     context.imports = [
         (file, name)
@@ -40,26 +42,26 @@
     assert context.imports
 
 
-@when("all their imports are listed")
+@when("all imports of these modules are listed")
 def step_all_imports(context):
     context.imports = [(file, name) for file in context.modules for name in imported_names(file)]
     assert context.imports
 
 
-@then('each is of one of "{packages}"')
+@then('each import is of one of "{packages}"')
 def step_each_allowed(context, packages):
     allowed = set(packages.split())
     wrong = [(str(file), n) for file, n in context.imports if n.split(".")[1] not in allowed]
     assert not wrong, wrong
 
 
-@then('none is of "{module}"')
+@then('no import is of "{module}"')
 def step_none_of(context, module):
     wrong = [(str(file), n) for file, n in context.imports if n.split(".")[0] == module]
     assert not wrong, wrong
 
 
-@when("their imports of the gateway are listed")
+@when("the imports of these modules from the gateway are listed")
 def step_gateway_imports(context):
     context.imports = [
         (file, name)
@@ -69,7 +71,7 @@
     ]
 
 
-@then('each is of one of the gateway\'s "{packages}"')
+@then('each import is of one of the gateway\'s "{packages}"')
 def step_each_of_gateway(context, packages):
     allowed = set(packages.split())
     wrong = [(str(file), n) for file, n in context.imports if n.split(".")[2] not in allowed]
@@ -89,7 +91,7 @@
     assert context.files
 
 
-@when("their imports of one another are listed")
+@when("the imports of these modules from one another are listed")
 def step_own_imports(context):
     context.imported = {
         module: {name for name in imported_names(file) if name in context.files}
@@ -98,25 +100,25 @@
     assert any(context.imported.values())
 
 
-@then("no module is reached from itself")
-def step_no_circle(context):
-    left = dict(context.imported)
+@then("no module imports itself directly or through others")
+def step_no_cycle(context):
+    remaining = dict(context.imported)
     while True:
-        ends = [module for module, names in left.items() if not names & left.keys()]
-        if not ends:
+        leaves = [module for module, names in remaining.items() if not names & remaining.keys()]
+        if not leaves:
             break
-        for module in ends:
-            del left[module]
-    assert not left, sorted(left)
+        for module in leaves:
+            del remaining[module]
+    assert not remaining, sorted(remaining)
 
 
 def functions_of(file):
     kinds = (ast.FunctionDef, ast.AsyncFunctionDef)
-    return [one for one in ast.walk(ast.parse(file.read_text())) if isinstance(one, kinds)]
+    return [node for node in ast.walk(ast.parse(file.read_text())) if isinstance(node, kinds)]
 
 
 def num_arguments(function):
-    """Return how many arguments a method takes besides the object itself."""
+    """Return how many arguments a method takes besides `self`."""
     arguments = function.args
     return len(arguments.posonlyargs + arguments.args + arguments.kwonlyargs) - 1
 
@@ -126,16 +128,16 @@
     "and no constructor over {arguments:d} arguments"
 )
 def step_small(context, lines, length, arguments):
-    found = []
+    offenders = []
     for module, file in context.files.items():
         if len(file.read_text().splitlines()) > lines:
-            found.append(module)
+            offenders.append(module)
         for function in functions_of(file):
             is_long = function.end_lineno - function.lineno >= length
             is_wide = function.name == "__init__" and num_arguments(function) > arguments
             if is_long or is_wide:
-                found.append(f"{module}:{function.lineno} {function.name}")
-    assert not found, found
+                offenders.append(f"{module}:{function.lineno} {function.name}")
+    assert not offenders, offenders
 
 
 @given("the table of mutations")
@@ -143,13 +145,13 @@
     context.mutations = tomllib.loads((Path("bench") / "mutations.toml").read_text())["mutation"]
 
 
-@then("what each replaces stands once in its file, and its features are there")
-def step_mutations_stand(context):
+@then("the text that each mutation replaces occurs once in its file, and its features exist")
+def step_mutations_apply(context):
     stale = [
-        f"{one['rule']}: {one['find']}"
-        for one in context.mutations
-        if not Path(one["file"]).exists()
-        or Path(one["file"]).read_text().count(one["find"]) != 1
-        or any(not Path("features", f"{name}.feature").exists() for name in one["features"])
+        f"{mutation['rule']}: {mutation['find']}"
+        for mutation in context.mutations
+        if not Path(mutation["file"]).exists()
+        or Path(mutation["file"]).read_text().count(mutation["find"]) != 1
+        or any(not Path("features", f"{name}.feature").exists() for name in mutation["features"])
     ]
     assert not stale, stale
--- a/features/steps/gateway_datagrams_steps.py
+++ b/features/steps/gateway_datagrams_steps.py
@@ -1,3 +1,5 @@
+"""Steps of `gateway_datagrams.feature`."""
+
 import time
 
 import anyio
@@ -8,10 +10,10 @@
 from weirscale.gateway.settings import ListenAddress
 
 FAIL_AFTER_S = 10.0
-WORD = b"heard"
-BAD_ADDRESS = {
+PAYLOAD = b"heard"
+FAILURE_ADDRESSES = {
     "is too large": None,
-    "has an address that is none": ListenAddress("no address", 1),
+    "has an invalid address": ListenAddress("no address", 1),
 }
 
 
@@ -31,7 +33,7 @@
 @given("two datagram sockets on loopback")
 def step_sockets(context):
     context.addresses = [listen_address(), listen_address()]
-    context.first, context.second = (DatagramSocket(one) for one in context.addresses)
+    context.first, context.second = (DatagramSocket(address) for address in context.addresses)
     context.add_cleanup(context.first.close)
     context.add_cleanup(context.second.close)
 
@@ -50,34 +52,36 @@
     run(main)
 
 
-@then("the second reads them in order within {most:d} turns, each from the first's address")
+@then(
+    "the second reads them in order within {most:d} turns, each with the first's address as sender"
+)
 def step_read_many(context, most):
-    read = [one for turn in context.turns for one in turn]
+    datagrams = [datagram for turn in context.turns for datagram in turn]
     assert len(context.turns) <= most, len(context.turns)
-    assert [int(data) for data, _ in read] == list(range(context.count))
-    assert {sender for _, sender in read} == {context.addresses[0]}
+    assert [int(data) for data, _ in datagrams] == list(range(context.count))
+    assert {sender for _, sender in datagrams} == {context.addresses[0]}
 
 
-@when('the first sends one that "{cannot}", and then one to the second')
-def step_send_lost(context, cannot):
-    lost = bytes(70_000) if cannot == "is too large" else b"lost"
-    address = BAD_ADDRESS.get(cannot, listen_address()) or context.addresses[1]
+@when('the first sends a datagram that "{failure}", and then one to the second')
+def step_send_lost(context, failure):
+    lost = bytes(70_000) if failure == "is too large" else b"lost"
+    address = FAILURE_ADDRESSES.get(failure, listen_address()) or context.addresses[1]
 
     async def main():
         context.first.send(lost, address)
-        context.first.send(WORD, context.addresses[1])
+        context.first.send(PAYLOAD, context.addresses[1])
         await anyio.sleep(0.05)
         context.read = context.second.receive()
 
     run(main)
 
 
-@then("the second reads that one")
+@then("the second reads the datagram that was sent to it")
 def step_read_one(context):
-    assert [data for data, _ in context.read] == [WORD], context.read
+    assert [data for data, _ in context.read] == [PAYLOAD], context.read
 
 
-@when("the first sends {count:d} datagrams of {size:d} bytes that nobody reads")
+@when("the first sends {count:d} datagrams of {size:d} bytes that are not read")
 def step_flood(context, count, size):
     began_s = time.monotonic()
     for _ in range(count):
@@ -85,11 +89,11 @@
     context.took_s = time.monotonic() - began_s
 
 
-@then("the sending took less than {most_s:d} seconds")
+@then("sending took less than {most_s:d} seconds")
 def step_took(context, most_s):
     assert context.took_s < most_s, context.took_s
 
 
-@then("a second that reads when nothing has arrived reads nothing")
+@then("the second reads no datagram when none has arrived")
 def step_read_nothing(context):
     assert context.second.receive() == []
--- a/features/steps/gateway_settings_steps.py
+++ b/features/steps/gateway_settings_steps.py
@@ -41,7 +41,7 @@
 
 
 def in_force(node, field):
-    """Return a value as the node's parts use it."""
+    """Return the value of a setting that the node's components use."""
     return {
         "retry_extra": node.budget._rules.extra,
         "revoke_ms": node.context.admission._key_removal_s,
@@ -50,7 +50,7 @@
     }[field]
 
 
-def broken(problem):
+def invalid_settings(problem):
     return {
         "no TOML": START + "[[[",
         "a field missing": START.replace('zone = "hall-a"', ""),
@@ -67,7 +67,7 @@
     context.log = EventRecorder()
 
 
-@when('the file\'s "{field}" becomes "{value}" and {signal} comes')
+@when('the file\'s "{field}" becomes "{value}" and {signal} is sent')
 def step_change(context, field, value, signal):
     lines = [
         f"{field} = {value if value.isdigit() else repr(value)}".replace("'", '"')
@@ -80,14 +80,14 @@
     context.signal = signal
 
 
-@when('the file suffers "{problem}" and {signal} comes')
-def step_suffer(context, problem, signal):
-    context.content = None if problem == "no file" else broken(problem)
+@when('the file has the problem "{problem}" and {signal} is sent')
+def step_problem(context, problem, signal):
+    context.content = None if problem == "no file" else invalid_settings(problem)
     context.signal = signal
 
 
 @when("the gateway runs for {seconds:g} seconds more")
-def step_pass(context, seconds):
+def step_run(context, seconds):
     fleet = Fleet()
 
     def read():
@@ -118,7 +118,7 @@
 
 @then('the change of "{field}" is in force')
 def step_in_force(context, field):
-    changed = {one for one in FIELDS if context.after[one] != context.start[one]}
+    changed = {name for name in FIELDS if context.after[name] != context.start[name]}
     assert changed == {field}, (context.start, context.after)
     settings = gateway_settings(read_node_file(context.file))
     assert msgspec.structs.asdict(settings)
@@ -126,10 +126,10 @@
         assert context.after[field] == read_field(settings, field)
 
 
-@then('the log tells "{event}" with "{value}" in "{where}"')
-def step_log(context, event, value, where):
-    told = context.log.named(event)
-    assert [fields[where] for fields in told] == [value], told
+@then('the log has one event "{event}" with "{value}" in its field "{log_field}"')
+def step_log(context, event, value, log_field):
+    events = context.log.named(event)
+    assert [fields[log_field] for fields in events] == [value], events
 
 
 @then("the settings in force are those of the start")
@@ -137,8 +137,8 @@
     assert context.after == context.start
 
 
-@then('the log tells once that they are unreadable, with "{remedy}"')
+@then('the log has one event for unreadable settings, with "{remedy}"')
 def step_unreadable(context, remedy):
-    told = context.log.named("settings_unreadable")
-    assert len(told) == 1, told
-    assert remedy in told[0]["problem"], told
+    events = context.log.named("settings_unreadable")
+    assert len(events) == 1, events
+    assert remedy in events[0]["problem"], events
--- a/features/steps/gateway_start_steps.py
+++ b/features/steps/gateway_start_steps.py
@@ -33,7 +33,7 @@
 from weirscale_platform.names import SETTINGS_VARIABLE
 
 LOOPBACK = "127.0.0.1"
-ANSWER_S = 10.0
+TIMEOUT_S = 10.0
 EXIT_BAD_SETTINGS = 2
 SOURCES = ADAPTER.parent / "src"
 OWN_PACKAGES = {"weirscale", "weirscale_platform"}
@@ -47,7 +47,7 @@
 sys.stdin.readline()
 """
 START_S = 0.1
-"""How long the fleet waits after it has started a node."""
+"""Time that `Fleet.start_node` waits after it has started a node."""
 
 
 def free_port():
@@ -63,8 +63,8 @@
     return path
 
 
-def read_first_listeners(context, path):
-    """Open the first listeners of a settings file in this process; they are closed at the end."""
+def open_listeners_here(context, path):
+    """Open the first listeners of a settings file in this process, and close them after the scenario."""
     before = os.environ.get(SETTINGS_VARIABLE)
     os.environ[SETTINGS_VARIABLE] = str(path)
     try:
@@ -92,7 +92,7 @@
         "no file": "",
         "no TOML": "= =",
         "no listen table": 'ip = "10.0.0.1"',
-        "a listen that is a text": 'listen = "10.0.0.1"',
+        "listen as a string": 'listen = "10.0.0.1"',
         "an address without port": '[listen]\nfrontend = "10.0.0.1"\nready = "10.0.0.1"',
     }
     context.path = write_settings(context, texts[problem])
@@ -121,7 +121,7 @@
 
 @when("the first listeners are opened")
 def step_open(context):
-    read_first_listeners(context, context.path)
+    open_listeners_here(context, context.path)
 
 
 @then("that process has loaded no module outside the standard library and the adapter")
@@ -131,22 +131,19 @@
     assert context.modules >= OWN_PACKAGES, context.modules
 
 
-@then("a caller that connected meanwhile is connected")
+@then("callers can connect to both listeners meanwhile")
 def step_connected(context):
     for port in context.ports:
-        with socket.create_connection((LOOPBACK, port), ANSWER_S) as caller:
+        with socket.create_connection((LOOPBACK, port), TIMEOUT_S) as caller:
             caller.sendall(b"GET / HTTP/1.1\r\n")
 
 
-@then("none was opened")
-def step_none(context):
+@then("no listener was opened")
+def step_none_opened(context):
     assert context.listeners == {}, context.listeners
 
 
-@when(
-    "the platform's program is started and told that its settings have changed as soon as it "
-    "listens"
-)
+@when("the platform's program is started and receives SIGHUP as soon as it listens")
 def step_hup_at_start(context):
     process = subprocess.Popen(
         [sys.executable, str(ADAPTER / "run.py")],
@@ -157,25 +154,25 @@
     context.add_cleanup(process.kill)
     wait_until_listening(context.ports[-1])
     process.send_signal(signal.SIGHUP)
-    context.exit_code = process.wait(ANSWER_S)
+    context.exit_code = process.wait(TIMEOUT_S)
 
 
 def wait_until_listening(port):
-    deadline_s = time.monotonic() + ANSWER_S
+    deadline_s = time.monotonic() + TIMEOUT_S
     while time.monotonic() < deadline_s:
         with contextlib.suppress(OSError):
             socket.create_connection((LOOPBACK, port)).close()
             return
         time.sleep(0.002)
-    raise AssertionError("it never listened")
+    raise AssertionError("the program did not listen in time")
 
 
-@then("it ends for its incomplete settings, not for the signal")
+@then("the program exits because of its incomplete settings, not because of the signal")
 def step_ends_for_settings(context):
     assert context.exit_code == EXIT_BAD_SETTINGS, context.exit_code
 
 
-@then("a program given them opens no other socket for these addresses")
+@then("a program with these listeners opens no other socket for their addresses")
 def step_program(context):
     adapter = SimpleNamespace(
         settings=None, feed=lambda: None, store=lambda: None, connector=lambda: None,
@@ -193,23 +190,23 @@
         assert program._listener(address) is context.listeners[LOOPBACK, address.port]
 
 
-@given("the store can be reached {read:g} s after the start of a node")
+@given("the store is reachable {read:g} s after the start of a node")
 def step_store(context, read):
     context.read_s = read
 
 
-@when("a request of {timeout:g} s arrives {asked:g} s after the start")
-def step_asked_soon(context, timeout, asked):
-    ask_starting_node(context, asked, x_deadline_ms=int(1000 * timeout))
+@when("a request with a deadline of {timeout:g} s arrives {arrival:g} s after the start")
+def step_request_with_deadline(context, timeout, arrival):
+    ask_starting_node(context, arrival, x_deadline_ms=int(1000 * timeout))
 
 
-@when("a request arrives {asked:g} s after the start")
-def step_asked(context, asked):
-    ask_starting_node(context, asked)
+@when("a request arrives {arrival:g} s after the start")
+def step_request(context, arrival):
+    ask_starting_node(context, arrival)
 
 
-def ask_starting_node(context, asked, **headers):
-    """Ask a node whose store can be reached later."""
+def ask_starting_node(context, arrival_s, **headers):
+    """Send a request to a node whose store becomes reachable `context.read_s` after the start."""
     fleet = Fleet()
     fleet.store.is_down = True
 
@@ -222,14 +219,14 @@
         fleet.add_runner(RunnerStandIn("o-1", "10.2.0.1:8080", "orders", model=None))
         fleet.tasks.start_soon(open_store)
         node = await fleet.start_node()
-        await anyio.sleep(asked - START_S)
+        await anyio.sleep(arrival_s - START_S)
         context.answer = await ask(node, "/o/1", headers=request_headers(**headers))
 
     run_in_virtual_time(lambda: with_fleet(fleet, body))
 
 
-@then("it gets {status:d} after {least:g} to {most:g} s")
-def step_gets(context, status, least, most):
+@then("the request gets {status:d} after {least:g} to {most:g} s")
+def step_answer(context, status, least, most):
     answer = context.answer
     assert answer.status == status, answer
     assert least <= answer.took_s <= most, answer
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -48,16 +48,16 @@
     assert context.files
 
 
-@then('none contains "{name}"')
+@then('no source file contains "{name}"')
 def step_none_contains(context, name):
-    found = [str(file) for file in context.files if name in file.read_text().lower()]
-    assert not found, found
+    offenders = [str(file) for file in context.files if name in file.read_text().lower()]
+    assert not offenders, offenders
 
 
-@then('none imports "{module}"')
+@then('no source file imports "{module}"')
 def step_none_imports(context, module):
-    found = [str(file) for file in context.files if module in file.read_text()]
-    assert not found, found
+    offenders = [str(file) for file in context.files if module in file.read_text()]
+    assert not offenders, offenders
 
 
 @then("the adapter has fewer than {count:d} lines")
@@ -66,8 +66,8 @@
     assert 0 < lines < count, lines
 
 
-@then('the module "platform" is the standard one')
-def step_standard(context):
+@then('the module "platform" is that of the standard library')
+def step_standard_module(context):
     standard = Path(sysconfig.get_path("stdlib"))
     assert Path(standard_platform.__file__).parent == standard
 
@@ -82,12 +82,12 @@
         text = text.replace(f"[{field}]", "[other]").replace(f"{field} =", "other =")
     elif change == "a frontend without port":
         text = text.replace("10.1.0.30:8782", "10.1.0.30")
-    elif change == "fields of a later day":
+    elif change == "fields of a later release":
         text = "later = 1\n" + text + "later_ms = 3\n[still_later]\nx = 1\n"
     context.settings_text = None if change == "no file" else text
 
 
-@when("it is read")
+@when("the settings file is read")
 def step_read(context):
     context.error = None
     with tempfile.TemporaryDirectory() as folder:
@@ -100,7 +100,7 @@
             context.error = str(error)
 
 
-@then('the error names "{problem}"')
+@then('the error contains "{problem}"')
 def step_error(context, problem):
     assert context.error is not None and problem in context.error, context.error
     assert "\n" not in context.error
@@ -108,7 +108,7 @@
 
 @then(
     "the settings have a stop of {stop_s:g} s, weights in {weights_s:g} s, keys in {keys_s:g} s "
-    "and a budget of {share:g} and {extra:g}"
+    "and a retry budget of {share:g} and {extra:g}"
 )
 def step_bounds(context, stop_s, weights_s, keys_s, share, extra):
     assert context.error is None, context.error
@@ -127,7 +127,7 @@
     context.change = read_item(item)
 
 
-@then('it is "{change}"')
+@then('the resulting change is "{change}"')
 def step_change(context, change):
     if change == "nothing":
         assert context.change is None
@@ -163,25 +163,25 @@
 
 
 class RecordedTransport(httpx.AsyncBaseTransport):
-    """Answers with what a test says of idle connections; records when it is closed."""
+    """Answers with the given header fields; records whether it was closed, and closed while in use."""
 
     def __init__(self, headers, idle_s, failures=()):
         self.idle_s = idle_s
         self._failures = failures
         self.num_open = 0
-        self.was_closed_open = False
+        self.was_closed_in_use = False
         self.is_closed = False
         self._headers = headers
 
     async def handle_async_request(self, request):
         if self._failures:
-            raise getattr(httpx, self._failures.pop())("as the test wants")
+            raise getattr(httpx, self._failures.pop())("simulated failure")
         self.num_open += 1
         return httpx.Response(200, headers=self._headers, stream=OpenBody(self))
 
     async def aclose(self):
         self.is_closed = True
-        self.was_closed_open = self.num_open > 0
+        self.was_closed_in_use = self.num_open > 0
 
 
 class OpenBody(httpx.AsyncByteStream):
@@ -196,18 +196,18 @@
 
 
 def outbound_request(number):
-    asked = CallerRequest(
+    request = CallerRequest(
         f"q{number}", "GET", b"/s/1", "h", "/s/1", None, 1.0, None, None, None, ()
     )
-    return OutboundRequest(asked, b"", "o-1", 1.0)
+    return OutboundRequest(request, b"", "o-1", 1.0)
 
 
-@given('a runner whose answers tell "{told}" of idle connections')
-def step_told(context, told):
-    context.headers = {} if told == "nothing" else {"Keep-Alive": told}
+@given('a runner whose answers have the Keep-Alive header "{header}"')
+def step_keep_alive(context, header):
+    context.headers = {} if header == "nothing" else {"Keep-Alive": header}
 
 
-@when("two requests are sent to it, the second while the first one's answer goes on")
+@when("two requests are sent to it, the second while the answer to the first is incomplete")
 def step_two_requests(context):
     context.transports = []
 
@@ -216,11 +216,11 @@
         return context.transports[-1]
 
     async def body():
-        end = BackEnd("o-1", "orders", "10.2.0.1:8080", "hall-a", BackEndState.READY, 4)
-        port = BackEndClientConnector(make)(end, 4, lambda *_: None)
+        back_end = BackEnd("o-1", "orders", "10.2.0.1:8080", "hall-a", BackEndState.READY, 4)
+        port = BackEndClientConnector(make)(back_end, 4, lambda *_: None)
         async with port.send(outbound_request(1)), port.send(outbound_request(2)):
             assert not context.transports[0].is_closed
-        context.was_closed = [one.is_closed for one in context.transports]
+        context.was_closed = [transport.is_closed for transport in context.transports]
         await port.close()
 
     run_in_virtual_time(body)
@@ -236,24 +236,25 @@
         return context.transports[-1]
 
     async def body():
-        end = BackEnd("o-1", "orders", "10.2.0.1:8080", "hall-a", BackEndState.READY, 4)
-        port = BackEndClientConnector(make)(end, 4, lambda *_: None)
+        back_end = BackEnd("o-1", "orders", "10.2.0.1:8080", "hall-a", BackEndState.READY, 4)
+        port = BackEndClientConnector(make)(back_end, 4, lambda *_: None)
         for number in range(count):
             async with port.send(outbound_request(number)) as sent:
                 assert sent.is_err()
         async with port.send(outbound_request(count)) as sent:
             assert sent.is_ok()
-        context.was_closed = [one.is_closed for one in context.transports]
+        context.was_closed = [transport.is_closed for transport in context.transports]
         await port.close()
 
     run_in_virtual_time(body)
 
 
 @then(
-    'unused connections were kept for "{idle}" seconds, and each kind was closed after its last use'
+    'idle connections were kept for "{idle}" seconds, '
+    "and each transport was closed after its last use"
 )
 def step_idle(context, idle):
-    kept = [one.idle_s for one in context.transports]
-    assert kept == [float(text) for text in idle.split(",")], kept
-    assert not any(one.was_closed_open for one in context.transports)
-    assert context.was_closed == [True] * (len(kept) - 1) + [False], context.was_closed
+    kept_s = [transport.idle_s for transport in context.transports]
+    assert kept_s == [float(text) for text in idle.split(",")], kept_s
+    assert not any(transport.was_closed_in_use for transport in context.transports)
+    assert context.was_closed == [True] * (len(kept_s) - 1) + [False], context.was_closed
--- a/features/steps/recorded_forms_steps.py
+++ b/features/steps/recorded_forms_steps.py
@@ -25,37 +25,37 @@
     assert context.bytes == context.recorded_bytes, context.bytes.hex()
 
 
-@then("a node that gets the recorded bytes reads the same message")
+@then("a node that receives the recorded bytes reads the same message")
 def step_read_back(context):
     assert decode_message(context.recorded_bytes) == context.message
 
 
-@when('a node gets the recorded "{name}" of an earlier release')
+@when('a node receives the recorded "{name}" of an earlier release')
 def step_earlier(context, name):
     context.message = recorded_forms.earlier_messages()[name]
     context.read_message = decode_message(bytes.fromhex(context.recorded[name]))
 
 
-@then("it reads what that release says")
+@then("the node reads the content that the earlier release sent")
 def step_earlier_read(context):
     assert context.read_message == context.message, context.read_message
 
 
-@when('a node of the release before "{came}" gets the message "{name}"')
-def step_release_before(context, came, name):
-    context.came = came
+@when('a node of the release before "{addition}" receives the message "{name}"')
+def step_release_before(context, addition, name):
+    context.addition = addition
     context.message = recorded_forms.messages()[name]
     encoded = encode_message(context.message)
-    context.read_message = recorded_forms.read_by_release_before(came, encoded)
+    context.read_message = recorded_forms.read_by_release_before(addition, encoded)
 
 
-@then("it reads the same message without them")
+@then("the node reads the same message without the added fields")
 def step_release_before_read(context):
-    known = msgspec.structs.asdict(context.read_message)
+    read_fields = msgspec.structs.asdict(context.read_message)
     expected = msgspec.structs.asdict(context.message)
-    for name in recorded_forms.FIELDS_SINCE[context.came]:
+    for name in recorded_forms.FIELDS_SINCE[context.addition]:
         assert expected.pop(name), name
-    assert known == expected, known
+    assert read_fields == expected, read_fields
 
 
 @when('the gateway writes the record "{name}"')
@@ -76,21 +76,21 @@
     context.read = recorded_forms.read_record(name, key, bytes.fromhex(value))
 
 
-@then("it says what the record says")
-def step_says(context):
-    found, expected = context.read
-    assert found == expected, (found, expected)
+@then("the content is that of the example record")
+def step_content(context):
+    content, expected = context.read
+    assert content == expected, (content, expected)
 
 
 @when('the gateway makes the call "{name}"')
 def step_call(context, name):
-    context.made = recorded_forms.call(name)
+    context.call = recorded_forms.call(name)
     context.expected = context.recorded[name]
 
 
-@then("method, target, headers and body are the recorded ones")
-def step_made(context):
-    assert context.made == context.expected, context.made
+@then("the call's method, target, headers and body are the recorded ones")
+def step_call_recorded(context):
+    assert context.call == context.expected, context.call
 
 
 @when("the events and fields that the gateway logs are listed")
@@ -98,12 +98,12 @@
     context.listed = recorded_forms.log_events()
 
 
-@when("the metrics that a node offers are listed")
+@when("the metrics that a node exports are listed")
 def step_metrics(context):
     context.listed = recorded_forms.metrics()
 
 
-@then("they are the recorded ones")
+@then("the listed names are the recorded ones")
 def step_listed(context):
     listed, expected = context.listed, context.recorded
     different = sorted(
