--- a/features/environment.py
+++ b/features/environment.py
@@ -1,1 +1,1 @@
-"""Hooks of behave: nothing is shared between scenarios."""
+"""Environment file of behave. It has no hooks, since scenarios share nothing."""
--- a/features/gateway_log.feature
+++ b/features/gateway_log.feature
@@ -1,27 +1,30 @@
-Feature: What a gateway logs and measures leads from a request to its cause, and never blocks it
+Feature: Log lines and metrics show the cause of each request's outcome, and logging never blocks
+  A log reader that stops reading must not stop the node or use up its memory. Under load, lines of
+  failures must not be lost among those of successes. Events and metrics that the operators' page
+  does not describe cannot be found by operators.
 
-  Scenario: A reader that stops reading costs no event and no memory
-    Given a line log on a pipe that nobody reads
+  Scenario: A reader that stops reading does not block the node or use up its memory
+    Given a line log on a pipe that is not read
     When 20000 events are logged in bursts, with flushes between
     Then no call blocked, and at most 2000 lines wait
-    And what was dropped is counted
+    And the dropped lines are counted
 
-  Scenario: Ordinary successes are dropped before failures
+  Scenario: Lines of successes are dropped before those of failures
     Given a line log on a pipe that is read
     When 1000 successes and 100 failures are logged at once
     Then all failures are written and some successes are not
 
-  Scenario: What was dropped is told once a second
+  Scenario: The number of dropped lines is logged once a second
     Given a line log on a pipe that is read
     When 1000 successes and 100 failures are logged at once
     And the log is flushed as its task does
-    Then one line tells how many were dropped
+    Then one line states how many lines were dropped
 
-  Scenario Outline: A request's line tells its outcome and what decided it
+  Scenario Outline: The log line of a request states its outcome and the cause
     Given two back ends of which the one asked first does "<fault>" once
     When <kind> request is sent
-    Then its line has the outcome "<outcome>" and a cause with "<cause>"
-    And its line has the fields of the table in the operators' page
+    Then the request's log line has the outcome "<outcome>" and a cause with "<cause>"
+    And the operators' page describes each field of the request's log line
 
     Examples:
       | kind        | fault  | outcome   | cause       |
@@ -32,25 +35,26 @@
       | a single    | hang   | timed_out | time_out    |
       | an order    | reset  | failed    | no_answer   |
 
-  Scenario: Every event that the gateway logs stands in the operators' page
+  Scenario: The operators' page describes all events and metrics of the gateway
     Given the source files of the gateway
-    Then each event name that they log stands in the operators' page
-    And each metric that they define stands in the operators' page
+    Then the operators' page has the name of each event that they log
+    And the operators' page has the name of each metric that they define
 
-  Scenario: The metrics are one text with counts by kind and outcome
+  Scenario: The metrics text counts requests by kind and outcome
     Given two back ends of which the one asked first does "none" once
     When a single request is sent
-    Then the metrics tell 1 streaming request that was answered
+    Then the metrics count 1 streaming request that was answered
 
-  Scenario: The metrics tell calls to the store by kind and result
+  Scenario: The metrics count calls to the store by kind and result
     Given a gateway whose store is down for a while after the start
-    Then the metrics tell calls "follow" and "revision" that succeeded and some that failed
+    Then the metrics count calls "follow" and "revision" that succeeded, and some that failed
 
-  # Tries of one request came to other nodes and under other ids; no line told that they were one.
-  Scenario Outline: Tries that lost their back end are told to be of one request
+  # Retries of one request arrive at other nodes and under other ids. Without a fingerprint in their log
+  # lines, operators cannot tell that they belong to the same request.
+  Scenario Outline: The log line of a request that lost its back end has the request's fingerprint
     Given two back ends of which the one asked first does "<fault>" once
     When <kind> request is sent
-    Then its line tells which request it is
+    Then the request's log line has the request's fingerprint
 
     Examples:
       | kind     | fault |
--- a/features/key_value_contract.feature
+++ b/features/key_value_contract.feature
@@ -1,13 +1,15 @@
-Feature: The key-value port keeps one contract, in the process and over HTTP
+Feature: All adapters of the key-value port implement the same contract
+  Code that passes its tests with the in-process store would fail in production if the etcd adapter
+  reported other outcomes. Above all, a write whose answer is lost must not be reported as not done.
 
-  Scenario Outline: A step of the contract, over both adapters
+  Scenario Outline: Each step of the contract has the same outcome with both adapters
     When the key-value contract's "<step>" runs over the <adapter> adapter
     Then the key-value step ends with "<outcome>"
 
     Examples: without faults
       | step                                 | adapter    | outcome                         |
-      | read of nothing                      | in-process | no keys at revision 1           |
-      | read of nothing                      | HTTP       | no keys at revision 1           |
+      | read of an empty store               | in-process | no keys at revision 1           |
+      | read of an empty store               | HTTP       | no keys at revision 1           |
       | creation                             | in-process | written at revision 2           |
       | creation                             | HTTP       | written at revision 2           |
       | creation twice                       | in-process | refused, a=one at 2             |
@@ -22,18 +24,18 @@
       | read by prefix                       | HTTP       | a/1=x a/2=y at revision 4       |
       | bytes of any value                   | in-process | 256 bytes kept                  |
       | bytes of any value                   | HTTP       | 256 bytes kept                  |
-      | lease kept alive                     | in-process | 10 s, key there after 15 s      |
-      | lease kept alive                     | HTTP       | 10 s, key there after 15 s      |
-      | lease run out                        | in-process | lease_lost, key gone            |
-      | lease run out                        | HTTP       | lease_lost, key gone            |
-      | write under a lost lease             | in-process | lease_lost, key gone            |
-      | write under a lost lease             | HTTP       | lease_lost, key gone            |
-      | lease revoked                        | in-process | lease_lost, key gone            |
-      | lease revoked                        | HTTP       | lease_lost, key gone            |
+      | lease kept alive                     | in-process | 10 s, key present after 15 s    |
+      | lease kept alive                     | HTTP       | 10 s, key present after 15 s    |
+      | lease expired                        | in-process | lease_lost, key absent          |
+      | lease expired                        | HTTP       | lease_lost, key absent          |
+      | write under a lost lease             | in-process | lease_lost, key absent          |
+      | write under a lost lease             | HTTP       | lease_lost, key absent          |
+      | lease revoked                        | in-process | lease_lost, key absent          |
+      | lease revoked                        | HTTP       | lease_lost, key absent          |
       | watch from a past revision           | in-process | a=one@2 a=two@3 a=none@4        |
       | watch from a past revision           | HTTP       | a=one@2 a=two@3 a=none@4        |
-      | watch sees a lease run out           | in-process | a=one@2 a=none@3                |
-      | watch sees a lease run out           | HTTP       | a=one@2 a=none@3                |
+      | watch of an expiring lease           | in-process | a=one@2 a=none@3                |
+      | watch of an expiring lease           | HTTP       | a=one@2 a=none@3                |
 
     Examples: faults
       | step                                 | adapter    | outcome                         |
@@ -45,8 +47,8 @@
       | write with a lost answer             | HTTP       | ambiguous, a=one                |
       | read with a lost answer              | in-process | unreachable, a absent           |
       | read with a lost answer              | HTTP       | unreachable, a absent           |
-      | lost answer settled by the same swap | in-process | refused, a=one at 2             |
-      | lost answer settled by the same swap | HTTP       | refused, a=one at 2             |
+      | repeated swap after a lost answer    | in-process | refused, a=one at 2             |
+      | repeated swap after a lost answer    | HTTP       | refused, a=one at 2             |
       | write over the rate limit            | in-process | rate_limited after 0.5 s, a absent |
       | write over the rate limit            | HTTP       | rate_limited after 0.5 s, a absent |
       | watch cut                            | in-process | a=one@2 unreachable             |
@@ -58,7 +60,7 @@
       | watch from a compacted revision      | in-process | compacted                       |
       | watch from a compacted revision      | HTTP       | compacted                       |
 
-  Scenario Outline: What the etcd adapter makes of a broken exchange
+  Scenario Outline: The etcd adapter reports a failed exchange by what may have happened at the store
     When the etcd adapter's exchange ends in "<event>"
     Then a write is <write>, a read is <read> and a watch ends <watch>
 
@@ -74,15 +76,15 @@
       | status 503, no leader    | unreachable | unreachable | unreachable |
       | status 429               | rate_limited | rate_limited | rate_limited |
       | a body that is not JSON  | ambiguous   | unreachable | unreachable |
-      | a JSON body of a stranger | ambiguous  | unreachable | unreachable |
+      | a JSON body of another form | ambiguous  | unreachable | unreachable |
 
-  Scenario: The etcd adapter goes on to the next address only while nothing was sent
+  Scenario: The etcd adapter tries the next address only if nothing was sent
     When the first of two etcd addresses refuses connections
     Then a write reaches the second address once
-    But when the first one resets the connection while reading, the second gets nothing
+    But when the first address resets the connection while reading, the second gets no request
 
-  Scenario Outline: A slow store is given up after the timeout, before or after the effect
-    When a write waits on a store that takes <delay> s with a timeout of 3 s
+  Scenario Outline: A slow write waits no longer than its timeout, whether or not it takes effect
+    When a write with a timeout of 3 s waits for a store that takes <delay> s
     Then the slow write is <outcome> after <waited> s
 
     Examples:
@@ -91,7 +93,7 @@
       | 4     | ambiguous and written | 3      |
       | 8     | ambiguous and absent  | 3      |
 
-  Scenario: The gateway speaks etcd's JSON
+  Scenario: The key-value app uses etcd's JSON format
     When a raw etcd range request for a written key is posted
     Then the reply has base64 keys and 64-bit numbers as strings
-    And a request that is no JSON, or of an unknown path, is an error with a gRPC code
+    And a request that is not JSON, or to an unknown path, gets an error with a gRPC code
--- a/features/key_value_history.feature
+++ b/features/key_value_history.feature
@@ -1,6 +1,8 @@
-Feature: Concurrent compare-and-swap runs are linearizable
+Feature: Concurrent compare-and-swap operations are linearizable
+  Leases are built on compare-and-swap: a swap that is applied twice, or reported wrongly after a lost
+  answer, would give one lease to two nodes.
 
-  Scenario Outline: Clients race on one key under faults
+  Scenario Outline: Clients read and swap one key concurrently under faults
     When 5 clients run 12 operations each on one key with <fault>, for seeds 1 to 8
     Then every history is linearizable
     And the histories hold at least <lost> lost answers and <won> won swaps
@@ -12,7 +14,7 @@
       | outages                     | 0    | 35  |
       | slowness beyond the timeout | 30   | 60  |
 
-  Scenario Outline: The checker rejects histories that no register allows
+  Scenario Outline: The checker rejects histories that are impossible for a register
     When the history "<history>" is checked
     Then the checked history is <verdict>
 
--- a/features/steps/gateway_log_steps.py
+++ b/features/steps/gateway_log_steps.py
@@ -35,7 +35,7 @@
     context.log_text = b""
 
 
-def log_one(log, name, **fields):
+def log_event(log, name, **fields):
     """Log an event as `LineLog.event` does, without the process-wide destinations of eliot."""
     if log._may_log(name, fields.get("outcome")):
         log.take_message({"message_type": name, "timestamp": 0.0, **fields})
@@ -60,7 +60,7 @@
         read_all(context)
 
 
-@given("a line log on a pipe that nobody reads")
+@given("a line log on a pipe that is not read")
 @given("a line log on a pipe that is read")
 def step_log(context):
     make_log(context)
@@ -69,10 +69,10 @@
 @when("{count:d} events are logged in bursts, with flushes between")
 def step_bursts(context, count):
     context.num_events = count
-    # A write to the full pipe that blocked would wait for good: nobody reads.
+    # If a write to the full pipe blocked, it would wait forever, since the pipe is not read.
     signal.alarm(BLOCKED_AFTER_S)
     for number in range(count):
-        log_one(context.log, "back_end_gone", instance=f"i-{number}")
+        log_event(context.log, "back_end_gone", instance=f"i-{number}")
         if number % 100 == 0:
             context.log.flush()
     signal.alarm(0)
@@ -85,7 +85,7 @@
     assert len(context.log._lines) <= count == MAX_QUEUED_LINES
 
 
-@then("what was dropped is counted")
+@then("the dropped lines are counted")
 def step_counted(context):
     waiting = len(context.log._lines)
     assert 0 < context.num_events - waiting - context.log.num_dropped <= MAX_QUEUED_LINES
@@ -96,9 +96,9 @@
 def step_mixed(context, successes, failures):
     context.num_failures = failures
     for number in range(successes):
-        log_one(context.log, "request_ended", id=f"s{number}", outcome="answered")
+        log_event(context.log, "request_ended", id=f"s{number}", outcome="answered")
     for number in range(failures):
-        log_one(context.log, "request_ended", id=f"f{number}", outcome="failed")
+        log_event(context.log, "request_ended", id=f"f{number}", outcome="failed")
     flush(context)
 
 
@@ -113,15 +113,15 @@
 
 @when("the log is flushed as its task does")
 def step_task_flush(context):
-    context.told = []
-    context.log.event = lambda name, **fields: context.told.append((name, fields))
+    context.logged = []
+    context.log.event = lambda name, **fields: context.logged.append((name, fields))
     context.log._log_dropped()
     context.log._log_dropped()
 
 
-@then("one line tells how many were dropped")
-def step_told(context):
-    assert context.told == [("log_lines_dropped", {"total": context.log.num_dropped})]
+@then("one line states how many lines were dropped")
+def step_dropped_logged(context):
+    assert context.logged == [("log_lines_dropped", {"total": context.log.num_dropped})]
 
 
 def request_line(context):
@@ -130,25 +130,25 @@
     return lines[0]
 
 
-@then('its line has the outcome "{outcome}" and a cause with "{cause}"')
+@then('the request\'s log line has the outcome "{outcome}" and a cause with "{cause}"')
 def step_line(context, outcome, cause):
     line = request_line(context)
     assert line["outcome"] == outcome and cause in line["causes"], line
 
 
-@then('its line has the outcome "{outcome}" and a cause with ""')
+@then('the request\'s log line has the outcome "{outcome}" and a cause with ""')
 def step_line_no_cause(context, outcome):
     line = request_line(context)
     assert line["outcome"] == outcome and "causes" not in line, line
 
 
-@then("its line tells which request it is")
-def step_line_request(context):
+@then("the request's log line has the request's fingerprint")
+def step_line_fingerprint(context):
     line = request_line(context)
     assert read_fingerprint(line["request"]) is not None, line
 
 
-@then("its line has the fields of the table in the operators' page")
+@then("the operators' page describes each field of the request's log line")
 def step_fields(context):
     page = PAGE.read_text()
     missing = [name for name in request_line(context) if f"`{name}`" not in page]
@@ -160,7 +160,7 @@
     context.sources = [file.read_text() for file in GATEWAY.rglob("*.py")]
 
 
-@then("each event name that they log stands in the operators' page")
+@then("the operators' page has the name of each event that they log")
 def step_events_documented(context):
     page = PAGE.read_text()
     names = {
@@ -174,7 +174,7 @@
     assert not undocumented, undocumented
 
 
-@then("each metric that they define stands in the operators' page")
+@then("the operators' page has the name of each metric that they define")
 def step_metrics_documented(context):
     page = PAGE.read_text()
     source = (GATEWAY / "telemetry" / "metrics.py").read_text()
@@ -183,10 +183,10 @@
     assert not [name for name in names if f"`{name}`" not in page]
 
 
-@then("the metrics tell {count:d} streaming request that was answered")
+@then("the metrics count {count:d} streaming request that was answered")
 def step_metrics(context, count):
-    wanted = f'weirscale_requests_total{{kind="streaming",outcome="answered"}} {count}.0'
-    assert wanted in context.metrics_text, context.metrics_text
+    expected = f'weirscale_requests_total{{kind="streaming",outcome="answered"}} {count}.0'
+    assert expected in context.metrics_text, context.metrics_text
 
 
 @given("a gateway whose store is down for a while after the start")
@@ -207,13 +207,13 @@
     run_in_virtual_time(lambda: with_fleet(fleet, body))
 
 
-@then('the metrics tell calls "{one}" and "{other}" that succeeded and some that failed')
-def step_store_calls(context, one, other):
-    counted = [
+@then('the metrics count calls "{first}" and "{second}" that succeeded, and some that failed')
+def step_store_calls(context, first, second):
+    lines = [
         line
         for line in context.metrics.splitlines()
         if line.startswith("weirscale_store_calls_total")
     ]
-    for kind in (one, other):
-        assert any(f'kind="{kind}",result="ok"' in line for line in counted), counted
-    assert any('result="unreachable"' in line for line in counted), counted
+    for kind in (first, second):
+        assert any(f'kind="{kind}",result="ok"' in line for line in lines), lines
+    assert any('result="unreachable"' in line for line in lines), lines
--- a/features/steps/key_value_contract_steps.py
+++ b/features/steps/key_value_contract_steps.py
@@ -1,3 +1,5 @@
+"""Steps of `key_value_contract.feature`."""
+
 import base64
 import random
 
@@ -16,7 +18,7 @@
 
 
 class Clock:
-    """The store's clock, moved by hand."""
+    """The store's clock, which tests advance."""
 
     def __init__(self):
         self.now_s = 100.0
@@ -25,8 +27,8 @@
         return self.now_s
 
 
-class Bench:
-    """A store with its clock, and a port to it."""
+class StoreUnderTest:
+    """A store with its clock, its faults and a port to it."""
 
     def __init__(self, port, server):
         self.port = port
@@ -42,17 +44,17 @@
     async def write(self, revision, value, key="a", lease=0):
         return await self.port.compare_and_swap(key, revision, value, lease)
 
-    async def leased(self):
+    async def write_leased(self):
         lease = (await self.port.grant_lease(10)).unwrap()
         (await self.write(0, b"one", lease=lease)).unwrap()
         return lease
 
     async def presence(self):
-        return "there" if (await self.port.read("a")).unwrap().values else "gone"
+        return "present" if (await self.port.read("a")).unwrap().values else "absent"
 
 
-def shown(result):
-    """Render a failure or an outcome of a swap."""
+def describe(result):
+    """Describe a failure or the outcome of a swap."""
     if isinstance(result, Err):
         failure = result.err_value
         wait = f" after {failure.retry_after_s:.1f} s" if failure.retry_after_s else ""
@@ -64,30 +66,33 @@
     return f"{'written' if swap.current else 'deleted'} at revision {swap.revision}"
 
 
-def held(bench):
-    """Render what the store really holds of key a."""
-    found = bench.model.range(b"a", b"", bench.clock())
-    return f"a={found[0].value.decode()}" if found else "a absent"
+def stored_value(store):
+    """Describe the value of key a inside the store."""
+    values = store.model.range(b"a", b"", store.clock())
+    return f"a={values[0].value.decode()}" if values else "a absent"
+
 
+async def watch_events(store, start_revision, num_events, after_first=None):
+    """Describe the events of a watch until `num_events` arrived or it failed.
 
-async def watched(bench, start_revision, num_events, meanwhile=None):
-    """Collect events of a watch until enough came or it ended."""
-    seen = []
+    `after_first` is called after the first event.
+    """
+    descriptions = []
     with anyio.fail_after(5):
-        async with bench.port.watch("a", start_revision) as events:
+        async with store.port.watch("a", start_revision) as events:
             async for event in events:
                 if isinstance(event, Err):
-                    seen.append(event.err_value.kind.value)
+                    descriptions.append(event.err_value.kind.value)
                     break
                 value = event.ok_value.value
                 text = value.value.decode() if value else "none"
-                seen.append(f"{event.ok_value.key}={text}@{event.ok_value.revision}")
-                if meanwhile:
-                    meanwhile()
-                    meanwhile = None
-                if len(seen) == num_events:
+                descriptions.append(f"{event.ok_value.key}={text}@{event.ok_value.revision}")
+                if after_first:
+                    after_first()
+                    after_first = None
+                if len(descriptions) == num_events:
                     break
-    return " ".join(seen)
+    return " ".join(descriptions)
 
 
 STEPS = {}
@@ -99,13 +104,13 @@
 
 
 def define_writes(name, *swaps):
-    """Register a step that swaps key a, each time from a revision to a value."""
+    """Register a step that swaps key a, from a revision to a value, for each of `swaps`."""
 
     @contract_step(name)
-    async def write_in_turn(bench):
+    async def write_in_turn(store):
         for revision, value in swaps:
-            answer = await bench.write(revision, value)
-        return shown(answer)
+            answer = await store.write(revision, value)
+        return describe(answer)
 
 
 define_writes("creation", (0, b"one"))
@@ -115,143 +120,143 @@
 define_writes("deletion", (0, b"one"), (2, None))
 
 
-@contract_step("read of nothing")
-async def read_nothing(bench):
-    answer = (await bench.port.read("a")).unwrap()
+@contract_step("read of an empty store")
+async def read_empty(store):
+    answer = (await store.port.read("a")).unwrap()
     return f"{len(answer.values) or 'no'} keys at revision {answer.revision}"
 
 
 @contract_step("read by prefix")
-async def read_by_prefix(bench):
+async def read_by_prefix(store):
     for key, value in (("a/2", b"y"), ("b", b"z"), ("a/1", b"x")):
-        await bench.write(0, value, key)
-    answer = (await bench.port.read("a/")).unwrap()
+        await store.write(0, value, key)
+    answer = (await store.port.read("a/")).unwrap()
     pairs = [f"{value.key}={value.value.decode()}" for value in answer.values]
     return f"{' '.join(pairs)} at revision {answer.revision}"
 
 
 @contract_step("bytes of any value")
-async def any_bytes(bench):
+async def write_all_bytes(store):
     value = bytes(range(256))
-    await bench.write(0, value)
-    kept = (await bench.port.read("a")).unwrap().values[0].value
-    return f"{len(kept)} bytes kept" if kept == value else "other bytes"
+    await store.write(0, value)
+    read = (await store.port.read("a")).unwrap().values[0].value
+    return f"{len(read)} bytes kept" if read == value else "other bytes"
 
 
 @contract_step("lease kept alive")
-async def lease_alive(bench):
-    lease = await bench.leased()
-    bench.advance(7)
-    lives_s = (await bench.port.keep_lease_alive(lease)).unwrap()
-    bench.advance(8)
-    return f"{lives_s:.0f} s, key {await bench.presence()} after 15 s"
+async def lease_kept_alive(store):
+    lease = await store.write_leased()
+    store.advance(7)
+    time_to_live_s = (await store.port.keep_lease_alive(lease)).unwrap()
+    store.advance(8)
+    return f"{time_to_live_s:.0f} s, key {await store.presence()} after 15 s"
 
 
-@contract_step("lease run out")
-async def lease_run_out(bench):
-    lease = await bench.leased()
-    bench.advance(10)
-    kept = await bench.port.keep_lease_alive(lease)
-    return f"{shown(kept)}, key {await bench.presence()}"
+@contract_step("lease expired")
+async def lease_expired(store):
+    lease = await store.write_leased()
+    store.advance(10)
+    renewal = await store.port.keep_lease_alive(lease)
+    return f"{describe(renewal)}, key {await store.presence()}"
 
 
 @contract_step("lease revoked")
-async def lease_revoked(bench):
-    lease = await bench.leased()
-    (await bench.port.revoke_lease(lease)).unwrap()
-    kept = await bench.port.keep_lease_alive(lease)
-    return f"{shown(kept)}, key {await bench.presence()}"
+async def lease_revoked(store):
+    lease = await store.write_leased()
+    (await store.port.revoke_lease(lease)).unwrap()
+    renewal = await store.port.keep_lease_alive(lease)
+    return f"{describe(renewal)}, key {await store.presence()}"
 
 
 @contract_step("write under a lost lease")
-async def write_lost_lease(bench):
-    lease = await bench.leased()
-    bench.advance(10)
-    written = shown(await bench.write(0, b"two", lease=lease))
-    return f"{written}, key {'gone' if held(bench) == 'a absent' else 'there'}"
+async def write_under_lost_lease(store):
+    lease = await store.write_leased()
+    store.advance(10)
+    outcome = describe(await store.write(0, b"two", lease=lease))
+    return f"{outcome}, key {'absent' if stored_value(store) == 'a absent' else 'present'}"
 
 
 @contract_step("watch from a past revision")
-async def watch_past(bench):
-    await STEPS["swap from the right revision"](bench)
-    await bench.write(0, b"other", "b")
-    await bench.write(3, None)
-    seen = await watched(bench, 2, 3)
-    return seen.replace("@5", "@4")
+async def watch_from_past(store):
+    await STEPS["swap from the right revision"](store)
+    await store.write(0, b"other", "b")
+    await store.write(3, None)
+    events = await watch_events(store, 2, 3)
+    return events.replace("@5", "@4")
 
 
-@contract_step("watch sees a lease run out")
-async def watch_lease(bench):
-    await bench.leased()
-    return await watched(bench, 2, 2, lambda: bench.advance(10))
+@contract_step("watch of an expiring lease")
+async def watch_expiring_lease(store):
+    await store.write_leased()
+    return await watch_events(store, 2, 2, lambda: store.advance(10))
 
 
 @contract_step("watch cut")
-async def watch_cut(bench):
-    await bench.write(0, b"one")
-    return await watched(bench, 2, 9, bench.server.cut_watches)
+async def watch_cut(store):
+    await store.write(0, b"one")
+    return await watch_events(store, 2, 9, store.server.cut_watches)
 
 
 @contract_step("watch from a compacted revision")
-async def watch_compacted(bench):
-    await STEPS["swap from the right revision"](bench)
-    bench.model.compact(2)
-    return await watched(bench, 2, 9)
+async def watch_compacted(store):
+    await STEPS["swap from the right revision"](store)
+    store.model.compact(2)
+    return await watch_events(store, 2, 9)
 
 
-@contract_step("lost answer settled by the same swap")
-async def lost_settled(bench):
-    bench.faults.num_answers_to_lose = 1
-    lost = await bench.write(0, b"one")
-    assert isinstance(lost, Err), lost
-    return shown(await bench.write(0, b"one"))
+@contract_step("repeated swap after a lost answer")
+async def repeat_after_lost_answer(store):
+    store.faults.num_answers_to_lose = 1
+    outcome = await store.write(0, b"one")
+    assert isinstance(outcome, Err), outcome
+    return describe(await store.write(0, b"one"))
 
 
-async def fall(bench):
-    bench.faults.is_down = True
+async def take_down(store):
+    store.faults.is_down = True
 
 
-async def lose_answer(bench):
-    bench.faults.num_answers_to_lose = 1
+async def lose_answer(store):
+    store.faults.num_answers_to_lose = 1
 
 
-async def use_up_rate(bench):
-    bench.faults.requests_per_s, bench.faults.burst_requests = 2.0, 1
-    (await bench.port.read("a")).unwrap()
+async def use_up_rate_limit(store):
+    store.faults.requests_per_s, store.faults.burst_requests = 2.0, 1
+    (await store.port.read("a")).unwrap()
 
 
-def define_calls_under(suffix, bring_about, calls):
-    """Register a step for each call, made once a fault is in force."""
+def define_calls_under(suffix, inject_fault, calls):
+    """Register a step for each call that injects a fault and then makes the call."""
 
     def define(call):
         @contract_step(f"{call} {suffix}")
-        async def call_under_fault(bench):
-            await bring_about(bench)
+        async def call_under_fault(store):
+            await inject_fault(store)
             if call == "watch":
-                return await watched(bench, 2, 9)
-            result = bench.write(0, b"one") if call == "write" else bench.port.read("a")
-            return f"{shown(await result)}, {held(bench)}"
+                return await watch_events(store, 2, 9)
+            result = store.write(0, b"one") if call == "write" else store.port.read("a")
+            return f"{describe(await result)}, {stored_value(store)}"
 
     for call in calls:
         define(call)
 
 
-define_calls_under("while down", fall, ("write", "read", "watch"))
+define_calls_under("while down", take_down, ("write", "read", "watch"))
 define_calls_under("with a lost answer", lose_answer, ("write", "read"))
-define_calls_under("over the rate limit", use_up_rate, ("write", "watch"))
+define_calls_under("over the rate limit", use_up_rate_limit, ("write", "watch"))
 
 
 def run_contract_step(step, adapter):
     async def in_process():
         server = KeyValueServer(random.Random(1), Clock())
-        return await step(Bench(InProcessKeyValue(server), server))
+        return await step(StoreUnderTest(InProcessKeyValue(server), server))
 
     async def over_http():
         server = KeyValueServer(random.Random(1), Clock())
         async with served(KeyValueApp(server)) as address:
             port = EtcdKeyValue([address])
             try:
-                return await step(Bench(port, server))
+                return await step(StoreUnderTest(port, server))
             finally:
                 await port.aclose()
 
@@ -281,7 +286,10 @@
     "status 503, no leader": (503, b'{"message": "etcdserver: no leader"}'),
     "status 429": (429, b"{}"),
     "a body that is not JSON": (200, b"<html>"),
-    "a JSON body of a stranger": (200, b'{"kvs": 7, "responses": [], "result": {"events": [{}]}}'),
+    "a JSON body of another form": (
+        200,
+        b'{"kvs": 7, "responses": [], "result": {"events": [{}]}}',
+    ),
 }
 
 
@@ -305,13 +313,16 @@
 
 
 def write_to_two_addresses(error):
-    """Write with two addresses, the first failing; return the second's number of requests."""
-    reached = []
+    """Write with two addresses, of which the first raises `error`.
+
+    Return the number of requests that the second one gets.
+    """
+    requests = []
 
     def handle(request):
         if request.url.port == 1:
             raise error("broken", request=request)
-        reached.append(request)
+        requests.append(request)
         return httpx.Response(500)
 
     async def main():
@@ -320,7 +331,7 @@
         await port.compare_and_swap("a", 0, b"x")
 
     anyio.run(main)
-    return len(reached)
+    return len(requests)
 
 
 @when("the first of two etcd addresses refuses connections")
@@ -333,12 +344,12 @@
     assert context.num_reached == 1
 
 
-@then("when the first one resets the connection while reading, the second gets nothing")
+@then("when the first address resets the connection while reading, the second gets no request")
 def step_second_not_reached(context):
     assert write_to_two_addresses(httpx.ReadError) == 0
 
 
-@when("a write waits on a store that takes {delay:g} s with a timeout of {timeout:g} s")
+@when("a write with a timeout of {timeout:g} s waits for a store that takes {delay:g} s")
 def step_slow_write(context, delay, timeout):
     async def main():
         server = KeyValueServer(random.Random(1))
@@ -346,10 +357,10 @@
         start_s = anyio.current_time()
         result = await InProcessKeyValue(server, timeout).compare_and_swap("a", 0, b"x")
         context.waited_s = anyio.current_time() - start_s
-        is_there = bool(server.model.range(b"a", b"", start_s))
+        is_written = bool(server.model.range(b"a", b"", start_s))
         if isinstance(result, Ok):
             return "written"
-        return f"{result.err_value.kind.value} and {'written' if is_there else 'absent'}"
+        return f"{result.err_value.kind.value} and {'written' if is_written else 'absent'}"
 
     context.outcome = run_in_virtual_time(main)
 
@@ -366,23 +377,23 @@
         await InProcessKeyValue(server).compare_and_swap("a", 0, b"one")
         async with served(KeyValueApp(server)) as address, httpx.AsyncClient() as client:
             key = base64.b64encode(b"a").decode()
-            found = await client.post(f"http://{address}/v3/kv/range", json={"key": key})
-            broken = await client.post(f"http://{address}/v3/kv/range", content=b"[")
+            valid = await client.post(f"http://{address}/v3/kv/range", json={"key": key})
+            malformed = await client.post(f"http://{address}/v3/kv/range", content=b"[")
             unknown = await client.post(f"http://{address}/v3/kv/fold", json={})
-        return found.json(), broken, unknown
+        return valid.json(), malformed, unknown
 
     context.raw = anyio.run(main)
 
 
 @then("the reply has base64 keys and 64-bit numbers as strings")
-def step_raw_shape(context):
+def step_raw_reply(context):
     stored = {"key": "YQ==", "value": "b25l", "version": "1"}
     stored |= {"create_revision": "2", "mod_revision": "2"}
     assert context.raw[0] == {"header": {"revision": "2"}, "kvs": [stored], "count": "1"}
 
 
-@then("a request that is no JSON, or of an unknown path, is an error with a gRPC code")
+@then("a request that is not JSON, or to an unknown path, gets an error with a gRPC code")
 def step_raw_errors(context):
-    _, broken, unknown = context.raw
-    assert (broken.status_code, broken.json()["code"]) == (400, 3)
+    _, malformed, unknown = context.raw
+    assert (malformed.status_code, malformed.json()["code"]) == (400, 3)
     assert (unknown.status_code, unknown.json()["code"]) == (404, 12)
--- a/features/steps/key_value_history_steps.py
+++ b/features/steps/key_value_history_steps.py
@@ -1,3 +1,5 @@
+"""Steps of `key_value_history.feature`."""
+
 import random
 import re
 
@@ -13,15 +15,15 @@
 from weirscale.standins.key_value.server import KeyValueServer
 
 ABSENT = (0, b"")
-UNSEEN = None
+UNKNOWN = None
 
 
 class Read(msgspec.Struct, frozen=True):
-    seen: tuple
+    state: tuple
 
 
 class Swap(msgspec.Struct, frozen=True):
-    """A swap; `after` is the state that its answer told, UNSEEN when the answer was lost."""
+    """A swap; `after` is the state in its answer, UNKNOWN if the answer was lost."""
 
     expected: int
     value: bytes
@@ -30,23 +32,27 @@
 
 
 def register_step(state, action):
-    """The key as (modification revision, value); no other key is written, so revisions count up."""
+    """Return the state after an action, or None if the action's outcome is impossible.
+
+    A state is (modification revision, value). No other key is written, so each write increments the
+    revision by one.
+    """
     if isinstance(action, Read):
-        return state if action.seen == state else None
-    is_due = state[0] == action.expected
-    following = ((state[0] or 1) + 1, action.value) if is_due else state
-    if action.succeeded is UNSEEN:
-        return following
-    is_as_seen = (is_due, following) == (action.succeeded, action.after)
-    return following if is_as_seen else None
+        return state if action.state == state else None
+    is_applied = state[0] == action.expected
+    next_state = ((state[0] or 1) + 1, action.value) if is_applied else state
+    if action.succeeded is UNKNOWN:
+        return next_state
+    is_as_answered = (is_applied, next_state) == (action.succeeded, action.after)
+    return next_state if is_as_answered else None
 
 
-def seen_of(key_value):
+def state_of(key_value):
     return (key_value.mod_revision, key_value.value) if key_value else ABSENT
 
 
 class Client:
-    """Reads and swaps one key, recording what it saw."""
+    """Reads and swaps one key, and records its operations."""
 
     def __init__(self, name, port, random, history):
         self.name = name
@@ -69,7 +75,7 @@
         if isinstance(answer, Err):
             return
         values = answer.ok_value.values
-        self.last = seen_of(values[0] if values else None)
+        self.last = state_of(values[0] if values else None)
         self.record(Read(self.last), start_s, anyio.current_time())
 
     async def swap(self, start_s, value):
@@ -77,9 +83,9 @@
         answer = await self.port.compare_and_swap("key", expected, value)
         if isinstance(answer, Err):
             if answer.err_value.kind is KeyValueFailureKind.AMBIGUOUS:
-                self.record(Swap(expected, value, UNSEEN, UNSEEN), start_s, None)
+                self.record(Swap(expected, value, UNKNOWN, UNKNOWN), start_s, None)
             return
-        self.last = seen_of(answer.ok_value.current)
+        self.last = state_of(answer.ok_value.current)
         action = Swap(expected, value, answer.ok_value.succeeded, self.last)
         self.record(action, start_s, anyio.current_time())
 
@@ -88,7 +94,7 @@
 
 
 async def vary_faults(fault, server, random):
-    """Put a fault in force, or switch it on and off, until cancelled."""
+    """Inject a fault; outages and slowness are switched on and off until cancelled."""
     server.faults.delay_s = 0.01
     if fault == "a third of answers lost":
         server.faults.lost_answer_probability = 0.33
@@ -99,7 +105,7 @@
         await anyio.sleep(0.03)
 
 
-def race(fault, seed):
+def run_clients(fault, seed):
     async def main():
         rand = random.Random(seed)
         server = KeyValueServer(rand)
@@ -120,8 +126,8 @@
 @when(
     "{clients:d} clients run {operations:d} operations each on one key with {fault}, for seeds 1 to 8"
 )
-def step_race(context, clients, operations, fault):
-    context.histories = [race(fault, seed) for seed in range(1, 9)]
+def step_clients(context, clients, operations, fault):
+    context.histories = [run_clients(fault, seed) for seed in range(1, 9)]
 
 
 @then("every history is linearizable")
@@ -138,7 +144,7 @@
         for operation in history
         if isinstance(operation.action, Swap)
     ]
-    num_lost = sum(swap.succeeded is UNSEEN for swap in swaps)
+    num_lost = sum(swap.succeeded is UNKNOWN for swap in swaps)
     num_won = sum(swap.succeeded is True for swap in swaps)
     assert num_lost >= lost and num_won >= won, (num_lost, num_won)
 
--- a/features/steps/server_stop_steps.py
+++ b/features/steps/server_stop_steps.py
@@ -10,12 +10,12 @@
 LOOPBACK = "127.0.0.1"
 REQUEST = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 BODY = b"whole"
-RUNS_S = 0.05
+RUN_TIME_S = 0.05
 FINISH_S = 3.0
 
 
 class SlowApp:
-    """Answers after a while, unless its caller leaves."""
+    """Answers after `RUN_TIME_S`, unless the caller disconnects before."""
 
     def __init__(self):
         self.num_begun = 0
@@ -25,22 +25,22 @@
             return
         self.num_begun += 1
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._cancel_when_left, receive, tasks.cancel_scope)
-            await anyio.sleep(RUNS_S)
+            tasks.start_soon(self._cancel_on_disconnect, receive, tasks.cancel_scope)
+            await anyio.sleep(RUN_TIME_S)
             headers = [(b"content-length", str(len(BODY)).encode())]
             await send({"type": "http.response.start", "status": 200, "headers": headers})
             await send({"type": "http.response.body", "body": BODY, "more_body": False})
             tasks.cancel_scope.cancel()
 
-    async def _cancel_when_left(self, receive, scope):
+    async def _cancel_on_disconnect(self, receive, scope):
         while (await receive())["type"] != "http.disconnect":
             pass
         scope.cancel()
 
 
-async def answers(connections):
-    """Return how many connections give a whole answer before they end."""
-    whole = []
+async def count_answers(connections):
+    """Return how many connections receive a complete answer before they end."""
+    answered = []
 
     async def read(connection):
         data = b""
@@ -49,16 +49,16 @@
                 data += await connection.receive()
         except (anyio.EndOfStream, anyio.BrokenResourceError):
             return
-        whole.append(connection)
+        answered.append(connection)
 
     async with anyio.create_task_group() as tasks:
         for connection in connections:
             tasks.start_soon(read, connection)
-    return len(whole)
+    return len(answered)
 
 
 async def stop_and_send(num_connections, num_turns):
-    """Return how many requests were begun, and how many answered, of those after the stop."""
+    """Return how many requests were begun, and how many answered, of those sent after the stop."""
     app = SlowApp()
     listener = open_listener(LOOPBACK, 0)
     port = port_of(listener)
@@ -68,28 +68,29 @@
         connections = [await anyio.connect_tcp(LOOPBACK, port) for _ in range(num_connections)]
         for connection in connections:
             await connection.send(REQUEST)
-        assert await answers(connections) == num_connections
+        assert await count_answers(connections) == num_connections
         num_before = app.num_begun
         stop.set()
         for _ in range(num_turns):
             await anyio.lowlevel.checkpoint()
         for connection in connections:
-            # The stream's own `send` would take a turn for each.
+            # The stream's own `send` would take one turn per connection.
             connection._transport.write(REQUEST)
-        num_whole = await answers(connections)
+        num_answered = await count_answers(connections)
         for connection in connections:
             await connection.aclose()
-    return app.num_begun - num_before, num_whole
+    return app.num_begun - num_before, num_answered
 
 
-@given('a server with {num:d} kept connections on the event loop "{loop}"')
+@given('a server with {num:d} kept-alive connections on the event loop "{loop}"')
 def step_server(context, num, loop):
     context.num_connections = num
     context.options = {"use_uvloop": loop == "uvloop"}
 
 
 @when(
-    "it is stopped, and after each number of turns from {first:d} to {last:d} a request comes on each"
+    "it is stopped, and a request arrives on each connection after each number of turns "
+    "from {first:d} to {last:d}"
 )
 def step_stop(context, first, last):
     context.ends = [
@@ -98,12 +99,12 @@
     ]
 
 
-@then("each request that was begun has its whole answer")
-def step_whole(context):
-    assert all(begun == whole for begun, whole in context.ends), context.ends
+@then("each request that was begun is answered completely")
+def step_answered(context):
+    assert all(begun == answered for begun, answered in context.ends), context.ends
 
 
-@then("some were begun, and some never")
+@then("some requests were begun, and some were not")
 def step_both(context):
     num_begun = [begun for begun, _ in context.ends]
     assert max(num_begun) == context.num_connections, context.ends
--- a/features/steps/trace_command_steps.py
+++ b/features/steps/trace_command_steps.py
@@ -48,13 +48,13 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "a.log"
         path.write_text(OWN_LOG)
-        named = {"logs": [str(path)], "missing": [str(path) + ".no"], "none": []}[files]
+        paths = {"logs": [str(path)], "missing": [str(path) + ".no"], "none": []}[files]
         with contextlib.redirect_stderr(io.StringIO()) as text:
-            context.code = trace.run(request_id, named)
+            context.code = trace.run(request_id, paths)
         context.message = text.getvalue()
 
 
-@then('the exit code is {code:d} and the message names "{remedy}"')
+@then('the exit code is {code:d} and the message contains "{remedy}"')
 def step_code(context, code, remedy):
     assert context.code == code, context.code
     assert remedy in context.message and context.message.count("\n") == 1, context.message
--- a/features/trace_command.feature
+++ b/features/trace_command.feature
@@ -1,6 +1,8 @@
-Feature: The trace command leads from a request's id to its cause
+Feature: The trace command shows the cause of a request's outcome
+  From the logs of several nodes it selects the lines that explain a request: the state that its node
+  relied on, the events of other nodes meanwhile, and the request's own line.
 
-  Scenario: The lines of one request from two nodes' logs, in the order of their causes
+  Scenario: The trace of a request combines the logs of two nodes, in the order of cause and effect
     Given the logs of two nodes around a failed request
     When the request "q7" is traced
     Then the trace has these lines in order
@@ -10,9 +12,9 @@
       | meanwhile | back_end_suspected  |
       | request   | request_ended       |
 
-  Scenario Outline: Bad input is one line that names the remedy
+  Scenario Outline: Invalid input prints one line that names the remedy
     When the request "<id>" is traced in "<files>"
-    Then the exit code is <code> and the message names "<remedy>"
+    Then the exit code is <code> and the message contains "<remedy>"
 
     Examples:
       | id | files   | code | remedy       |
