--- a/features/gateway_connection_limits.feature
+++ b/features/gateway_connection_limits.feature
@@ -1,7 +1,7 @@
 Feature: Timeouts of callers' connections follow the operators' configuration
   Callers that keep connections idle, or send a request head slowly, would occupy the node's
-  connections for as long as they like. The limits are part of the configuration in the store and
-  change while connections are open.
+  connections indefinitely. The limits are part of the configuration in the store, and may change
+  while connections are open.
 
   Scenario: A configured idle timeout closes a caller's idle connection
     Given a program of a node with a configured idle timeout of 0.3 s
--- a/features/gateway_log.feature
+++ b/features/gateway_log.feature
@@ -24,7 +24,7 @@
     Given two back ends of which the one asked first does "<fault>" once
     When <kind> request is sent
     Then the request's log line has the outcome "<outcome>" and a cause with "<cause>"
-    And the operators' page describes each field of the request's log line
+    And the operators' page has the name of each field of the request's log line
 
     Examples:
       | kind        | fault  | outcome   | cause       |
@@ -35,7 +35,7 @@
       | a single    | hang   | timed_out | time_out    |
       | an order    | reset  | failed    | no_answer   |
 
-  Scenario: The operators' page describes all events and metrics of the gateway
+  Scenario: The operators' page has all events and metrics of the gateway
     Given the source files of the gateway
     Then the operators' page has the name of each event that they log
     And the operators' page has the name of each metric that they define
--- a/features/gateway_start.feature
+++ b/features/gateway_start.feature
@@ -31,18 +31,18 @@
     When the first listeners are opened
     Then a program with these listeners opens no other socket for their addresses
 
-  Scenario Outline: A request arrives <arrival> s after the start, and the store is reachable after <read> s
-    Given the store is reachable <read> s after the start of a node
+  Scenario Outline: A request arrives <arrival> s after the start, and the store is reachable after <reachable> s
+    Given the store is reachable <reachable> s after the start of a node
     When a request arrives <arrival> s after the start
     Then the request gets <status> after <least> to <most> s
 
     Examples:
-      | read | arrival | status | least | most |
-      | 0.3  | 0.1     | 200    | 0.1   | 0.8  |
-      | 0.3  | 2.0     | 200    | 0.0   | 0.1  |
-      | 9.0  | 0.1     | 503    | 0.85  | 0.95 |
-      | 9.0  | 0.8     | 503    | 0.15  | 0.25 |
-      | 9.0  | 2.0     | 503    | 0.0   | 0.01 |
+      | reachable | arrival | status | least | most |
+      | 0.3       | 0.1     | 200    | 0.1   | 0.8  |
+      | 0.3       | 2.0     | 200    | 0.0   | 0.1  |
+      | 9.0       | 0.1     | 503    | 0.85  | 0.95 |
+      | 9.0       | 0.8     | 503    | 0.15  | 0.25 |
+      | 9.0       | 2.0     | 503    | 0.0   | 0.01 |
 
   Scenario: A request waits for at most half of its deadline
     Given the store is reachable 9.0 s after the start of a node
--- a/features/platform_adapter.feature
+++ b/features/platform_adapter.feature
@@ -1,5 +1,5 @@
 Feature: The platform adapter translates between the platform's protocol and the gateway's ports
-  The gateway is bound to one platform as soon as a name of the platform's protocol stands in the
+  The gateway would be bound to one platform if names of the platform's protocol occurred in the
   product. A wrong translation loses state, requests or idle connections without an error message.
 
   Scenario Outline: No name of the platform occurs outside the adapter
--- a/features/steps/gateway_log_steps.py
+++ b/features/steps/gateway_log_steps.py
@@ -148,7 +148,7 @@
     assert read_fingerprint(line["request"]) is not None, line
 
 
-@then("the operators' page describes each field of the request's log line")
+@then("the operators' page has the name of each field of the request's log line")
 def step_fields(context):
     page = PAGE.read_text()
     missing = [name for name in request_line(context) if f"`{name}`" not in page]
--- a/features/steps/gateway_start_steps.py
+++ b/features/steps/gateway_start_steps.py
@@ -190,9 +190,9 @@
         assert program._listener(address) is context.listeners[LOOPBACK, address.port]
 
 
-@given("the store is reachable {read:g} s after the start of a node")
-def step_store(context, read):
-    context.read_s = read
+@given("the store is reachable {reachable:g} s after the start of a node")
+def step_store(context, reachable):
+    context.reachable_s = reachable
 
 
 @when("a request with a deadline of {timeout:g} s arrives {arrival:g} s after the start")
@@ -206,12 +206,12 @@
 
 
 def ask_starting_node(context, arrival_s, **headers):
-    """Send a request to a node whose store becomes reachable `context.read_s` after the start."""
+    """Send a request to a node whose store becomes reachable `context.reachable_s` after the start."""
     fleet = Fleet()
     fleet.store.is_down = True
 
     async def open_store():
-        await anyio.sleep(context.read_s)
+        await anyio.sleep(context.reachable_s)
         fleet.store.is_down = False
 
     async def body():
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -162,7 +162,7 @@
         assert (len(context.prompt.blocks), context.prompt.num_tokens) == (num, tokens)
 
 
-class RecordedTransport(httpx.AsyncBaseTransport):
+class RecordingTransport(httpx.AsyncBaseTransport):
     """Answers with the given header fields; records whether it was closed, and closed while in use."""
 
     def __init__(self, headers, idle_s, failures=()):
@@ -212,7 +212,7 @@
     context.transports = []
 
     def make(_connections, idle_s):
-        context.transports.append(RecordedTransport(context.headers, idle_s))
+        context.transports.append(RecordingTransport(context.headers, idle_s))
         return context.transports[-1]
 
     async def body():
@@ -232,7 +232,7 @@
     failures = [failure] * count
 
     def make(_connections, idle_s):
-        context.transports.append(RecordedTransport({}, idle_s, failures))
+        context.transports.append(RecordingTransport({}, idle_s, failures))
         return context.transports[-1]
 
     async def body():
--- a/features/support/platform_fleet.py
+++ b/features/support/platform_fleet.py
@@ -143,7 +143,7 @@
         self.mute = set()
         """Nodes whose datagrams are all lost, gossip included."""
         self.frozen = {}
-        """By name: nodes that do not run, each with the messages that arrived meanwhile."""
+        """By name: frozen nodes, each with the messages that arrived meanwhile."""
         self.thawed = anyio.Event()
         self.suspended_s = {}
         """By name: how long a node's machine was suspended; the event loop's clock excludes this time."""
@@ -217,7 +217,7 @@
         del self.nodes[name]
 
     def freeze(self, name):
-        """Stop a node: it receives and sends nothing, and messages to it are kept."""
+        """Freeze a node, as SIGSTOP does: it receives and sends nothing, and messages to it are kept."""
         self.frozen[name] = []
 
     def suspend(self, name, seconds):
--- a/features/support/platform_runner.py
+++ b/features/support/platform_runner.py
@@ -14,7 +14,7 @@
 EVENT_INTERVAL_S = 0.02
 READ_S = 0.03
 HANG_S = 3600.0
-LOOK_INTERVAL_S = 0.05
+CRASH_CHECK_INTERVAL_S = 0.05
 """The longest time between the end of a process and the cut of its connections."""
 
 BREAKING = ("hang", "reset", "break", "stall")
@@ -227,7 +227,7 @@
         """Sleep; raise a read error if the process ends meanwhile, as a cut connection does."""
         until_s = anyio.current_time() + seconds
         while True:
-            await anyio.sleep_until(min(until_s, anyio.current_time() + LOOK_INTERVAL_S))
+            await anyio.sleep_until(min(until_s, anyio.current_time() + CRASH_CHECK_INTERVAL_S))
             if self.is_crashed:
                 raise httpx.ReadError("connection reset")
             if anyio.current_time() >= until_s:
--- a/features/support/platform_store.py
+++ b/features/support/platform_store.py
@@ -42,7 +42,7 @@
         self.backup = None
         self.withheld_answers = []
         """Paths of calls whose next answer is withheld until `release_answers` is called."""
-        self.released = anyio.Event()
+        self.answers_released = anyio.Event()
 
     # Changes that a test makes directly, in place of the operator or a runner.
 
@@ -54,28 +54,28 @@
         if key in self.items:
             del self.items[key]
             self.revision += 1
-            self._note({"private_key": key, "revision": self.revision, "gone": True})
+            self._append_event({"private_key": key, "revision": self.revision, "gone": True})
 
     def compact(self):
         """Drop all history, which ends the watches from earlier revisions."""
         self.history.clear()
         self.oldest = self.revision
-        self._wake()
+        self._wake_watches()
 
     def cut_watches(self):
         """Reset the connections of all waiting watches."""
         self.num_cuts += 1
-        self._wake()
+        self._wake_watches()
 
     def take_backup(self):
         """Back up all items, except those that are attached to a lease."""
-        kept = {key: item for key, item in self.items.items() if not item["lease"]}
-        self.backup = (kept, self.revision)
+        items = {key: item for key, item in self.items.items() if not item["lease"]}
+        self.backup = (items, self.revision)
 
     def restore(self):
         """Restore the backup: later writes and all leases are lost."""
-        kept, self.revision = self.backup
-        self.items = dict(kept)
+        items, self.revision = self.backup
+        self.items = dict(items)
         self.leases.clear()
         self.era += 1
         self.compact()
@@ -83,7 +83,7 @@
 
     def release_answers(self):
         """Send the answers that were withheld."""
-        released, self.released = self.released, anyio.Event()
+        released, self.answers_released = self.answers_released, anyio.Event()
         released.set()
 
     def _change(self, key, raw, lease):
@@ -97,13 +97,13 @@
             "lease": lease,
         }
         self.items[key] = item
-        self._note(item)
+        self._append_event(item)
 
-    def _note(self, event):
+    def _append_event(self, event):
         self.history.append(event)
-        self._wake()
+        self._wake_watches()
 
-    def _wake(self):
+    def _wake_watches(self):
         changed, self.changed = self.changed, anyio.Event()
         changed.set()
 
@@ -134,7 +134,7 @@
             response.headers["Store-Era"] = str(self.era)
         if path in self.withheld_answers:
             self.withheld_answers.remove(path)
-            await self.released.wait()
+            await self.answers_released.wait()
         return response
 
     async def _answer(self, request, path, body):
@@ -149,7 +149,7 @@
         if path == "/v1/kv-lease":
             return await self._write(lambda: self._grant(body["ttl_ms"]))
         if path.startswith("/v1/kv-keep/"):
-            return self._keep(int(path.rsplit("/", 1)[1]))
+            return self._renew_lease(int(path.rsplit("/", 1)[1]))
         if path.startswith("/v1/kv-lease-end/"):
             self._end_lease(int(path.rsplit("/", 1)[1]))
             return reply(200, {})
@@ -208,7 +208,7 @@
         self.lives_ms[self.next_lease] = ttl_ms
         return reply(200, {"lease": self.next_lease, "ttl_ms": ttl_ms})
 
-    def _keep(self, lease):
+    def _renew_lease(self, lease):
         if lease not in self.leases:
             return reply(404, {})
         ttl_ms = self.lives_ms[lease]
