--- a/features/platform_adapter.feature
+++ b/features/platform_adapter.feature
@@ -93,7 +93,7 @@
 
     Examples: nine seconds are assumed until an answer has the header
       | header            | idle |
-      | nothing           | 9    |
+      | none              | 9    |
       | timeout=10        | 9    |
       | timeout=60        | 9    |
       | timeout=5, max=5  | 9,4  |
@@ -103,7 +103,7 @@
       | max=5             | 9    |
 
   Scenario Outline: Idle connections are kept for a shorter time after <failure>
-    Given a runner whose answers have the Keep-Alive header "nothing"
+    Given a runner whose answers have the Keep-Alive header "none"
     When <count> requests to it end with "<failure>" and one is answered
     Then idle connections were kept for "<idle>" seconds, and each transport was closed after its last use
 
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -204,7 +204,7 @@
 
 @given('a runner whose answers have the Keep-Alive header "{header}"')
 def step_keep_alive(context, header):
-    context.headers = {} if header == "nothing" else {"Keep-Alive": header}
+    context.headers = {} if header == "none" else {"Keep-Alive": header}
 
 
 @when("two requests are sent to it, the second while the answer to the first is incomplete")
