--- a/features/steps/gateway_old_weights_steps.py
+++ b/features/steps/gateway_old_weights_steps.py
@@ -245,7 +245,9 @@
 def step_no_late_event(context, version, seconds):
     fleet_run = context.fleet_run.run()
     delays_s = [
-        run.first_s - fleet_run.target_set_s for run in runs_on(fleet_run, version) if run.first_s
+        run.first_event_s - fleet_run.target_set_s
+        for run in runs_on(fleet_run, version)
+        if run.first_event_s
     ]
     assert delays_s and max(delays_s) <= seconds, max(delays_s)
 
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -71,7 +71,7 @@
         elif fault == "datagrams lost":
             fleet.silent.add(reader)
     if fault == "watch without events":
-        fleet.store.is_deaf = True
+        fleet.store.withholds_events = True
     if fault == "compacted history":
         fleet.store.compact()
     return other_nodes if fault in ("killed", "partitioned") else list(fleet.nodes)
@@ -99,7 +99,7 @@
         for number in range(seconds):
             fleet.add_runner(back_end(number + 2))
             if number == seconds - 5:
-                fleet.asked.clear()
+                fleet.sent_requests.clear()
             await anyio.sleep(1.0)
         context.registered = {
             name: set(node.cluster.directory.instances()) for name, node in fleet.nodes.items()
@@ -110,7 +110,7 @@
 
 @then("at most {count:d} nodes have queried the store for changes in the last 5 seconds")
 def step_few_readers(context, count):
-    readers = {name for name, path in context.fleet.asked if path == "/v1/kv-watch"}
+    readers = {name for name, path in context.fleet.sent_requests if path == "/v1/kv-watch"}
     assert 0 < len(readers) <= count, readers
 
 
--- a/features/steps/gateway_state_steps.py
+++ b/features/steps/gateway_state_steps.py
@@ -139,14 +139,14 @@
         store = node_run.fleet.store
         await begin_fault(store, fault)
         if fault == "compaction":
-            store.is_deaf = True
+            store.withholds_events = True
         store.put("op/config", b"{" if fault == "bad JSON" else configuration(version))
         node_run.written_s = anyio.current_time()
         if fault in ("outage", "silence"):
             await anyio.sleep(2.0)
         if fault == "compaction":
             await anyio.sleep(1.0)
-            store.is_deaf = False
+            store.withholds_events = False
             store.compact()
         end_fault(store)
 
@@ -206,14 +206,14 @@
 def step_watch_gap(context):
     async def action(node_run):
         store = node_run.fleet.store
-        store.is_deaf = True
+        store.withholds_events = True
         await anyio.sleep(0.3)
         store.put("op/config", keyed_configuration(4, keys=["other"]))
         node_run.changed_s = anyio.current_time()
 
         async def end_gap():
             await anyio.sleep(0.7)
-            store.is_deaf = False
+            store.withholds_events = False
             store.compact()
 
         node_run.fleet.tasks.start_soon(end_gap)
@@ -224,7 +224,7 @@
 @when("the API key is revoked while watches report nothing any more")
 def step_watch_lost(context):
     async def action(node_run):
-        node_run.fleet.store.is_deaf = True
+        node_run.fleet.store.withholds_events = True
         await anyio.sleep(0.3)
         node_run.fleet.store.put("op/config", keyed_configuration(4, keys=["other"]))
         node_run.changed_s = anyio.current_time()
--- a/features/steps/gateway_store_restored_steps.py
+++ b/features/steps/gateway_store_restored_steps.py
@@ -153,7 +153,7 @@
     async def act():
         # The backup has no node registrations, because they depend on leases.
         assert not [
-            key for key in restore_run.fleet.store.copy[0] if key.startswith("weirscale/nodes/")
+            key for key in restore_run.fleet.store.backup[0] if key.startswith("weirscale/nodes/")
         ]
         await restore_run.restore()
 
@@ -477,7 +477,7 @@
     def __init__(self):
         self.store = StoreStandIn()
         self.store.put("op/config", {"version": 1})
-        self.store.take_copy()
+        self.store.take_backup()
         client = StoreClient(
             STORE_ADDRESS, lambda _max_connections, _keepalive_s: StoreTransport(self.store)
         )
@@ -519,7 +519,7 @@
     }
 
     async def script():
-        fixture.store.late_answers.append(LATE_CALLS[call])
+        fixture.store.withheld_answers.append(LATE_CALLS[call])
 
         async def send_call():
             fixture.outcome = await calls[call]()
@@ -529,7 +529,7 @@
             await anyio.sleep(0.1)
             fixture.store.restore()
             assert isinstance(await fixture.feed.current_revision(), Ok)
-            fixture.store.hand_out()
+            fixture.store.release_answers()
 
     fixture.run(script)
 
--- a/features/support/platform_store.py
+++ b/features/support/platform_store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's store, written from its published protocol, with faults to switch on."""
+"""Stand-in of the platform's store with injectable faults, written from the published protocol."""
 
 import base64
 import json
@@ -10,13 +10,13 @@
 HISTORY_LENGTH = 200
 SILENT_S = 3600.0
 LOST_ANSWER_S = 1.0
-"""When the adapter gives an answer up."""
+"""The time after which the adapter stops waiting for an answer."""
 
 JSON_TYPE = {"content-type": "application/json"}
 
 
 class StoreStandIn:
-    """Items, leases, transactions and watches at one linearizable store."""
+    """A linearizable store with items, leases, transactions and watches."""
 
     def __init__(self):
         self.items = {}
@@ -34,17 +34,17 @@
         self.random = Random(5)
         self.jitter_s = 0.0
         self.late_writes_s = None
-        self.is_deaf = False
+        self.withholds_events = False
         self.next_lease = 100
         self.num_cuts = 0
         self.era = 0
-        """How often it has come back from a copy; named in its answers from the first time on."""
-        self.copy = None
-        self.late_answers = []
-        """Paths of calls whose next answer is kept back until `hand_out` is called, in order."""
-        self.handed_out = anyio.Event()
+        """How often the store was restored from a backup; unless 0, every answer states it."""
+        self.backup = None
+        self.withheld_answers = []
+        """Paths of calls whose next answer is withheld until `release_answers` is called."""
+        self.answers_released = anyio.Event()
 
-    # What tests do directly, as the operator or a runner.
+    # Changes that a test makes directly, in place of the operator or a runner.
 
     def put(self, key, value, lease=0):
         raw = value if isinstance(value, bytes) else json.dumps(value).encode()
@@ -54,37 +54,37 @@
         if key in self.items:
             del self.items[key]
             self.revision += 1
-            self._note({"private_key": key, "revision": self.revision, "gone": True})
+            self._append_event({"private_key": key, "revision": self.revision, "gone": True})
 
     def compact(self):
-        """Forget all history and cut the watches."""
+        """Drop all history, which ends the watches from earlier revisions."""
         self.history.clear()
         self.oldest = self.revision
-        self._wake()
+        self._wake_watches()
 
     def cut_watches(self):
-        """Reset the connections of all watches that wait."""
+        """Reset the connections of all waiting watches."""
         self.num_cuts += 1
-        self._wake()
+        self._wake_watches()
 
-    def take_copy(self):
-        """Copy all items; what hangs on a lease is not in it."""
-        kept = {key: item for key, item in self.items.items() if not item["lease"]}
-        self.copy = (kept, self.revision)
+    def take_backup(self):
+        """Back up all items, except those that are attached to a lease."""
+        items = {key: item for key, item in self.items.items() if not item["lease"]}
+        self.backup = (items, self.revision)
 
     def restore(self):
-        """Come back from the copy: what was written since is gone, and so are all leases."""
-        kept, self.revision = self.copy
-        self.items = dict(kept)
+        """Restore the backup: later writes and all leases are lost."""
+        items, self.revision = self.backup
+        self.items = dict(items)
         self.leases.clear()
         self.era += 1
         self.compact()
         self.cut_watches()
 
-    def hand_out(self):
-        """Give the answers that were kept back."""
-        handed_out, self.handed_out = self.handed_out, anyio.Event()
-        handed_out.set()
+    def release_answers(self):
+        """Send the answers that were withheld."""
+        released, self.answers_released = self.answers_released, anyio.Event()
+        released.set()
 
     def _change(self, key, raw, lease):
         self.revision += 1
@@ -97,19 +97,19 @@
             "lease": lease,
         }
         self.items[key] = item
-        self._note(item)
+        self._append_event(item)
 
-    def _note(self, event):
+    def _append_event(self, event):
         self.history.append(event)
-        self._wake()
+        self._wake_watches()
 
-    def _wake(self):
+    def _wake_watches(self):
         changed, self.changed = self.changed, anyio.Event()
         changed.set()
 
     def _expire(self):
         now_s = anyio.current_time()
-        for lease in [one for one, until_s in self.leases.items() if until_s <= now_s]:
+        for lease in [lease for lease, until_s in self.leases.items() if until_s <= now_s]:
             self._end_lease(lease)
 
     def _end_lease(self, lease):
@@ -132,9 +132,9 @@
         response = await self._answer(request, path, body)
         if self.era:
             response.headers["Store-Era"] = str(self.era)
-        if path in self.late_answers:
-            self.late_answers.remove(path)
-            await self.handed_out.wait()
+        if path in self.withheld_answers:
+            self.withheld_answers.remove(path)
+            await self.answers_released.wait()
         return response
 
     async def _answer(self, request, path, body):
@@ -149,7 +149,7 @@
         if path == "/v1/kv-lease":
             return await self._write(lambda: self._grant(body["ttl_ms"]))
         if path.startswith("/v1/kv-keep/"):
-            return self._keep(int(path.rsplit("/", 1)[1]))
+            return self._renew_lease(int(path.rsplit("/", 1)[1]))
         if path.startswith("/v1/kv-lease-end/"):
             self._end_lease(int(path.rsplit("/", 1)[1]))
             return reply(200, {})
@@ -170,10 +170,10 @@
                     for event in self.history
                     if event["revision"] > after and event["private_key"].startswith(prefix)
                 ]
-                if events and not self.is_deaf:
+                if events and not self.withholds_events:
                     return reply(200, {"events": events, "at": self.revision})
                 await self.changed.wait()
-        return reply(200, {"events": [], "at": after if self.is_deaf else self.revision})
+        return reply(200, {"events": [], "at": after if self.withholds_events else self.revision})
 
     async def _write(self, change):
         if self.late_writes_s is not None:
@@ -187,12 +187,12 @@
         return answer
 
     def _transaction(self, body):
-        for row in body["if_revision"]:
-            item = self.items.get(row["private_key"])
-            if (item["revision"] if item else 0) != row["revision"]:
-                keys = [one["private_key"] for one in body["if_revision"]]
-                found = [self.items[key] for key in keys if key in self.items]
-                return reply(412, {"items": found})
+        for condition in body["if_revision"]:
+            item = self.items.get(condition["private_key"])
+            if (item["revision"] if item else 0) != condition["revision"]:
+                keys = [condition["private_key"] for condition in body["if_revision"]]
+                current = [self.items[key] for key in keys if key in self.items]
+                return reply(412, {"items": current})
         for put in body["put"]:
             if put["lease"] and put["lease"] not in self.leases:
                 return reply(404, {})
@@ -208,7 +208,7 @@
         self.lives_ms[self.next_lease] = ttl_ms
         return reply(200, {"lease": self.next_lease, "ttl_ms": ttl_ms})
 
-    def _keep(self, lease):
+    def _renew_lease(self, lease):
         if lease not in self.leases:
             return reply(404, {})
         ttl_ms = self.lives_ms[lease]
