--- a/features/steps/fault_soak_steps.py
+++ b/features/steps/fault_soak_steps.py
@@ -28,7 +28,7 @@
 SOAK_NODES = 4
 SOAK_INTERVAL_S = 1.2
 MIN_ANSWERED = 100
-TRACES = {
+TRACEBACKS = {
     "plain": 'Traceback (most recent call last):\n  File "a.py", line 1\n'
     "ValueError: bad number\nKeyError: not of a trace",
     "grouped": "  | Traceback (most recent call last):\n  |   File x\n"
@@ -37,20 +37,20 @@
 }
 
 
-@when("a sound history of a soak also has {what}")
-def step_history(context, what):
-    context.history = soak_histories.sound() + soak_histories.ADDED[what]
+@when("a valid soak history is changed by {change}")
+def step_history(context, change):
+    context.history = soak_histories.valid_history() + soak_histories.CHANGES[change]
 
 
-@then('a stream that ends as {outcome} with "{body}" has the events "{events}"')
+@then('a stream with the outcome {outcome} and the body "{body}" has the event numbers "{events}"')
 def step_events(context, outcome, body, events):
     ended = soak_histories.ended(1.0, "q", Outcome(outcome), body=body.replace(";", "\n"))
     numbers = with_events(ended).event_numbers
     assert ", ".join(map(str, numbers)) == events, numbers
 
 
-@when("the history is written down and read again")
-def step_written(context):
+@when("the history is written to a file and read again")
+def step_write_and_read(context):
     with tempfile.TemporaryDirectory() as directory:
         file = Path(directory) / "history.jsonl"
         write_history(file, context.history)
@@ -59,44 +59,47 @@
     context.history = read
 
 
-def broken(context):
+def judge_history(context):
+    """Return the names of the violated rules, and the violations."""
     violations = judge(context.history, BOUNDS)
     return {violation.rule.value for violation in violations}, violations
 
 
-@then('the soak finds "{rule}" broken, and nothing else')
-def step_one_broken(context, rule):
-    rules, violations = broken(context)
+@then('only the rule "{rule}" is violated')
+def step_one_violated(context, rule):
+    rules, violations = judge_history(context)
     assert rules == {rule}, violations
 
 
-@then('the soak finds "{first}" and "{second}" broken')
-def step_two_broken(context, first, second):
-    rules, violations = broken(context)
+@then('only the rules "{first}" and "{second}" are violated')
+def step_two_violated(context, first, second):
+    rules, violations = judge_history(context)
     assert rules == {first, second}, violations
 
 
-@then("the soak finds nothing broken")
-def step_none_broken(context):
-    rules, violations = broken(context)
+@then("no rule is violated")
+def step_none_violated(context):
+    rules, violations = judge_history(context)
     assert not rules, violations
 
 
-@then("the schedules of seed {seed:d} are equal, and differ from those of seed {other:d}")
+@then("two schedules of seed {seed:d} are equal, and differ from that of seed {other:d}")
 def step_schedules(context, seed, other):
-    first, again, differing = (draw_schedule(one, 60.0, 1.0) for one in (seed, seed, other))
+    first, again, differing = (
+        draw_schedule(each_seed, 60.0, 1.0) for each_seed in (seed, seed, other)
+    )
     assert first == again
     assert first != differing
 
 
-@then("eight schedules of an hour hold every kind of fault, and none beyond their end")
+@then("eight schedules of an hour contain every kind of fault, and no fault lasts beyond the hour")
 def step_every_kind(context):
     schedule = [fault for seed in range(8) for fault in draw_schedule(seed, HOUR_S, 1.0)]
     assert {fault.kind for fault in schedule} == set(FaultKind)
     assert all(fault.at_s + fault.lasts_s <= HOUR_S for fault in schedule)
 
 
-@when("node processes are soaked for {duration_s:d} s with seed {seed:d}")
+@when("a soak test of node processes runs for {duration_s:d} s with seed {seed:d}")
 def step_soak(context, duration_s, seed):
     settings = SoakSettings(seed, float(duration_s), SOAK_NODES, SOAK_INTERVAL_S)
     context.soak_directory = tempfile.TemporaryDirectory()
@@ -105,52 +108,54 @@
     context.outcome = anyio.run(context.soak.run)
 
 
-@then("the soak shows nothing broken")
-def step_soak_sound(context):
+@then("the soak test reports no violations")
+def step_soak_no_violations(context):
     assert not context.outcome.violations, context.outcome.violations
 
 
 @then("callers were answered, nodes were stopped and configurations followed one another")
-def step_soak_did_something(context):
+def step_soak_activity(context):
     records = context.outcome.records
-    statuses = Counter(one.status for one in records if isinstance(one, RequestEnded))
+    statuses = Counter(record.status for record in records if isinstance(record, RequestEnded))
     assert statuses[200] >= MIN_ANSWERED, statuses
-    exits = Counter(one.exit_code for one in records if isinstance(one, NodeEnded))
+    exits = Counter(record.exit_code for record in records if isinstance(record, NodeEnded))
     assert exits[0] > 0 and exits[-9] > 0, exits
-    versions = [one.version for one in records if isinstance(one, ConfigurationAcknowledged)]
+    versions = [
+        record.version for record in records if isinstance(record, ConfigurationAcknowledged)
+    ]
     assert len(versions) > 1 and versions == sorted(set(versions)), versions
-    signals = {one.signal for one in records if hasattr(one, "signal")}
+    signals = {record.signal for record in records if hasattr(record, "signal")}
     assert {SignalName.TERMINATE, SignalName.KILL, SignalName.PAUSE} <= signals, signals
 
 
-@then("none of its processes runs any more")
+@then("none of its processes is still running")
 def step_processes_ended(context):
     records = context.outcome.records
-    num_started = sum(isinstance(one, NodeStarted) for one in records)
+    num_started = sum(isinstance(record, NodeStarted) for record in records)
     assert num_started >= SOAK_NODES
     running = [process.name for process in context.soak.processes.started if process.is_running]
     assert not running, running
 
 
-@given('a soak beside the checkout "{folder}"')
-def step_soak_beside(context, folder):
+@given('a soak test with the other checkout "{folder}"')
+def step_other_checkout(context, folder):
     context.settings = SoakSettings(1, 1.0, 2, 1.0, folder)
 
 
-@then('node {number:d} is started from "{checkouts}"')
-def step_started_from(context, number, checkouts):
+@then('the starts of node {number:d} use the checkouts "{checkouts}"')
+def step_checkouts_of_starts(context, number, checkouts):
     starts = cycle(context.settings.checkouts(number))
-    names = ["this build" if one == ROOT else str(one) for one in islice(starts, 3)]
+    names = ["this build" if path == ROOT else str(path) for path in islice(starts, 3)]
     assert names == checkouts.split(", "), names
 
 
-@when('a node\'s log has the traces "{names}"')
-def step_traces(context, names):
-    lines = "\n".join(TRACES[name] for name in names.split(", ")).splitlines()
+@when('a node\'s log contains the tracebacks "{names}"')
+def step_tracebacks(context, names):
+    lines = "\n".join(TRACEBACKS[name] for name in names.split(", ")).splitlines()
     context.errors = internal_errors(lines)
 
 
 @then('the internal errors are "{expected}"')
 def step_internal_errors(context, expected):
-    shown = "; ".join(str(error) for error in context.errors)
-    assert shown == expected, shown
+    found = "; ".join(str(error) for error in context.errors)
+    assert found == expected, found
