--- a/features/steps/rollout_rules_steps.py
+++ b/features/steps/rollout_rules_steps.py
@@ -5,7 +5,7 @@
 from msgspec.structs import replace
 
 from features.support.platform_fleet import EventRecorder
-from features.support.verdict_ways import LENGTH_S, Version, play
+from features.support.verdict_ways import CANARY_DURATION_S, VersionModel, simulate
 from weirscale.gateway.model.back_ends import BackEnd, BackEndState
 from weirscale.gateway.model.rollout_order import Epoch, RolloutOrder
 from weirscale.gateway.ports.state_feed import (
@@ -30,7 +30,7 @@
 
 
 @given(
-    "{nodes:d} nodes that learn of an order, of which some are killed and started "
+    "{nodes:d} nodes that learn of a rollout order, some of which are killed and restarted "
     "{restarts:d} times"
 )
 def step_nodes(context, nodes, restarts):
@@ -38,68 +38,73 @@
     context.restarts = restarts
 
 
-@when("they send {count:d} requests of the service in {histories:d} drawn histories")
+@when("they send {count:d} requests of the service in {histories:d} random histories")
 def step_histories(context, count, histories):
     context.count = count
     context.random = Random(3)
     context.histories = histories
 
 
-def trials_of(context, tolerance):
-    """Return the trials of one drawn history."""
+def simulate_canary_attempts(context, tolerance):
+    """Return the number of canary attempts of a random history."""
     random = context.random
     bounds = CanaryLimits(SHARE, tolerance, 5.0)
 
-    def new(has_seen_order):
+    def new_allowance(has_seen_order):
         credit = start_credit(bounds, context.num_nodes, has_seen_order, random.random())
         return Allowance(SHARE, credit)
 
-    nodes = [new(True) for _ in range(context.num_nodes)]
+    allowances = [new_allowance(True) for _ in range(context.num_nodes)]
     kills = sorted(random.randrange(context.count) for _ in range(context.restarts))
-    trials = 0
+    num_attempts = 0
     for number in range(context.count):
         if kills and number == kills[0]:
             kills.pop(0)
-            nodes = [new(False) if random.random() < 0.7 else one for one in nodes]
-        node = random.choice(nodes)
-        trials += node.try_take()
-        node.accrue()
-    return trials
+            allowances = [
+                new_allowance(False) if random.random() < 0.7 else allowance
+                for allowance in allowances
+            ]
+        allowance = random.choice(allowances)
+        num_attempts += allowance.try_take()
+        allowance.accrue()
+    return num_attempts
 
 
-@then("no history has more trials than 0.1 of the requests and {tolerance:d} more")
+@then("no history has more canary requests than 0.1 of the requests plus {tolerance:d}")
 def step_within(context, tolerance):
-    context.trials = [trials_of(context, tolerance) for _ in range(context.histories)]
-    assert max(context.trials) <= SHARE * context.count + tolerance, max(context.trials)
+    context.attempts = [
+        simulate_canary_attempts(context, tolerance) for _ in range(context.histories)
+    ]
+    assert max(context.attempts) <= SHARE * context.count + tolerance, max(context.attempts)
 
 
-@then("on average they try at least {used:g} of the share")
+@then("on average they use at least {used:g} of the share")
 def step_used(context, used):
-    mean = sum(context.trials) / len(context.trials)
+    mean = sum(context.attempts) / len(context.attempts)
     assert mean >= used * SHARE * context.count, mean
 
 
-@given("a node that earns for {count:d} requests and tries none")
-def step_earns(context, count):
+@given("a node that accrues credit for {count:d} requests and sends no canary request")
+def step_accrues(context, count):
     context.allowance = Allowance(SHARE, 0.0)
     for _ in range(count):
         context.allowance.accrue()
 
 
-@then("it may try {count:d} at once and no more")
-def step_may_try(context, count):
+@then("it may send {count:d} canary requests at once and no more")
+def step_may_send(context, count):
     assert [context.allowance.try_take() for _ in range(count + 1)] == [True] * count + [False]
 
 
-@given("100 drawn histories of tallies that five nodes tell one another")
+@given("100 random histories of tallies that five nodes exchange")
 def step_tallies(context):
     context.excess = []
     context.lacking = []
     for seed in range(100):
-        _play_tallies(Random(seed), context)
+        exchange_tallies(Random(seed), context)
 
 
-def _play_tallies(random, context):
+def exchange_tallies(random, context):
     names = [f"n{number}" for number in range(5)]
     nodes = {name: FleetTallies() for name in names}
     key = TallyKey("s", EPOCH, "r", "")
@@ -108,21 +113,21 @@
     for _ in range(60):
         name = random.choice(names)
         if random.random() < 0.6:
-            one = Counts(1, int(random.random() < 0.3), 0)
-            nodes[name].record(key, one)
-            truth = truth.plus(one)
+            answer = Counts(1, int(random.random() < 0.3), 0)
+            nodes[name].record(key, answer)
+            truth = truth.plus(answer)
         else:
-            told = tuple(nodes[name].own.items())
-            messages += [(name, other, told) for other in names if other != name]
+            tallies = tuple(nodes[name].own.items())
+            messages += [(name, other, tallies) for other in names if other != name]
         random.shuffle(messages)
-        for sender, receiver, told in messages[: random.randrange(4)]:
-            nodes[receiver].receive(sender, told)
+        for sender, receiver, tallies in messages[: random.randrange(4)]:
+            nodes[receiver].receive(sender, tallies)
         if random.random() < 0.5:
             messages = messages[random.randrange(3) :]
         for node in nodes.values():
-            known = node.sum_of(lambda _: True, include_own=True).get(key, Counts())
-            if known.elementwise_max(truth) != truth:
-                context.excess.append(known)
+            counted = node.sum_of(lambda _: True, include_own=True).get(key, Counts())
+            if counted.elementwise_max(truth) != truth:
+                context.excess.append(counted)
     for name in names:
         for other in names:
             if other != name:
@@ -132,50 +137,50 @@
             context.lacking.append(truth)
 
 
-@then("no node ever knew more than had happened")
+@then("no node ever counted more answers than there were")
 def step_no_excess(context):
     assert not context.excess, context.excess[0]
 
 
-@then("after a last whole telling every node knew all")
-def step_all_known(context):
+@then("after a last complete exchange every node counted all answers")
+def step_all_counted(context):
     assert not context.lacking
 
 
-class LoneRunner(Version):
-    """A sound version one of whose runners fails."""
+class SingleBadRunner(VersionModel):
+    """A sound version with a single failing runner."""
 
-    def draw(self, route, at_s, random):
+    def draw_counts(self, route, at_s, random):
         if random.random() < 0.25:
             return Counts(1, 1, 0)
         return Counts(1, 0, 0)
 
 
 def version_of(share, how):
-    kinds = {
-        "everywhere": lambda: Version(share),
-        "on one route": lambda: Version(share, routes=("short",)),
-        "from 3 s on": lambda: Version(share, from_s=3.0),
-        "by being slow": lambda: Version(0.0, slow_share=share),
+    models = {
+        "everywhere": lambda: VersionModel(share),
+        "on one route": lambda: VersionModel(share, routes=("short",)),
+        "from 3 s on": lambda: VersionModel(share, from_s=3.0),
+        "by being slow": lambda: VersionModel(0.0, slow_share=share),
         "on one runner": lambda: None,
     }
-    return kinds[how]()
+    return models[how]()
 
 
-@given("30 plays of a version of which {share:g} more answers are bad {how}")
-def step_plays(context, share, how):
+@given("30 simulations of a version with {share:g} more bad answers {how}")
+def step_simulations(context, share, how):
     random = Random(17)
-    context.found = 0
+    context.num_detected = 0
     for _ in range(30):
-        test = AlarmTest(2 * LENGTH_S)
+        test = AlarmTest(2 * CANARY_DURATION_S)
         if how == "on one runner":
-            context.found += play_lone_runner(test, share, random)
+            context.num_detected += simulate_single_bad_runner(test, share, random)
         else:
-            context.found += play(test, version_of(share, how), random)[3]
+            context.num_detected += simulate(test, version_of(share, how), random)[3]
 
 
-def play_lone_runner(test, share, random):
-    """Let one of four runners fail a share of its answers."""
+def simulate_single_bad_runner(test, share, random):
+    """Return whether the test raises an alarm if one of four runners fails a share of its requests."""
     old, target = Counts(), {}
     for step in range(30):
         old = old.plus(Counts(16, int(random.random() < 0.3), 0))
@@ -191,16 +196,16 @@
 @then(
     "it is called bad before its 50th bad answer in at least {least:d} and at most {most:d} of them"
 )
-def step_found(context, least, most):
-    assert least <= context.found <= most, context.found
+def step_detected(context, least, most):
+    assert least <= context.num_detected <= most, context.num_detected
 
 
-@given("a route whose old version had 300 answers of which 6 were bad")
+@given("a route on which 6 of the old version's 300 answers were bad")
 def step_old(context):
     context.old = Counts(300, 6, 0)
 
 
-@when("the target had {trials:d} trials of which {bad:d} were bad")
+@when("{bad:d} of the target's {trials:d} answers were bad")
 def step_target(context, trials, bad):
     target = {"r1": Counts(trials, bad, 0)} if trials else {}
     context.verdict = judge_completion({"a": RouteEvidence(context.old, target)}, None)
@@ -215,12 +220,12 @@
     return BackEnd(f"i-{version}", "s", "10.0.0.1:1", "z", BackEndState.READY, 4, (), version)
 
 
-@given('a record at "{stage}" whose proof is {age:g} s old, and a return within 5 s')
+@given('a record at the stage "{stage}", proved current {age:g} s ago, and a rollback within 5 s')
 def step_record(context, stage, age):
-    now = SimpleNamespace(s=100.0)
+    clock = SimpleNamespace(now_s=100.0)
     log = EventRecorder()
-    cluster = ClusterState(log, lambda: now.s)
-    cluster.replace_all(StateBatch(1, ()), now.s - 50.0)
+    cluster = ClusterState(log, lambda: clock.now_s)
+    cluster.replace_all(StateBatch(1, ()), clock.now_s - 50.0)
     changes = [VersionedChange("order", int(EPOCH), RolloutOrdered("s", "v2", 12.0))]
     earlier = RolloutRecord("s", Epoch(2), "v0", Stage.ROLLED_BACK, 1.0, 1, ("v0",))
     record = earlier
@@ -229,20 +234,23 @@
         record = RolloutRecord("s", EPOCH, "v2", Stage(stage), 1.0, 1, unusable)
     value = encode_record(record)
     changes.append(VersionedChange(record_key("s"), 6, RecordChanged(record_key("s"), value)))
-    cluster.apply(StateBatch(6, tuple(changes)), now.s - age)
+    cluster.apply(StateBatch(6, tuple(changes)), clock.now_s - age)
     reader = RecordReader(cluster, log)
     context.gate = VersionGate(reader, cluster, lambda: 5.0, lambda: False, lambda: SHARE)
 
 
-@then('usual requests may go to "{usual}" and trials to "{trial}"')
-def step_usable(context, usual, trial):
+@then('stable requests may go to "{stable}" and canary requests to "{canary}"')
+def step_usable(context, stable, canary):
     runners = [runner_of(version) for version in ("v0", "v1", "v2")]
-    for track, expected in ((Track.STABLE, usual), (Track.CANARY, trial)):
-        found = [one.software for one in context.gate.usable("s", runners, track)]
-        assert found == ([] if expected == "-" else [expected]), (track, found)
+    for track, expected in ((Track.STABLE, stable), (Track.CANARY, canary)):
+        versions = [runner.software for runner in context.gate.usable("s", runners, track)]
+        assert versions == ([] if expected == "-" else [expected]), (track, versions)
 
 
-@given('a rollout with a deadline of 12 s at "{stage}" for {elapsed:g} s, judged "{judged}"')
+@given(
+    'a rollout with a deadline of 12 s, ordered {elapsed:g} s ago, at the stage "{stage}" and judged '
+    '"{judged}"'
+)
 def step_plan(context, stage, elapsed, judged):
     context.order = RolloutOrder("s", "v2", 12.0, EPOCH, 0.0)
     context.record = None
@@ -253,8 +261,8 @@
 
 
 @given(
-    "{slots:d} slots of the target beside 24, moved for {moved:g} s, {running:d} requests at old "
-    "versions, {in_stage:g} s at the stage"
+    "{slots:d} target slots and 24 old slots, all nodes moved for {moved:g} s, {running:d} requests "
+    "at old versions, and {in_stage:g} s at the stage"
 )
 def step_plan_facts(context, slots, moved, running, in_stage):
     context.facts = RolloutFacts(
@@ -266,18 +274,18 @@
 @then('the next stage is "{expected}"')
 def step_next(context, expected):
     step = next_step(context.order, context.record, context.facts)
-    found = "stay" if step is None else step.stage.value
-    assert found == expected, step
+    next_stage = "stay" if step is None else step.stage.value
+    assert next_stage == expected, step
 
 
-@when('the holder enters the stage "{stage}"')
+@when('the lease holder enters the stage "{stage}"')
 def step_enters(context, stage):
     facts = replace(context.facts, old_versions=("v1",))
     step = Step(Stage(stage), "for the test")
     context.next_record = next_record(context.order, context.record, step, facts, token=7)
 
 
-@then('its record calls "{unusable}" unusable')
+@then('its record lists "{unusable}" as unusable')
 def step_unusable(context, unusable):
     expected = () if unusable == "none" else (unusable,)
     assert context.next_record.unusable == expected, context.next_record
@@ -289,7 +297,7 @@
 }
 
 
-@given("a node that may send the target requests, and has {alarm}")
+@given("a node that may send canary requests and has {alarm}")
 def step_node_with_alarm(context, alarm):
     view = RolloutView(EPOCH, "v2", Stage.CANARY, frozenset())
     alarms = SimpleNamespace(alarm=lambda epoch: ALARMS[alarm], evidence=lambda epoch: {})
@@ -301,7 +309,7 @@
     )  # fmt: skip
 
 
-@when("a request that may be repeated comes")
+@when("a retryable request arrives")
 def step_repeatable(context):
     route = SimpleNamespace(name="r", is_retryable=True)
     for _ in range(20):
@@ -309,6 +317,6 @@
     context.track = context.traffic.choose_track("s", route)
 
 
-@then('it is for the "{track}" versions')
+@then('it takes the "{track}" track')
 def step_track(context, track):
     assert context.track is Track[track.upper()], context.track
--- a/features/support/verdict_ways.py
+++ b/features/support/verdict_ways.py
@@ -1,9 +1,10 @@
 """Compares two sequential tests of a version; run: python -m features.support.verdict_ways [RUNS].
 
-Trials arrive at 9 a second beside 81 of older versions, for 6 s, over two routes and four runners.
-Printed for each kind of version: how often it is called bad before its 50th bad answer, and after how
-many trials (median), by the mixture of likelihoods that is built (then how often it is called good at
-the end) and by Fisher's test at growing looks.
+For 6 s, 9 canary requests a second arrive alongside 81 requests a second of older versions, on two
+routes and four runners. For each kind of version, the script prints how often the version is called
+bad before its 50th bad answer, and the median number of canary requests until then. It does so for
+the product's mixture of likelihood ratios, for which it also prints how often the version is called
+good at the end, and for Fisher's test, repeated at growing intervals.
 """
 
 import math
@@ -13,85 +14,88 @@
 from weirscale.gateway.rollouts.tallies import Counts, RouteEvidence
 from weirscale.gateway.rollouts.verdict import AlarmTest, Judgement, _strata, judge_completion
 
-TRIALS_A_S = 9
-OLD_A_S = 81
-LENGTH_S = 6.0
+CANARY_REQUESTS_PER_S = 9
+OLD_REQUESTS_PER_S = 81
+CANARY_DURATION_S = 6.0
 NUM_RUNNERS = 4
 ROUTES = ("long", "short")
 STEP_S = 0.2
-MOST_BAD = 50
-FALSE_ALARMS = 0.001
+MAX_BAD_ANSWERS = 50
+FALSE_ALARM_RATE = 0.001
 
 
-class Version:
-    """How answers of a version go wrong: a share of them, from a time on, on some routes."""
+class VersionModel:
+    """A version that answers badly with a given share, from a time on, on some routes."""
 
-    def __init__(self, share, from_s=0.0, routes=ROUTES, usual=0.02, slow_share=0.0):
+    def __init__(self, share, from_s=0.0, routes=ROUTES, base_failure_share=0.02, slow_share=0.0):
         self.share = share
         self.from_s = from_s
         self.routes = routes
-        self.usual = usual
+        self.base_failure_share = base_failure_share
         self.slow_share = slow_share
 
-    def draw(self, route, at_s, random):
-        """Return the counts of one trial."""
-        is_on = at_s >= self.from_s and route in self.routes
-        if random.random() < self.usual or (is_on and random.random() < self.share):
+    def draw_counts(self, route, at_s, random):
+        """Return the counts of one request."""
+        is_bad_now = at_s >= self.from_s and route in self.routes
+        if random.random() < self.base_failure_share or (
+            is_bad_now and random.random() < self.share
+        ):
             return Counts(1, 1, 0)
-        is_slow = is_on and random.random() < self.slow_share
+        is_slow = is_bad_now and random.random() < self.slow_share
         return Counts(1, 0, int(is_slow or random.random() < 0.03))
 
 
 class FisherTest:
-    """Fisher's exact test at looks that lie further and further apart, over the same strata."""
+    """Fisher's exact test on the same strata, repeated at growing intervals."""
 
-    first_look = 4
+    first_check_requests = 4
     growth = 1.25
 
-    def __init__(self, _length_s):
-        self.num_looks = {}
-        self.next_look = {}
+    def __init__(self, _duration_s):
+        self.num_checks = {}
+        self.next_check = {}
 
     def check(self, routes, _now_s):
         strata = _strata(routes)
-        alarming = [self.is_alarming(one, len(strata)) for one in strata]
-        return any(alarming) or None
+        alarms = [self.is_alarming(stratum, len(strata)) for stratum in strata]
+        return any(alarms) or None
 
     def is_alarming(self, stratum, num_strata):
-        num = stratum.target().num
-        if num < self.next_look.get(stratum.name, self.first_look):
+        num_requests = stratum.target().num
+        if num_requests < self.next_check.get(stratum.name, self.first_check_requests):
             return False
-        look = self.num_looks[stratum.name] = self.num_looks.get(stratum.name, 0) + 1
-        self.next_look[stratum.name] = math.ceil(num * self.growth)
-        allowed = FALSE_ALARMS / num_strata * 6.0 / (math.pi * look) ** 2
-        old = stratum.old
+        check = self.num_checks[stratum.name] = self.num_checks.get(stratum.name, 0) + 1
+        self.next_check[stratum.name] = math.ceil(num_requests * self.growth)
+        allowed = FALSE_ALARM_RATE / num_strata * 6.0 / (math.pi * check) ** 2
+        old_counts = stratum.old
         return all(
-            hypergeometric_tail(one.num_bad, one.num, old.num_bad, old.num) <= allowed
-            for one in (stratum.target(), stratum.without_worst())
+            hypergeometric_tail(counts.num_bad, counts.num, old_counts.num_bad, old_counts.num)
+            <= allowed
+            for counts in (stratum.target(), stratum.without_worst())
         )
 
 
 def hypergeometric_tail(bad: int, num: int, other_bad: int, other_num: int) -> float:
-    """Return how likely so many bad ones, or more, are among `num`, if chance divided them.
+    """Return the probability of at least this many bad answers, if both samples are alike.
 
-    This is Fisher's exact test, one-sided: given how many are bad in all, every division of them
-    over the two sides is as likely as its number of ways.
+    This is the one-sided Fisher's exact test: given the total number of bad answers, the probability
+    of each division between the samples is proportional to its number of combinations.
 
     Args:
-        bad: Bad ones among the `num` under test.
-        num: How many are under test.
-        other_bad: Bad ones among the others.
-        other_num: How many others there are.
+        bad: Bad answers in the sample under test.
+        num: Size of the sample under test.
+        other_bad: Bad answers in the other sample.
+        other_num: Size of the other sample.
     """
     total_bad, total = bad + other_bad, num + other_num
-    most = min(num, total_bad)
+    max_bad = min(num, total_bad)
     if bad <= max(0, total_bad - other_num):
         return 1.0
-    all_ways = _log_choose(total, num)
+    log_total_ways = _log_choose(total, num)
     tail = 0.0
-    for number in range(bad, most + 1):
-        ways = _log_choose(total_bad, number) + _log_choose(total - total_bad, num - number)
-        tail += math.exp(ways - all_ways)
+    for number in range(bad, max_bad + 1):
+        log_ways = _log_choose(total_bad, number) + _log_choose(total - total_bad, num - number)
+        tail += math.exp(log_ways - log_total_ways)
     return min(1.0, tail)
 
 
@@ -101,68 +105,77 @@
     return math.lgamma(total + 1) - math.lgamma(number + 1) - math.lgamma(total - number + 1)
 
 
-def play(test, version, random, length_s=LENGTH_S, base=None):
-    """Return the trials and bad answers until the alarm, or until the end, and the evidence."""
-    base = base or Version(0.0, usual=version.usual)
-    old = dict.fromkeys(ROUTES, Counts())
-    target = {route: {} for route in ROUTES}
-    num = num_bad = 0
+def simulate(test, version, random, duration_s=CANARY_DURATION_S, old_model=None):
+    """Simulate a version under a test until the alarm or the end.
+
+    Return the canary requests, the bad answers, the evidence, and whether there was an alarm.
+    """
+    old_model = old_model or VersionModel(0.0, base_failure_share=version.base_failure_share)
+    old_counts = dict.fromkeys(ROUTES, Counts())
+    target_counts = {route: {} for route in ROUTES}
+    num_requests = num_bad = 0
     at_s = 0.0
-    while at_s < length_s:
+    while at_s < duration_s:
         at_s += STEP_S
-        for _ in range(round(OLD_A_S * STEP_S)):
+        for _ in range(round(OLD_REQUESTS_PER_S * STEP_S)):
             route = random.choice(ROUTES)
-            old[route] = old[route].plus(base.draw(route, 0.0, random))
-        for _ in range(int(TRIALS_A_S * STEP_S + random.random())):
+            old_counts[route] = old_counts[route].plus(old_model.draw_counts(route, 0.0, random))
+        for _ in range(int(CANARY_REQUESTS_PER_S * STEP_S + random.random())):
             route = random.choice(ROUTES)
             runner = f"r{random.randrange(NUM_RUNNERS)}"
-            drawn = version.draw(route, at_s, random)
-            target[route][runner] = target[route].get(runner, Counts()).plus(drawn)
-            num += 1
+            drawn = version.draw_counts(route, at_s, random)
+            target_counts[route][runner] = target_counts[route].get(runner, Counts()).plus(drawn)
+            num_requests += 1
             num_bad += drawn.num_bad
-        routes = {one: RouteEvidence(old[one], dict(target[one])) for one in ROUTES}
+        routes = {
+            route: RouteEvidence(old_counts[route], dict(target_counts[route])) for route in ROUTES
+        }
         if test.check(routes, at_s):
-            return num, num_bad, routes, True
-        if num_bad >= MOST_BAD:
+            return num_requests, num_bad, routes, True
+        if num_bad >= MAX_BAD_ANSWERS:
             break
-    return num, num_bad, routes, False
-
-
-KINDS = (
-    ("sound, 0.02 fail everywhere", Version(0.0)),
-    ("sound, 0.14 fail everywhere", Version(0.0, usual=0.14)),
-    ("0.02 more fail", Version(0.02)),
-    ("0.1 more fail", Version(0.1)),
-    ("0.2 more fail", Version(0.2)),
-    ("0.3 more fail", Version(0.3)),
-    ("0.5 more fail", Version(0.5)),
-    ("all fail", Version(1.0)),
-    ("0.3 more fail, 0.14 everywhere", Version(0.3, usual=0.14)),
-    ("0.5 fail on one route", Version(0.5, routes=("short",))),
-    ("0.5 fail from 3 s on", Version(0.5, from_s=3.0)),
-    ("0.4 are slow", Version(0.0, slow_share=0.4)),
-    ("0.9 are slow", Version(0.0, slow_share=0.9)),
+    return num_requests, num_bad, routes, False
+
+
+VERSION_MODELS = (
+    ("sound, 0.02 fail everywhere", VersionModel(0.0)),
+    ("sound, 0.14 fail everywhere", VersionModel(0.0, base_failure_share=0.14)),
+    ("0.02 more fail", VersionModel(0.02)),
+    ("0.1 more fail", VersionModel(0.1)),
+    ("0.2 more fail", VersionModel(0.2)),
+    ("0.3 more fail", VersionModel(0.3)),
+    ("0.5 more fail", VersionModel(0.5)),
+    ("all fail", VersionModel(1.0)),
+    ("0.3 more fail, 0.14 everywhere", VersionModel(0.3, base_failure_share=0.14)),
+    ("0.5 fail on one route", VersionModel(0.5, routes=("short",))),
+    ("0.5 fail from 3 s on", VersionModel(0.5, from_s=3.0)),
+    ("0.4 are slow", VersionModel(0.0, slow_share=0.4)),
+    ("0.9 are slow", VersionModel(0.0, slow_share=0.9)),
 )
 
 
 def main(num_runs):
-    """Print the table."""
-    print("| version | mixture: found, trials, then called good | Fisher: found, trials |")
+    """Print the comparison as a table."""
+    print(
+        "| version | mixture: detected, canary requests, then called good | Fisher: detected, canary requests |"
+    )
     print("| --- | --- | --- |")
-    for name, version in KINDS:
+    for name, version in VERSION_MODELS:
         cells = []
-        for make in (AlarmTest, FisherTest):
+        for make_test in (AlarmTest, FisherTest):
             random = Random(11)
-            found, good, trials = 0, 0, []
+            num_detected, num_good, detected_after = 0, 0, []
             for _ in range(num_runs):
-                num, _bad, routes, is_found = play(make(LENGTH_S), version, random)
-                found += is_found
-                trials += [num] if is_found else []
-                if make is AlarmTest and not is_found:
-                    good += judge_completion(routes, None).judgement is Judgement.GOOD
-            middle = sorted(trials)[len(trials) // 2] if trials else "-"
-            cell = f"{found / num_runs:.4f}, {middle}"
-            cells.append(cell + (f", {good / num_runs:.3f}" if make is AlarmTest else ""))
+                num_requests, _bad, routes, is_detected = simulate(
+                    make_test(CANARY_DURATION_S), version, random
+                )
+                num_detected += is_detected
+                detected_after += [num_requests] if is_detected else []
+                if make_test is AlarmTest and not is_detected:
+                    num_good += judge_completion(routes, None).judgement is Judgement.GOOD
+            median = sorted(detected_after)[len(detected_after) // 2] if detected_after else "-"
+            cell = f"{num_detected / num_runs:.4f}, {median}"
+            cells.append(cell + (f", {num_good / num_runs:.3f}" if make_test is AlarmTest else ""))
         print(f"| {name} | {cells[0]} | {cells[1]} |", flush=True)
 
 
