--- a/features/support/rollouts_fleet.py
+++ b/features/support/rollouts_fleet.py
@@ -1,6 +1,6 @@
-"""A fleet under an operator's rollout, with runners whose version may misbehave, and its history.
+"""A fleet during an operator's rollout of a version that may misbehave, and the rules it must keep.
 
-All in virtual time on the stand-ins of the platform; faults come at set seconds after the order.
+Runs in virtual time on stand-ins of the platform. Faults come at fixed times after the order.
 """
 
 import base64
@@ -31,25 +31,25 @@
 RECORD_KEY = f"weirscale/rollouts/{SERVICE}"
 SHARE = 0.1
 TOLERANCE = 20.0
-RETURN_S = 5.0
+ROLLBACK_S = 5.0
 NUM_RUNNERS = 6
-REQUESTS_A_S = 50
-CALM_S = 4.0
-"""Time before the order: nodes register and a holder takes the duty."""
+REQUESTS_PER_S = 50
+SETTLE_S = 4.0
+"""Time before the order, in which nodes register and one of them acquires the lease of the duty."""
 
 DEADLINE_S = 12.0
-AFTER_S = 4.0
-"""Time after the deadline that is played too."""
+AFTER_DEADLINE_S = 4.0
+"""Time after the deadline that is simulated too."""
 
-WORK_S = 0.05
-USUAL_FAILURES = 0.0
-"""Chance must not decide a scenario; `rollout_rules` has versions whose answers all fail by chance."""
-MOST_BAD = 50
+SERVICE_TIME_S = 0.05
+BASE_FAILURE_SHARE = 0.0
+"""Zero, so that no scenario depends on chance; `rollout_rules` simulates random failures."""
+MAX_BAD_ANSWERS = 50
 
 
 @dataclass
-class Badness:
-    """How a version's answers go wrong: by a share, from a time after the order, on some paths."""
+class Misbehaviour:
+    """How a version misbehaves: a share of answers, from a time after the order, on some paths."""
 
     share: float = 0.0
     slow_factor: float = 1.0
@@ -59,7 +59,7 @@
 
 @dataclass
 class Arrival:
-    """A request at a runner."""
+    """A request that arrived at a runner."""
 
     at_s: float
     request_id: str
@@ -73,28 +73,30 @@
     """A runner of one version of the service's program."""
 
     version_name = "v1"
-    badness = None
-    """How this runner alone misbehaves, if it does."""
+    misbehaviour = None
+    """Misbehaviour of this runner only, or None."""
 
     def entry(self, state="ready"):
         return super().entry(state) | {"version": self.version_name}
 
     async def _run(self, request, request_id, fault):
-        world = self.world
+        rollout = self.rollout
         path = request.extensions["target"].decode()
-        badness = self.badness or world.badness.get(self.version_name, Badness())
-        since_s = anyio.current_time() - (world.ordered_s or 0.0)
-        is_on = since_s >= badness.from_s and path.startswith(badness.path)
-        is_slow = is_on and badness.slow_factor > 1.0
-        fails = world.random.random() < USUAL_FAILURES
-        fails = fails or (is_on and world.random.random() < badness.share)
+        misbehaviour = self.misbehaviour or rollout.misbehaviours.get(
+            self.version_name, Misbehaviour()
+        )
+        since_s = anyio.current_time() - (rollout.ordered_s or 0.0)
+        is_bad_now = since_s >= misbehaviour.from_s and path.startswith(misbehaviour.path)
+        is_slow = is_bad_now and misbehaviour.slow_factor > 1.0
+        fails = rollout.random.random() < BASE_FAILURE_SHARE
+        fails = fails or (is_bad_now and rollout.random.random() < misbehaviour.share)
         arrival = Arrival(
             anyio.current_time(), request_id, self.version_name, self.instance, fails or is_slow
         )
-        world.arrivals.append(arrival)
+        rollout.arrivals.append(arrival)
         self.num_running += 1
         try:
-            await anyio.sleep(WORK_S * (badness.slow_factor if is_slow else 1.0))
+            await anyio.sleep(SERVICE_TIME_S * (misbehaviour.slow_factor if is_slow else 1.0))
             arrival.ended_s = anyio.current_time()
         finally:
             self.num_running -= 1
@@ -104,8 +106,8 @@
 
 
 @dataclass
-class Asked:
-    """A caller's request and its answer."""
+class CallerRequest:
+    """A caller's request, with its answer."""
 
     request_id: str
     path: str
@@ -114,14 +116,14 @@
 
 
 @dataclass
-class World:
-    """A fleet, its runners, its callers and what they saw."""
+class RolloutRun:
+    """A fleet with its runners and callers during a rollout, and records of what they observed."""
 
-    badness: dict = field(default_factory=dict)
+    misbehaviours: dict = field(default_factory=dict)
     num_nodes: int = 4
     seed: int = 1
     arrivals: list = field(default_factory=list)
-    asked: list = field(default_factory=list)
+    requests: list = field(default_factory=list)
     statuses: list = field(default_factory=list)
     stages: list = field(default_factory=list)
     ordered_s: float | None = None
@@ -129,7 +131,7 @@
 
     def __post_init__(self):
         self.random = Random(self.seed)
-        canary = CanaryLimits(SHARE, TOLERANCE, RETURN_S)
+        canary = CanaryLimits(SHARE, TOLERANCE, ROLLBACK_S)
         self.fleet = Fleet(self.seed, canary=canary)
         self.fleet.store.put(
             "op/config",
@@ -145,7 +147,7 @@
             f"{version}-{number}", f"10.2.{version[1:]}.{number}:8080", SERVICE, model=None
         )
         runner.version_name = version
-        runner.world = self
+        runner.rollout = self
         self.fleet.add_runner(runner)
         return runner
 
@@ -154,8 +156,10 @@
             self.add_runner(version, number)
 
     def crash(self, version, count=1):
-        """Runners of a version end without a word; their registrations follow."""
-        for runner in [r for r in self.fleet.runners if r.version_name == version][:count]:
+        """Stop runners of a version without an announcement, and remove their registrations."""
+        for runner in [runner for runner in self.fleet.runners if runner.version_name == version][
+            :count
+        ]:
             self.fleet.remove_runner(runner)
             self.fleet.store.delete(f"servers/{runner.instance}")
 
@@ -166,11 +170,11 @@
         self.fleet.store.put(f"op/rollout/{service}", entry)
 
     def holder(self):
-        """Return the name of the node that holds the duty."""
-        held = [name for name, node in self.fleet.nodes.items() if node._lease.token()]
-        return held[0] if held else None
+        """Return the name of the node that holds the lease of the duty, or None."""
+        holders = [name for name, node in self.fleet.nodes.items() if node._lease.token()]
+        return holders[0] if holders else None
 
-    def cut_off(self, name):
+    def partition(self, name):
         self.fleet.cuts.add((name, STORE_ADDRESS))
         self.fleet.mute.add(name)
 
@@ -178,7 +182,7 @@
         self.fleet.cuts.clear()
         self.fleet.mute.clear()
 
-    async def restart_all(self):
+    async def restart_all_nodes(self):
         names = list(self.fleet.nodes)
         for name in names:
             self.fleet.kill(name)
@@ -186,17 +190,17 @@
         for name in names:
             await self.fleet.start_node(name, is_first_start=False)
 
-    def play(self, script, end_s=DEADLINE_S + AFTER_S):
-        """Play traffic while `script(world)` runs from the order on."""
+    def run(self, script, end_s=DEADLINE_S + AFTER_DEADLINE_S):
+        """Run the fleet under traffic, and start `script(rollout)` once the fleet has settled."""
 
         async def body():
             for number in range(self.num_nodes):
                 await self.fleet.start_node(f"node-{number + 1}")
             with anyio.CancelScope() as scope:
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(self._ask_on, tasks)
-                    tasks.start_soon(self._watch)
-                    await anyio.sleep(CALM_S)
+                    tasks.start_soon(self._send_requests, tasks)
+                    tasks.start_soon(self._watch_store)
+                    await anyio.sleep(SETTLE_S)
                     tasks.start_soon(script, self)
                     await anyio.sleep(end_s)
                     self.ended_s = anyio.current_time()
@@ -204,123 +208,137 @@
 
         return with_fleet(self.fleet, body)
 
-    async def _ask_on(self, tasks):
+    async def _send_requests(self, tasks):
         number = 0
         while True:
-            await anyio.sleep(1.0 / REQUESTS_A_S)
+            await anyio.sleep(1.0 / REQUESTS_PER_S)
             number += 1
             nodes = list(self.fleet.nodes.values())
             if nodes:
-                tasks.start_soon(self._ask, self.random.choice(nodes), number)
+                tasks.start_soon(self._send_request, self.random.choice(nodes), number)
 
-    async def _ask(self, node, number):
+    async def _send_request(self, node, number):
         path = "/w/x" if number % 4 == 0 else "/r/x"
-        asked = Asked(f"q{number}", path, anyio.current_time())
-        self.asked.append(asked)
-        headers = request_headers(asked.request_id, x_deadline_ms=3000)
-        asked.answer = await ask(node, path, headers=headers)
+        request = CallerRequest(f"q{number}", path, anyio.current_time())
+        self.requests.append(request)
+        headers = request_headers(request.request_id, x_deadline_ms=3000)
+        request.answer = await ask(node, path, headers=headers)
 
-    async def _watch(self):
-        """Note statuses and stages as the store holds them."""
+    async def _watch_store(self):
+        """Record each change of the status and the rollout record in the store."""
         while True:
             await anyio.sleep(0.01)
-            self._note(STATUS_KEY, self.statuses)
-            self._note(RECORD_KEY, self.stages)
+            self._record_change(STATUS_KEY, self.statuses)
+            self._record_change(RECORD_KEY, self.stages)
 
-    def _note(self, key, seen):
+    def _record_change(self, key, changes):
         item = self.fleet.store.items.get(key)
-        if item is not None and (not seen or seen[-1][1] != item["value"]):
-            seen.append((anyio.current_time(), item["value"]))
+        if item is not None and (not changes or changes[-1][1] != item["value"]):
+            changes.append((anyio.current_time(), item["value"]))
 
 
-def states(world):
-    """Return the states that operators read, in order."""
-    decoded = [json.loads(base64.b64decode(value)) for _, value in world.statuses]
-    return [(one["target_version"], one["state"]) for one in decoded]
+def reported_states(rollout):
+    """Return the target versions and states that operators read, in order."""
+    decoded = [json.loads(base64.b64decode(value)) for _, value in rollout.statuses]
+    return [(status["target_version"], status["state"]) for status in decoded]
 
 
-def stage_records(world):
-    """Return the times and records as they stood."""
-    return [(at_s, decode_record(base64.b64decode(value))) for at_s, value in world.stages]
+def stage_records(rollout):
+    """Return the rollout records in the store, with their times."""
+    return [(at_s, decode_record(base64.b64decode(value))) for at_s, value in rollout.stages]
 
 
-def problems(world, target="v2", deadline_s=DEADLINE_S, is_bad=True):
-    """Return what must never happen and did, as callers, runners and operators saw it."""
-    found = []
-    found += _exposure_problems(world, target, deadline_s) if is_bad else []
-    found += _return_problems(world, target)
-    found += _end_problems(world)
-    found += _completion_problems(world, target)
-    found += _answer_problems(world)
-    return found
+def rule_violations(rollout, target="v2", deadline_s=DEADLINE_S, is_bad=True):
+    """Return violations of the rollout's rules, as observed by callers, runners and operators."""
+    violations = []
+    violations += _exposure_violations(rollout, target, deadline_s) if is_bad else []
+    violations += _rollback_violations(rollout, target)
+    violations += _final_state_violations(rollout)
+    violations += _completion_violations(rollout, target)
+    violations += _answer_violations(rollout)
+    return violations
 
 
-def _exposure_problems(world, target, deadline_s):
-    begin_s, end_s = world.ordered_s, world.ordered_s + deadline_s
-    tried = [
-        one for one in world.arrivals if one.version == target and begin_s <= one.at_s <= end_s
+def _exposure_violations(rollout, target, deadline_s):
+    begin_s, end_s = rollout.ordered_s, rollout.ordered_s + deadline_s
+    arrivals = [
+        arrival
+        for arrival in rollout.arrivals
+        if arrival.version == target and begin_s <= arrival.at_s <= end_s
     ]
-    asked = [one for one in world.asked if begin_s <= one.at_s <= end_s]
-    most = SHARE * len(asked) + TOLERANCE
-    return [f"{len(tried)} of {len(asked)} tried {target}"] if len(tried) > most else []
+    requests = [request for request in rollout.requests if begin_s <= request.at_s <= end_s]
+    most = SHARE * len(requests) + TOLERANCE
+    return [f"{len(arrivals)} of {len(requests)} at {target}"] if len(arrivals) > most else []
 
 
-def _return_problems(world, target):
-    bad = [one for one in world.arrivals if one.version == target and one.is_bad]
-    if len(bad) < MOST_BAD:
+def _rollback_violations(rollout, target):
+    bad = [arrival for arrival in rollout.arrivals if arrival.version == target and arrival.is_bad]
+    if len(bad) < MAX_BAD_ANSWERS:
         return []
-    latest_s = bad[MOST_BAD - 1].at_s + RETURN_S
-    late = [one for one in world.arrivals if one.version == target and one.at_s > latest_s]
-    return [f"{len(late)} arrivals after the time for a return"] if late else []
+    latest_s = bad[MAX_BAD_ANSWERS - 1].at_s + ROLLBACK_S
+    late = [
+        arrival
+        for arrival in rollout.arrivals
+        if arrival.version == target and arrival.at_s > latest_s
+    ]
+    return [f"{len(late)} arrivals after the time for a rollback"] if late else []
 
 
-def _end_problems(world):
-    """Once an end is told of a target it stays, and nothing goes to what was given up."""
-    found = []
-    told = states(world)
-    for earlier, later in itertools.pairwise(told):
+def _final_state_violations(rollout):
+    """Check that a final state stays, and that no request goes to a version after its rollback."""
+    violations = []
+    reported = reported_states(rollout)
+    for earlier, later in itertools.pairwise(reported):
         if earlier[1] != "active" and earlier[0] == later[0]:
-            found.append(f"{earlier} was followed by {later}")
-    for (at_s, _), (target, state) in zip(world.statuses, told, strict=True):
+            violations.append(f"{earlier} was followed by {later}")
+    for (at_s, _), (target, state) in zip(rollout.statuses, reported, strict=True):
         if state == "reverted":
             late = [
-                one for one in world.arrivals if one.version == target and one.at_s > at_s + 1.5
+                arrival
+                for arrival in rollout.arrivals
+                if arrival.version == target and arrival.at_s > at_s + 1.5
             ]
-            found += [f"{len(late)} arrivals at {target} after its return"] if late else []
-    return found
+            violations += [f"{len(late)} arrivals at {target} after its rollback"] if late else []
+    return violations
 
 
-def _completion_problems(world, target):
-    """At `completed` nothing runs at older versions, and nothing comes there any more."""
-    found = []
-    for (at_s, _), (told, state) in zip(world.statuses, states(world), strict=True):
-        if state != "completed" or told != target:
+def _completion_violations(rollout, target):
+    """Check that at `completed` no request runs at older versions, and that none arrives later."""
+    violations = []
+    for (at_s, _), (reported_target, state) in zip(
+        rollout.statuses, reported_states(rollout), strict=True
+    ):
+        if state != "completed" or reported_target != target:
             continue
-        old = [one for one in world.arrivals if one.version != target]
-        running = [one for one in old if one.at_s <= at_s and (one.ended_s or 1e9) > at_s]
-        late = [one for one in old if one.at_s > at_s]
+        old = [arrival for arrival in rollout.arrivals if arrival.version != target]
+        running = [
+            arrival for arrival in old if arrival.at_s <= at_s and (arrival.ended_s or 1e9) > at_s
+        ]
+        late = [arrival for arrival in old if arrival.at_s > at_s]
         if running or late:
-            found.append(f"{len(running)} ran and {len(late)} came at old versions")
-    return found
+            violations.append(f"{len(running)} ran and {len(late)} arrived at old versions")
+    return violations
 
 
-def _answer_problems(world):
-    found = []
+def _answer_violations(rollout):
+    violations = []
     runs = {}
-    for arrival in world.arrivals:
+    for arrival in rollout.arrivals:
         runs[arrival.request_id] = runs.get(arrival.request_id, 0) + 1
-    for asked in world.asked:
-        num_runs = runs.get(asked.request_id, 0)
-        if asked.path.startswith("/w/") and num_runs > 1:
-            found.append(f"{asked.request_id} ran {num_runs} times")
-        status = asked.answer.status if asked.answer else None
+    for request in rollout.requests:
+        num_runs = runs.get(request.request_id, 0)
+        if request.path.startswith("/w/") and num_runs > 1:
+            violations.append(f"{request.request_id} ran {num_runs} times")
+        status = request.answer.status if request.answer else None
         if status in (429, 503) and num_runs:
-            found.append(f"{asked.request_id} ran and was refused")
-    return found
+            violations.append(f"{request.request_id} ran and was refused")
+    return violations
 
 
-def served_share(world, from_s=0.0, to_s=1e9):
+def served_share(rollout, from_s=0.0, to_s=1e9):
     """Return the share of the callers' requests that were answered with success."""
-    asked = [one for one in world.asked if from_s <= one.at_s <= to_s and one.answer]
-    served = sum(1 for one in asked if one.answer.status == 200)
-    return served / max(1, len(asked))
+    answered = [
+        request for request in rollout.requests if from_s <= request.at_s <= to_s and request.answer
+    ]
+    num_served = sum(1 for request in answered if request.answer.status == 200)
+    return num_served / max(1, len(answered))
