--- a/features/steps/gateway_group_places_steps.py
+++ b/features/steps/gateway_group_places_steps.py
@@ -18,7 +18,7 @@
 from weirscale.gateway.settings import ListenAddress
 
 
-class Directory(RegisteredNodes):
+class TestDirectory(RegisteredNodes):
     """A directory whose registrations and clock the test sets."""
 
     def __init__(self, members):
@@ -28,65 +28,65 @@
             own.name, self.cluster, lambda: self.now_s, own.zone, own.capacity
         )
 
-    def leave(self, members):
+    def unregister(self, members):
         for member in members:
             self.remove(member.name)
 
-    def come_back(self, members):
+    def register_again(self, members):
         for member in members:
             self.register(member, self.members.index(member))
 
 
 @given("a directory of {nodes:d} nodes in {zones:d} zones")
 def step_directory(context, nodes, zones):
-    context.directory = Directory(make_members(nodes, zones))
+    context.directory = TestDirectory(make_members(nodes, zones))
 
 
-@when("{count:d} of them leave the registrations and come back {seconds:g} seconds later")
-def step_leave(context, count, seconds):
+@when("{count:d} of them lose their registrations and register again {seconds:g} seconds later")
+def step_unregister(context, count, seconds):
     directory = context.directory
-    left = directory.members[1 : 1 + count]
+    unregistered = directory.members[1 : 1 + count]
     context.divisions = [directory.peers.division()]
-    directory.leave(left)
+    directory.unregister(unregistered)
     context.divisions.append(directory.peers.division())
     directory.now_s += seconds
     context.divisions.append(directory.peers.division())
     context.num_nodes_meanwhile = directory.peers.num_nodes(1.0)
     context.readers_meanwhile = choose_readers(directory.peers.members())
-    context.left = {one.name for one in left}
-    directory.come_back(left)
+    context.unregistered = {member.name for member in unregistered}
+    directory.register_again(unregistered)
     context.divisions.append(directory.peers.division())
 
 
-@then("the groups are the same all along")
+@then("the groups stay the same throughout")
 def step_same_groups(context):
-    assert all(one == context.divisions[0] for one in context.divisions)
+    assert all(division == context.divisions[0] for division in context.divisions)
     assert len(context.divisions[0].groups) > 3
 
 
-@then("those that are gone are no readers and are not counted after a second")
+@then("the unregistered nodes are no readers and are not counted after a second")
 def step_not_counted(context):
-    assert not context.left & set(context.readers_meanwhile)
-    assert context.num_nodes_meanwhile == len(context.directory.members) - len(context.left)
+    assert not context.unregistered & set(context.readers_meanwhile)
+    assert context.num_nodes_meanwhile == len(context.directory.members) - len(context.unregistered)
 
 
-@when("{count:d} of them leave the registrations for good")
-def step_leave_for_good(context, count):
-    context.directory.leave(context.directory.members[1 : 1 + count])
-    context.num_left = count
+@when("{count:d} of them lose their registrations for good")
+def step_unregister_for_good(context, count):
+    context.directory.unregister(context.directory.members[1 : 1 + count])
+    context.num_unregistered = count
     context.directory.peers.division()
 
 
-@then("{seconds:g} seconds later the groups are those of the nodes that are left")
+@then("{seconds:g} seconds later the groups are those of the remaining nodes")
 def step_new_groups(context, seconds):
     directory = context.directory
     directory.now_s += seconds
-    left = [directory.members[0], *directory.members[1 + context.num_left :]]
-    assert directory.peers.division() == divide(left)
+    remaining = [directory.members[0], *directory.members[1 + context.num_unregistered :]]
+    assert directory.peers.division() == divide(remaining)
 
 
-class SlowRelay:
-    """A group of two whose regular messages are far apart."""
+class SlowGroupRelay:
+    """A relay in a group of two nodes with a long gossip interval."""
 
     def interval_s(self):
         return 5.0
@@ -98,10 +98,10 @@
         return False
 
     async def forward_own(self, gossip):
-        """There is one group only."""
+        """Do nothing, because there is only one group."""
 
 
-class OneOther:
+class SingleOtherNode:
     """A directory with one other node."""
 
     def __init__(self, address):
@@ -111,39 +111,43 @@
         return {"other": self.address}
 
 
-@given("a gateway with a group of two whose messages go out each 5 seconds")
+@given("a gateway in a group of two nodes that send gossip every 5 seconds")
 def step_slow_group(context):
-    context.own_address = to_listen(free_address())
-    context.other_address = to_listen(free_address())
+    context.own_address = listen_address(free_address())
+    context.other_address = listen_address(free_address())
 
 
-def to_listen(address):
+def listen_address(address):
     return ListenAddress(address.host, address.port)
 
 
-@when("it sends a prompt of which {tokens:d} tokens are to be read")
+@when("the gateway sends a prompt of which {tokens:d} tokens must be read")
 def step_sends_prompt(context, tokens):
     load, outbox = FleetLoad(), GossipOutbox("node")
 
     def gather(_must_refresh):
-        for instance, one in load.take_changed().items():
+        for instance, changed in load.take_changed().items():
             outbox.add_load(
-                LoadGossip(instance, one.num_requests, one.waiting_tokens, one.held_tokens)
+                LoadGossip(
+                    instance, changed.num_requests, changed.waiting_tokens, changed.held_tokens
+                )
             )
 
     async def main():
-        directory = OneOther(context.other_address)
-        peers = GossipTask(context.own_address, directory, SlowRelay(), outbox, None, gather)
-        end = BackEnd("r-1", "lm", "10.3.0.1:1", "hall-0", BackEndState.READY, 16)
-        choice = Choice(Candidate(end, Load(), False), read_tokens=tokens)
-        records = attempt_records(load, peers.request_flush)
+        directory = SingleOtherNode(context.other_address)
+        gossip_task = GossipTask(
+            context.own_address, directory, SlowGroupRelay(), outbox, None, gather
+        )
+        back_end = BackEnd("r-1", "lm", "10.3.0.1:1", "hall-0", BackEndState.READY, 16)
+        choice = Choice(Candidate(back_end, Load(), False), read_tokens=tokens)
+        records = attempt_records(load, gossip_task.request_flush)
         async with (
             await anyio.create_udp_socket(
                 local_host=context.other_address.host, local_port=context.other_address.port
             ) as socket,
             anyio.create_task_group() as tasks,
         ):
-            tasks.start_soon(peers.run)
+            tasks.start_soon(gossip_task.run)
             await anyio.sleep(0.1)
             records.record_start(choice, None, is_unreached=False)
             context.received = None
@@ -156,13 +160,13 @@
     anyio.run(main)
 
 
-@then("the other node hears of it within a second")
-def step_hears_at_once(context):
+@then("the other node learns of the prompt within a second")
+def step_learns_at_once(context):
     assert context.received is not None and context.received.loads[0].instance == "r-1", (
         context.received
     )
 
 
-@then("the other node hears of it not within a second")
-def step_hears_later(context):
+@then("the other node learns of the prompt not within a second")
+def step_learns_later(context):
     assert context.received is None or not context.received.loads, context.received
--- a/features/steps/gateway_groups_steps.py
+++ b/features/steps/gateway_groups_steps.py
@@ -50,16 +50,16 @@
 
 @given("{nodes:d} nodes in {zones:d} zones, every third of them weak")
 def step_weak_nodes(context, nodes, zones):
-    # Zones and weakness go by different numbers, so that every zone has weak nodes.
+    # One more zone, since with 3 zones all weak nodes, every third one, would be in the same zone.
     members = make_members(nodes, zones + 1, weak_each=3)
     context.members = members
     context.division = divide(members)
 
 
-@then("no weak node reads the store, and each node may ask {count:d} others")
+@then("no weak node reads the store, and there are {count:d} readers")
 def step_strong_readers(context, count):
     readers = choose_readers(context.members)
-    weak = {one.name for one in context.members if one.capacity == WEAK}
+    weak = {member.name for member in context.members if member.capacity == WEAK}
     assert len(readers) == count, readers
     assert not weak & set(readers)
 
@@ -84,40 +84,44 @@
     assert sum(sizes) == len(context.members)
 
 
-@then("each group lies in one zone if there are several groups")
+@then("each group is in a single zone if there are several groups")
 def step_one_zone(context):
     groups = context.division.groups.values()
-    assert len(groups) == 1 or all(len({one.zone for one in group}) == 1 for group in groups)
+    assert len(groups) == 1 or all(len({member.zone for member in group}) == 1 for group in groups)
 
 
-@then("the first head of each group is no weak node")
+@then("the first head of each group is not a weak node")
 def step_strong_heads(context):
     heads = [group[0] for group in context.division.groups.values()]
     assert {head.capacity for head in heads} == {STRONG}, heads
-    assert any(one.capacity == WEAK for group in context.division.groups.values() for one in group)
+    assert any(
+        member.capacity == WEAK for group in context.division.groups.values() for member in group
+    )
 
 
-@when("each node tells its news as often as it may")
+@when("each node sends gossip as often as allowed")
 def step_often(context):
     groups = context.division.groups
-    per_s = 1.0 / gossip_interval_s(len(groups))
-    context.received = [(len(group) - 1) * per_s for group in groups.values()]
-    context.head_heard = [one + (len(groups) - 1) * per_s for one in context.received]
+    messages_per_s = 1.0 / gossip_interval_s(len(groups))
+    context.received = [(len(group) - 1) * messages_per_s for group in groups.values()]
+    context.head_received = [
+        from_members + (len(groups) - 1) * messages_per_s for from_members in context.received
+    ]
     if len(groups) > 1:
-        context.received = [one + per_s for one in context.received]
+        context.received = [from_members + messages_per_s for from_members in context.received]
 
 
-@then("a node that is no head hears at most {most:d} messages a second")
-def step_heard(context, most):
+@then("a node that is not a head receives at most {most:d} messages a second")
+def step_received(context, most):
     assert max(context.received) <= most, max(context.received)
 
 
-@then("a head hears at most {most:d} messages a second")
-def step_head_heard(context, most):
-    assert max(context.head_heard) <= most, max(context.head_heard)
+@then("a head receives at most {most:d} messages a second")
+def step_head_received(context, most):
+    assert max(context.head_received) <= most, max(context.head_received)
 
 
-def play(context, body):
+def run_fleet(context, body):
     fleet = context.fleet
 
     async def main():
@@ -135,8 +139,8 @@
     run_in_virtual_time(main)
 
 
-def counts(fleet, names=None):
-    """Return the requests at the runner that each node counts."""
+def counted_requests(fleet, names=None):
+    """Return how many requests at the runner each node counts."""
     now_s = anyio.current_time()
     return {
         name: node.load.total(RUNNER.instance, now_s).num_requests
@@ -157,7 +161,7 @@
     context.count = count
 
 
-@then("within {seconds:g} seconds every node counts {expected:d} requests there")
+@then("within {seconds:g} seconds every node counts {expected:d} requests at that runner")
 def step_counts(context, seconds, expected):
     found = {}
 
@@ -166,31 +170,31 @@
             for _ in range(context.count):
                 node.load.request_sent(RUNNER.instance, 100, 500)
         await anyio.sleep(seconds)
-        found.update(counts(context.fleet))
+        found.update(counted_requests(context.fleet))
         for node in context.fleet.nodes.values():
             for _ in range(context.count):
                 node.load.first_event_received(RUNNER.instance, 100)
                 node.load.request_ended(RUNNER.instance, 500)
         await anyio.sleep(seconds)
-        context.after = counts(context.fleet)
+        context.after = counted_requests(context.fleet)
 
-    play(context, body)
+    run_fleet(context, body)
     assert set(found.values()) == {expected}, found
 
 
-@then("within {seconds:g} seconds after they have ended every node counts {expected:d}")
+@then("within {seconds:g} seconds after their end every node counts {expected:d} requests")
 def step_counts_after(context, seconds, expected):
     assert set(context.after.values()) == {expected}, context.after
 
 
-@when('every head suffers "{fault}" and each other node has {count:d} request at one runner')
-def step_heads_suffer(context, fault, count):
+@when('every head has the fault "{fault}" and each other node has {count:d} request at one runner')
+def step_head_fault(context, fault, count):
     context.fault = fault
     context.count = count
 
 
 @then(
-    "within {seconds:g} seconds every node that is neither dead nor silent counts the others' requests"
+    "within {seconds:g} seconds every node that was not a head counts the requests of all such nodes"
 )
 def step_counts_others(context, seconds):
     fleet = context.fleet
@@ -208,20 +212,22 @@
         for name in others:
             fleet.nodes[name].load.request_sent(RUNNER.instance, 100, 500)
         await anyio.sleep(seconds)
-        found.update(counts(fleet, others))
+        found.update(counted_requests(fleet, others))
 
-    play(context, body)
+    run_fleet(context, body)
     assert len(found) == context.num_nodes - context.num_zones
     assert set(found.values()) == {len(found)}, found
 
 
-@when("one node tells that a runner has read a prompt")
-def step_tells_read(context):
+@when("one node reports that a runner has read a prompt")
+def step_reports_read(context):
     context.send = SendGossip(RUNNER.instance, SCOPE, True, (*SHARED, OWN))
 
 
-@then("within {seconds:g} seconds every node believes that the runner keeps its shared parts")
-def step_believes(context, seconds):
+@then(
+    "within {seconds:g} seconds every node's cache index has the prompt's shared blocks at the runner"
+)
+def step_cache_index(context, seconds):
     found = {}
 
     async def body():
@@ -233,7 +239,7 @@
             cache = node.dispatcher.cache_index.at_tracked_engine(RUNNER.instance)
             found[name] = cache.matched_tokens(SCOPE, SHARED, only_ready=True) if cache else 0
 
-    play(context, body)
+    run_fleet(context, body)
     assert len(found) == context.num_nodes
     assert set(found.values()) == {sum(part.num_tokens for part in SHARED)}, found
 
@@ -255,7 +261,7 @@
         for name, node in context.fleet.nodes.items():
             found[name] = node.dispatcher.candidates.is_loading(RUNNER.instance, now_s)
 
-    play(context, body)
+    run_fleet(context, body)
     assert len(found) == context.num_nodes
     assert all(found.values()), found
 
@@ -276,17 +282,17 @@
         await anyio.sleep(seconds)
         for name, node in context.fleet.nodes.items():
             reasons = [
-                one["reason"] for one in context.fleet.logs[name].named("back_end_suspected")
+                event["reason"] for event in context.fleet.logs[name].named("back_end_suspected")
             ]
             found[name] = node is first or "told_by_peer" in reasons
 
-    play(context, body)
+    run_fleet(context, body)
     assert len(found) == context.num_nodes
     assert all(found.values()), found
 
 
 class RegisteredNodes:
-    """Nodes whose registrations the test changes, as one node knows them."""
+    """The cluster state of one node, with registrations that the test changes."""
 
     def __init__(self, members, now_s):
         self.members = members
@@ -310,8 +316,8 @@
         self.cluster.apply(StateBatch(self.revision, (change,)), self.now_s)
 
 
-class LoneHead(RegisteredNodes):
-    """A head whose messages are kept; registrations change while it sends."""
+class RecordingHead(RegisteredNodes):
+    """A head that records its messages; registrations can change while it sends."""
 
     def __init__(self, members):
         super().__init__(members, 10.0)
@@ -333,7 +339,7 @@
         loading = LoadingGossip(RUNNER.instance, "m", 2, False)
 
         async def main():
-            # What another head says goes on to the own group; what a member of its own group says goes to the heads.
+            # Gossip of other heads goes to the own group, gossip of own members to the heads.
             await self.relay.receive(Gossip("peer", loading=(loading,)))
             await self.relay.receive(Gossip("head", loading=(loading,), group="hall-1/0/0"))
             await self.relay.flush()
@@ -341,15 +347,17 @@
         run_in_virtual_time(main)
 
 
-@given("a head of a fleet of {nodes:d} nodes in {zones:d} zones that has news for all")
-def step_lone_head(context, nodes, zones):
-    context.head = LoneHead(make_members(nodes, zones))
+@given("a head in a fleet of {nodes:d} nodes in {zones:d} zones with gossip for all nodes")
+def step_head(context, nodes, zones):
+    context.head = RecordingHead(make_members(nodes, zones))
 
 
 @when("a node of its own group {changes} while it sends to the other heads")
 def step_changes_meanwhile(context, changes):
     head = context.head
-    peers = [one for one in head.members if one.zone == "hall-0" and one.name != head.name]
+    peers = [
+        member for member in head.members if member.zone == "hall-0" and member.name != head.name
+    ]
     if changes == "registers":
         newcomer = Member("node-new", "hall-0", STRONG)
         head.during_send = lambda: head.register(newcomer, 200)
@@ -360,11 +368,11 @@
     context.num_peers = len(peers)
 
 
-@then("its whole group is told")
-def step_group_told(context):
+@then("the head sends its gossip to its whole group")
+def step_group_addressed(context):
     to_group = [addresses for gossip, addresses in context.head.sent if gossip.group == "*"]
-    assert to_group, "nobody told"
-    assert all(abs(len(one) - context.num_peers) <= 1 for one in to_group), to_group
+    assert to_group, "nothing sent to the group"
+    assert all(abs(len(addresses) - context.num_peers) <= 1 for addresses in to_group), to_group
 
 
 @given("the loads of back ends")
@@ -373,11 +381,14 @@
 
 
 @when(
-    'source "{a}" tells {one:d} requests at second {first:g} and source "{b}" {two:d} requests at second {second:g}'
+    'source "{first_source}" reports {first_count:d} requests at second {first_s:g} and source '
+    '"{second_source}" {second_count:d} requests at second {second_s:g}'
 )
-def step_sources(context, a, one, first, b, two, second):
-    context.load.receive(a, "r", Load(one, 0, 0), first)
-    context.load.receive(b, "r", Load(two, 0, 0), second)
+def step_sources(
+    context, first_source, first_count, first_s, second_source, second_count, second_s
+):
+    context.load.receive(first_source, "r", Load(first_count, 0, 0), first_s)
+    context.load.receive(second_source, "r", Load(second_count, 0, 0), second_s)
 
 
 @then("the load is {count:d} requests at second {second:g}")
