--- a/bench/fault_soak/back_ends.py
+++ b/bench/fault_soak/back_ends.py
@@ -121,13 +121,13 @@
 
     async def shut_down(self) -> None:
         """Close all connections without an announcement, as a crash does."""
-        stand_in, served = self.stand_in, self._server
-        assert served is not None
+        stand_in, server = self.stand_in, self._server
+        assert server is not None
         self._version = stand_in.version
         for run in stand_in.runs:
             if run.ended_s is None:
                 self._record_break(run.request_id, stand_in.instance)
-        await served.shut_down()
+        await server.shut_down()
 
     def unregister(self) -> None:
         """Remove the registration."""
--- a/bench/fault_soak/callers.py
+++ b/bench/fault_soak/callers.py
@@ -141,8 +141,8 @@
         name: Prefix of its request ids.
         client: Its connections.
         random: Determines requests and their times.
-        ready_nodes: Return the nodes that accept new connections now.
-        newest_keys: Return the keys of the newest configuration, newest last.
+        ready_nodes: Returns the nodes that accept new connections now.
+        newest_keys: Returns the keys of the newest configuration, newest last.
     """
 
     def __init__(
--- a/bench/fault_soak/evidence.py
+++ b/bench/fault_soak/evidence.py
@@ -36,7 +36,7 @@
 )
 
 LONG_DELAY_S = 0.5
-"""Time bounds aren't checked where the soak test itself was delayed for longer."""
+"""Shorter delays of the soak test itself don't invalidate bounds of several seconds."""
 
 _R = TypeVar("_R", bound=Record)
 
@@ -49,7 +49,7 @@
         stop_s: Longest planned stop.
         configuration_s: Time after its acknowledgement at which a configuration is in force.
         key_removal_s: Longest time for which a removed key still works, at any node.
-        weights_s: Time after which newer weights were named and older ones begin no request.
+        weights_s: Time after newer weights were named, from which on older ones begin no request.
         leaving_notice_s: Time after an answer announced that a back end is draining, during which
             the node may still send it work.
         rest_slack_s: Time after an answer asked for a rest, during which requests may arrive that
--- a/bench/fault_soak/operator.py
+++ b/bench/fault_soak/operator.py
@@ -104,7 +104,7 @@
         client: Its connections.
         random: Chooses markers and keys.
         nodes: All nodes.
-        ready_nodes: Return the nodes that accept new connections now.
+        ready_nodes: Returns the nodes that accept new connections now.
     """
 
     def __init__(
