--- a/src/weirscale/gateway/gossip/group_relay.py
+++ b/src/weirscale/gateway/gossip/group_relay.py
@@ -24,8 +24,8 @@
 from weirscale.gateway.ticks import sleep_to_tick
 
 NUM_HEAD_CANDIDATES = 2
-"""Members of another group that get the messages to its head until a message of its head has been
-received: the first two in rank, in case one of them has stopped."""
+"""Number of members of another group that get the messages to its head, until a message of its head
+has been received: the first two in rank, in case one of them has stopped."""
 
 RESEND_INTERVAL_S = 4.0
 """Seconds after which a shared prompt block is sent to the other groups again. Engines evict unused
--- a/src/weirscale/gateway/limits/quota_rules.py
+++ b/src/weirscale/gateway/limits/quota_rules.py
@@ -10,7 +10,7 @@
 CONVERGENCE_INTERVALS = 2.5
 """Gossip intervals after which all nodes are taken to have received a node's usage. With fewer,
 nodes admit more than the bucket holds before they receive each other's usage. With more, a burst is
-refused although there is room. In a simulation of 79 nodes at 7.5 times the usual load, one seed,
+refused although there is room. In one simulated run of 79 nodes at 7.5 times the usual load,
 2.0 gave a worst window of 0.94 of the rule; with 3.3, a tenant with bursty load was refused at 0.87
 of its room."""
 
--- a/src/weirscale/gateway/model/back_ends.py
+++ b/src/weirscale/gateway/model/back_ends.py
@@ -53,7 +53,7 @@
         state: Whether it accepts new requests.
         slots: Maximum number of requests that it processes concurrently.
         models: Models and versions, for engines.
-        software: Version of its program.
+        software: Service version, i.e. the version of its program.
         started_ms: Unix time of its start in milliseconds, or None if not stated.
     """
 
@@ -69,7 +69,7 @@
 
     @property
     def run_id(self) -> RunId:
-        """Identifier of this run; another run with the same instance name has another one."""
+        """Identifier of this run; a later run with the same instance name gets a different one."""
         return RunId(f"{self.instance}@{self.started_ms or 0}")
 
     def version_of(self, model: str) -> int | None:
--- a/src/weirscale/gateway/model/identifiers.py
+++ b/src/weirscale/gateway/model/identifiers.py
@@ -10,7 +10,8 @@
 again under the same name."""
 
 RequestId = NewType("RequestId", str)
-"""The caller's identifier of one attempt of a request."""
+"""The caller's identifier of one sending of a request. All attempts that the gateway makes for it
+carry the same."""
 
 Address = NewType("Address", str)
 """IP:PORT."""
--- a/src/weirscale/gateway/node.py
+++ b/src/weirscale/gateway/node.py
@@ -144,7 +144,7 @@
             self.cluster, self._ports.port_of, self.outbox.add_loading, clock
         )
         self.cluster.back_ends.observe_removal(
-            lambda gone: self.version_check.forget(gone.instance)
+            lambda removed: self.version_check.forget(removed.instance)
         )
 
     def _make_replication(self) -> None:
@@ -256,7 +256,7 @@
                 self.gossip_task, self.relay, self._permit_exchange, self._lease,
                 self._weights_rollout,
                 self._rollout_holder, self.version_check, self.context.crash_reporter.crash_check,
-                self.quarantine, self.context.timeouts, self._upkeep,
+                self.quarantine, self.context.timeouts, self._maintenance,
             ):  # fmt: skip
                 tasks.start_soon(task.run)
             await anyio.sleep_forever()
@@ -293,8 +293,8 @@
         """
         return self.is_stopping or self.isolation.is_isolated()
 
-    # These methods read `gossip_task` at each call because a fleet that runs in one process
-    # replaces it before it runs.
+    # These methods read `gossip_task` at each call, because a fleet that runs in one process
+    # replaces the task after the node is created and before it runs.
 
     async def _send(self, message: PeerMessage, addresses: Iterable[ListenAddress]) -> None:
         await self.gossip_task.send(message, addresses)
--- a/src/weirscale/gateway/node_parts.py
+++ b/src/weirscale/gateway/node_parts.py
@@ -134,7 +134,7 @@
             self.cluster, back_pressure.rests, self.stated_limits, self._event_log, clock
         )
         self._ports = BackEndPorts(connect, self.cluster, self.load, self._notices.take)
-        self._upkeep = BackEndMaintenance(
+        self._maintenance = BackEndMaintenance(
             self.cluster, self.health, back_pressure, self._ports, clock
         )
         self.cluster.back_ends.observe_removal(self._forget_back_end)
--- a/src/weirscale/gateway/ports/callers.py
+++ b/src/weirscale/gateway/ports/callers.py
@@ -16,7 +16,7 @@
     """A caller's request with its headers parsed.
 
     Attributes:
-        request_id: The caller's id of this attempt; empty if it sent none.
+        request_id: The caller's id of this sending of the request; empty if it sent none.
         method: HTTP method.
         target: Raw path and query.
         host: Host header.
--- a/src/weirscale/gateway/ports/state_feed.py
+++ b/src/weirscale/gateway/ports/state_feed.py
@@ -46,7 +46,7 @@
 
 
 class RolloutOrdered(msgspec.Struct, frozen=True, tag="RolloutOrdered"):
-    """Operators ordered to move a service's traffic to engines of a version of its program."""
+    """Operators ordered to move a service's traffic to the engines of one service version."""
 
     service: ServiceName
     target: SoftwareVersion
--- a/src/weirscale/gateway/quarantine/__init__.py
+++ b/src/weirscale/gateway/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Recognises requests that repeatedly crash back ends, and refuses them for a time.
+"""Recognizes requests that repeatedly crash back ends, and refuses them for a time.
 
 `fingerprint` identifies a request. `crash_check` distinguishes a crash from other reasons why a
 connection ends. `suspects` holds the rule that decides which request causes crashes. `keeper`
--- a/src/weirscale/gateway/quarantine/crash_check.py
+++ b/src/weirscale/gateway/quarantine/crash_check.py
@@ -105,7 +105,7 @@
     async def _probe(self, back_end: BackEnd) -> RunState:
         registered = self._cluster.directory.get(back_end.instance)
         if registered is None or registered.run_id != back_end.run_id:
-            # The back end took work when its connection ended, so this was not a planned departure.
+            # It still accepted requests when its connection ended, so its end was not planned.
             return RunState.ENDED
         if registered.state is BackEndState.LEAVING:
             return RunState.RUNNING
--- a/src/weirscale/gateway/quarantine/fingerprint.py
+++ b/src/weirscale/gateway/quarantine/fingerprint.py
@@ -10,7 +10,8 @@
 from weirscale.gateway.ports.callers import CallerRequest
 
 RequestFingerprint = NewType("RequestFingerprint", str)
-"""Hexadecimal digest of a caller's request; identical for all retries and on all nodes."""
+"""Hexadecimal digest of a caller's request; the same each time that the caller sends it, and on all
+nodes."""
 
 FINGERPRINT_BYTES = 16
 """Size of the digest in bytes: no collisions can be constructed for 128 bits of blake2b."""
--- a/src/weirscale/gateway/request_limits/permit_bucket.py
+++ b/src/weirscale/gateway/request_limits/permit_bucket.py
@@ -12,8 +12,8 @@
 half of the limit plus 5 requests."""
 
 WAIT_FACTOR = 0.05
-"""Factor for the time in which all requesters that already wait would be served; a new requester is
-told to wait for that part of it. The factor is low because some of them will not query again."""
+"""Share of the time needed to serve all requesters that already wait. A new requester is asked to
+wait for this share of it, since some of the others will not query again."""
 
 MIN_WAIT_S = 0.02
 """Minimum wait in seconds in a reply without permits. Without it, a requester would repeat its
--- a/src/weirscale/gateway/requests/back_end_verdicts.py
+++ b/src/weirscale/gateway/requests/back_end_verdicts.py
@@ -1,4 +1,4 @@
-"""Evaluates back ends by the ends of attempts: health, weights and software version."""
+"""Evaluates back ends by the ends of attempts: health, weights and service version."""
 
 from collections.abc import Callable
 
@@ -39,7 +39,7 @@
         health: Circuit breakers of the back ends.
         outbox: Queues gossip for the other nodes.
         version_check: Queries engines whose weights differ from the presumed ones.
-        canary_traffic: Rollouts of new software versions of services.
+        canary_traffic: Rollouts of new service versions.
         clock: Returns the current time in monotonic seconds.
     """
 
@@ -94,7 +94,7 @@
         times: AttemptTimes,
         took_s: float,
     ) -> None:
-        """Count an attempt for its back end's software version while a rollout is open.
+        """Count an attempt for its back end's service version while a rollout is open.
 
         Attempts that the back end refused because of its instance or weights do not count, nor do
         attempts that were cancelled before they were overdue.
--- a/src/weirscale/gateway/requests/crash_reports.py
+++ b/src/weirscale/gateway/requests/crash_reports.py
@@ -87,7 +87,7 @@
     def quarantined_for_s(self) -> float | None:
         """Return for how many seconds the request is still quarantined, or None if it is not.
 
-        The quarantine covers requests whose earlier tries arrived at other nodes.
+        The quarantine also covers requests that the caller sent to other nodes before.
         """
         if not self._quarantine.is_tracking_requests():
             return None
--- a/src/weirscale/gateway/rollouts/__init__.py
+++ b/src/weirscale/gateway/rollouts/__init__.py
@@ -2,7 +2,7 @@
 
 Versions of model weights are rolled out separately (`gateway.weights`). An operator's order names
 the target version. A small share of the requests, the *canary*, goes to the target. The verdict on
-their answers either moves all requests to the target or returns them to the older versions. The
+their answers either moves all requests to the target or rolls back to the older versions. The
 rollout ends once no node uses the other versions any more.
 
 On each node: `view` (state of each rollout as this node knows it), `gate` (which back ends may be
--- a/src/weirscale/gateway/rollouts/gate.py
+++ b/src/weirscale/gateway/rollouts/gate.py
@@ -26,7 +26,7 @@
 
 MIN_CANARY_ENGINES = 3
 """Smallest number of the target's engines that get canary requests. With fewer, a single bad engine
-could not be told from a bad version."""
+could not be distinguished from a bad version."""
 
 
 class Track(enum.Enum):
--- a/src/weirscale/gateway/rollouts/record_writer.py
+++ b/src/weirscale/gateway/rollouts/record_writer.py
@@ -69,11 +69,11 @@
     async def write_status(self, record: RolloutRecord) -> None:
         """Write the status that follows from a record, unless it is already in the store."""
         status = RolloutStatus(record.service, record.target, status_of(record))
-        seen = self._cluster.rollouts.status_of(record.service)
-        if seen is not None and seen.status == status and seen.revision > record.epoch:
+        stored = self._cluster.rollouts.status_of(record.service)
+        if stored is not None and stored.status == status and stored.revision > record.epoch:
             return
         self._defer_next_write(record.service)
-        revision = 0 if seen is None else seen.revision
+        revision = 0 if stored is None else stored.revision
         is_written = False
         with anyio.move_on_after(CALL_TIMEOUT_S):
             written = await self._feed.write_rollout_status(status, revision)
--- a/src/weirscale/gateway/rollouts/view.py
+++ b/src/weirscale/gateway/rollouts/view.py
@@ -121,10 +121,10 @@
 
     def _end_from_status(self, order: RolloutOrder) -> Stage | None:
         """Return the final stage that the status shows for an order whose record is gone."""
-        seen = self._cluster.rollouts.status_of(order.service)
-        if seen is None or seen.revision < order.epoch or seen.status.target != order.target:
+        stored = self._cluster.rollouts.status_of(order.service)
+        if stored is None or stored.revision < order.epoch or stored.status.target != order.target:
             return None
-        return _STAGE_OF_END_STATE.get(seen.status.state)
+        return _STAGE_OF_END_STATE.get(stored.status.state)
 
 
 _STAGE_OF_END_STATE = {
--- a/src/weirscale/gateway/routing/back_end_maintenance.py
+++ b/src/weirscale/gateway/routing/back_end_maintenance.py
@@ -1,4 +1,4 @@
-"""Periodic maintenance of back ends: probes of suspects, lapsed registrations, unused clients."""
+"""Periodic maintenance of back ends: probes of suspects, lapsed registrations, unused ports."""
 
 from collections.abc import Callable
 
@@ -29,7 +29,7 @@
         cluster: Registered back ends.
         health: Selects the back ends to probe, and records the outcomes.
         back_pressure: Rests and request limits, which also apply to probes.
-        ports: Clients of back ends.
+        ports: Ports of back ends.
         clock: Returns monotonic seconds.
     """
 
--- a/src/weirscale/gateway/routing/back_end_notices.py
+++ b/src/weirscale/gateway/routing/back_end_notices.py
@@ -64,7 +64,7 @@
 
     def take(self, back_end: BackEnd, notice: AnswerNotice) -> None:
         """Handle what the head of an answer says about its back end."""
-        # A process that restarted under the same instance name answers through the client of the
+        # A process that restarted under the same instance name answers through the port of the
         # previous run. So the notice belongs to the run that is registered now.
         sender = self._cluster.directory.get(back_end.instance) or back_end
         if notice.is_other_run:
--- a/src/weirscale/gateway/routing/back_end_ports.py
+++ b/src/weirscale/gateway/routing/back_end_ports.py
@@ -1,4 +1,4 @@
-"""Clients of back ends, one for each instance. A client is closed once its requests have ended."""
+"""Ports (clients) of back ends, one for each instance; closed once their requests have ended."""
 
 from anyio.abc import TaskGroup
 
@@ -20,10 +20,10 @@
 
 
 class BackEndPorts:
-    """Owns the clients of back ends.
+    """Owns the ports of back ends.
 
     Args:
-        connect: Creates a client.
+        connect: Creates a port.
         cluster: Supplies the connection limits of services.
         load: Supplies the load of this node on a back end.
         on_notice: Called with the notices in answers.
@@ -44,7 +44,7 @@
         self._closing: dict[InstanceId, BackEndPort] = {}
 
     def port_of(self, back_end: BackEnd) -> BackEndPort:
-        """Return the client of a back end. The first call creates it."""
+        """Return the port of a back end. The first call creates it."""
         port = self._ports.get(back_end.instance)
         if port is None:
             port = self._connect(back_end, self._max_connections(back_end), self._on_notice)
@@ -58,13 +58,13 @@
         return max(MIN_CONNECTIONS, int(limit * CONNECTION_SHARE))
 
     def retire(self, instance: InstanceId) -> None:
-        """Mark the client of a removed back end to be closed by a later `close_unused`."""
+        """Mark the port of a removed back end to be closed by a later `close_unused`."""
         port = self._ports.pop(instance, None)
         if port is not None:
             self._closing[instance] = port
 
     def close_unused(self, tasks: TaskGroup) -> None:
-        """Close the clients of removed back ends that have no requests of this node left.
+        """Close the ports of removed back ends that have no requests of this node left.
 
         The registration of a back end may end long before its last answer does.
         """
--- a/src/weirscale/gateway/routing/candidate.py
+++ b/src/weirscale/gateway/routing/candidate.py
@@ -113,7 +113,7 @@
         candidate: The back end.
         scope: Cache scope, or None without a prompt.
         cached_tokens: Leading tokens that are presumably cached there.
-        fetched_tokens: Further tokens that it is told to fetch.
+        fetched_tokens: Further tokens that it is instructed to fetch.
         read_tokens: Tokens that it has to prefill even if the fetch succeeds.
         missed_tokens: Tokens to fetch that it will probably have to prefill, according to recent
             fetches.
@@ -123,7 +123,7 @@
         idle_s: The same estimate for an idle back end.
         num_candidates: Number of back ends that were compared.
         idle_share: Share of these that have no prompts waiting for prefill.
-        is_canary: Whether the request is for the canary version of the service's program.
+        is_canary: Whether the request is for the service version under test, the canary.
     """
 
     candidate: Candidate
--- a/src/weirscale/gateway/routing/candidates.py
+++ b/src/weirscale/gateway/routing/candidates.py
@@ -1,6 +1,6 @@
 """Selection of the candidates for a request, with the state of each.
 
-A back end may be sent a request if the platform lists it as ready, its program version is allowed
+A back end may be sent a request if the platform lists it as ready, its service version is allowed
 for the request, its weights are new enough, and neither a rest nor its request limit prevents it.
 Of these, engines that are loading weights are left out. Back ends that have just refused a request
 and those with an open circuit are also left out, unless no others remain.
@@ -47,7 +47,7 @@
         prompt: The prompt of a generation; None for other requests.
         tenant: The tenant if the route is keyed; None otherwise.
         excluded: Instances that may not be chosen.
-        track: Which versions of the service's program may be chosen.
+        track: Selects the service versions that may be chosen.
     """
 
     service: ServiceName
@@ -70,7 +70,7 @@
         cache_index: Blocks that are presumably cached at each engine.
         statistics: Recent waits.
         weights_grace_s: Seconds for which older weights may be sent requests.
-        versions: Selects the program versions that may be chosen.
+        versions: Selects the service versions that may be chosen.
         engines_of_other_groups: Returns the engines that other groups of nodes prefer.
         back_pressure: Rests and request limits of back ends.
     """
@@ -126,7 +126,7 @@
         return self._back_pressure.next_availability(self.usable(query, now_s), now_s)
 
     def usable(self, query: DispatchQuery, now_s: float) -> list[BackEnd]:
-        """Return the ready back ends with a program version and weights allowed for the request."""
+        """Return the ready back ends with a service version and weights allowed for the request."""
         ready = self._cluster.back_ends.ready(query.service)
         lowest_version = (
             0 if query.prompt is None else self._lowest_version(query.prompt.model, now_s)
@@ -141,7 +141,7 @@
     def of_other_versions(
         self, query: DispatchQuery, service: Service, now_s: float
     ) -> list[Candidate]:
-        """Return the engines whose program version is not allowed for the request.
+        """Return the engines whose service version is not allowed for the request.
 
         They may have cached blocks that the request can use.
         """
--- a/src/weirscale/gateway/routing/dispatcher.py
+++ b/src/weirscale/gateway/routing/dispatcher.py
@@ -62,7 +62,7 @@
         random: Breaks ties.
         clock: Returns monotonic seconds.
         rules: Weights of the choice.
-        versions: Selects the program versions that may be chosen; all by default.
+        versions: Selects the service versions that may be chosen; all by default.
         peers: Information about the other nodes.
     """
 
--- a/src/weirscale/gateway/routing/version_rules.py
+++ b/src/weirscale/gateway/routing/version_rules.py
@@ -1,4 +1,4 @@
-"""Selection of the program versions of a service that a request may be sent to."""
+"""Selection of the service versions that a request may be sent to."""
 
 from typing import Protocol
 
@@ -8,7 +8,7 @@
 
 
 class VersionRules(Protocol):
-    """Selects the back ends whose program version may be chosen."""
+    """Selects the back ends whose service version may be chosen."""
 
     def usable(self, service: ServiceName, back_ends: list[BackEnd], track: Track) -> list[BackEnd]:
         """Return the back ends of a list that a request on a track may be sent to."""
--- a/src/weirscale/gateway/settings.py
+++ b/src/weirscale/gateway/settings.py
@@ -77,8 +77,8 @@
         share: Number of retries allowed per request.
         extra: Additional retries allowed, over all nodes.
         window_s: Length in seconds of the window to which the budget applies.
-        safety: Share of the budget that is used. The rest is a reserve, because nodes receive each
-            other's retry counts late.
+        safety: Share of the budget that is used. The rest is a reserve, because nodes learn late
+            of each other's retries.
     """
 
     share: float
--- a/src/weirscale/gateway/state/store_outages.py
+++ b/src/weirscale/gateway/state/store_outages.py
@@ -52,7 +52,7 @@
     """Combines the times at which the store answered this node and others.
 
     Attributes:
-        num_others: Returns how many other nodes can be asked.
+        num_others: Returns how many other nodes can be queried.
     """
 
     def __init__(self) -> None:
@@ -122,7 +122,7 @@
         return self._confirmed_end_s
 
     def end_doubt(self, before_s: float) -> None:
-        """Resolve a silence that ended before a time: all nodes that were asked have answered."""
+        """Resolve a silence that ended before a time: by then, the queried nodes have answered."""
         if self._span is not None and self._span.began_s <= before_s:
             self._resolve()
 
--- a/src/weirscale/gateway/telemetry/node_metrics.py
+++ b/src/weirscale/gateway/telemetry/node_metrics.py
@@ -16,8 +16,8 @@
         state_age_s: Time since the platform's state was proved current.
         configuration_version: Version of the configuration in force; 0 if there is none.
         num_back_ends: Number of registered back ends in use, one for each address.
-        num_displaced: How often since the start a back end was displaced, because another run was
-            presumed to be the process at its address.
+        num_displaced: How often since the start the run that owned an address was replaced or
+            removed.
         holds_lease: Whether this node holds the lease that permits it to issue orders.
         retries_left: Retries that may be spent now, by service.
         queue_shares: Share of the queue limit in force, by service.
--- a/src/weirscale/gateway/telemetry/request_summary.py
+++ b/src/weirscale/gateway/telemetry/request_summary.py
@@ -80,8 +80,8 @@
         duration_s: Time from the request's arrival to its end.
         tenant: Tenant of the request, on routes that require keys.
         quota: Quota decision, if the quota refused the request.
-        fingerprint: Fingerprint that identifies tries of the same request; None if it was not
-            computed.
+        fingerprint: Fingerprint, the same each time that a caller sends this request; None if it
+            was not computed.
     """
 
     request: CallerRequest
--- a/src/weirscale/gateway/weights/engine_load.py
+++ b/src/weirscale/gateway/weights/engine_load.py
@@ -24,7 +24,7 @@
 
 DRAIN_TIMEOUT_S = 0.4
 """Maximum seconds to wait before the order for the engine's requests to end, because their output
-after the order comes from mixed weights. Belongs to the decision on the first wave
+after the order comes from mixed weights. Decided together with the first wave
 (docs/DECISIONS.md)."""
 
 DRAIN_POLL_INTERVAL_S = 0.05
@@ -38,7 +38,7 @@
 engines load in its place. Without this limit, a crashed engine held one of three places for 6 s."""
 
 ORDER_RETRY_S = 1.0
-"""Seconds after which an order without an effect in the reports is last_order again."""
+"""Seconds after which an order without an effect in the reports is sent again."""
 
 AnnounceLoad = Callable[[InstanceId, str, int, bool], Awaitable[None]]
 """Announces an engine's load of a model to peers. Takes the engine, the model, the engine's version
--- a/src/weirscale/gateway/weights/order_fence.py
+++ b/src/weirscale/gateway/weights/order_fence.py
@@ -26,8 +26,8 @@
 FENCE_KEY = "weirscale/orders"
 
 SETTLED_KEY = "weirscale/settled_era"
-"""Key of the record with the last settled era of the store: before its first orders, the holder
-waited until holders of earlier eras had stopped."""
+"""Key of the record with the last settled era of the store. An era is settled once a holder has
+waited, before its first order in that era, until the holders of earlier eras had stopped."""
 
 
 class OrderFence:
@@ -129,7 +129,7 @@
     async def _write(self) -> bool:
         """Write the record under the lease.
 
-        The value contains the lease, so the node recognises its own write if the answer was lost.
+        The value contains the lease, so the node recognizes its own write if the answer was lost.
         Otherwise the holder would take the record for another holder's, and send no orders until
         the record expired.
         """
--- a/src/weirscale/gateway/weights/schedule.py
+++ b/src/weirscale/gateway/weights/schedule.py
@@ -6,12 +6,13 @@
 An engine serves no requests while it loads, and concurrent loads slow each other down, so engines
 load in waves. Of the lagging engines:
 
-- All engines begin whose older weights may no longer serve: they are useless before their load.
+- All engines begin whose older weights may no longer serve, since they are useless until they have
+  loaded.
 - A wave begins as soon as waiting longer would make some engine late for `begin_within_s`, counting
   the waves that have to precede it. The wave is larger if necessary.
 - Otherwise a wave begins while too large a share of the requests runs on older weights, because the
   engines with the target version do not suffice.
-- The rest wait: engine load then also covers versions that are set in the meantime.
+- The rest wait: one load then also covers versions that are set in the meantime.
 """
 
 import math
@@ -28,7 +29,7 @@
 of 0.770 (docs/DECISIONS.md)."""
 
 WAVE_SHARE = 0.34
-"""Share of a model's engines in engine wave. With a fifth instead of a third, the mean worth of 18
+"""Share of a model's engines in one wave. With a fifth instead of a third, the mean worth of 18
 paired days was 0.766 instead of 0.785 (docs/DECISIONS.md)."""
 
 BEGIN_WITHIN_SHARE = 0.8
@@ -48,7 +49,7 @@
 
     Attributes:
         load_s: Expected seconds of a wave, including the wait for requests to end.
-        wave_share: Share of a model's engines in engine wave.
+        wave_share: Share of a model's engines in one wave.
         begin_within_s: Seconds after a version was set within which every load should have begun.
         unusable_after_s: Seconds after a version was set from which older weights get no requests.
         settle_s: Seconds after a load until the share of requests on older weights is evaluated.
--- a/src/weirscale/gateway/weights/version_check.py
+++ b/src/weirscale/gateway/weights/version_check.py
@@ -20,11 +20,11 @@
 
 MIN_REPORT_INTERVAL_S = 0.4
 """Minimum seconds between two report requests to one engine. Its reports lag by some hundred
-milliseconds, so an earlier request returns nothing new."""
+milliseconds, so a request sent sooner returns nothing new."""
 
 MAX_QUEUED = 64
-"""Maximum number of engines in the queue for a report request. For any beyond, the next refusal
-triggers a new attempt."""
+"""Maximum number of engines in the queue for a report request. An engine that does not fit is
+queued at its next refusal."""
 
 
 class VersionCheck:
@@ -59,7 +59,7 @@
         try:
             self._enqueue.send_nowait(instance)
         except anyio.WouldBlock:
-            return  # The queue is full; the engine's next refusal tries again.
+            return  # The queue is full; the engine is queued at its next refusal.
         self._requested_at_s[instance] = now_s
 
     def forget(self, instance: InstanceId) -> None:
