--- a/src/weirscale/gateway/gossip/group_relay.py
+++ b/src/weirscale/gateway/gossip/group_relay.py
@@ -1,11 +1,12 @@
 """Forwards gossip between groups of nodes: selects the head of a group, which does the forwarding.
 
 The head of a group is the first member in rank from which a message was received recently. It sends
-the sum of its group's loads, the prompts that its group's engines have read and the unreachable
-back ends to the heads of the other groups. Engines that start to load weights are reported without
-delay. To its own group it sends the sum of the messages of the other heads. If two nodes both act
-as head, no harm is done: sums are absolute values, and the latest replaces the previous one. A head
-that has failed, is frozen or is partitioned is replaced `PEER_TIMEOUT_S` after its last message.
+the sum of its group's loads, the prompts that its group's engines have prefilled and the
+unreachable back ends to the heads of the other groups. Engines that start to load weights are
+reported without delay. To its own group it sends the sum of the messages of the other heads. If two
+nodes both act as head, no harm is done: sums are absolute values, and the latest replaces the
+previous one. A head that has failed, is suspended or is partitioned is replaced `PEER_TIMEOUT_S`
+after its last message.
 
 `PeerDirectory` provides the division into groups, which is the same on all nodes.
 """
@@ -196,7 +197,7 @@
             await self.flush()
 
     def _add_shared_blocks(self, send: SendGossip) -> None:
-        """Add a prompt's shared blocks, i.e. all but its last, once an engine has read them."""
+        """Add a prompt's shared blocks, i.e. all but its last, once an engine has prefilled it."""
         shared = send.blocks[:-1]
         if not send.is_ready or not shared:
             return
--- a/src/weirscale/gateway/peers/messages.py
+++ b/src/weirscale/gateway/peers/messages.py
@@ -31,7 +31,7 @@
 
 
 class SendGossip(msgspec.Struct, frozen=True, array_like=True):
-    """A prompt was sent to an engine or, if `is_ready`, has been processed there."""
+    """A prompt was sent to an engine or, if `is_ready`, has been prefilled there."""
 
     instance: InstanceId
     scope: str
--- a/src/weirscale/gateway/peers/outbox.py
+++ b/src/weirscale/gateway/peers/outbox.py
@@ -82,7 +82,7 @@
         self._loads[gossip.instance] = gossip
 
     def add_send(self, gossip: SendGossip) -> None:
-        """Add a prompt that was sent or processed; the oldest are dropped if there are too many."""
+        """Add a prompt that was sent or prefilled; the oldest are dropped if there are too many."""
         self._sends.append(gossip)
         del self._sends[:-MAX_SENDS_PER_MESSAGE]
 
--- a/src/weirscale/gateway/replication/follower.py
+++ b/src/weirscale/gateway/replication/follower.py
@@ -105,9 +105,9 @@
                 continue
             failure = await self._read_or_watch()
             if failure is None:
-                self._note_success()
+                self._record_success()
             else:
-                await self._note_failure(failure)
+                await self._record_failure(failure)
 
     def _is_kept_current(self) -> bool:
         return not self._must_read_all and self._subscription.is_current()
@@ -185,14 +185,14 @@
             self._watch_scope.cancel()
         else:
             self._cluster.confirm(asked_at_s)
-            self._note_success()
+            self._record_success()
 
-    def _note_success(self) -> None:
+    def _record_success(self) -> None:
         if self._num_failures:
             self._event_log.event("store_regained", failures=self._num_failures)
         self._num_failures = 0
 
-    async def _note_failure(self, failure: KeyValueFailure) -> None:
+    async def _record_failure(self, failure: KeyValueFailure) -> None:
         if failure.kind is KeyValueFailureKind.COMPACTED:
             self._event_log.event("store_history_gone", revision=self._cluster.revision)
             self._must_read_all = True
--- a/src/weirscale/gateway/replication/subscription.py
+++ b/src/weirscale/gateway/replication/subscription.py
@@ -8,7 +8,7 @@
 The receiver's state is then proved complete as of the time of the query minus that age, however
 long either message was delayed: the proof was at most that old when the reader replied, and the
 reader replied after the query was sent. A node whose proof is older than `MAX_PROOF_AGE_S` reads
-the store itself, so a reader that has failed, is frozen or is partitioned delays a change by no
+the store itself, so a reader that has failed, is suspended or is partitioned delays a change by no
 more than that.
 """
 
--- a/src/weirscale/gateway/weights/order_sender.py
+++ b/src/weirscale/gateway/weights/order_sender.py
@@ -45,7 +45,7 @@
             sequence: Number of orders that the engine has taken so far.
         """
         term = self._term
-        # Do not renew the fence without the lease either: this would block the next holder.
+        # Without the lease, not even the fence is renewed, since this would block the next holder.
         if not term.is_current() or not await self._fence.acquire() or not term.is_current():
             return None
         token = term.token
