--- a/features/steps/choice_kept_kv_steps.py
+++ b/features/steps/choice_kept_kv_steps.py
@@ -9,9 +9,9 @@
     make_request,
 )
 from features.steps.choice_prefix_aware_steps import FixedBeliefs
-from weirscale.domain.choice.beliefs import PrefixMatch
-from weirscale.domain.choice.kept_kv import KeptKvBeliefs
+from weirscale.domain.choice.kept_kv import ImportPlanner
 from weirscale.domain.choice.prefix_aware import PrefixAware
+from weirscale.domain.choice.prefix_match import PrefixMatch
 from weirscale.domain.configuration.model import KeptKvStore, RoutingObjective
 
 
@@ -22,9 +22,9 @@
     context.now_s = NOW_S
     context.prompt = make_request(1, num_blocks=1000)
     context.candidates = [make_candidate("e1")]
-    kept_kv = KeptKvBeliefs([KeptKvStore("mezgeb", "10.0.2.1:7000", "bole-hall", float(bandwidth))])
+    kept_kv = ImportPlanner([KeptKvStore("mezgeb", "10.0.2.1:7000", "bole-hall", float(bandwidth))])
     beliefs = FixedBeliefs({"e1": PrefixMatch(held, 1.0)})
-    context.policy = PrefixAware(beliefs, RoutingObjective(), kept_kv=kept_kv)
+    context.policy = PrefixAware(beliefs, RoutingObjective(), import_planner=kept_kv)
 
 
 @given("prompts that share {shared:d} blocks have been served")
@@ -32,7 +32,7 @@
     for seed in (5, 6):
         other = make_request(seed, num_blocks=1000)
         other.block_hashes[:shared] = context.prompt.block_hashes[:shared]
-        context.policy.note_finished(other, "e1", 0, NOW_S)
+        context.policy.record_completion(other, "e1", 0, NOW_S)
 
 
 def choose(context):
@@ -49,7 +49,7 @@
     num_cached = int(1000 * TOKENS_PER_BLOCK) if what == "everything" else 0
     for _ in range(count):
         choose(context)
-        context.policy.note_finished(context.prompt, "e1", num_cached, context.now_s)
+        context.policy.record_completion(context.prompt, "e1", num_cached, context.now_s)
 
 
 @when("{seconds:d} seconds have passed")
--- a/features/steps/choice_prefix_aware_steps.py
+++ b/features/steps/choice_prefix_aware_steps.py
@@ -5,9 +5,9 @@
 from behave import given, then, when
 
 from features.steps.choice_eligible_steps import NOW_S, make_candidate, make_request
-from weirscale.domain.choice.beliefs import PrefixMatch
-from weirscale.domain.choice.noted_sends import NotedSends
+from weirscale.domain.choice.peer_sends import PeerSends
 from weirscale.domain.choice.prefix_aware import PrefixAware
+from weirscale.domain.choice.prefix_match import PrefixMatch
 from weirscale.domain.choice.recent_sends import keys_at, ladder_depths
 from weirscale.domain.configuration.model import RoutingObjective
 from weirscale.domain.prefix.cache_view import CacheView
@@ -26,7 +26,7 @@
 @given("a prefix-aware policy and engines")
 def step_policy(context):
     context.random = Random(3)
-    context.noted = NotedSends()
+    context.noted = PeerSends()
     context.prompt = make_request(1, num_blocks=NUM_BLOCKS)
     context.candidates = [
         make_candidate(
@@ -43,7 +43,7 @@
 @given('another node noted sending the prompt to "{engine}" with {tokens:d} tokens to compute')
 def step_noted(context, engine, tokens):
     keys = keys_at(context.prompt.block_hashes, ladder_depths(NUM_BLOCKS))
-    context.noted.note(engine, keys, tokens, NOW_S)
+    context.noted.record(engine, keys, tokens, NOW_S)
 
 
 def choose(context, count, is_sent):
@@ -52,7 +52,7 @@
         choice = context.policy.choose(context.prompt, context.candidates, NOW_S, context.random)
         context.choices.append(choice)
         if is_sent:
-            context.policy.note_sent(context.prompt, choice.engine, NOW_S)
+            context.policy.record_send(context.prompt, choice.engine, NOW_S)
 
 
 @when("a prompt of 1000 blocks is chosen for {count:d} times")
@@ -77,7 +77,7 @@
 def step_found_nothing(context, count, engine):
     for _ in range(count):
         context.policy.choose(context.prompt, context.candidates[:1], NOW_S, context.random)
-        context.policy.note_finished(context.prompt, engine, 0, NOW_S)
+        context.policy.record_completion(context.prompt, engine, 0, NOW_S)
 
 
 @then('only "{engine}" was chosen')
--- a/features/steps/membership_faults_steps.py
+++ b/features/steps/membership_faults_steps.py
@@ -15,7 +15,7 @@
 from weirscale.messages.codec import MessageCodec
 from weirscale.messages.envelope import (
     EnvelopeKind,
-    EnvelopeSealer,
+    EnvelopeSigner,
     KeyRing,
     PeerKey,
     address_binding,
@@ -318,12 +318,12 @@
             for victim in fleet.running():
                 own = victim.membership.protocol.beliefs.own
                 death = codec.encode(Gossip((replace(own, state=MemberState.DEAD),)))
-                sealer = EnvelopeSealer(
+                sealer = EnvelopeSigner(
                     KeyRing((PeerKey(1, b"a stranger's own key....."),)),
                     NodeId(victim.node.name, 10**9),
                     victim.address,
                 )
-                data = sealer.seal(EnvelopeKind.CAST, death, address_binding(target.address))
+                data = sealer.sign(EnvelopeKind.CAST, death, address_binding(target.address))
                 fleet.network.inject(victim.address, target.address, data)
         for destination, data in record:
             fleet.network.inject(leaver.address, destination, data)
--- a/features/steps/peers_link_steps.py
+++ b/features/steps/peers_link_steps.py
@@ -18,7 +18,7 @@
 from weirscale.messages.codec import CodecFailure, MessageCodec
 from weirscale.messages.envelope import (
     EnvelopeKind,
-    EnvelopeSealer,
+    EnvelopeSigner,
     KeyRing,
     PeerKey,
     address_binding,
@@ -161,10 +161,10 @@
 
 
 def sealed(key, payload, incarnation=100, destination=ADDRESS_B):
-    sealer = EnvelopeSealer(KeyRing((key,)), NodeId("a", incarnation), ADDRESS_A)
+    sealer = EnvelopeSigner(KeyRing((key,)), NodeId("a", incarnation), ADDRESS_A)
     for _ in range(50):
-        sealer.seal(EnvelopeKind.CAST, b"", b"")
-    return sealer.seal(EnvelopeKind.CAST, payload, address_binding(destination))
+        sealer.sign(EnvelopeKind.CAST, b"", b"")
+    return sealer.sign(EnvelopeKind.CAST, payload, address_binding(destination))
 
 
 def hostile_datagram(context, name):
--- a/features/steps/routing_choice_steps.py
+++ b/features/steps/routing_choice_steps.py
@@ -215,10 +215,10 @@
         cost = -float(best[-1])
         return Choice(best, (CandidateEstimate(best, cost),))
 
-    def note_sent(self, *arguments):
+    def record_send(self, *arguments):
         pass
 
-    note_finished = note_sent
+    record_completion = record_send
 
 
 @when("two of them load v2 and 30 requests come at one moment")
--- a/features/support/claims_log_model.py
+++ b/features/support/claims_log_model.py
@@ -134,7 +134,7 @@
     """The product's outcome with these votes (whether each needs the log), or None."""
     claim_round = ClaimRound(RECORD)
     for index, needs_log in enumerate(votes):
-        claim_round.note(index, ClaimVote(Vote.ACCEPTED, 1, needs_log=needs_log))
+        claim_round.record_vote(index, ClaimVote(Vote.ACCEPTED, 1, needs_log=needs_log))
     return claim_round.outcome()
 
 
--- a/features/support/claims_model_check.py
+++ b/features/support/claims_model_check.py
@@ -122,7 +122,7 @@
     """Ask the product's round, with this many votes and no other answer yet."""
     claim_round = ClaimRound(GroupEpoch(0, 1, HOLDERS, b""))
     for holder in range(num_votes):
-        claim_round.note(holder, ClaimVote(Vote.ACCEPTED, 1))
+        claim_round.record_vote(holder, ClaimVote(Vote.ACCEPTED, 1))
     outcome = claim_round.outcome()
     return outcome is not None and outcome.state is RoundState.GRANTED
 
--- a/features/support/least_outstanding.py
+++ b/features/support/least_outstanding.py
@@ -12,8 +12,8 @@
         chosen = min(eligible, key=lambda each: (relative_load(each), random.random()))
         return Choice(engine=chosen.engine, estimates=())
 
-    def note_sent(self, request, engine, now_s):
+    def record_send(self, request, engine, now_s):
         """Candidates already count what was sent."""
 
-    def note_finished(self, request, engine, num_cached_tokens, now_s):
+    def record_completion(self, request, engine, num_cached_tokens, now_s):
         """Nothing to learn."""
--- a/src/weirscale/domain/choice/estimate.py
+++ b/src/weirscale/domain/choice/estimate.py
@@ -30,7 +30,7 @@
 """Wait charged for a request on an engine that has no free slot, for each multiple of its slots."""
 
 
-class PromptBelief(msgspec.Struct, frozen=True):
+class CachedPrefix(msgspec.Struct, frozen=True):
     """What is believed of one prompt on one engine.
 
     Attributes:
@@ -42,7 +42,7 @@
     age_s: float
 
 
-NO_BELIEF = PromptBelief(0.0, 0.0)
+NO_CACHED_PREFIX = CachedPrefix(0.0, 0.0)
 
 
 class CostModel:
@@ -71,7 +71,7 @@
         self._waste_weight = objective.waste_weight * (1.0 + CONGESTION_WEIGHT * congestion)
         self._recompute_weight = self._waste_weight * (1.0 - replication_relief)
 
-    def estimate(self, candidate: EngineCandidate, belief: PromptBelief) -> CandidateEstimate:
+    def estimate(self, candidate: EngineCandidate, belief: CachedPrefix) -> CandidateEstimate:
         """Estimate one candidate."""
         request = self._request
         weight = max(candidate.admission_weight, MIN_ADMISSION_WEIGHT)
@@ -97,7 +97,7 @@
         )
 
     def _waste_s(
-        self, candidate: EngineCandidate, belief: PromptBelief, missing_tokens: float
+        self, candidate: EngineCandidate, belief: CachedPrefix, missing_tokens: float
     ) -> float:
         """Return weighted seconds of computing what another engine holds, and of evictions."""
         request = self._request
@@ -128,13 +128,13 @@
     request: ChoiceRequest,
     objective: RoutingObjective,
     candidates: Sequence[EngineCandidate],
-    beliefs: Mapping[EngineName, PromptBelief],
+    beliefs: Mapping[EngineName, CachedPrefix],
 ) -> CostModel:
     """Prepare the estimates of a request: who holds most, and how near to saturation they are."""
     num_best_blocks = 0.0
     least_load = 0.0
     for candidate in candidates:
-        num_blocks = beliefs.get(candidate.engine, NO_BELIEF).num_matched_blocks
+        num_blocks = beliefs.get(candidate.engine, NO_CACHED_PREFIX).num_matched_blocks
         load = relative_load(candidate)
         if num_blocks > num_best_blocks:
             num_best_blocks = num_blocks
--- a/src/weirscale/domain/choice/kept_kv.py
+++ b/src/weirscale/domain/choice/kept_kv.py
@@ -68,7 +68,7 @@
     num_imported_tokens: float
 
 
-class KeptKvBeliefs:
+class ImportPlanner:
     """What the stores are believed to keep, and how far they can be relied on."""
 
     def __init__(self, stores: Sequence[KeptKvStore] = ()) -> None:
@@ -86,7 +86,7 @@
             is_same = store is not None and store.declared == declared
             self._stores[declared.address] = store if store and is_same else _Store(declared)
 
-    def note_served(self, block_hashes: Sequence[BlockHash]) -> None:
+    def record_served_prompt(self, block_hashes: Sequence[BlockHash]) -> None:
         """Learn that an engine has served a prompt, and so exported it."""
         if not self._stores:
             return
@@ -151,7 +151,7 @@
             return None
         return best
 
-    def note_planned(
+    def record_planned_import(
         self,
         request: ChoiceRequest,
         engine: EngineName,
@@ -170,7 +170,7 @@
         while len(self._open) > MAX_OPEN_IMPORTS:
             self._open.popitem(last=False)
 
-    def note_finished(
+    def record_completion(
         self, request_id: RequestId, engine: EngineName, num_cached_tokens: int
     ) -> bool:
         """Learn from an answer; True if the request was to import."""
--- a/src/weirscale/domain/choice/belief_trust.py
+++ b/src/weirscale/domain/choice/match_accuracy.py
@@ -17,7 +17,7 @@
 """Smaller predictions say little about the belief."""
 
 
-class BeliefTrust:
+class MatchAccuracy:
     """Compares predicted with real cached tokens, engine by engine."""
 
     def __init__(self) -> None:
@@ -28,13 +28,17 @@
         """Return the share of predicted cached tokens that proved real, 1 when nothing is known."""
         return self._trust.get(engine, 1.0)
 
-    def note_predicted(self, request_id: RequestId, engine: EngineName, num_tokens: float) -> None:
+    def record_prediction(
+        self, request_id: RequestId, engine: EngineName, num_tokens: float
+    ) -> None:
         """Remember what the belief promised, before it was scaled by trust."""
         self._predictions[(request_id, engine)] = num_tokens
         while len(self._predictions) > MAX_OPEN_PREDICTIONS:
             self._predictions.popitem(last=False)
 
-    def note_real(self, request_id: RequestId, engine: EngineName, num_tokens: int) -> float | None:
+    def compare_with_actual(
+        self, request_id: RequestId, engine: EngineName, num_tokens: int
+    ) -> float | None:
         """Learn what was real; returns the share that came true, None without a prediction."""
         predicted = self._predictions.pop((request_id, engine), None)
         if predicted is None or predicted < MIN_PREDICTED_TOKENS:
--- a/src/weirscale/domain/choice/noted_sends.py
+++ b/src/weirscale/domain/choice/peer_sends.py
@@ -7,7 +7,7 @@
 from collections import deque
 from collections.abc import Mapping, Sequence
 
-from weirscale.domain.choice.beliefs import PrefixMatch
+from weirscale.domain.choice.prefix_match import PrefixMatch
 from weirscale.domain.choice.recent_sends import RecentSends, ladder_depths
 from weirscale.domain.identifiers import BlockHash, EngineName
 
@@ -15,14 +15,14 @@
 """Notes whose tokens are remembered for each engine."""
 
 
-class NotedSends:
+class PeerSends:
     """Sends of other nodes; written by the task that receives notes, read by the policy."""
 
     def __init__(self) -> None:
         self._recent = RecentSends(ladder_depths)
         self._tokens: dict[EngineName, deque[tuple[float, int]]] = {}
 
-    def note(
+    def record(
         self, engine: EngineName, keys: Sequence[int], num_missing_tokens: int, now_s: float
     ) -> None:
         """Take in a note.
@@ -33,7 +33,7 @@
             num_missing_tokens: Tokens that the engine has to compute for it.
             now_s: Time.
         """
-        self._recent.note_keys(keys, engine, now_s)
+        self._recent.record_keys(keys, engine, now_s)
         tokens = self._tokens.get(engine)
         if tokens is None:
             tokens = deque(maxlen=MAX_NOTES_PER_ENGINE)
--- a/src/weirscale/domain/choice/prefix_aware.py
+++ b/src/weirscale/domain/choice/prefix_aware.py
@@ -18,12 +18,12 @@
 
 import msgspec
 
-from weirscale.domain.choice.belief_trust import BeliefTrust
 from weirscale.domain.choice.eligible import eligible_candidates
 from weirscale.domain.choice.engine_runs import EngineRuns
-from weirscale.domain.choice.estimate import NO_BELIEF, PromptBelief, cost_model, with_import
-from weirscale.domain.choice.kept_kv import ImportPlan, KeptKvBeliefs
-from weirscale.domain.choice.noted_sends import NotedSends
+from weirscale.domain.choice.estimate import NO_CACHED_PREFIX, CachedPrefix, cost_model, with_import
+from weirscale.domain.choice.kept_kv import ImportPlan, ImportPlanner
+from weirscale.domain.choice.match_accuracy import MatchAccuracy
+from weirscale.domain.choice.peer_sends import PeerSends
 from weirscale.domain.choice.policy import (
     CandidateEstimate,
     Choice,
@@ -87,18 +87,18 @@
         self,
         beliefs: CacheView,
         objective: RoutingObjective,
-        noted: NotedSends | None = None,
+        noted: PeerSends | None = None,
         tell: TellSend | None = None,
-        kept_kv: KeptKvBeliefs | None = None,
+        import_planner: ImportPlanner | None = None,
     ) -> None:
-        self._kept_kv = kept_kv or KeptKvBeliefs()
+        self._kept_kv = import_planner or ImportPlanner()
         self._beliefs = beliefs
         self._tell = tell
         self._runs = EngineRuns()
         self._noted = noted
         self._objective = objective
         self._recent = RecentSends()
-        self._trust = BeliefTrust()
+        self._trust = MatchAccuracy()
 
     def set_objective(self, objective: RoutingObjective) -> None:
         """Take over changed weights."""
@@ -129,21 +129,23 @@
             expected = self._with_affinity(request, ranked[0].engine, beliefs)
         estimates = [
             with_import(
-                model.estimate(each, expected.get(each.engine, NO_BELIEF)),
+                model.estimate(each, expected.get(each.engine, NO_CACHED_PREFIX)),
                 imports.get(each.engine),
             )
             for each in proposals
         ]
         estimates.sort(key=_cost)
         chosen = _among_ties(estimates, proposals, random)
-        num_matched_blocks = beliefs.get(chosen.engine, NO_BELIEF).num_matched_blocks
+        num_matched_blocks = beliefs.get(chosen.engine, NO_CACHED_PREFIX).num_matched_blocks
         num_promised_blocks = num_matched_blocks / self._trust.trust(chosen.engine)
-        self._trust.note_predicted(
+        self._trust.record_prediction(
             request.request_id, chosen.engine, num_promised_blocks * request.tokens_per_block
         )
         plan = imports.get(chosen.engine)
         if plan is not None:
-            self._kept_kv.note_planned(request, chosen.engine, plan, int(num_matched_blocks), now_s)
+            self._kept_kv.record_planned_import(
+                request, chosen.engine, plan, int(num_matched_blocks), now_s
+            )
         return Choice(
             engine=chosen.engine,
             estimates=tuple(estimates[:MAX_REPORTED_ESTIMATES]),
@@ -153,47 +155,47 @@
             import_block_hash=plan.block_hash if plan is not None else None,
         )
 
-    def note_sent(self, request: ChoiceRequest, engine: EngineName, now_s: float) -> None:
+    def record_send(self, request: ChoiceRequest, engine: EngineName, now_s: float) -> None:
         """Count the prompt as cached there from now on, and tell other nodes."""
         if self._tell is not None:
-            belief = self._prompt_beliefs(request, now_s).get(engine, NO_BELIEF)
+            belief = self._prompt_beliefs(request, now_s).get(engine, NO_CACHED_PREFIX)
             num_cached_tokens = int(belief.num_matched_blocks * request.tokens_per_block)
             self._tell(request, engine, max(request.num_prompt_tokens - num_cached_tokens, 0))
-        self._recent.note_sent(request.block_hashes, engine, now_s)
+        self._recent.record_send(request.block_hashes, engine, now_s)
 
-    def note_finished(
+    def record_completion(
         self, request: ChoiceRequest, engine: EngineName, num_cached_tokens: int, now_s: float
     ) -> None:
         """Compare the belief with what was real."""
-        self._kept_kv.note_served(request.block_hashes)
-        if self._kept_kv.note_finished(request.request_id, engine, num_cached_tokens):
+        self._kept_kv.record_served_prompt(request.block_hashes)
+        if self._kept_kv.record_completion(request.request_id, engine, num_cached_tokens):
             # The cached tokens tell of the store as much as of the engine.
             self._trust.forget_prediction(request.request_id, engine)
             return
-        share = self._trust.note_real(request.request_id, engine, num_cached_tokens)
+        share = self._trust.compare_with_actual(request.request_id, engine, num_cached_tokens)
         if share is not None and share < FAILED_BELIEF_SHARE:
             self._recent.forget(engine)
 
     def _prompt_beliefs(
         self, request: ChoiceRequest, now_s: float
-    ) -> dict[EngineName, PromptBelief]:
+    ) -> dict[EngineName, CachedPrefix]:
         """Join digests with recent sends, own and noted, all scaled by trust."""
-        beliefs: dict[EngineName, PromptBelief] = {}
+        beliefs: dict[EngineName, CachedPrefix] = {}
         for engine, match in self._beliefs.match(request.block_hashes, now_s).items():
             num_blocks = match.num_blocks * self._trust.trust(engine)
-            beliefs[engine] = PromptBelief(num_blocks, match.age_s)
+            beliefs[engine] = CachedPrefix(num_blocks, match.age_s)
         for engine, num_sent_blocks in self._recent_matches(request.block_hashes, now_s):
             num_blocks = num_sent_blocks * self._trust.trust(engine)
-            known = beliefs.get(engine, NO_BELIEF)
+            known = beliefs.get(engine, NO_CACHED_PREFIX)
             if num_blocks > known.num_matched_blocks:
-                beliefs[engine] = PromptBelief(num_blocks, 0.0)
+                beliefs[engine] = CachedPrefix(num_blocks, 0.0)
         return beliefs
 
     def _imports(
         self,
         request: ChoiceRequest,
         proposals: list[EngineCandidate],
-        beliefs: Mapping[EngineName, PromptBelief],
+        beliefs: Mapping[EngineName, CachedPrefix],
         now_s: float,
     ) -> dict[EngineName, ImportPlan]:
         """Return the candidates for which an import beats computing."""
@@ -202,7 +204,7 @@
             return {}
         plans: dict[EngineName, ImportPlan] = {}
         for each in proposals:
-            num_matched_blocks = int(beliefs.get(each.engine, NO_BELIEF).num_matched_blocks)
+            num_matched_blocks = int(beliefs.get(each.engine, NO_CACHED_PREFIX).num_matched_blocks)
             plan = self._kept_kv.plan(
                 request, each, num_matched_blocks, num_kept_blocks, self._objective, now_s
             )
@@ -247,7 +249,7 @@
         self,
         eligible: list[EngineCandidate],
         ranked: list[EngineCandidate],
-        beliefs: Mapping[EngineName, PromptBelief],
+        beliefs: Mapping[EngineName, CachedPrefix],
         random: Random,
     ) -> list[EngineCandidate]:
         """Return the candidates worth estimating."""
@@ -270,19 +272,19 @@
         self,
         request: ChoiceRequest,
         first: EngineName,
-        beliefs: dict[EngineName, PromptBelief],
-    ) -> dict[EngineName, PromptBelief]:
+        beliefs: dict[EngineName, CachedPrefix],
+    ) -> dict[EngineName, CachedPrefix]:
         """Count a cold prefix as half cached at its first engine by rendezvous hash."""
         num_blocks = affinity_depth(len(request.block_hashes))
         if num_blocks == 0:
             return beliefs
         if any(each.num_matched_blocks >= num_blocks for each in beliefs.values()):
             return beliefs
-        known = beliefs.get(first, NO_BELIEF)
+        known = beliefs.get(first, NO_CACHED_PREFIX)
         num_expected = known.num_matched_blocks + AFFINITY_TRUST * (
             num_blocks - known.num_matched_blocks
         )
-        return {**beliefs, first: PromptBelief(num_expected, known.age_s)}
+        return {**beliefs, first: CachedPrefix(num_expected, known.age_s)}
 
 
 def affinity_depth(num_blocks: int) -> int:
--- a/src/weirscale/domain/choice/recent_sends.py
+++ b/src/weirscale/domain/choice/recent_sends.py
@@ -96,14 +96,14 @@
         self._older = EngineMasks()
         self._started_at_s: float | None = None
 
-    def note_sent(
+    def record_send(
         self, block_hashes: Sequence[BlockHash], engine: EngineName, now_s: float
     ) -> None:
         """Remember that a prompt was sent to an engine."""
         depths = self._choose_depths(len(block_hashes))
-        self.note_keys(keys_at(block_hashes, depths), engine, now_s)
+        self.record_keys(keys_at(block_hashes, depths), engine, now_s)
 
-    def note_keys(self, keys: Sequence[int], engine: EngineName, now_s: float) -> None:
+    def record_keys(self, keys: Sequence[int], engine: EngineName, now_s: float) -> None:
         """Remember the keys of a prompt that was sent to an engine."""
         self._rotate(now_s)
         bit = self._bits.get(engine)
--- a/src/weirscale/domain/claims/authority.py
+++ b/src/weirscale/domain/claims/authority.py
@@ -26,11 +26,11 @@
         self._heard_at_s: dict[ZoneName, float] = {}
         self._store_read_at_s: float | None = None
 
-    def note_zone(self, zone: ZoneName, asked_at_s: float) -> None:
+    def record_zone_answer(self, zone: ZoneName, asked_at_s: float) -> None:
         """A node of the zone answered a question asked then, and knew no newer epoch."""
         self._heard_at_s[zone] = max(asked_at_s, self._heard_at_s.get(zone, asked_at_s))
 
-    def note_store_read(self, asked_at_s: float) -> None:
+    def record_store_read(self, asked_at_s: float) -> None:
         """The key-value service answered a read asked then, and every record was adopted."""
         self._store_read_at_s = max(asked_at_s, self._store_read_at_s or asked_at_s)
 
--- a/src/weirscale/domain/claims/holder.py
+++ b/src/weirscale/domain/claims/holder.py
@@ -155,7 +155,7 @@
         self.phase = HolderPhase.ACTIVE
         return True
 
-    def copy_out(
+    def export_claims(
         self, now_s: float, offset: int = 0, max_claims: int = MAX_ENTRIES
     ) -> tuple[CopiedClaim, ...]:
         """A page of the claims, with ages in place of times; stable once sealed."""
@@ -167,7 +167,7 @@
             for key, entry in page
         )
 
-    def copy_in(self, claims: Iterable[CopiedClaim], now_s: float) -> None:
+    def import_claims(self, claims: Iterable[CopiedClaim], now_s: float) -> None:
         """Take over the claims of the epoch before, in place of any copied in earlier."""
         if self.phase is not HolderPhase.PREPARING:
             return
--- a/src/weirscale/domain/claims/loss.py
+++ b/src/weirscale/domain/claims/loss.py
@@ -4,11 +4,11 @@
 
 from weirscale.domain.claims.authority import LOST_AFTER_S
 from weirscale.domain.claims.model import GroupEpoch, Holder
-from weirscale.domain.claims.planning import LiveNode, is_lost_whole, lost_holders
+from weirscale.domain.claims.planning import LiveNode, has_lost_quorum, lost_holders
 from weirscale.domain.identifiers import NodeId, ZoneName
 
 
-class LossWatch:
+class LossDetector:
     """Remembers since when groups have been without a live majority of their holders."""
 
     def __init__(self) -> None:
@@ -29,7 +29,7 @@
         """Whether a majority of the holders lives, or they may be declared lost."""
         if record is None or self.may_follow_loss(record, nodes, zones, now_s):
             return True
-        return not is_lost_whole(record, len(lost_holders(record, nodes)))
+        return not has_lost_quorum(record, len(lost_holders(record, nodes)))
 
     def may_follow_loss(
         self,
@@ -46,7 +46,7 @@
         if record is None:
             return False
         lost = lost_holders(record, nodes)
-        if not is_lost_whole(record, len(lost)):
+        if not has_lost_quorum(record, len(lost)):
             self._lost_since_s.pop(record.group, None)
             return False
         since_s = self._since_s(record, now_s)
@@ -61,7 +61,7 @@
         return known[1]
 
 
-def ended_holders(record: GroupEpoch, nodes: Sequence[LiveNode]) -> frozenset[NodeId]:
+def restarted_holders(record: GroupEpoch, nodes: Sequence[LiveNode]) -> frozenset[NodeId]:
     """Holders of which a later run of the same node is live, so that the run that held is over."""
     return frozenset(
         holder.node for holder in lost_holders(record, nodes) if _have_restarted([holder], nodes)
--- a/src/weirscale/domain/claims/planning.py
+++ b/src/weirscale/domain/claims/planning.py
@@ -65,6 +65,6 @@
     return tuple(holder for holder in record.holders if holder.node not in live)
 
 
-def is_lost_whole(record: GroupEpoch, num_lost: int) -> bool:
+def has_lost_quorum(record: GroupEpoch, num_lost: int) -> bool:
     """Whether so many holders are gone that a quorum can never be had again."""
     return len(record.holders) - num_lost < record.quorum
--- a/src/weirscale/domain/claims/round.py
+++ b/src/weirscale/domain/claims/round.py
@@ -60,7 +60,7 @@
         self._record = record
         self._votes: dict[int, ClaimVote | None] = {}
 
-    def note(self, holder_index: int, vote: ClaimVote | None) -> None:
+    def record_vote(self, holder_index: int, vote: ClaimVote | None) -> None:
         """Take a holder's first answer; None when it gave none."""
         self._votes.setdefault(holder_index, vote)
 
--- a/src/weirscale/domain/prefix/cache_view.py
+++ b/src/weirscale/domain/prefix/cache_view.py
@@ -3,7 +3,7 @@
 import enum
 from collections.abc import Mapping, Sequence
 
-from weirscale.domain.choice.beliefs import PrefixMatch
+from weirscale.domain.choice.prefix_match import PrefixMatch
 from weirscale.domain.identifiers import BlockHash, EngineName, Incarnation
 from weirscale.domain.prefix.engine_masks import EngineMasks
 from weirscale.domain.prefix.sampling import is_sampled
--- a/src/weirscale/messages/configuration.py
+++ b/src/weirscale/messages/configuration.py
@@ -4,7 +4,7 @@
 
 from weirscale.domain.identifiers import ConfigurationRevision, NodeId, ZoneName
 
-WHOLE = ConfigurationRevision(0)
+NO_BASE_REVISION = ConfigurationRevision(0)
 """Base revision of a reply that carries a whole deployment; no revision is 0."""
 
 
@@ -47,7 +47,7 @@
         node: Who answers.
         zone: Its zone.
         revision: In force there, 0 for none.
-        highest_heard: Highest revision that any peer or the store has told it of.
+        highest_known: Highest revision that any peer or the store has told it of.
         is_reader: Whether it reads the key-value service for its zone.
         last_problem: Why its last attempt to take a revision failed; empty when it did not.
     """
@@ -55,6 +55,6 @@
     node: NodeId
     zone: ZoneName
     revision: ConfigurationRevision
-    highest_heard: ConfigurationRevision
+    highest_known: ConfigurationRevision
     is_reader: bool
     last_problem: str
--- a/src/weirscale/messages/envelope.py
+++ b/src/weirscale/messages/envelope.py
@@ -167,7 +167,7 @@
         return NodeAddress(self.host, self.port)
 
 
-class EnvelopeSealer:
+class EnvelopeSigner:
     """Makes the envelopes of one run of a node."""
 
     def __init__(self, keys: KeyRing, sender: NodeId, source: NodeAddress) -> None:
@@ -176,7 +176,7 @@
         self._source = source
         self._counter = 0
 
-    def seal(self, kind: EnvelopeKind, payload: bytes, binding: bytes, nonce: bytes = b"") -> bytes:
+    def sign(self, kind: EnvelopeKind, payload: bytes, binding: bytes, nonce: bytes = b"") -> bytes:
         """Return a signed envelope with the next counter."""
         self._counter += 1
         body = cbor2.dumps(
--- a/src/weirscale/node/assembly.py
+++ b/src/weirscale/node/assembly.py
@@ -10,7 +10,7 @@
 import anyio
 from anyio.abc import TaskStatus
 
-from weirscale.domain.choice.kept_kv import KeptKvBeliefs
+from weirscale.domain.choice.kept_kv import ImportPlanner
 from weirscale.domain.choice.prefix_aware import PrefixAware
 from weirscale.domain.configuration.model import (
     RetryRules,
@@ -172,7 +172,7 @@
     def _build_routing(self, random: Random) -> None:
         """Tasks that choose back ends."""
         zone = self.identity.zone
-        self._kept_kv = KeptKvBeliefs()
+        self._kept_kv = ImportPlanner()
         self._policy = PrefixAware(
             self.cache_view.view,
             RoutingObjective(),
--- a/src/weirscale/node/claims/keeper.py
+++ b/src/weirscale/node/claims/keeper.py
@@ -8,7 +8,7 @@
 import xxhash
 
 from weirscale.domain.claims.authority import HolderAuthority
-from weirscale.domain.claims.loss import LossWatch, ended_holders
+from weirscale.domain.claims.loss import LossDetector, restarted_holders
 from weirscale.domain.claims.model import NUM_GROUPS, GroupEpoch, Holder
 from weirscale.domain.claims.planning import (
     LiveNode,
@@ -98,7 +98,7 @@
         self._checked_at_s = float("-inf")
         self._confirmed_at_s = float("-inf")
         self._store_read_at_s = float("-inf")
-        self._loss = LossWatch()
+        self._loss = LossDetector()
         self._log = log
 
     async def run(self) -> None:
@@ -135,7 +135,7 @@
             return False
         for stored in records.values():
             self._registry.epochs.adopt(stored.record)
-        self._authority.note_store_read(now_s)
+        self._authority.record_store_read(now_s)
         return True
 
     async def _confirm(self) -> None:
@@ -160,7 +160,7 @@
     async def _confirm_with(self, node: Holder) -> None:
         asked_at_s = anyio.current_time()
         if await self._query(node, self._registry.held()):
-            self._authority.note_zone(node.zone, asked_at_s)
+            self._authority.record_zone_answer(node.zone, asked_at_s)
 
     async def _query(self, node: Holder, known: tuple[KnownEpoch, ...]) -> bool:
         query = ClaimEpochsQuery(known)
@@ -279,7 +279,7 @@
             rules.retention_s,
             self._loss.may_follow_loss(stored.record, nodes, *self._zones_now()),
             self._log,
-            ended_holders(stored.record, nodes) if stored.record is not None else frozenset(),
+            restarted_holders(stored.record, nodes) if stored.record is not None else frozenset(),
         )
         in_force = await change.run()
         self._registry.epochs.adopt(in_force)
--- a/src/weirscale/node/claims/ledger.py
+++ b/src/weirscale/node/claims/ledger.py
@@ -118,7 +118,7 @@
             membership.self_id,
             link,
             authority_check(authority, configuration),
-            lambda: authority.note_store_read(anyio.current_time()),
+            lambda: authority.record_store_read(anyio.current_time()),
             self._log.needs_log,
         )
         self._log.serve(link, self.registry)
@@ -276,7 +276,7 @@
         async for index, reply in replies:
             if reply is not None:
                 self.registry.epochs.adopt(reply.record)
-            claim_round.note(index, reply.vote if reply is not None else None)
+            claim_round.record_vote(index, reply.vote if reply is not None else None)
             outcome = claim_round.outcome()
             if outcome is not None:
                 return outcome
--- a/src/weirscale/node/claims/registry.py
+++ b/src/weirscale/node/claims/registry.py
@@ -120,7 +120,7 @@
     def claims(self) -> Iterator[tuple[KnownEpoch, tuple[CopiedClaim, ...]]]:
         """The claims that this node holds, by group."""
         for known in self.held():
-            copied = self._holders[known.group].copy_out(anyio.current_time())
+            copied = self._holders[known.group].export_claims(anyio.current_time())
             yield known, copied
 
     def groups_sealed_before(self, time_s: float) -> tuple[int, ...]:
@@ -185,7 +185,7 @@
         if holder.phase is not HolderPhase.SEALED:
             return ClaimCopied(False, ())
         return ClaimCopied(
-            True, holder.copy_out(anyio.current_time(), message.offset, COPY_PAGE_CLAIMS)
+            True, holder.export_claims(anyio.current_time(), message.offset, COPY_PAGE_CLAIMS)
         )
 
     async def prepare(self, message: ClaimPrepare) -> ClaimAck:
@@ -237,7 +237,7 @@
             message.retention_s,
             unknown_refused_until_s=now_s + message.uncertain_wait_s,
         )
-        holder.copy_in(claims, now_s)
+        holder.import_claims(claims, now_s)
         return holder
 
     def _enter(self, record: GroupEpoch) -> None:
--- a/src/weirscale/node/configuration/holder.py
+++ b/src/weirscale/node/configuration/holder.py
@@ -17,7 +17,7 @@
 )
 from weirscale.domain.configuration.model import Deployment
 from weirscale.domain.identifiers import ConfigurationRevision
-from weirscale.messages.configuration import WHOLE, ConfigurationReply
+from weirscale.messages.configuration import NO_BASE_REVISION, ConfigurationReply
 from weirscale.node.interfaces import ConfigurationInForce
 
 MAX_KEPT_REVISIONS = 32
@@ -28,11 +28,11 @@
     """Implements `ConfigurationView`.
 
     Attributes:
-        highest_heard: Highest revision that a peer or the store has told of.
+        highest_known: Highest revision that a peer or the store has told of.
     """
 
     def __init__(self) -> None:
-        self.highest_heard = WHOLE
+        self.highest_known = NO_BASE_REVISION
         self._current: ConfigurationInForce | None = None
         self._digest = b""
         self._kept: OrderedDict[ConfigurationRevision, Deployment] = OrderedDict()
@@ -42,7 +42,7 @@
     @property
     def revision(self) -> ConfigurationRevision:
         """The revision in force, 0 for none."""
-        return self._current.revision if self._current is not None else WHOLE
+        return self._current.revision if self._current is not None else NO_BASE_REVISION
 
     def current(self) -> ConfigurationInForce | None:
         """The configuration in force, or None before the first one arrives."""
@@ -56,7 +56,7 @@
 
     def hear_of(self, revision: ConfigurationRevision) -> bool:
         """Note that a revision exists; True if it is higher than the one in force."""
-        self.highest_heard = max(self.highest_heard, revision)
+        self.highest_known = max(self.highest_known, revision)
         return revision > self.revision
 
     def take(self, revision: ConfigurationRevision, deployment: Deployment) -> bool:
@@ -80,15 +80,15 @@
     def reply_to(self, have_revision: ConfigurationRevision) -> ConfigurationReply:
         """Answer a peer's fetch: nothing, a delta, or the whole; kept until the next change."""
         if self._current is None or have_revision >= self.revision:
-            return ConfigurationReply(self.revision, WHOLE, self._digest, b"")
-        base = have_revision if have_revision in self._kept else WHOLE
+            return ConfigurationReply(self.revision, NO_BASE_REVISION, self._digest, b"")
+        base = have_revision if have_revision in self._kept else NO_BASE_REVISION
         if base not in self._replies:
             self._replies[base] = self._make_reply(base, self._current)
         return self._replies[base]
 
     def read_reply(self, reply: ConfigurationReply) -> Deployment | str:
         """Make the deployment that a peer's reply carries, or tell why it cannot be made."""
-        if reply.base_revision == WHOLE:
+        if reply.base_revision == NO_BASE_REVISION:
             whole = decode_deployment(reply.payload)
             if whole.is_err():
                 return whole.unwrap_err().detail
@@ -108,7 +108,7 @@
     def _make_reply(
         self, base: ConfigurationRevision, current: ConfigurationInForce
     ) -> ConfigurationReply:
-        if base == WHOLE:
+        if base == NO_BASE_REVISION:
             payload = encode_deployment(current.deployment)
         else:
             payload = encode_delta(delta_between(self._kept[base], current.deployment))
--- a/src/weirscale/node/configuration/spread.py
+++ b/src/weirscale/node/configuration/spread.py
@@ -14,7 +14,7 @@
 
 from weirscale.domain.identifiers import ConfigurationRevision, NodeAddress, ZoneName
 from weirscale.messages.configuration import (
-    WHOLE,
+    NO_BASE_REVISION,
     ConfigurationAnnounce,
     ConfigurationFetch,
     ConfigurationReply,
@@ -152,8 +152,8 @@
         """Fetch from one peer, the whole if its delta does not fit."""
         self._num_fetching += 1
         problem = await self._fetch_from(source, self._holder.revision)
-        if problem and self._holder.revision != WHOLE:
-            problem = await self._fetch_from(source, WHOLE)
+        if problem and self._holder.revision != NO_BASE_REVISION:
+            problem = await self._fetch_from(source, NO_BASE_REVISION)
         self.last_problem = problem
         self._num_fetching -= 1
 
@@ -200,7 +200,7 @@
             for peer in peers:
                 tasks.start_soon(self._ask_revision, peer.address, answers, tasks.cancel_scope)
         best = max(answers, key=lambda address: answers[address], default=None)
-        return best if best is not None and answers[best] > WHOLE else None
+        return best if best is not None and answers[best] > NO_BASE_REVISION else None
 
     async def _ask_revision(
         self,
--- a/src/weirscale/node/configuration/status.py
+++ b/src/weirscale/node/configuration/status.py
@@ -6,7 +6,7 @@
 
 from weirscale.domain.identifiers import ConfigurationRevision, ZoneName
 from weirscale.messages.configuration import (
-    WHOLE,
+    NO_BASE_REVISION,
     ConfigurationStatusQuery,
     ConfigurationStatusReply,
 )
@@ -84,7 +84,7 @@
             for peer in self._membership.peers():
                 tasks.start_soon(self._ask, peer, replies, limiter)
         answered = [reply for reply in replies.values() if not isinstance(reply, str)]
-        highest = max((reply.highest_heard for reply in answered), default=WHOLE)
+        highest = max((reply.highest_known for reply in answered), default=NO_BASE_REVISION)
         nodes = [_node_status(peer, reply, highest) for peer, reply in replies.items()]
         nodes.sort(key=lambda status: status.node)
         return FleetConfigurationStatus(highest, tuple(nodes), self._reader.last_problem)
@@ -113,7 +113,7 @@
             node=self._membership.self_id,
             zone=self._zone,
             revision=self._holder.revision,
-            highest_heard=self._holder.highest_heard,
+            highest_known=self._holder.highest_known,
             is_reader=self._reader.is_reader,
             last_problem=self._spread.last_problem or self._reader.last_problem,
         )
@@ -128,7 +128,7 @@
         return NodeConfigurationStatus(name, zone, None, f"{state}no answer: {reply}")
     if reply.revision >= highest:
         return NodeConfigurationStatus(name, zone, reply.revision, "")
-    if reply.highest_heard < highest:
+    if reply.highest_known < highest:
         reason = f"has not heard of revision {highest}"
     else:
         reason = f"has heard of revision {highest} and not fetched it"
--- a/src/weirscale/node/home/notes_task.py
+++ b/src/weirscale/node/home/notes_task.py
@@ -5,7 +5,7 @@
 import anyio
 import msgspec
 
-from weirscale.domain.choice.noted_sends import NotedSends
+from weirscale.domain.choice.peer_sends import PeerSends
 from weirscale.domain.choice.policy import ChoiceRequest
 from weirscale.domain.choice.recent_sends import keys_at, ladder_depths
 from weirscale.domain.identifiers import EngineName, NodeAddress
@@ -39,7 +39,7 @@
         receivers: Callable[[], Sequence[NodeAddress]],
         rules: HomeRules,
     ) -> None:
-        self.noted = NotedSends()
+        self.noted = PeerSends()
         self.num_unsent = 0
         self._link = link
         self._receivers = receivers
@@ -64,7 +64,7 @@
             if isinstance(message, _Arrived):
                 note = message.note
                 keys = unpack_keys(note.keys)
-                self.noted.note(note.engine, keys, note.num_missing_tokens, now_s)
+                self.noted.record(note.engine, keys, note.num_missing_tokens, now_s)
             else:
                 await self._send(message, now_s)
 
--- a/src/weirscale/node/peers/link.py
+++ b/src/weirscale/node/peers/link.py
@@ -15,7 +15,7 @@
     EnvelopeFailure,
     EnvelopeFailureKind,
     EnvelopeKind,
-    EnvelopeSealer,
+    EnvelopeSigner,
     KeyRing,
     ReplayGuard,
     address_binding,
@@ -65,7 +65,7 @@
         self._network = network
         self._keys = keys
         self._own_binding = address_binding(self_address)
-        self._sealer = EnvelopeSealer(keys, self_id, self_address)
+        self._sealer = EnvelopeSigner(keys, self_id, self_address)
         self._guard = ReplayGuard()
         self._challenges = PendingChallenges(random)
         self._codec = MessageCodec()
@@ -135,7 +135,7 @@
     async def _call_once(
         self, destination: NodeAddress, payload: bytes, nonce: bytes, timeout_s: float, tag: str
     ) -> Result[Envelope, PeerFailure]:
-        request = self._sealer.seal(EnvelopeKind.CALL, payload, address_binding(destination), nonce)
+        request = self._sealer.sign(EnvelopeKind.CALL, payload, address_binding(destination), nonce)
         self.traffic.note_sent(tag, len(request))
         answered = await self._network.call(destination, request, timeout_s)
         if isinstance(answered, Err):
@@ -240,7 +240,7 @@
             kind = checked.err_value.kind
             if kind is EnvelopeFailureKind.UNKNOWN_SENDER:
                 nonce = self._challenges.open(envelope.sender)
-                return self._sealer.seal(EnvelopeKind.CHALLENGE, b"", binding, nonce)
+                return self._sealer.sign(EnvelopeKind.CHALLENGE, b"", binding, nonce)
             self.traffic.note_rejected(kind.value)
             return self._reject(checked.err_value.detail, binding)
         return await self._answer_message(envelope, len(request), binding)
@@ -263,12 +263,12 @@
             return self._reject(f"no handler for {tag}", binding)
         self.traffic.note_received(tag, num_bytes)
         reply = await handler(message)
-        sealed = self._sealer.seal(EnvelopeKind.REPLY, self._codec.encode(reply), binding)
+        sealed = self._sealer.sign(EnvelopeKind.REPLY, self._codec.encode(reply), binding)
         self.traffic.note_sent(tag, len(sealed))
         return sealed
 
     def _reject(self, reason: str, binding: bytes) -> bytes:
-        return self._sealer.seal(EnvelopeKind.REJECT, reason.encode(), binding)
+        return self._sealer.sign(EnvelopeKind.REJECT, reason.encode(), binding)
 
     async def _send(
         self,
@@ -278,7 +278,7 @@
         tag: str,
         nonce: bytes = b"",
     ) -> None:
-        data = self._sealer.seal(kind, payload, address_binding(destination), nonce)
+        data = self._sealer.sign(kind, payload, address_binding(destination), nonce)
         self.traffic.note_sent(tag, len(data))
         await self._network.cast(destination, data)
 
--- a/src/weirscale/node/routing/engine_router.py
+++ b/src/weirscale/node/routing/engine_router.py
@@ -268,7 +268,7 @@
         self._estimates.of(facts).note_sent(
             key, choice_request.num_prompt_tokens - num_cached, now_s, engine.prefill_tokens_per_s
         )
-        self._policy.note_sent(choice_request, engine.name, now_s)
+        self._policy.record_send(choice_request, engine.name, now_s)
         self._directory.post(EngineAttemptStarted(engine.name, engine.address))
         record = record_of_choice(
             message.attempt,
@@ -304,7 +304,7 @@
             return
         now_s = anyio.current_time()
         if outcome.failure is None:
-            self._policy.note_finished(
+            self._policy.record_completion(
                 running.choice_request, running.engine, outcome.num_cached_tokens, now_s
             )
         self._directory.post(
