--- a/features/steps/health_circuit_steps.py
+++ b/features/steps/health_circuit_steps.py
@@ -141,7 +141,7 @@
         value = int(number or 0)
         if kind in ("report", "refuse"):
             source = leavings.LeavingSource.LOAD_REPORT
-            context.leaving = leavings.after_own_word(context.leaving, source, value)
+            context.leaving = leavings.after_own_statement(context.leaving, source, value)
         elif kind in ("list", "unlist"):
             context.leaving = leavings.after_machine_list(
                 context.leaving, kind == "list", context.known_run, context.now_s
--- a/features/steps/membership_faults_steps.py
+++ b/features/steps/membership_faults_steps.py
@@ -9,9 +9,9 @@
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.domain.identifiers import NodeAddress, NodeId
 from weirscale.domain.membership.actions import StartSync
-from weirscale.domain.membership.beliefs import MemberBeliefs
 from weirscale.domain.membership.protocol import MembershipProtocol
 from weirscale.domain.membership.rules import MembershipRules
+from weirscale.domain.membership.state import MembershipState
 from weirscale.messages.codec import MessageCodec
 from weirscale.messages.envelope import (
     EnvelopeKind,
@@ -72,7 +72,7 @@
 
 
 def ring_neighbours(fleet, count):
-    ring = fleet.running()[0].membership.protocol.beliefs.table.fleet_ring
+    ring = fleet.running()[0].membership.protocol.state.table.fleet_ring
     return [fleet.nodes[name] for name in ring.names()[:count]]
 
 
@@ -184,7 +184,7 @@
     protocol = MembershipProtocol(OWN, [], rules, random.Random(1), 0.0)
     other = replace(MEMBER, name="other", host="10.0.0.3")
     accused = replace(other, state=MemberState.SUSPECT, accuser="x")
-    protocol.take_gossip(Gossip((MEMBER, other, accused)), 0.0)
+    protocol.handle_gossip(Gossip((MEMBER, other, accused)), 0.0)
     protocol.probe_soon(MEMBER.name)
     actions = protocol.tick(0.1)
     pinged = [each.message.target_name for each in actions if isinstance(each.message, Ping)]
@@ -201,7 +201,7 @@
 
 @then("the probed member is not suspected and the suspect is not dead")
 def step_nothing_concluded(context):
-    table = context.protocol.beliefs.table
+    table = context.protocol.state.table
     assert table.get(MEMBER.name).state is MemberState.ALIVE
     assert table.get("other").state is MemberState.SUSPECT
 
@@ -212,7 +212,7 @@
     while now_s < context.woken_at_s + MembershipRules().suspicion_max_s + 0.5:
         now_s += 0.1
         context.protocol.tick(now_s)
-    assert context.protocol.beliefs.table.get("other").state is MemberState.DEAD
+    assert context.protocol.state.table.get("other").state is MemberState.DEAD
 
 
 @when("{cut} lasts {length:d} s and heals")
@@ -252,7 +252,7 @@
             lambda: all(node.peer(name).state is PeerState.LEAVING for node in fleet.running()),
             AGREEMENT_LIMIT_S,
         )
-        old = replace(leaver.membership.protocol.beliefs.own, state=MemberState.ALIVE)
+        old = replace(leaver.membership.protocol.state.own, state=MemberState.ALIVE)
         await leaver.membership.depart()
         fleet.crash(leaver)
         gone = await fleet.until(fleet.all_agree, AGREEMENT_LIMIT_S)
@@ -282,16 +282,16 @@
 
 @given('beliefs that hold member "m" at incarnation 5, refutations 2, state {held}')
 def step_beliefs(context, held):
-    context.beliefs = MemberBeliefs(OWN, MembershipRules(), 0.0)
-    context.beliefs.take(MEMBER, 0.0)
-    context.beliefs.take(replace(MEMBER, state=MemberState[held], accuser="x"), 0.0)
+    context.state = MembershipState(OWN, MembershipRules(), 0.0)
+    context.state.apply(MEMBER, 0.0)
+    context.state.apply(replace(MEMBER, state=MemberState[held], accuser="x"), 0.0)
 
 
 @when(
     "a claim arrives with incarnation {incarnation:d}, refutations {refutations:d}, state {claim}"
 )
 def step_claim(context, incarnation, refutations, claim):
-    context.beliefs.take(
+    context.state.apply(
         replace(MEMBER, incarnation=incarnation, refutations=refutations, state=MemberState[claim]),
         1.0,
     )
@@ -299,7 +299,7 @@
 
 @then("the member is held at state {state}")
 def step_held(context, state):
-    assert context.beliefs.table.get("m").state is MemberState[state]
+    assert context.state.table.get("m").state is MemberState[state]
 
 
 @when("a stranger forges the death of every node and replays all that was sent during a leave")
@@ -316,7 +316,7 @@
         tasks.start_soon(context.deaths.watch)
         for target in fleet.running():
             for victim in fleet.running():
-                own = victim.membership.protocol.beliefs.own
+                own = victim.membership.protocol.state.own
                 death = codec.encode(Gossip((replace(own, state=MemberState.DEAD),)))
                 sealer = EnvelopeSealer(
                     KeyRing((PeerKey(1, b"a stranger's own key....."),)),
@@ -329,7 +329,7 @@
             fleet.network.inject(leaver.address, destination, data)
         await anyio.sleep(10)
         context.versions = {
-            node.membership.protocol.beliefs.own.refutations for node in fleet.running()
+            node.membership.protocol.state.own.refutations for node in fleet.running()
         }
         context.stays_gone = fleet.all_agree()
 
@@ -374,19 +374,19 @@
 @given("beliefs that remember at most {count:d} dead members for {time:d} s")
 def step_tombstone_rules(context, count, time):
     context.rules = MembershipRules(max_tombstones=count, tombstone_s=time)
-    context.beliefs = MemberBeliefs(OWN, context.rules, 0.0)
+    context.state = MembershipState(OWN, context.rules, 0.0)
 
 
 @when("{count:d} members are born and die")
 def step_born_and_die(context, count):
     for number in range(count):
         member = replace(MEMBER, name=f"m{number}")
-        context.beliefs.take(member, 0.0)
-        context.beliefs.take(replace(member, state=MemberState.DEAD), 0.0)
+        context.state.apply(member, 0.0)
+        context.state.apply(replace(member, state=MemberState.DEAD), 0.0)
 
 
 def num_remembered(context):
-    table = context.beliefs.table
+    table = context.state.table
     return len(table.in_buckets(table.differing_buckets(()))) - table.num_live
 
 
@@ -397,7 +397,7 @@
 
 @then("none is remembered {time:d} s later")
 def step_none_remembered(context, time):
-    context.beliefs.table.expire_tombstones(time - context.rules.tombstone_s)
+    context.state.table.expire_tombstones(time - context.rules.tombstone_s)
     assert num_remembered(context) == 0
 
 
@@ -442,5 +442,5 @@
         assert len(set(seeds)) == len(seeds) == first, seeds
         assert tried(now_s + 0.25) == []
     seed = NodeAddress("10.0.1.0", 1)
-    context.protocol.take_sync_reply(seed, SyncReply((), ()), 0.8)
+    context.protocol.handle_sync_reply(seed, SyncReply((), ()), 0.8)
     assert len(tried(1.0)) == 1
--- a/features/steps/prefix_index_steps.py
+++ b/features/steps/prefix_index_steps.py
@@ -25,7 +25,7 @@
     if arrival.startswith("wait"):
         now_s += float(arrival.removeprefix("wait"))
     elif arrival.startswith("run"):
-        index.note_run(int(arrival.removeprefix("run")), "v1")
+        index.record_run(int(arrival.removeprefix("run")), "v1")
     else:
         run, kind, sequence, version, sign, letters = ARRIVAL.fullmatch(arrival).groups()
         hashes = tuple(ord(letter) for letter in letters)
--- a/features/steps/prefix_view_steps.py
+++ b/features/steps/prefix_view_steps.py
@@ -19,7 +19,7 @@
     if arrival.startswith("wait"):
         context.now_s += float(arrival.removeprefix("wait"))
     elif arrival.startswith("run"):
-        view.note_run("e1", int(arrival.removeprefix("run")), context.now_s)
+        view.record_run("e1", int(arrival.removeprefix("run")), context.now_s)
     else:
         full, run, stream, number, reset, bits, added, removed = ARRIVAL.fullmatch(arrival).groups()
         identity = ("e1", int(run), int(stream), int(number), int(bits or 0))
--- a/features/support/limits_fleet.py
+++ b/features/support/limits_fleet.py
@@ -7,7 +7,7 @@
 from weirscale.domain.configuration.model import Tenant
 from weirscale.domain.identifiers import NodeAddress
 from weirscale.domain.limits.exchange import ShareExchange
-from weirscale.domain.limits.fair_queue import Waiting
+from weirscale.domain.limits.fair_queue import WaitingTotals
 from weirscale.domain.limits.homes import Member
 
 STEP_S = 0.02
@@ -61,7 +61,7 @@
         rate = self.arrivals_per_s.get(number, 0.0)
         if self.random.random() < rate * STEP_S:
             node.num_waiting += 1
-            node.holding.note_arrival(0)
+            node.holding.record_arrival(0)
         while node.ends and node.ends[0] <= self.now_s:
             heapq.heappop(node.ends)
             node.holding.finish()
@@ -70,7 +70,7 @@
             node.num_waiting -= 1
             node.num_started += 1
             heapq.heappush(node.ends, self.now_s + self.hold_s * self.random.uniform(0.5, 1.5))
-        waiting = {self.tenant.name: Waiting(node.num_waiting, 0)} if node.num_waiting else {}
+        waiting = {self.tenant.name: WaitingTotals(node.num_waiting, 0)} if node.num_waiting else {}
         for outgoing in node.exchange.due(waiting, self.now_s):
             self._send(number, outgoing)
 
@@ -90,11 +90,11 @@
                 continue
             address = self.nodes[source].member.address
             if hasattr(outgoing.message.items[0], "slots_wanted"):
-                answer = target.exchange.take_demand(address, outgoing.message, self.now_s)
+                answer = target.exchange.handle_demand(address, outgoing.message, self.now_s)
                 if answer is not None:
                     self._send(outgoing.destination.port, answer)
             else:
-                target.exchange.take_grant(address, outgoing.message, self.now_s)
+                target.exchange.handle_grant(address, outgoing.message, self.now_s)
 
     def _is_cut(self, source, destination):
         if source in self.isolated or destination in self.isolated:
--- a/src/weirscale/domain/health/circuit.py
+++ b/src/weirscale/domain/health/circuit.py
@@ -83,7 +83,7 @@
         return rules.min_weight if now_s >= circuit.open_until_s else 0.0
     if circuit.closed_at_s is None:
         return 1.0
-    share = (now_s - circuit.closed_at_s) / rules.slow_return_s
+    share = (now_s - circuit.closed_at_s) / rules.slow_start_s
     return min(1.0, rules.min_weight + (1.0 - rules.min_weight) * max(0.0, share))
 
 
--- a/src/weirscale/domain/health/leaving.py
+++ b/src/weirscale/domain/health/leaving.py
@@ -56,7 +56,9 @@
 """Nobody said that it leaves."""
 
 
-def after_own_word(leaving: Leaving, source: LeavingSource, incarnation: Incarnation) -> Leaving:
+def after_own_statement(
+    leaving: Leaving, source: LeavingSource, incarnation: Incarnation
+) -> Leaving:
     """Learn from the back end itself that a run of it leaves."""
     if leaving.source is not None and incarnation <= leaving.incarnation:
         return leaving
--- a/src/weirscale/domain/health/rules.py
+++ b/src/weirscale/domain/health/rules.py
@@ -22,7 +22,7 @@
         forget_openings_s: A back end healthy for this long starts again from `open_time_s`.
         num_tolerated_restarts: Restarts that follow one another soon before a back end that keeps
             restarting is held out.
-        slow_return_s: Time over which a returning back end's share grows to the full.
+        slow_start_s: Time over which a returning back end's share grows to the full.
         min_weight: Share of work at the start of the return and during trials.
         max_ejected_share: Largest share of a pool held out by circuits; beyond it, a bad network is
             likelier than so many bad back ends.
@@ -40,6 +40,6 @@
     max_quarantine_time_s: float = 600.0
     forget_openings_s: float = 300.0
     num_tolerated_restarts: int = 2
-    slow_return_s: float = 10.0
+    slow_start_s: float = 10.0
     min_weight: float = 0.1
     max_ejected_share: float = 0.5
--- a/src/weirscale/domain/limits/admission.py
+++ b/src/weirscale/domain/limits/admission.py
@@ -8,7 +8,7 @@
 from weirscale.domain.configuration.model import Tenant
 from weirscale.domain.identifiers import TenantName
 from weirscale.domain.limits.allowance import TenantAllowance
-from weirscale.domain.limits.fair_queue import FairQueue, Waiting, WaitingRequest
+from weirscale.domain.limits.fair_queue import FairQueue, WaitingRequest, WaitingTotals
 from weirscale.domain.request.model import RunStatus
 from weirscale.domain.request.refusal import Refusal, RefusalCode
 
@@ -101,7 +101,7 @@
         """Requests that wait."""
         return len(self._queue)
 
-    def waiting(self) -> dict[TenantName, Waiting]:
+    def waiting(self) -> dict[TenantName, WaitingTotals]:
         """What waits, by tenant."""
         return self._queue.waiting()
 
@@ -135,7 +135,7 @@
             started.append(request)
         return started
 
-    def give_up(self, now_s: float) -> list[tuple[WaitingRequest, Refusal]]:
+    def remove_expired(self, now_s: float) -> list[tuple[WaitingRequest, Refusal]]:
         """Remove every waiting request whose deadline has passed."""
         answers = []
         while self._deadlines and self._deadlines[0][0] <= now_s:
--- a/src/weirscale/domain/limits/exchange.py
+++ b/src/weirscale/domain/limits/exchange.py
@@ -15,7 +15,7 @@
 from weirscale.domain.configuration.model import Tenant
 from weirscale.domain.identifiers import NodeAddress, TenantName, ZoneName
 from weirscale.domain.limits.allowance import TenantAllowance
-from weirscale.domain.limits.fair_queue import NOTHING, Waiting
+from weirscale.domain.limits.fair_queue import NO_WAITING, WaitingTotals
 from weirscale.domain.limits.homes import NUM_SHARDS, Member, choose_homes, tenant_digest
 from weirscale.domain.limits.share_holding import ShareHolding
 from weirscale.domain.limits.share_pool import SharePool
@@ -177,10 +177,10 @@
             self._give_standing(holding)
         return holding
 
-    def note_arrival(self, tenant: Tenant, num_prompt_tokens: int, now_s: float) -> None:
+    def record_arrival(self, tenant: Tenant, num_prompt_tokens: int, now_s: float) -> None:
         """A request of the tenant came to this node."""
         if is_limited(tenant):
-            self.holding_of(tenant, now_s).note_arrival(num_prompt_tokens)
+            self.holding_of(tenant, now_s).record_arrival(num_prompt_tokens)
 
     def is_due(self, has_waiting: bool, now_s: float) -> bool:
         """Whether `due` would do anything."""
@@ -190,7 +190,7 @@
             return True
         return now_s - self._regular_at_s >= REGULAR_INTERVAL_S
 
-    def due(self, waiting: Mapping[TenantName, Waiting], now_s: float) -> list[Outgoing]:
+    def due(self, waiting: Mapping[TenantName, WaitingTotals], now_s: float) -> list[Outgoing]:
         """What to send now; call it after each change and at least every REGULAR_INTERVAL_S."""
         outgoing: list[Outgoing] = []
         if now_s - self._regular_at_s >= REGULAR_INTERVAL_S:
@@ -211,7 +211,7 @@
             outgoing += self._borrow(now_s)
         return outgoing
 
-    def take_demand(
+    def handle_demand(
         self, source: NodeAddress, demand: LimitDemand, now_s: float
     ) -> Outgoing | None:
         """Answer as a home; None where this node is not the home or the demand is an old one."""
@@ -229,7 +229,7 @@
         grant = LimitGrant(demand.run, demand.sequence, demand.is_home, tuple(granted))
         return Outgoing(source, grant)
 
-    def take_grant(self, source: NodeAddress, grant: LimitGrant, now_s: float) -> None:
+    def handle_grant(self, source: NodeAddress, grant: LimitGrant, now_s: float) -> None:
         """Add what a home gave; a grant that does not answer the latest demand is void."""
         for item in grant.items:
             asked = self._asked.get((item.tenant, source))
@@ -257,12 +257,12 @@
     def _ask(
         self,
         holdings: Iterable[ShareHolding],
-        waiting: Mapping[TenantName, Waiting],
+        waiting: Mapping[TenantName, WaitingTotals],
         now_s: float,
     ) -> list[Outgoing]:
         items: dict[NodeAddress, list[TenantDemand]] = {}
         for holding in list(holdings):
-            wants = waiting.get(holding.tenant.name, NOTHING)
+            wants = waiting.get(holding.tenant.name, NO_WAITING)
             demand = holding.demand(wants.num_requests, wants.num_prompt_tokens, now_s)
             home = self._homes.get((self._own.zone, holding.digest % NUM_SHARDS))
             if demand is None or home is None:
--- a/src/weirscale/domain/limits/fair_queue.py
+++ b/src/weirscale/domain/limits/fair_queue.py
@@ -34,14 +34,14 @@
     queued_at_s: float
 
 
-class Waiting(msgspec.Struct, frozen=True):
+class WaitingTotals(msgspec.Struct, frozen=True):
     """A tenant's waiting requests."""
 
     num_requests: int
     num_prompt_tokens: int
 
 
-NOTHING = Waiting(0, 0)
+NO_WAITING = WaitingTotals(0, 0)
 
 
 class _Flow:
@@ -59,7 +59,7 @@
         self._flows: dict[tuple[TenantName, int], _Flow] = {}
         self._virtual_time = 0.0
         self._num_waiting = 0
-        self._waiting: dict[TenantName, Waiting] = {}
+        self._waiting: dict[TenantName, WaitingTotals] = {}
 
     def __len__(self) -> int:
         return self._num_waiting
@@ -70,9 +70,9 @@
 
     def num_waiting_of(self, tenant: TenantName) -> int:
         """Number of the tenant's waiting requests."""
-        return self._waiting.get(tenant, NOTHING).num_requests
+        return self._waiting.get(tenant, NO_WAITING).num_requests
 
-    def waiting(self) -> dict[TenantName, Waiting]:
+    def waiting(self) -> dict[TenantName, WaitingTotals]:
         """What waits, by tenant; only tenants with waiting requests."""
         return dict(self._waiting)
 
@@ -136,8 +136,8 @@
     def _count(self, request: WaitingRequest, change: int) -> None:
         self._num_waiting += change
         name = request.tenant.name
-        before = self._waiting.get(name, NOTHING)
+        before = self._waiting.get(name, NO_WAITING)
         num_tokens = before.num_prompt_tokens + change * request.num_prompt_tokens
-        self._waiting[name] = Waiting(before.num_requests + change, num_tokens)
+        self._waiting[name] = WaitingTotals(before.num_requests + change, num_tokens)
         if self._waiting[name].num_requests == 0:
             del self._waiting[name]
--- a/src/weirscale/domain/limits/share_holding.py
+++ b/src/weirscale/domain/limits/share_holding.py
@@ -102,7 +102,7 @@
         """Slots that this node may use now."""
         return None if self.tenant.max_concurrent_requests is None else self.slots(now_s)
 
-    def note_arrival(self, num_prompt_tokens: int) -> None:
+    def record_arrival(self, num_prompt_tokens: int) -> None:
         """A request of the tenant came."""
         self._num_arrived += 1
         change = num_prompt_tokens - self._prompt_tokens_per_request
--- a/src/weirscale/domain/membership/actions.py
+++ b/src/weirscale/domain/membership/actions.py
@@ -13,7 +13,7 @@
 
 
 class StartSync(msgspec.Struct, frozen=True):
-    """Call a node with `sync_request()` and give the reply to `take_sync_reply`."""
+    """Call a node with `sync_request()` and give the reply to `handle_sync_reply`."""
 
     destination: NodeAddress
 
--- a/src/weirscale/domain/membership/machine_hints.py
+++ b/src/weirscale/domain/membership/machine_hints.py
@@ -15,7 +15,7 @@
         self._leaving: frozenset[str] = frozenset()
         self._absent: set[NodeName] = set()
 
-    def take_list(
+    def update_list(
         self, is_leaving_by_host: Mapping[str, bool], members: Iterable[MemberUpdate]
     ) -> list[NodeName]:
         """Take a new list.
--- a/src/weirscale/domain/membership/protocol.py
+++ b/src/weirscale/domain/membership/protocol.py
@@ -8,10 +8,10 @@
 
 from weirscale.domain.identifiers import NodeAddress, NodeId, NodeName
 from weirscale.domain.membership.actions import Action, SendCast, StartSync
-from weirscale.domain.membership.beliefs import MemberBeliefs
 from weirscale.domain.membership.broadcasts import split_for_casts
 from weirscale.domain.membership.probes import Probe, ProbeTable
 from weirscale.domain.membership.rules import MembershipRules
+from weirscale.domain.membership.state import MembershipState
 from weirscale.messages.membership import (
     Ack,
     Gossip,
@@ -46,7 +46,7 @@
         random: Random,
         now_s: float,
     ) -> None:
-        self.beliefs = MemberBeliefs(own, rules, now_s)
+        self.state = MembershipState(own, rules, now_s)
         self._rules = rules
         self._random = random
         self._seeds = [seed for seed in seeds if seed != own.address]
@@ -70,100 +70,102 @@
         """Step all timers; call every `rules.tick_s`."""
         self._notice_pause(now_s)
         actions: list[Action] = []
-        if self.beliefs.is_superseded:
+        if self.state.is_superseded:
             return actions
         self._advance_probes(now_s, actions)
         self._start_round(now_s, actions)
         self._confirm_suspects(now_s, actions)
-        self.beliefs.bury_expired(now_s)
+        self.state.bury_expired(now_s)
         self._gossip(now_s, actions)
         self._probe_dead(now_s, actions)
         self._try_seed(now_s, actions)
         self._expire(now_s)
         return actions
 
-    def take_ping(self, source: NodeAddress, ping: Ping, now_s: float) -> list[Action]:
+    def handle_ping(self, source: NodeAddress, ping: Ping, now_s: float) -> list[Action]:
         """Answer a ping meant for this run."""
-        self.beliefs.take_all(ping.updates, now_s)
-        own = self.beliefs.own
-        if not own.is_live or self.beliefs.is_superseded:
+        self.state.apply_all(ping.updates, now_s)
+        own = self.state.own
+        if not own.is_live or self.state.is_superseded:
             return []
         if NodeId(ping.target_name, ping.target_incarnation) != own.node:
             return [SendCast(source, Gossip((own,)))]
         actions: list[Action] = [
-            SendCast(source, Ack(ping.sequence, self.beliefs.table.digest, self._news()))
+            SendCast(source, Ack(ping.sequence, self.state.table.digest, self._news()))
         ]
         self._compare_digest(source, ping.digest, now_s, actions)
         return actions
 
-    def take_ack(self, source: NodeAddress, ack: Ack, now_s: float) -> list[Action]:
+    def handle_ack(self, source: NodeAddress, ack: Ack, now_s: float) -> list[Action]:
         """End the probe that the ack belongs to, or pass it on."""
-        self.beliefs.take_all(ack.updates, now_s)
+        self.state.apply_all(ack.updates, now_s)
         actions: list[Action] = []
         relay = self._probes.finish_relay(ack.sequence)
         if relay is not None:
-            passed_on = Ack(relay.origin_sequence, self.beliefs.table.digest)
+            passed_on = Ack(relay.origin_sequence, self.state.table.digest)
             actions.append(SendCast(relay.origin, passed_on))
             return actions
         if self._probes.finish(ack.sequence) is not None:
-            self.beliefs.penalise(-1)
+            self.state.penalise(-1)
         self._compare_digest(source, ack.digest, now_s, actions)
         return actions
 
-    def take_ping_request(
+    def handle_ping_request(
         self, source: NodeAddress, request: PingRequest, now_s: float
     ) -> list[Action]:
         """Ping a node for another one."""
         sequence = self._probes.start_relay(source, request.sequence, now_s)
         return [SendCast(request.target.address, self._ping(sequence, request.target))]
 
-    def take_gossip(self, gossip: Gossip, now_s: float) -> list[Action]:
+    def handle_gossip(self, gossip: Gossip, now_s: float) -> list[Action]:
         """Take news."""
-        self.beliefs.take_all(gossip.updates, now_s)
+        self.state.apply_all(gossip.updates, now_s)
         return []
 
     def sync_request(self) -> SyncRequest:
         """Return what `StartSync` sends."""
-        digests = tuple(self.beliefs.table.bucket_digests) if self._has_joined else ()
-        return SyncRequest(self.beliefs.own, digests)
+        digests = tuple(self.state.table.bucket_digests) if self._has_joined else ()
+        return SyncRequest(self.state.own, digests)
 
     def answer_sync(self, request: SyncRequest, now_s: float) -> SyncReply:
         """Answer with the records in which the two views differ."""
-        table = self.beliefs.table
+        table = self.state.table
         buckets = table.differing_buckets(request.bucket_digests)
         reply = SyncReply(buckets, tuple(table.in_buckets(buckets)))
-        self.beliefs.take(request.sender, now_s)
+        self.state.apply(request.sender, now_s)
         return reply
 
-    def take_sync_reply(self, source: NodeAddress, reply: SyncReply, now_s: float) -> list[Action]:
+    def handle_sync_reply(
+        self, source: NodeAddress, reply: SyncReply, now_s: float
+    ) -> list[Action]:
         """Take the records of another view and send it those in which this one is ahead."""
         self._has_joined = True
         theirs = {update.name: update for update in reply.updates}
         ahead: list[MemberUpdate] = []
-        for record in self.beliefs.table.in_buckets(reply.buckets):
+        for record in self.state.table.in_buckets(reply.buckets):
             other = theirs.get(record.name)
             if (other is None and record.is_live) or (
                 other is not None and record.precedence() > other.precedence()
             ):
                 ahead.append(record)
-        self.beliefs.take_all(reply.updates, now_s)
+        self.state.apply_all(reply.updates, now_s)
         return [SendCast(source, Gossip(group)) for group in split_for_casts(ahead)]
 
     def probe_soon(self, name: NodeName) -> None:
         """Probe a member at the next tick, after a hint from outside."""
-        self.beliefs.to_confirm.append(name)
+        self.state.to_confirm.append(name)
 
     def leave(self, now_s: float) -> None:
         """Announce that this node is about to stop; it stays a member until `depart`."""
-        if self.beliefs.own.state is MemberState.ALIVE:
-            self.beliefs.declare_self(MemberState.LEAVING, now_s)
+        if self.state.own.state is MemberState.ALIVE:
+            self.state.declare_self(MemberState.LEAVING, now_s)
 
     def depart(self, now_s: float) -> list[Action]:
         """Announce that this node has stopped; nothing may be asked of it afterwards."""
-        self.beliefs.declare_self(MemberState.LEFT, now_s)
-        table = self.beliefs.table
+        self.state.declare_self(MemberState.LEFT, now_s)
+        table = self.state.table
         told = table.sample_live(self._random, DEPARTURE_FANOUT)
-        return [SendCast(member.address, Gossip((self.beliefs.own,))) for member in told]
+        return [SendCast(member.address, Gossip((self.state.own,))) for member in told]
 
     def _notice_pause(self, now_s: float) -> None:
         """After a pause nothing follows from acks and refutations that were not heard in it."""
@@ -172,19 +174,19 @@
         if late_s < self._rules.late_tick_s:
             return
         self._probes.clear()
-        self.beliefs.suspicions.postpone(late_s)
-        self.beliefs.penalise(self._rules.max_health_penalty)
+        self.state.suspicions.postpone(late_s)
+        self.state.penalise(self._rules.max_health_penalty)
         self._next_round_s = now_s + self._rules.probe_interval_s
 
     def _advance_probes(self, now_s: float, actions: list[Action]) -> None:
-        stretch = 1 + self.beliefs.health_penalty
+        stretch = 1 + self.state.health_penalty
         for sequence, probe in self._probes.in_flight():
             waited_s = now_s - probe.sent_at_s
             if waited_s >= self._rules.probe_timeout_s * stretch:
                 # No penalty yet: when many nodes crash at once, failed probes are nobody's fault
                 # here. A refuted accusation is the proof of bad timing.
                 self._probes.finish(sequence)
-                self.beliefs.accuse(probe.target, now_s)
+                self.state.accuse(probe.target, now_s)
                 # The node behind a failed one may have failed with it; do not wait for a round.
                 self._probe_successors(now_s, actions, in_fleet=True)
             elif waited_s >= self._rules.direct_timeout_s * stretch and not probe.helpers_asked:
@@ -192,8 +194,8 @@
 
     def _ask_helpers(self, sequence: int, probe: Probe, actions: list[Action]) -> None:
         probe.helpers_asked = True
-        excluded = (probe.target.name, self.beliefs.own.name)
-        sampled = self.beliefs.table.sample_live(self._random, self._rules.num_helpers + 2)
+        excluded = (probe.target.name, self.state.own.name)
+        sampled = self.state.table.sample_live(self._random, self._rules.num_helpers + 2)
         helpers = [member for member in sampled if member.name not in excluded]
         request = PingRequest(sequence, probe.target)
         for helper in helpers[: self._rules.num_helpers]:
@@ -207,14 +209,14 @@
         is_fleet_round = self._round % self._rules.fleet_ring_every == 0
         self._probe_successors(now_s, actions, in_fleet=is_fleet_round)
         if self._round % self._rules.random_every == 0:
-            chosen = self.beliefs.table.random_live(self._random)
+            chosen = self.state.table.random_live(self._random)
             if chosen is not None:
                 self._probe_name(chosen.name, now_s, actions)
 
     def _probe_successors(self, now_s: float, actions: list[Action], *, in_fleet: bool) -> None:
         """Probe the next unsuspected node of the zone's ring, and of the fleet's if wanted."""
-        table = self.beliefs.table
-        own_name = self.beliefs.own.name
+        table = self.state.table
+        own_name = self.state.own.name
         next_in_zone = table.zone_ring.successor(own_name, table.is_alive)
         if next_in_zone is not None:
             self._probe_name(next_in_zone, now_s, actions)
@@ -225,14 +227,14 @@
             self._probe_name(next_in_fleet, now_s, actions)
 
     def _confirm_suspects(self, now_s: float, actions: list[Action]) -> None:
-        names = self.beliefs.to_confirm
-        self.beliefs.to_confirm = []
+        names = self.state.to_confirm
+        self.state.to_confirm = []
         for name in names:
             self._probe_name(name, now_s, actions)
 
     def _probe_name(self, name: NodeName, now_s: float, actions: list[Action]) -> None:
-        target = self.beliefs.table.get(name)
-        if target is None or not target.is_live or name == self.beliefs.own.name:
+        target = self.state.table.get(name)
+        if target is None or not target.is_live or name == self.state.own.name:
             return
         sequence = self._probes.start(target, now_s)
         if sequence is not None:
@@ -241,19 +243,19 @@
     def _ping(self, sequence: int, target: MemberUpdate) -> Ping:
         # A member that is suspected or dead here must hear of it to refute it.
         must_hear = target if target.state >= MemberState.SUSPECT else None
-        digest = self.beliefs.table.digest
+        digest = self.state.table.digest
         return Ping(sequence, target.name, target.incarnation, digest, self._news(must_hear))
 
     def _news(self, first: MemberUpdate | None = None) -> tuple[MemberUpdate, ...]:
-        num_live = self.beliefs.table.num_live
-        return self.beliefs.broadcasts.take(self._rules.num_transmissions(num_live), first)
+        num_live = self.state.table.num_live
+        return self.state.broadcasts.take(self._rules.num_transmissions(num_live), first)
 
     def _gossip(self, now_s: float, actions: list[Action]) -> None:
-        if now_s < self._next_gossip_s or not len(self.beliefs.broadcasts):
+        if now_s < self._next_gossip_s or not len(self.state.broadcasts):
             return
         self._next_gossip_s = now_s + self._rules.gossip_interval_s
-        own_name = self.beliefs.own.name
-        for member in self.beliefs.table.sample_live(self._random, self._rules.gossip_fanout + 1):
+        own_name = self.state.own.name
+        for member in self.state.table.sample_live(self._random, self._rules.gossip_fanout + 1):
             news = self._news() if member.name != own_name else ()
             if news:
                 actions.append(SendCast(member.address, Gossip(news)))
@@ -262,7 +264,7 @@
         if now_s < self._next_dead_probe_s:
             return
         self._next_dead_probe_s = now_s + self._rules.dead_probe_interval_s
-        dead = self.beliefs.table.random_dead(self._random)
+        dead = self.state.table.random_dead(self._random)
         if dead is not None:
             ping = self._ping(self._probes.next_sequence(), dead)
             actions.append(SendCast(dead.address, ping))
@@ -283,14 +285,14 @@
             actions.append(StartSync(seed))
 
     def _is_member_address(self, address: NodeAddress) -> bool:
-        return any(member.address == address for member in self.beliefs.table.live())
+        return any(member.address == address for member in self.state.table.live())
 
     def _compare_digest(
         self, source: NodeAddress, digest: int, now_s: float, actions: list[Action]
     ) -> None:
-        if digest == self.beliefs.table.digest or now_s < self._next_sync_s:
+        if digest == self.state.table.digest or now_s < self._next_sync_s:
             return
-        if now_s - self.beliefs.changed_at_s < self._rules.sync_quiet_s:
+        if now_s - self.state.changed_at_s < self._rules.sync_quiet_s:
             return
         self._next_sync_s = now_s + self._rules.sync_interval_s
         actions.append(StartSync(source))
@@ -299,5 +301,5 @@
         if now_s < self._next_expiry_s:
             return
         self._next_expiry_s = now_s + self._rules.seed_interval_s
-        self.beliefs.table.expire_tombstones(now_s - self._rules.tombstone_s)
+        self.state.table.expire_tombstones(now_s - self._rules.tombstone_s)
         self._probes.drop_relays(now_s - self._rules.seed_interval_s)
--- a/src/weirscale/domain/membership/beliefs.py
+++ b/src/weirscale/domain/membership/state.py
@@ -10,7 +10,7 @@
 from weirscale.messages.membership import MemberState, MemberUpdate
 
 
-class MemberBeliefs:
+class MembershipState:
     """Applies claims by precedence, runs suspicions, refutes claims about this node.
 
     Args:
@@ -39,12 +39,12 @@
         assert record is not None
         return record
 
-    def take_all(self, updates: tuple[MemberUpdate, ...], now_s: float) -> None:
+    def apply_all(self, updates: tuple[MemberUpdate, ...], now_s: float) -> None:
         """Apply claims made by another node."""
         for update in updates:
-            self.take(update, now_s)
+            self.apply(update, now_s)
 
-    def take(self, update: MemberUpdate, now_s: float) -> None:
+    def apply(self, update: MemberUpdate, now_s: float) -> None:
         """Apply one claim if it is stronger than what is held."""
         if update.name == self._own_name:
             self._hear_of_self(update, now_s)
@@ -69,7 +69,7 @@
         accusation = msgspec.structs.replace(
             held, state=MemberState.SUSPECT, accuser=self._own_name
         )
-        self.take(accusation, now_s)
+        self.apply(accusation, now_s)
 
     def bury_expired(self, now_s: float) -> None:
         """Declare members dead whose suspicion has lasted its time."""
--- a/src/weirscale/domain/prefix/cache_view.py
+++ b/src/weirscale/domain/prefix/cache_view.py
@@ -122,7 +122,7 @@
             self._masks.add(key, view.bit)
         return ViewOutcome.APPLIED
 
-    def note_run(self, engine: EngineName, incarnation: Incarnation, now_s: float) -> None:
+    def record_run(self, engine: EngineName, incarnation: Incarnation, now_s: float) -> None:
         """Learn from elsewhere that the engine runs with an incarnation: older keys are void."""
         view = self._views.get(engine)
         if view is not None and incarnation > view.incarnation:
--- a/src/weirscale/domain/prefix/engine_index.py
+++ b/src/weirscale/domain/prefix/engine_index.py
@@ -110,7 +110,7 @@
         self._apply_waiting(now_s)
         return ApplyOutcome.APPLIED
 
-    def note_run(self, incarnation: Incarnation, weight_version: WeightVersion) -> None:
+    def record_run(self, incarnation: Incarnation, weight_version: WeightVersion) -> None:
         """Learn from elsewhere (a load report) which run and weights the engine has."""
         if incarnation < self.incarnation:
             return
--- a/src/weirscale/domain/request/retry_budget.py
+++ b/src/weirscale/domain/request/retry_budget.py
@@ -21,7 +21,7 @@
         self._refilled_at_s = now_s
         self._has_started = False
 
-    def note_first_attempt(self, rules: RetryRules) -> None:
+    def record_first_attempt(self, rules: RetryRules) -> None:
         """Pay in for a request's first attempt."""
         self._tokens = min(MAX_BANKED_RETRIES, self._tokens + rules.budget_ratio)
 
--- a/src/weirscale/domain/request/retry_policy.py
+++ b/src/weirscale/domain/request/retry_policy.py
@@ -24,10 +24,10 @@
 CHUNK_STALL_S = 3.0
 """A stream without a chunk for this long has stalled; 50 times the target between tokens."""
 
-MIN_FIRST_CHUNK_PATIENCE_S = 10.0
+MIN_FIRST_CHUNK_TIMEOUT_S = 10.0
 """Least wait for a first chunk: a long prompt behind a full batch takes seconds."""
 
-FIRST_CHUNK_PATIENCE_FACTOR = 4.0
+FIRST_CHUNK_TIMEOUT_FACTOR = 4.0
 """Wait for a first chunk, as a multiple of the time that the policy expected."""
 
 RETRY_SHARE_OF_TIME_LEFT = 0.5
@@ -116,10 +116,10 @@
     return float(RESUME_BACKOFF_S * 2 ** (num_idle_resumes - 1))
 
 
-def first_chunk_patience_s(estimated_ttft_s: float, time_left_s: float) -> float:
+def first_chunk_timeout_s(estimated_ttft_s: float, time_left_s: float) -> float:
     """How long to wait for a first chunk before asking again, here or elsewhere."""
-    expected_s = FIRST_CHUNK_PATIENCE_FACTOR * estimated_ttft_s
-    patience_s = max(MIN_FIRST_CHUNK_PATIENCE_S, expected_s)
+    expected_s = FIRST_CHUNK_TIMEOUT_FACTOR * estimated_ttft_s
+    patience_s = max(MIN_FIRST_CHUNK_TIMEOUT_S, expected_s)
     share_s = max(MIN_SHARE_S, time_left_s * RETRY_SHARE_OF_TIME_LEFT)
     return min(patience_s, share_s, time_left_s)
 
@@ -133,11 +133,11 @@
         self._may_have_run = False
         self._has_answer = False
 
-    def note_may_have_run(self) -> None:
+    def record_possible_run(self) -> None:
         """An attempt was sent, and its failure does not prove that it did not run."""
         self._may_have_run = True
 
-    def note_answer(self) -> None:
+    def record_answer(self) -> None:
         """A back end has answered, at least in part."""
         self._may_have_run = True
         self._has_answer = True
--- a/src/weirscale/gateway/routing/health.py
+++ b/src/weirscale/gateway/routing/health.py
@@ -29,7 +29,7 @@
     open_time_s=0.6,
     max_open_time_s=4.0,
     forget_openings_s=10.0,
-    slow_return_s=1.0,
+    slow_start_s=1.0,
     min_weight=0.15,
 )
 """Thresholds, with units as in `HealthRules`. They are stricter and shorter than its defaults, so
--- a/src/weirscale/node/backends/learning.py
+++ b/src/weirscale/node/backends/learning.py
@@ -12,7 +12,7 @@
     after_success,
     after_wrong_answer,
 )
-from weirscale.domain.health.leaving import LeavingSource, after_incarnation, after_own_word
+from weirscale.domain.health.leaving import LeavingSource, after_incarnation, after_own_statement
 from weirscale.domain.health.rules import HealthRules
 from weirscale.domain.identifiers import Incarnation
 from weirscale.messages.cache import LoadReport
@@ -61,7 +61,7 @@
     circuit = after_probe_success(circuit, now_s)
     leaving = after_incarnation(facts.leaving, report.incarnation)
     if report.is_leaving:
-        leaving = after_own_word(leaving, LeavingSource.LOAD_REPORT, report.incarnation)
+        leaving = after_own_statement(leaving, LeavingSource.LOAD_REPORT, report.incarnation)
     is_void = _stays_void(facts, report, reported_at_s)
     return msgspec.structs.replace(
         facts,
@@ -115,7 +115,7 @@
     if failure is None or failure.kind is EngineFailureKind.REFUSED_INVALID:
         return msgspec.structs.replace(facts, circuit=after_success(facts.circuit, rules, now_s))
     if failure.kind is EngineFailureKind.REFUSED_LEAVING:
-        leaving = after_own_word(facts.leaving, LeavingSource.REFUSAL, incarnation)
+        leaving = after_own_statement(facts.leaving, LeavingSource.REFUSAL, incarnation)
         return msgspec.structs.replace(facts, leaving=leaving)
     if failure.kind is EngineFailureKind.CORRUPT:
         circuit = after_wrong_answer(facts.circuit, rules, now_s, random, failure.detail)
--- a/src/weirscale/node/execution/attempts.py
+++ b/src/weirscale/node/execution/attempts.py
@@ -9,7 +9,7 @@
 from weirscale.domain.request.refusal import Refusal, RefusalCode
 from weirscale.domain.request.retry_policy import (
     RunEvidence,
-    first_chunk_patience_s,
+    first_chunk_timeout_s,
     resume_backoff_s,
 )
 from weirscale.domain.request.stream import StreamCheck
@@ -96,7 +96,7 @@
         """
         self._counts.num_repeated_chunks += attempt.num_repeated
         if attempt.may_have_run:
-            self.evidence.note_may_have_run()
+            self.evidence.record_possible_run()
         attempt.finish(self._routing, self._canceller, anyio.current_time())
         self._ended.append(attempt)
 
@@ -124,7 +124,7 @@
     def _set_patience(self, chosen: ChosenEngine) -> None:
         now_s = anyio.current_time()
         time_left_s = self._request.deadline_s - now_s
-        patience_s = first_chunk_patience_s(chosen.choice.estimated_ttft_s, time_left_s)
+        patience_s = first_chunk_timeout_s(chosen.choice.estimated_ttft_s, time_left_s)
         self.give_up_at_s = now_s + patience_s
 
     async def _pause(self, pause_s: float) -> None:
--- a/src/weirscale/node/execution/generation.py
+++ b/src/weirscale/node/execution/generation.py
@@ -173,7 +173,7 @@
 
     async def _start(self) -> Refusal | None:
         self._has_started = True
-        self._executor.budget.note_first_attempt(self._rules)
+        self._executor.budget.record_first_attempt(self._rules)
         refusal = await self._take_claim()
         if refusal is not None:
             return refusal
@@ -237,7 +237,7 @@
         attempt = self._attempt
         assert attempt is not None
         if self._attempts.required_version is None:
-            self._attempts.evidence.note_answer()
+            self._attempts.evidence.record_answer()
             self._attempts.required_version = attempt.chosen.weight_version
         if chunk.finish_reason is not None:
             self._is_over = True
--- a/src/weirscale/node/execution/recovery.py
+++ b/src/weirscale/node/execution/recovery.py
@@ -71,7 +71,7 @@
         failure_class = failed.failure_class
         evidence = self._attempts.evidence
         if failure_class not in (FailureClass.NOT_RUN, FailureClass.INVALID):
-            evidence.note_may_have_run()
+            evidence.record_possible_run()
         time_left_s = self._request.deadline_s - anyio.current_time()
         progress = self._progress(attempt, num_chunks, time_left_s)
         step = next_step(failure_class, progress, self._rules)
--- a/src/weirscale/node/execution/service.py
+++ b/src/weirscale/node/execution/service.py
@@ -126,7 +126,7 @@
         self, request: ServiceRequest, evidence: RunEvidence, history: RequestHistory
     ) -> Result[ServiceResponse, Refusal]:
         rules = self._rules()
-        self._budget.note_first_attempt(rules)
+        self._budget.record_first_attempt(rules)
         excluded: frozenset[BackendName] = frozenset()
         while True:
             choice = await self._choose(request, excluded, evidence)
@@ -138,11 +138,11 @@
             history.note_attempt(chosen.backend)
             answer = await self._call(request, chosen)
             if isinstance(answer, Ok):
-                evidence.note_answer()
+                evidence.record_answer()
                 return answer
             failure = answer.err_value
             if not failure.provably_not_run:
-                evidence.note_may_have_run()
+                evidence.record_possible_run()
             refusal = self._refusal_or_retry(request, failure, evidence, history, rules)
             step = NextStep.ANOTHER if refusal is None else NextStep.GIVE_UP
             self._note_failure(request, chosen, failure, history, step)
--- a/src/weirscale/node/home/engine_home.py
+++ b/src/weirscale/node/home/engine_home.py
@@ -203,7 +203,7 @@
 
     async def _spread_load(self, report: LoadReport, age_s: float) -> None:
         if report.weight_version is not None:
-            self.index.note_run(report.incarnation, report.weight_version)
+            self.index.record_run(report.incarnation, report.weight_version)
         self._observations.note_load_report(report, age_s)
         receivers = self._receivers()
         now_s = anyio.current_time()
--- a/src/weirscale/node/limits/fleet.py
+++ b/src/weirscale/node/limits/fleet.py
@@ -61,9 +61,9 @@
         link.on_cast(LimitDemand, self._demand_came)
         link.on_cast(LimitGrant, self._grant_came)
 
-    def note_arrival(self, request: WaitingRequest, now_s: float) -> None:
+    def record_arrival(self, request: WaitingRequest, now_s: float) -> None:
         """Count the request, so that its tenant's tokens are fetched ahead."""
-        self._exchange.note_arrival(request.tenant, request.num_prompt_tokens, now_s)
+        self._exchange.record_arrival(request.tenant, request.num_prompt_tokens, now_s)
 
     async def exchange_shares(self) -> None:
         """Send what is due to homes and borrowers."""
@@ -84,11 +84,11 @@
         now_s = anyio.current_time()
         match message:
             case _DemandCame(source=source, demand=demand):
-                answer = self._exchange.take_demand(source, demand, now_s)
+                answer = self._exchange.handle_demand(source, demand, now_s)
                 if answer is not None:
                     self._outbox.append(answer)
             case _GrantCame(source=source, grant=grant):
-                self._exchange.take_grant(source, grant, now_s)
+                self._exchange.handle_grant(source, grant, now_s)
             case _:
                 super().handle(message)
 
--- a/src/weirscale/node/limits/task.py
+++ b/src/weirscale/node/limits/task.py
@@ -139,11 +139,11 @@
             case _Withdraw(ticket=ticket):
                 self._withdraw(ticket, now_s)
 
-    def note_arrival(self, request: WaitingRequest, now_s: float) -> None:
+    def record_arrival(self, request: WaitingRequest, now_s: float) -> None:
         """Learn that a request came; a process that stands alone has no use for it."""
 
     def _offer(self, message: _Admit, request: WaitingRequest, now_s: float) -> None:
-        self.note_arrival(request, now_s)
+        self.record_arrival(request, now_s)
         refusal = self.queue.offer(request, now_s)
         if refusal is not None:
             message.reply.set(Err(refusal))
@@ -157,7 +157,7 @@
             self.queue.finish(ticket, now_s)
 
     def _answer(self, now_s: float) -> None:
-        for request, refusal in self.queue.give_up(now_s):
+        for request, refusal in self.queue.remove_expired(now_s):
             self._replies.pop(request.ticket).reply.set(Err(refusal))
         for request in self.queue.start_ready(now_s):
             admitted = self._replies.pop(request.ticket)
--- a/src/weirscale/node/membership/task.py
+++ b/src/weirscale/node/membership/task.py
@@ -95,20 +95,20 @@
     @property
     def is_superseded(self) -> bool:
         """Whether a later run with this node's name is a member; this run should stop."""
-        return self.protocol.beliefs.is_superseded
+        return self.protocol.state.is_superseded
 
     def peers(self) -> tuple[Peer, ...]:
         """All nodes believed alive, suspect or leaving, this one included, sorted by id."""
         version = self.version()
         if version != self._cached_version:
-            live = self.protocol.beliefs.table.live()
+            live = self.protocol.state.table.live()
             self._cached_peers = tuple(sorted(map(self._peer, live), key=_peer_order))
             self._cached_version = version
         return self._cached_peers
 
     def version(self) -> int:
         """Grows with each change of `peers`."""
-        return self.protocol.beliefs.table.version + self._hints.version
+        return self.protocol.state.table.version + self._hints.version
 
     async def run(self) -> None:
         """Run the protocol until cancelled."""
@@ -152,20 +152,20 @@
 
     def _on_ping(self, source: NodeAddress, message: msgspec.Struct) -> None:
         assert isinstance(message, Ping)
-        self._carry_out(self.protocol.take_ping(source, message, anyio.current_time()))
+        self._carry_out(self.protocol.handle_ping(source, message, anyio.current_time()))
 
     def _on_ack(self, source: NodeAddress, message: msgspec.Struct) -> None:
         assert isinstance(message, Ack)
-        self._carry_out(self.protocol.take_ack(source, message, anyio.current_time()))
+        self._carry_out(self.protocol.handle_ack(source, message, anyio.current_time()))
 
     def _on_ping_request(self, source: NodeAddress, message: msgspec.Struct) -> None:
         assert isinstance(message, PingRequest)
         now_s = anyio.current_time()
-        self._carry_out(self.protocol.take_ping_request(source, message, now_s))
+        self._carry_out(self.protocol.handle_ping_request(source, message, now_s))
 
     def _on_gossip(self, _: NodeAddress, message: msgspec.Struct) -> None:
         assert isinstance(message, Gossip)
-        self._carry_out(self.protocol.take_gossip(message, anyio.current_time()))
+        self._carry_out(self.protocol.handle_gossip(message, anyio.current_time()))
 
     async def _on_sync(self, message: msgspec.Struct) -> SyncReply:
         assert isinstance(message, SyncRequest)
@@ -193,15 +193,15 @@
             self._num_syncs -= 1
         if isinstance(answered, Ok) and isinstance(answered.ok_value, SyncReply):
             now_s = anyio.current_time()
-            self._carry_out(self.protocol.take_sync_reply(destination, answered.ok_value, now_s))
+            self._carry_out(self.protocol.handle_sync_reply(destination, answered.ok_value, now_s))
 
     async def _follow_machine_list(self, machines: MachineListPort) -> None:
         while True:
             read = await machines.machines()
             if isinstance(read, Ok):
                 is_leaving_by_host = {entry.host: entry.is_leaving for entry in read.ok_value}
-                live = self.protocol.beliefs.table.live()
-                for name in self._hints.take_list(is_leaving_by_host, live):
+                live = self.protocol.state.table.live()
+                for name in self._hints.update_list(is_leaving_by_host, live):
                     self.protocol.probe_soon(name)
             await self._sleep(MACHINE_LIST_INTERVAL_S)
 
