--- a/src/weirscale/domain/configuration/__init__.py
+++ b/src/weirscale/domain/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration aggregate: what operators declare in one file, applied as a whole."""
+"""The configuration that operators declare in one file; it is applied as a whole."""
--- a/src/weirscale/domain/configuration/difference.py
+++ b/src/weirscale/domain/configuration/difference.py
@@ -1,8 +1,8 @@
-"""What differs between two deployments: for people to read, and as a delta for nodes to apply.
+"""Differences between two deployments: as a plan for operators, and as a delta for nodes.
 
-Lists of named things are compared by name, so their order in the file means nothing; the form in
-force has them sorted (`canonical`). Applying a delta keeps the items that did not change, so that
-many revisions in memory share them.
+Lists of named items are compared by name, so their order in the file has no meaning. The canonical
+form (`canonical`), which nodes apply, has them sorted by name. Applying a delta reuses the objects
+of unchanged items, so that many revisions in memory share them.
 """
 
 import enum
@@ -29,14 +29,15 @@
 )
 
 NAMED_SECTIONS = ("regions", "models", "engines", "tenants", "services", "kept_kv_stores")
-"""Fields of a deployment that are lists of named things."""
+"""Fields of a deployment that are lists of named items."""
 PLAIN_SECTIONS = tuple(name for name in Deployment.__struct_fields__ if name not in NAMED_SECTIONS)
-"""All other fields."""
+"""All other fields of a deployment."""
 MAX_SHOWN_CHARACTERS = 60
+"""Longer values are truncated in a plan."""
 
 
 class ChangeKind(enum.Enum):
-    """What became of a named thing or a field; the value is its mark in a plan."""
+    """Kind of a change; the value is its mark in a plan."""
 
     ADDED = "+"
     REMOVED = "-"
@@ -44,7 +45,7 @@
 
 
 class FieldChange(msgspec.Struct, frozen=True):
-    """A field with its values before and after, rendered for people."""
+    """A changed field with its values before and after, rendered for operators."""
 
     field: str
     before: str
@@ -52,13 +53,13 @@
 
 
 class DeploymentChange(msgspec.Struct, frozen=True):
-    """One thing that differs.
+    """One difference between two deployments.
 
     Attributes:
         kind: Added, removed or changed.
         section: Field of the deployment, such as `engines`.
-        name: Name of the item, empty for a section that is no list.
-        fields: What changed in it; empty when added or removed.
+        name: Name of the item; empty for a section that is not a list.
+        fields: The changed fields; empty for an item that was added or removed.
     """
 
     kind: ChangeKind
@@ -74,7 +75,7 @@
 
 
 class PartialDeployment(Declared, frozen=True):
-    """The items and sections of a deployment that a delta puts in place; None leaves one alone."""
+    """The items and sections that a delta adds or replaces; a section of None stays unchanged."""
 
     format: int | None = None
     name: str | None = None
@@ -92,14 +93,19 @@
 
 
 class DroppedItem(Declared, frozen=True):
-    """An item that is no longer declared."""
+    """An item that the later deployment no longer declares."""
 
     section: str
     name: str
 
 
 class DeploymentDelta(Declared, frozen=True):
-    """How to make one canonical deployment from another."""
+    """The changes that turn one canonical deployment into another.
+
+    Attributes:
+        put: Items and sections to add or replace.
+        dropped: Items to remove.
+    """
 
     put: PartialDeployment = PartialDeployment()
     dropped: tuple[DroppedItem, ...] = ()
@@ -111,7 +117,7 @@
 
 
 def canonical(deployment: Deployment) -> Deployment:
-    """Return the deployment with every list of named things sorted by name."""
+    """Return the deployment with every list of named items sorted by name."""
     sections: dict[str, Any] = {
         section: _sorted_by_name(getattr(deployment, section)) for section in NAMED_SECTIONS
     }
@@ -121,13 +127,18 @@
 def digest(deployment: Deployment) -> bytes:
     """Return 16 bytes that identify the content of a canonical deployment.
 
-    It guards against mistakes of ours, not against forgery: peers are authenticated.
+    The digest is not cryptographic. It detects faults in applying deltas; peers are authenticated.
     """
     return xxhash.xxh3_128_digest(cbor2.dumps(msgspec.to_builtins(deployment)))
 
 
 def differences(before: Deployment | None, after: Deployment) -> tuple[DeploymentChange, ...]:
-    """List what differs, section by section; None stands for nothing declared."""
+    """Return the differences, section by section.
+
+    Args:
+        before: The earlier deployment, or None if nothing was declared.
+        after: The later deployment.
+    """
     if before is None:
         before = msgspec.structs.replace(
             Deployment(after.format, after.name, (), (), (), ()),
@@ -142,12 +153,12 @@
 
 
 def render_plan(changes: Iterable[DeploymentChange]) -> str:
-    """Render changes, one a line."""
+    """Return the changes as text, one per line."""
     return "\n".join(str(change) for change in changes) or "no change"
 
 
 def delta_between(before: Deployment, after: Deployment) -> DeploymentDelta:
-    """Return the delta that makes `after` from `before`; both canonical."""
+    """Return the delta that turns `before` into `after`; both must be canonical."""
     put: dict[str, Any] = {}
     dropped: list[DroppedItem] = []
     for section in PLAIN_SECTIONS:
@@ -162,7 +173,7 @@
 
 
 def apply_delta(before: Deployment, delta: DeploymentDelta) -> Deployment:
-    """Make the next canonical deployment; unchanged items are the same objects as before."""
+    """Return the canonical deployment after a delta; unchanged items are the same objects."""
     values: dict[str, Any] = {}
     for section in PLAIN_SECTIONS:
         value = getattr(delta.put, section)
@@ -219,7 +230,7 @@
 
 
 def _show(value: Any) -> str:
-    """Render a value in a few words."""
+    """Render a value for a plan, truncated to MAX_SHOWN_CHARACTERS."""
     if isinstance(value, enum.Enum):
         return str(value.value)
     if isinstance(value, tuple):
--- a/src/weirscale/domain/configuration/encode.py
+++ b/src/weirscale/domain/configuration/encode.py
@@ -1,8 +1,8 @@
-"""The forms in which a deployment is kept in the key-value service and sent between nodes.
+"""Encoding of deployments in the key-value service and between nodes.
 
-Both are CBOR, compressed. The stored form carries a format number, so that a node meets a newer
-one with a plain error, and a log of the last changes, so that an operator whose answer was lost
-or who was overtaken can learn what happened.
+Both forms are compressed CBOR. The stored form carries a format number, so that a node rejects a
+newer format with a clear error. It also carries a log of the last changes. An operator whose reply
+was lost, or whose change was superseded, can find out from the log what happened.
 """
 
 import zlib
@@ -17,9 +17,9 @@
 
 STORED_FORMAT = 1
 MAX_ENCODED_BYTES = 8 * 1024 * 1024
-"""Uncompressed; sixteen times a deployment of 1,700 engines and 290 tenants."""
+"""Limit of the uncompressed form: 16 times a deployment of 1,700 engines and 290 tenants."""
 MAX_LOGGED_CHANGES = 16
-"""Changes kept in the log: more than operators make within an apply's time limit."""
+"""Changes kept in the log: more than operators make within the time limit of one apply."""
 
 DecodedT = TypeVar("DecodedT")
 
@@ -28,9 +28,9 @@
     """One accepted change.
 
     Attributes:
-        apply_id: Unique id of the `apply` that made it.
-        from_revision: Revision that it replaced; so the change before it made that revision.
-        summary: What it changed, one thing a line, cut short.
+        apply_id: Unique id of the `apply` that made the change.
+        from_revision: Revision that the change replaced, made by the change before it in the log.
+        summary: The plan, one difference per line, truncated.
     """
 
     apply_id: str
@@ -42,8 +42,8 @@
     """The value of the configuration key.
 
     Attributes:
-        deployment: The declared state, canonical.
-        log: The last changes, the newest last; the newest one made this value.
+        deployment: The declared state in canonical form.
+        log: The last changes, the newest last; the newest change wrote this value.
         format: Version of the stored form.
     """
 
@@ -53,7 +53,7 @@
 
 
 class DecodeFailure(msgspec.Struct, frozen=True):
-    """Bytes that are not what they should be; `detail` names the remedy."""
+    """Bytes that could not be decoded; `detail` gives the cause and the remedy."""
 
     detail: str
 
@@ -70,8 +70,10 @@
         return unpacked
     value = unpacked.ok_value
     if not isinstance(value, dict) or value.get("format") != STORED_FORMAT:
-        found = value.get("format") if isinstance(value, dict) else "none"
-        detail = f"stored format {found} is not {STORED_FORMAT}; run the version that wrote it"
+        stored_format = value.get("format") if isinstance(value, dict) else "none"
+        detail = (
+            f"stored format {stored_format} is not {STORED_FORMAT}; run the version that wrote it"
+        )
         return Err(DecodeFailure(detail))
     return _convert(value, StoredConfiguration)
 
@@ -101,19 +103,19 @@
 
 
 def _unpack(data: bytes) -> Result[Any, DecodeFailure]:
-    """Decompress within bounds and decode; bad input is answered, never raised."""
+    """Decompress up to MAX_ENCODED_BYTES and decode; return a failure for bad input."""
     try:
         decompressor = zlib.decompressobj()
-        plain = decompressor.decompress(data, MAX_ENCODED_BYTES)
+        decompressed = decompressor.decompress(data, MAX_ENCODED_BYTES)
         if not decompressor.eof:
             return Err(DecodeFailure("cut short or too large; fetch it again"))
-        return Ok(cbor2.loads(plain))
+        return Ok(cbor2.loads(decompressed))
     except Exception as error:
         return Err(DecodeFailure(f"{type(error).__name__} {error}; fetch it again"))
 
 
-def _convert(value: object, wanted: type[DecodedT]) -> Result[DecodedT, DecodeFailure]:
+def _convert(value: object, expected: type[DecodedT]) -> Result[DecodedT, DecodeFailure]:
     try:
-        return Ok(msgspec.convert(value, wanted))
+        return Ok(msgspec.convert(value, expected))
     except (msgspec.ValidationError, RecursionError) as error:
-        return Err(DecodeFailure(f"{error}; run one version on all nodes"))
+        return Err(DecodeFailure(f"{error}; run the same version on all nodes"))
--- a/src/weirscale/domain/configuration/model.py
+++ b/src/weirscale/domain/configuration/model.py
@@ -1,7 +1,8 @@
 """The declared state of a deployment, as typed values.
 
-Parsing with line numbers is in `parse`, rules over several fields in `validate`, comparison of
-two states in `difference`. Durations end in `_s`; rates are per second over the whole fleet.
+The field names are those of the configuration file. `parse` reads the file with line numbers,
+`validate` checks rules over several fields, `difference` compares two states. Names of durations
+end in `_s`; rates are per second over the whole fleet.
 """
 
 import enum
@@ -22,7 +23,7 @@
 
 
 class EngineRole(enum.Enum):
-    """Which phase of a request an engine serves."""
+    """Phases of a request that an engine serves."""
 
     BOTH = "both"
     PREFILL = "prefill"
@@ -30,11 +31,11 @@
 
 
 class Declared(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """Base of everything in the file: frozen, unknown fields are errors."""
+    """Base of all types in the file: immutable; unknown fields are errors."""
 
 
 class Region(Declared, frozen=True):
-    """A region and its zones; zones of one region are near each other."""
+    """A region and its zones; zones of one region have short network delays to each other."""
 
     name: RegionName
     zones: tuple[ZoneName, ...]
@@ -44,12 +45,12 @@
     """A model and the weights that must serve it.
 
     Attributes:
-        name: What callers ask for.
-        weight_version: The version that must be in force.
-        adapters: Adapters that its engines must have loaded.
-        min_ready_engines: Engines of it that must stay ready while a rollout goes on.
-        max_concurrent_loads: Engines that may load it at once, over the fleet.
-        load_timeout_s: A load that takes longer has failed.
+        name: Model name in callers' requests.
+        weight_version: Weight version that the engines must serve.
+        adapters: Adapters that the model's engines must have loaded.
+        min_ready_engines: Engines of the model that must stay ready during a rollout.
+        max_concurrent_loads: Engines of the fleet that may load the model at the same time.
+        load_timeout_s: Time after which a load counts as failed.
         max_failed_loads: Failed loads of a version after which its rollout stops.
         restores_failed_engines: Whether engines that a stopped rollout left without weights load
             the version that the model served before.
@@ -66,18 +67,18 @@
 
 
 class Engine(Declared, frozen=True):
-    """One model runner.
+    """One engine (model runner).
 
     Attributes:
         name: Unique name.
-        zone: Where it stands.
-        address: host:port of its HTTP interface, an IP number.
-        model: The model that it must serve.
-        role: Which phase it serves.
+        zone: Zone in which the engine runs.
+        address: IP:port of the engine's HTTP interface.
+        model: The model that the engine must serve.
+        role: Phases of a request that the engine serves.
         block_size_bytes: Prompt bytes in one cache block.
-        num_total_blocks: Blocks that its cache holds.
-        prefill_tokens_per_s: Prompt tokens that it computes a second, as declared.
-        max_concurrent_requests: Requests that a node keeps on it at once, over all nodes.
+        num_total_blocks: Capacity of the engine's cache in blocks.
+        prefill_tokens_per_s: Declared prefill speed in prompt tokens per second.
+        max_concurrent_requests: Limit on the engine's concurrent requests, counted over all nodes.
     """
 
     name: EngineName
@@ -92,7 +93,7 @@
 
 
 class KeptKvStore(Declared, frozen=True):
-    """A store of kept KV cache."""
+    """A store to which engines export KV cache blocks, and from which they import them."""
 
     name: str
     address: str
@@ -101,13 +102,13 @@
 
 
 class ServiceRoute(Declared, frozen=True):
-    """Requests of a service that share rules; the first route that matches applies.
+    """Rules for a group of a service's requests; the first matching route applies.
 
     Attributes:
-        method: HTTP method, or `*`.
-        path_prefix: Matches paths that start with it.
+        method: HTTP method, or `*` for all.
+        path_prefix: Prefix of the matching paths.
         repeatable: Whether the service may run one request more than once.
-        deadline_s: Time limit where the caller gives none.
+        deadline_s: Time limit of requests without a deadline from the caller.
     """
 
     method: str
@@ -136,12 +137,13 @@
     """A tenant and its limits; None means no limit.
 
     Attributes:
-        name: Unique name; also the salt of its cache blocks.
-        api_key_sha256: Lower-case hex digests of its API keys (two while a key is replaced).
-        priority: Lower is served first.
+        name: Unique name; also the salt of the tenant's cache blocks.
+        api_key_sha256: Lower-case hex SHA-256 digests of the tenant's API keys; two during a key
+            rotation.
+        priority: Tenants with a lower number are served first.
         weight: Share of a saturated fleet relative to tenants of the same priority.
         requests_per_s: Rate limit over the fleet.
-        burst_requests: Requests above the rate that may come at once.
+        burst_requests: Burst above the rate limit, in requests.
         max_concurrent_requests: Concurrency limit over the fleet.
         prompt_tokens_per_s: Rate limit of prompt tokens over the fleet.
     """
@@ -157,13 +159,16 @@
 
 
 class RoutingObjective(Declared, frozen=True):
-    """What the choice of engine weighs, relative to a second of the request's own waiting.
+    """Weights of the costs in the choice of an engine.
+
+    A weight of 1 makes one second of that cost count as one second of prefill for the request.
 
     Attributes:
-        waste_weight: Weight of computing tokens again, in seconds for each second of it.
-        tail_weight: Weight of queueing behind others.
-        hot_prefix_load: Share of an engine's capacity one prefix may take before it is replicated.
-        max_import_wait_s: Longest wait for the kept-KV store.
+        waste_weight: Weight of the time that engines spend on recomputing cached tokens.
+        tail_weight: Weight of the time in the queue behind other requests.
+        hot_prefix_load: Share of an engine's capacity that requests with one prefix may use before
+            the prefix is replicated on other engines.
+        max_import_wait_s: Longest wait for an import from a kept-KV store.
     """
 
     waste_weight: float = 0.5
@@ -173,14 +178,14 @@
 
 
 class RetryRules(Declared, frozen=True):
-    """Limits on sending requests again.
+    """Limits on retries.
 
     Attributes:
         budget_ratio: Retries allowed as a share of first attempts.
-        min_retries_per_s: Retries always allowed a second on each node.
-        max_attempts: Attempts of one request, the first included.
-        hedge_after_s: Start a second attempt of a repeatable request without a first chunk after
-            this time; None for never.
+        min_retries_per_s: Retries per second that each node may always send.
+        max_attempts: Attempts of one request, including the first.
+        hedge_after_s: Time without a first chunk after which a repeatable request gets a second,
+            parallel attempt (hedging); None disables hedging.
     """
 
     budget_ratio: float = 0.2
@@ -190,7 +195,7 @@
 
 
 class CallerLimits(Declared, frozen=True):
-    """Bounds on what one caller may send."""
+    """Limits on callers' requests."""
 
     max_body_bytes: int = 16 * 1024 * 1024
     max_json_depth: int = 64
@@ -201,21 +206,22 @@
 
 
 MIN_LOG_LEASE_S = 3.0
-"""Renewed three times within it; below, one slow answer of the service would let it lapse."""
+"""The lease is renewed three times within its duration. If it were shorter, one slow answer of the
+key-value service would let it expire."""
 
 
 class ClaimRules(Declared, frozen=True):
     """At-most-once claims for requests with an idempotency key.
 
     Attributes:
-        num_holders: Replicas of the ledger, in as many zones as there are.
-        retention_s: How long a key is remembered after its claim.
-        log_in_store: Whether grants are logged in the key-value service as well, so that claims
-            outlive the restart of all holders.
-        log_lease_s: How long after the service has stopped answering grants go on without the
-            log; at least MIN_LOG_LEASE_S.
-        log_write_interval_s: Least time between two writes of one node to the log; what comes
-            meanwhile waits and goes into one write.
+        num_holders: Replicas of the ledger, spread over as many zones as possible.
+        retention_s: Time for which a key is kept after its claim.
+        log_in_store: Whether grants are also logged in the key-value service, so that claims
+            survive a restart of all holders.
+        log_lease_s: Time after the key-value service stops answering until grants continue
+            without the log; at least MIN_LOG_LEASE_S.
+        log_write_interval_s: Minimum time between two writes of one node to the log; claims that
+            arrive in between are batched into the next write.
     """
 
     num_holders: int = 3
@@ -233,15 +239,15 @@
         name: The deployment's name.
         regions: Regions and their zones.
         models: Models served.
-        engines: Model runners.
+        engines: Engines that serve the models.
         tenants: Tenants.
-        services: Services passed through.
-        kept_kv_stores: Stores of kept KV cache.
+        services: Services whose requests are proxied.
+        kept_kv_stores: Stores of exported KV cache blocks.
         routing: Weights of the choice of engine.
-        retry: Retry limits.
-        callers: Bounds on callers' input.
+        retry: Limits on retries.
+        callers: Limits on callers' requests.
         claims: At-most-once claims.
-        drain_timeout_s: Longest planned stop.
+        drain_timeout_s: Longest duration of a graceful shutdown.
     """
 
     format: int
--- a/src/weirscale/domain/configuration/parse.py
+++ b/src/weirscale/domain/configuration/parse.py
@@ -1,7 +1,7 @@
-"""Turns the text of a configuration file into a typed `Deployment`, collecting every error.
+"""Parsing of a configuration file into a typed `Deployment`, with a list of all errors.
 
-Types, ranges of enumerations and required fields come from the model itself, so a field that is
-added there is checked here without a change.
+Types, enumeration values and required fields come from the types in `model`, so a field added
+there needs no change here.
 """
 
 import enum
@@ -24,16 +24,16 @@
 )
 
 MAX_ERRORS = 200
-"""Errors reported at most; a file with more has one cause that repeats."""
+"""Maximum number of reported errors; a file with more repeats one mistake."""
 
 TYPE_NAMES = {str: "text", int: "a whole number", float: "a number", bool: "true or false"}
 
 
 class ParsedDeployment(msgspec.Struct, frozen=True):
-    """A well-typed file.
+    """A deployment file that passed the type checks.
 
     Attributes:
-        deployment: Its content.
+        deployment: Content of the file.
         lines: Line of each field by its path, for errors found later.
     """
 
@@ -47,10 +47,10 @@
 
 
 class ParsedFile(msgspec.Struct, Generic[DeclaredT], frozen=True):
-    """A well-typed file of any declared type.
+    """A file of any declared type that passed the type checks.
 
     Attributes:
-        content: Its content.
+        content: Content of the file.
         lines: Line of each field by its path, for errors found later.
     """
 
@@ -61,7 +61,7 @@
 def parse_declared(
     text: str, expected: type[DeclaredT]
 ) -> Result[ParsedFile[DeclaredT], ConfigurationErrors]:
-    """Read a file's fields by the types of any declared struct, collecting every error."""
+    """Parse a file as the given type; return the parsed file or all errors."""
     tree = read_yaml_tree(text)
     if isinstance(tree, Err):
         return Err((tree.err_value,))
@@ -74,7 +74,7 @@
 
 
 def parse_deployment(text: str) -> Result[ParsedDeployment, ConfigurationErrors]:
-    """Read a file's fields by their types; rules over several fields are not checked here."""
+    """Parse a deployment file; rules over several fields are not checked here."""
     parsed = parse_declared(text, Deployment)
     if isinstance(parsed, Err):
         return parsed
@@ -82,7 +82,7 @@
 
 
 def check_deployment(text: str) -> Result[Deployment, ConfigurationErrors]:
-    """Parse a file and check the rules over several fields: the whole `weirscale check`."""
+    """Parse a file and check the rules over several fields, as `weirscale check` does."""
     parsed = parse_deployment(text)
     if isinstance(parsed, Err):
         return parsed
@@ -93,14 +93,14 @@
 
 
 class _Builder:
-    """Walks the tree along the model's types; a failed part yields None and an error."""
+    """Converts a YAML tree to the model's types; a failed part yields None and an error."""
 
     def __init__(self) -> None:
         self.errors: list[ConfigurationError] = []
         self.lines: dict[str, int] = {}
 
     def build(self, node: YamlNode, expected: Any, path: str) -> Any:
-        """Convert one node to the expected type, or record why it cannot be."""
+        """Convert one node to the expected type; on failure record an error and return None."""
         self.lines[path] = node.line
         expected = _without_new_type(expected)
         if isinstance(expected, type) and issubclass(expected, Declared):
@@ -144,9 +144,9 @@
         )
 
     def _build_scalar(self, node: YamlNode, expected: Any, path: str) -> Any:
-        wanted = _describe(expected)
+        description = _describe(expected)
         if not isinstance(node, YamlScalar):
-            self._fail(node, path, "expected one value", f"write {wanted}")
+            self._fail(node, path, "expected one value", f"write {description}")
             return None
         if expected is str and not node.text:
             self._fail(node, path, "empty", "write a text")
@@ -155,7 +155,7 @@
             return msgspec.convert(node.text, expected, strict=False)
         except msgspec.ValidationError:
             shown = node.text if len(node.text) <= 40 else node.text[:40] + "…"
-            self._fail(node, path, f"`{shown}` is not {wanted}", f"write {wanted}")
+            self._fail(node, path, f"`{shown}` is not {description}", f"write {description}")
             return None
 
     def _fail(self, node: YamlNode, path: str, message: str, remedy: str) -> None:
@@ -169,7 +169,7 @@
 
 
 def _struct_fields(expected: type[Declared]) -> tuple[msgspec.structs.FieldInfo, ...]:
-    """Return a type's fields; the inspection is slow, so it is kept for each type."""
+    """Return a type's fields, cached per type because the inspection is slow."""
     if expected not in _FIELDS:
         _FIELDS[expected] = msgspec.structs.fields(expected)
     return _FIELDS[expected]
@@ -182,7 +182,7 @@
 
 
 def _describe(expected: Any) -> str:
-    """Name a scalar type for an operator."""
+    """Describe a scalar type in an error message."""
     if isinstance(expected, type) and issubclass(expected, enum.Enum):
         return "one of: " + ", ".join(str(member.value) for member in expected)
     if isinstance(expected, types.UnionType) or typing.get_origin(expected) is typing.Union:
--- a/src/weirscale/domain/configuration/validate.py
+++ b/src/weirscale/domain/configuration/validate.py
@@ -1,4 +1,4 @@
-"""Rules over several fields of a configuration file."""
+"""Rules for a configuration file beyond the types of its fields."""
 
 import math
 import re
@@ -19,7 +19,7 @@
 DIGEST_PATTERN = re.compile(r"[0-9a-f]{64}")
 HTTP_METHODS = frozenset({"*", "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"})
 
-MAY_BE_ZERO = frozenset(
+ZERO_ALLOWED_FIELDS = frozenset(
     {
         "priority",
         "burst_requests",
@@ -32,17 +32,17 @@
         "max_failed_loads",
     }
 )
-"""Numbers that may be zero; all others must be above it."""
+"""Fields whose value may be zero; all other numbers must be positive."""
 
 
 def validate_deployment(
     deployment: Deployment, lines: Mapping[str, int]
 ) -> tuple[ConfigurationError, ...]:
-    """Check a well-typed deployment.
+    """Check the rules for a deployment that passed the type checks.
 
     Args:
         deployment: The declared state.
-        lines: Line of each field by path, as `parse_deployment` gives it; may be empty.
+        lines: Line of each field by path, as `parse_deployment` returns it; may be empty.
 
     Returns:
         Every error, in the order of the file; empty when the deployment may be applied.
@@ -56,31 +56,31 @@
 def _check_format(checker: DeploymentChecker) -> None:
     if checker.deployment.format != FILE_FORMAT:
         message = f"format {checker.deployment.format} is not known"
-        checker.fail("format", message, f"write `format: {FILE_FORMAT}`")
-    checker.name("name", checker.deployment.name)
+        checker.add_error("format", message, f"write `format: {FILE_FORMAT}`")
+    checker.check_name("name", checker.deployment.name)
 
 
 def _check_regions(checker: DeploymentChecker) -> None:
     regions = checker.deployment.regions
     if not regions:
-        checker.fail("regions", "no region", "declare at least one region with a zone")
-    checker.named("regions", regions)
+        checker.add_error("regions", "no region", "declare at least one region with a zone")
+    checker.check_names("regions", regions)
     zones = [
         (f"regions[{i}].zones[{j}]", zone)
         for i, region in enumerate(regions)
         for j, zone in enumerate(region.zones)
     ]
-    checker.unique(zones, "zone")
+    checker.check_unique(zones, "zone")
     for path, zone in zones:
-        checker.name(path, zone)
+        checker.check_name(path, zone)
     for index, region in enumerate(regions):
         if not region.zones:
-            checker.fail(f"regions[{index}].zones", "no zone", "list the region's zones")
+            checker.add_error(f"regions[{index}].zones", "no zone", "list the region's zones")
 
 
 def _check_models(checker: DeploymentChecker) -> None:
     deployment = checker.deployment
-    checker.named("models", deployment.models)
+    checker.check_names("models", deployment.models)
     for index, model in enumerate(deployment.models):
         path = f"models[{index}]"
         num_engines = sum(engine.model == model.name for engine in deployment.engines)
@@ -89,21 +89,21 @@
                 f"{model.min_ready_engines} of {num_engines} engines must stay ready, "
                 "so none can ever be reloaded"
             )
-            checker.fail(f"{path}.min_ready_engines", message, "declare fewer, or add engines")
+            checker.add_error(f"{path}.min_ready_engines", message, "declare fewer, or add engines")
         adapters = [(f"{path}.adapters[{i}]", name) for i, name in enumerate(model.adapters)]
-        checker.unique(adapters, "adapter")
+        checker.check_unique(adapters, "adapter")
 
 
 def _check_engines(checker: DeploymentChecker) -> None:
     engines = checker.deployment.engines
-    checker.named("engines", engines)
+    checker.check_names("engines", engines)
     for index, engine in enumerate(engines):
         path = f"engines[{index}]"
-        checker.zone(f"{path}.zone", engine.zone)
-        checker.address(f"{path}.address", engine.address)
+        checker.check_zone(f"{path}.zone", engine.zone)
+        checker.check_address(f"{path}.address", engine.address)
         if engine.model not in checker.models:
             remedy = f"use one of: {', '.join(sorted(checker.models))}"
-            checker.fail(f"{path}.model", f"unknown model `{engine.model}`", remedy)
+            checker.add_error(f"{path}.model", f"unknown model `{engine.model}`", remedy)
 
 
 def _check_roles(checker: DeploymentChecker) -> None:
@@ -114,72 +114,72 @@
         for role in (EngineRole.PREFILL, EngineRole.DECODE):
             if role not in roles:
                 message = f"no engine of `{model.name}` serves {role.value}"
-                remedy = f"give an engine of it the role {role.value} or both"
-                checker.fail(f"models[{index}].name", message, remedy)
+                remedy = f"give one of the model's engines the role {role.value} or both"
+                checker.add_error(f"models[{index}].name", message, remedy)
 
 
 def _check_services(checker: DeploymentChecker) -> None:
     services = checker.deployment.services
-    checker.named("services", services)
+    checker.check_names("services", services)
     backends = [
         (f"services[{i}].backends[{j}]", backend)
         for i, service in enumerate(services)
         for j, backend in enumerate(service.backends)
     ]
-    checker.unique([(f"{path}.name", backend.name) for path, backend in backends], "name")
+    checker.check_unique([(f"{path}.name", backend.name) for path, backend in backends], "name")
     for path, backend in backends:
-        checker.name(f"{path}.name", backend.name)
-        checker.zone(f"{path}.zone", backend.zone)
-        checker.address(f"{path}.address", backend.address)
+        checker.check_name(f"{path}.name", backend.name)
+        checker.check_zone(f"{path}.zone", backend.zone)
+        checker.check_address(f"{path}.address", backend.address)
     for index, service in enumerate(services):
         _check_routes(checker, f"services[{index}]", service)
 
 
 def _check_routes(checker: DeploymentChecker, path: str, service: Service) -> None:
     if not service.backends:
-        checker.fail(f"{path}.backends", "no back end", "list the service's processes")
+        checker.add_error(f"{path}.backends", "no back end", "list the service's processes")
     if not service.routes:
         remedy = "declare at least `{method: '*', path_prefix: /, repeatable: false}`"
-        checker.fail(f"{path}.routes", "no route", remedy)
+        checker.add_error(f"{path}.routes", "no route", remedy)
     for index, route in enumerate(service.routes):
         route_path = f"{path}.routes[{index}]"
         if route.method not in HTTP_METHODS:
             remedy = f"use one of: {', '.join(sorted(HTTP_METHODS))}"
-            checker.fail(f"{route_path}.method", f"unknown method `{route.method}`", remedy)
+            checker.add_error(f"{route_path}.method", f"unknown method `{route.method}`", remedy)
         if not route.path_prefix.startswith("/"):
-            remedy = "start it with `/`"
-            checker.fail(f"{route_path}.path_prefix", "not a path", remedy)
+            remedy = "start the prefix with `/`"
+            checker.add_error(f"{route_path}.path_prefix", "not a path", remedy)
         for earlier in service.routes[:index]:
             covers_method = earlier.method in ("*", route.method)
             if covers_method and route.path_prefix.startswith(earlier.path_prefix):
                 message = f"never reached: `{earlier.method} {earlier.path_prefix}` matches first"
-                checker.fail(route_path, message, "move the longer prefix up")
+                checker.add_error(route_path, message, "move this route before the other")
                 break
 
 
 def _check_tenants(checker: DeploymentChecker) -> None:
     tenants = checker.deployment.tenants
-    checker.named("tenants", tenants)
+    checker.check_names("tenants", tenants)
     digests = [
         (f"tenants[{i}].api_key_sha256[{j}]", digest)
         for i, tenant in enumerate(tenants)
         for j, digest in enumerate(tenant.api_key_sha256)
     ]
-    checker.unique(digests, "API key digest")
+    checker.check_unique(digests, "API key digest")
     for path, digest in digests:
         if not DIGEST_PATTERN.fullmatch(digest):
             remedy = "write the 64 lower-case hex digits of `printf %s KEY | sha256sum`"
-            checker.fail(path, "not a SHA-256 digest", remedy)
+            checker.add_error(path, "not a SHA-256 digest", remedy)
     for index, tenant in enumerate(tenants):
         if not tenant.api_key_sha256:
-            checker.fail(f"tenants[{index}].api_key_sha256", "no API key", "list a digest")
+            checker.add_error(f"tenants[{index}].api_key_sha256", "no API key", "list a digest")
 
 
 def _check_kept_kv_stores(checker: DeploymentChecker) -> None:
-    checker.named("kept_kv_stores", checker.deployment.kept_kv_stores)
+    checker.check_names("kept_kv_stores", checker.deployment.kept_kv_stores)
     for index, store in enumerate(checker.deployment.kept_kv_stores):
-        checker.zone(f"kept_kv_stores[{index}].zone", store.zone)
-        checker.address(f"kept_kv_stores[{index}].address", store.address)
+        checker.check_zone(f"kept_kv_stores[{index}].zone", store.zone)
+        checker.check_address(f"kept_kv_stores[{index}].address", store.address)
 
 
 def _check_addresses_unique(checker: DeploymentChecker) -> None:
@@ -192,16 +192,16 @@
     ]
     stores = enumerate(deployment.kept_kv_stores)
     used += [(f"kept_kv_stores[{i}].address", store.address) for i, store in stores]
-    checker.unique(used, "address")
+    checker.check_unique(used, "address")
 
 
 def _check_claims(checker: DeploymentChecker) -> None:
     if checker.deployment.claims.num_holders % 2 == 0:
-        message = "an even number of holders has no better quorum than one fewer"
-        checker.fail("claims.num_holders", message, "use 1, 3 or 5")
+        message = "an even number of holders tolerates no more failures than one fewer"
+        checker.add_error("claims.num_holders", message, "use 1, 3 or 5")
     if checker.deployment.claims.log_lease_s < MIN_LOG_LEASE_S:
-        message = "the lease is too short to be renewed through a slow answer"
-        checker.fail("claims.log_lease_s", message, f"write {MIN_LOG_LEASE_S:g} or more")
+        message = "the lease is too short: one slow answer would prevent its renewal"
+        checker.add_error("claims.log_lease_s", message, f"write {MIN_LOG_LEASE_S:g} or more")
 
 
 def _check_numbers(checker: DeploymentChecker) -> None:
@@ -209,7 +209,7 @@
 
 
 def _check_numbers_of(checker: DeploymentChecker, value: object, path: str) -> None:
-    """Walk all fields: numbers are finite and positive, or not negative where that is allowed."""
+    """Check recursively that numbers are finite and positive, or zero where that is allowed."""
     if isinstance(value, msgspec.Struct):
         for field in value.__struct_fields__:
             field_path = f"{path}.{field}" if path else field
@@ -218,11 +218,11 @@
         for index, item in enumerate(value):
             _check_numbers_of(checker, item, f"{path}[{index}]")
     elif isinstance(value, int | float) and not isinstance(value, bool):
-        may_be_zero = path.rpartition(".")[2] in MAY_BE_ZERO
+        may_be_zero = path.rpartition(".")[2] in ZERO_ALLOWED_FIELDS
         is_in_range = value >= 0 if may_be_zero else value > 0
         if not math.isfinite(value) or not is_in_range:
-            wanted = "0 or more" if may_be_zero else "more than 0"
-            checker.fail(path, f"{value} is out of range", f"write a finite number, {wanted}")
+            bound = "0 or more" if may_be_zero else "more than 0"
+            checker.add_error(path, f"{value} is out of range", f"write a finite number, {bound}")
 
 
 _RULES: tuple[Callable[[DeploymentChecker], None], ...] = (
--- a/src/weirscale/domain/configuration/yaml_tree.py
+++ b/src/weirscale/domain/configuration/yaml_tree.py
@@ -1,8 +1,8 @@
-"""A YAML text as a tree that knows its line numbers, within bounds on size and depth.
+"""Parsing of YAML text into a tree with line numbers, with limits on size and depth.
 
-Scalars stay text: the type of the field decides how each is read, so a version `1.10` stays the
-text `1.10`. Anchors, aliases, tags and several documents are refused, which also keeps a small
-file from unfolding into a large one.
+Scalars remain text, and the type of the field decides how each is converted. So a version `1.10`
+remains the text `1.10`. Anchors, aliases and multiple documents are rejected, and tags are ignored.
+Without aliases a small file cannot expand into a large one.
 """
 
 from collections.abc import Iterator
@@ -27,7 +27,7 @@
 from weirscale.domain.configuration.errors import ConfigurationError
 
 MAX_TEXT_BYTES = 4 * 1024 * 1024
-"""Eight times a file of 1,700 engines and 290 tenants."""
+"""Eight times the size of a file with 1,700 engines and 290 tenants."""
 MAX_DEPTH = 12
 """The deepest field of the format is at depth 6."""
 
@@ -41,14 +41,14 @@
 
 
 class YamlSequence(msgspec.Struct, frozen=True):
-    """A list."""
+    """A YAML sequence."""
 
     line: int
     items: list["YamlNode"]
 
 
 class YamlEntry(msgspec.Struct, frozen=True):
-    """One key of a mapping with its value."""
+    """One key of a mapping, with its value."""
 
     line: int
     key: str
@@ -56,7 +56,7 @@
 
 
 class YamlMapping(msgspec.Struct, frozen=True):
-    """A mapping; keys may still repeat here."""
+    """A YAML mapping; keys may occur more than once."""
 
     line: int
     entries: list[YamlEntry]
@@ -66,7 +66,7 @@
 
 
 class _TreeError(Exception):
-    """Carries a refusal out of the nested readers of this module."""
+    """Raised in the nested readers of this module for YAML that is not accepted."""
 
     def __init__(self, line: int, message: str, remedy: str) -> None:
         super().__init__(message)
@@ -77,18 +77,18 @@
     """Read one YAML document.
 
     Args:
-        text: The whole file.
+        text: Content of the file.
 
     Returns:
-        The root node, or the first error; a text that is not YAML has no second one.
+        The root node, or the first error.
     """
     if len(text.encode("utf-8", "replace")) > MAX_TEXT_BYTES:
         message = f"the file is larger than {MAX_TEXT_BYTES} bytes"
         return Err(ConfigurationError(0, "", message, "split the deployment or shorten the file"))
     try:
         return Ok(_read_document(YAML(typ="safe", pure=True).parse(StringIO(text))))
-    except _TreeError as refusal:
-        return Err(refusal.error)
+    except _TreeError as tree_error:
+        return Err(tree_error.error)
     except MarkedYAMLError as error:
         mark = error.problem_mark or error.context_mark
         line = mark.line + 1 if mark is not None else 0
@@ -149,7 +149,7 @@
             raise _TreeError(key.line, "a key must be plain text", "write `key: value`")
         value = _read_node(next(events), events, depth + 1)
         if isinstance(value, YamlScalar) and not value.text:
-            # A value that is left out has the place of what follows it; the key's is meant.
+            # The parser gives an omitted value the line of the next token; use the key's line.
             value = YamlScalar(key.line, value.text, value.is_quoted)
         entries.append(YamlEntry(key.line, key.text, value))
     return YamlMapping(line, entries)
--- a/src/weirscale/domain/identifiers.py
+++ b/src/weirscale/domain/identifiers.py
@@ -1,4 +1,4 @@
-"""Names and numbers that identify the things the router deals with."""
+"""Identifier types of tenants, models, engines, services and nodes."""
 
 from typing import NewType
 
@@ -16,10 +16,10 @@
 RegionName = NewType("RegionName", str)
 NodeName = NewType("NodeName", str)
 SoftwareVersion = NewType("SoftwareVersion", str)
-"""Version of a service's program, as its back ends register it; not that of a model's weights."""
+"""Version of a service's software, as its back ends register it; unrelated to model weights."""
 
 Incarnation = NewType("Incarnation", int)
-"""Grows each time a process (a node or an engine) starts anew; state of a lower one is void."""
+"""Number of a run of a node or engine; grows with each start. State of earlier runs is void."""
 
 ConfigurationRevision = NewType("ConfigurationRevision", int)
 """The key-value service's revision of the configuration key; grows with each accepted change."""
@@ -41,10 +41,10 @@
 
 
 class NodeAddress(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Where a node's peer port listens, for datagrams and for calls alike.
+    """Address of a node's peer port, for datagrams (casts) and for request/reply calls.
 
     Attributes:
-        host: An IP number.
+        host: IP address.
         port: UDP port for casts and TCP port for calls.
     """
 
--- a/src/weirscale/domain/rendezvous.py
+++ b/src/weirscale/domain/rendezvous.py
@@ -1,6 +1,6 @@
-"""Rendezvous (highest random weight) hashing: all nodes rank names alike without talking.
+"""Rendezvous (highest random weight) hashing: all nodes rank names alike without communication.
 
-When a name joins or goes, only the keys that it takes or held move.
+When a name is added or removed, only the keys assigned to that name move.
 """
 
 from functools import lru_cache
@@ -9,15 +9,15 @@
 
 _MAX_HASH = float(2**64)
 _NUM_CACHED_NAMES = 8192
-"""Above the engines and nodes of the size designed for."""
+"""More than the engines and nodes of the largest supported deployment."""
 
 
 def rendezvous_weight(name: str, key: int) -> int:
     """Return the 64-bit weight of a name for a key; the highest weight wins.
 
     Args:
-        name: What is ranked: a node, an engine, an address.
-        key: What it is ranked for: any 64-bit number, such as a block hash or a group's number.
+        name: Name to rank: a node, an engine, an address.
+        key: Any 64-bit number to rank the name for, such as a block hash or a group number.
     """
     return xxhash.xxh3_64_intdigest(_name_bytes(name), key)
 
