--- a/src/weirscale/domain/claims/__init__.py
+++ b/src/weirscale/domain/claims/__init__.py
@@ -1,1 +1,1 @@
-"""At-most-once claims: a quorum ledger of idempotency keys."""
+"""At-most-once claims of idempotency keys, kept in a ledger replicated by quorum."""
--- a/src/weirscale/domain/claims/authority.py
+++ b/src/weirscale/domain/claims/authority.py
@@ -1,9 +1,10 @@
-"""How long a holder may go on without word that its epoch is still in force.
+"""How long a holder may vote without a confirmation that its epoch is still in force.
 
-Only an epoch after the loss of a whole group needs this: every other change seals a majority of
-the holders before it. The node that declares a group lost sees more than half of the zones; a
-holder goes on only while it hears at least half of them, or has read the key-value service. So a
-holder that has been declared lost while it lives stops within AUTHORITY_S.
+This is needed only for an epoch that follows the loss of a group's quorum: every other change of
+holders first seals a majority of the current ones. The node that declares a quorum lost has live
+nodes in more than half of the zones. A holder votes only while it gets answers from at least half
+of the zones, or has read the key-value service. So a holder that was declared lost while it still
+runs stops voting within AUTHORITY_S.
 """
 
 from collections.abc import Iterable
@@ -11,42 +12,43 @@
 from weirscale.domain.identifiers import ZoneName
 
 AUTHORITY_S = 30.0
-"""How long a confirmation counts; far above a few lost messages, below LOST_AFTER_S."""
+"""Validity of a confirmation: long enough for a few lost messages, and below LOST_AFTER_S."""
 LOST_AFTER_S = 120.0
-"""How long the holders of a group must be gone before the group counts as lost."""
+"""How long a majority of a group's holders must be gone before its quorum counts as lost."""
 AMNESIA_MARGIN_S = 2 * AUTHORITY_S
-"""Added to the retention after a loss: a living holder may have granted keys this much longer."""
+"""Added to the retention after a loss, because a live holder may have granted keys for this much
+longer."""
 
 
 class HolderAuthority:
-    """When a node last had confirmation of its epochs."""
+    """Tracks when a node's epochs were last confirmed, by zone and by the key-value service."""
 
     def __init__(self, own_zone: ZoneName) -> None:
         self._own_zone = own_zone
-        self._heard_at_s: dict[ZoneName, float] = {}
+        self._answered_at_s: dict[ZoneName, float] = {}
         self._store_read_at_s: float | None = None
 
     def record_zone_answer(self, zone: ZoneName, asked_at_s: float) -> None:
-        """A node of the zone answered a question asked then, and knew no newer epoch."""
-        self._heard_at_s[zone] = max(asked_at_s, self._heard_at_s.get(zone, asked_at_s))
+        """Record that a node of the zone, queried at `asked_at_s`, reported no newer epoch."""
+        self._answered_at_s[zone] = max(asked_at_s, self._answered_at_s.get(zone, asked_at_s))
 
     def record_store_read(self, asked_at_s: float) -> None:
-        """The key-value service answered a read asked then, and every record was adopted."""
+        """Record that all epochs read from the key-value service at `asked_at_s` were applied."""
         self._store_read_at_s = max(asked_at_s, self._store_read_at_s or asked_at_s)
 
     def may_answer(self, zones: Iterable[ZoneName], now_s: float) -> bool:
-        """Whether this node may vote now, given the declared zones."""
+        """Return whether this node may vote now, given the declared zones."""
         if self._store_read_at_s is not None and self._is_fresh(self._store_read_at_s, now_s):
             return True
         declared = set(zones) | {self._own_zone}
-        heard = [zone for zone in declared if self._hears(zone, now_s)]
-        return 2 * len(heard) >= len(declared)
+        confirmed = [zone for zone in declared if self._is_confirmed_by(zone, now_s)]
+        return 2 * len(confirmed) >= len(declared)
 
-    def _hears(self, zone: ZoneName, now_s: float) -> bool:
+    def _is_confirmed_by(self, zone: ZoneName, now_s: float) -> bool:
         if zone == self._own_zone:
             return True
-        heard_at_s = self._heard_at_s.get(zone)
-        return heard_at_s is not None and self._is_fresh(heard_at_s, now_s)
+        answered_at_s = self._answered_at_s.get(zone)
+        return answered_at_s is not None and self._is_fresh(answered_at_s, now_s)
 
     @staticmethod
     def _is_fresh(at_s: float, now_s: float) -> bool:
--- a/src/weirscale/domain/claims/holder.py
+++ b/src/weirscale/domain/claims/holder.py
@@ -1,8 +1,8 @@
-"""One replica of a claim group: remembers which claimant each key was first offered to.
+"""One replica of a claim group: records for each key the claimant that this replica voted for.
 
-Safety rests on three rules. A holder votes for one claimant of a key and changes its vote only
-when that claimant itself withdraws. It answers only for the epoch that it is in, and never again
-once it has sealed it. Two majorities of one epoch share a holder, so two claimants of a key are
+Safety rests on three rules. A holder votes for one claimant of a key, and changes its vote only
+when that claimant withdraws. A holder answers only for its current epoch, and never again after it
+has sealed that epoch. Two majorities of one epoch share a holder, so two claimants of a key are
 never both granted.
 """
 
@@ -24,26 +24,27 @@
 )
 
 MAX_ENTRIES = 50_000
-"""Claims that one holder of a group keeps; beyond it new keys are refused, none is forgotten."""
+"""Claims that one holder of a group keeps. When it is full, new keys are refused; no claim is
+dropped early."""
 MAX_ANSWER_BYTES = 8 * 1024
-"""Largest answer kept with a claim."""
+"""Size of the largest answer kept with a claim."""
 MAX_ANSWERS_BYTES = 256 * 1024
-"""Answers kept in all by one holder; the oldest are dropped, their claims stay."""
+"""Total size of the answers kept by one holder; the oldest are dropped, but their claims stay."""
 MAX_WITHDRAWN = 1024
-"""Withdrawn claimants remembered: enough for the seconds in which a late copy may still come."""
+"""Withdrawn claimants kept: enough for the seconds in which a late copy of an offer may arrive."""
 EXPIRY_BATCH = 16
-"""Expired claims that one operation clears at most, so that no operation takes long."""
+"""Maximum number of expired claims that one operation removes, which bounds its duration."""
 
 
 class HolderPhase(enum.Enum):
-    """Where a holder stands in the life of its epoch."""
+    """Phase of a holder within its epoch."""
 
     PREPARING = "preparing"
-    """It has the claims of the epoch before and waits for the new epoch to be in force."""
+    """The holder has the previous epoch's claims and waits until the new epoch is in force."""
     ACTIVE = "active"
-    """It answers."""
+    """The holder votes."""
     SEALED = "sealed"
-    """It has handed its claims on and answers no more in this epoch."""
+    """The holder no longer votes in this epoch; its claims can be copied to the next epoch."""
 
 
 class ClaimHolder:
@@ -53,8 +54,8 @@
         epoch: The epoch; the holder answers for no other.
         retention_s: How long a claim is kept after its last change.
         phase: PREPARING until the epoch is in force.
-        unknown_refused_until_s: Until then an unknown key is refused, because claims of an epoch
-            that was lost whole may have existed.
+        unknown_refused_until_s: Time until which unknown keys are refused, because they may have
+            been claimed in an epoch that lost its quorum.
     """
 
     def __init__(
@@ -75,19 +76,19 @@
 
     @property
     def num_entries(self) -> int:
-        """Claims kept."""
+        """Number of claims kept."""
         return len(self._entries)
 
     def vote(
         self, epoch: int, key: ClaimKey, claimant: bytes, fingerprint: bytes, now_s: float
     ) -> ClaimVote:
-        """Vote for a claimant, or tell why not."""
+        """Vote for a claimant, or return the reason for not doing so."""
         if epoch != self.epoch or self.phase is not HolderPhase.ACTIVE:
             return ClaimVote(Vote.WRONG_EPOCH, self.epoch)
         if claimant in self._withdrawn:
             return ClaimVote(Vote.WITHDRAWN, self.epoch)
         self._expire(now_s)
-        entry = self._live_entry(key, now_s)
+        entry = self._unexpired_entry(key, now_s)
         if entry is not None:
             return self._vote_on(key, entry, claimant, fingerprint)
         if now_s < self.unknown_refused_until_s:
@@ -100,14 +101,14 @@
         return ClaimVote(Vote.ACCEPTED, self.epoch)
 
     def withdraw(self, epoch: int, key: ClaimKey, claimant: bytes) -> bool:
-        """Take a claimant's vote back: it was not granted, or its request did not run.
+        """Withdraw the vote for a claimant that was not granted or whose request did not run.
 
         Returns:
-            Whether the claimant has no vote here any more.
+            Whether this holder now has no vote for the claimant.
         """
-        if not self._may_change(epoch):
+        if not self._accepts_changes(epoch):
             return False
-        self._remember_withdrawn(claimant)
+        self._record_withdrawal(claimant)
         entry = self._entries.get(key)
         if entry is None or claimant not in entry.claimants:
             return True
@@ -129,11 +130,11 @@
         answer: StoredAnswer | None,
         now_s: float,
     ) -> bool:
-        """Record that a claimant's request has run, with its answer when that is small.
+        """Record that a claimant's request has run, with its answer if that is small.
 
-        Only the claimant that was granted the key sends this, so it outranks any other vote.
+        Only the claimant that was granted the key sends this, so it replaces any other vote.
         """
-        if not self._may_change(epoch):
+        if not self._accepts_changes(epoch):
             return False
         self._entries[key] = ClaimEntry(EntryState.COMPLETED, (claimant,), fingerprint, now_s)
         self._entries.move_to_end(key)
@@ -142,14 +143,14 @@
         return True
 
     def seal(self, epoch: int) -> bool:
-        """Stop answering in this epoch for good, before its claims are copied."""
+        """Stop voting in this epoch permanently, before its claims are copied."""
         if epoch != self.epoch or self.phase is HolderPhase.PREPARING:
             return False
         self.phase = HolderPhase.SEALED
         return True
 
     def activate(self, epoch: int) -> bool:
-        """Begin to answer: the epoch is in force."""
+        """Start voting, now that the epoch is in force."""
         if epoch != self.epoch or self.phase is HolderPhase.SEALED:
             return False
         self.phase = HolderPhase.ACTIVE
@@ -158,7 +159,7 @@
     def export_claims(
         self, now_s: float, offset: int = 0, max_claims: int = MAX_ENTRIES
     ) -> tuple[CopiedClaim, ...]:
-        """A page of the claims, with ages in place of times; stable once sealed."""
+        """Return a page of the claims, with ages instead of times; stable once sealed."""
         page = itertools.islice(self._entries.items(), offset, offset + max_claims)
         return tuple(
             CopiedClaim(
@@ -168,19 +169,19 @@
         )
 
     def import_claims(self, claims: Iterable[CopiedClaim], now_s: float) -> None:
-        """Take over the claims of the epoch before, in place of any copied in earlier."""
+        """Replace all claims by those of the previous epoch; ignored unless PREPARING."""
         if self.phase is not HolderPhase.PREPARING:
             return
         self._entries.clear()
-        for claim in sorted(claims, key=lambda each: each.age_s, reverse=True):
+        for claim in sorted(claims, key=lambda claim: claim.age_s, reverse=True):
             changed_at_s = now_s - claim.age_s
             entry = ClaimEntry(claim.state, claim.claimants, claim.fingerprint, changed_at_s)
             self._entries[claim.key] = entry
 
-    def _may_change(self, epoch: int) -> bool:
+    def _accepts_changes(self, epoch: int) -> bool:
         return epoch == self.epoch and self.phase is HolderPhase.ACTIVE
 
-    def _remember_withdrawn(self, claimant: bytes) -> None:
+    def _record_withdrawal(self, claimant: bytes) -> None:
         self._withdrawn[claimant] = None
         if len(self._withdrawn) > MAX_WITHDRAWN:
             self._withdrawn.popitem(last=False)
@@ -197,11 +198,11 @@
             return ClaimVote(Vote.ACCEPTED, self.epoch, holder)
         return ClaimVote(Vote.HELD, self.epoch, holder)
 
-    def _live_entry(self, key: ClaimKey, now_s: float) -> ClaimEntry | None:
+    def _unexpired_entry(self, key: ClaimKey, now_s: float) -> ClaimEntry | None:
         entry = self._entries.get(key)
         if entry is None or now_s - entry.changed_at_s < self.retention_s:
             return entry
-        self._forget(key)
+        self._remove(key)
         return None
 
     def _expire(self, now_s: float) -> None:
@@ -209,9 +210,9 @@
             oldest = next(iter(self._entries.items()), None)
             if oldest is None or now_s - oldest[1].changed_at_s < self.retention_s:
                 return
-            self._forget(oldest[0])
+            self._remove(oldest[0])
 
-    def _forget(self, key: ClaimKey) -> None:
+    def _remove(self, key: ClaimKey) -> None:
         del self._entries[key]
         answer = self._answers.pop(key, None)
         if answer is not None:
--- a/src/weirscale/domain/claims/log.py
+++ b/src/weirscale/domain/claims/log.py
@@ -1,10 +1,14 @@
-"""The log of a group's claims in the key-value service, for the loss of a whole group.
+"""The log of a group's claims in the key-value service, read when the group has lost its quorum.
 
-Three rules make a log worth loading after a loss. A grant is answered only after its claim is in
-the log, unless a quorum of holders voted without the log. A holder votes without the log only
-while no mark of its run can exist in the service, and sets the mark again only after its claims
-are in the log. The change that follows a loss fences the log before it reads it, so that no grant
-of the epoch before can be logged any more.
+A run of a node has a mark in the service while its holders vote with the log only. Three rules
+make a log safe to load after a loss:
+
+- A grant is answered only after its claim is in the log, unless a quorum of holders voted without
+  the log.
+- A holder votes without the log only while no mark of its run can exist in the service. The mark
+  is set again only after the holder's claims are in the log.
+- The change of holders after a loss fences the log before it reads the log, so that no more grants
+  of the previous epoch can be logged.
 """
 
 from collections.abc import Iterable, Set
@@ -15,11 +19,12 @@
 from weirscale.domain.identifiers import NodeId
 
 SEGMENT_CLAIMS = 128
-"""Claims in the head of a log at most; it is rewritten with each batch: some 12 kB when full."""
+"""Maximum number of claims in the head of a log. Each batch of claims rewrites the head, which has
+about 12 kB when full."""
 MAX_SEGMENTS = 400
-"""Segments of one group: as many claims as a holder takes, and a head that stays small."""
+"""Maximum number of segments per group: room for all claims of a holder, with a small head."""
 SEGMENT_MARGIN_S = 900.0
-"""Added to the retention before a segment is deleted: longer than any request runs."""
+"""Added to the retention before a segment is deleted; longer than any request runs."""
 
 
 class LoggedClaim(msgspec.Struct, frozen=True, array_like=True, gc=False):
@@ -31,11 +36,11 @@
 
 
 class LogHead(msgspec.Struct, frozen=True, array_like=True):
-    """The part of a group's log that changes.
+    """The mutable part of a group's log.
 
     Attributes:
-        epoch: Claims of lower epochs are no longer taken.
-        segments: Names of full segments, the oldest first; a segment never changes.
+        epoch: Claims of lower epochs are rejected.
+        segments: Names of the full segments, the oldest first; segments are immutable.
         claims: The newest claims.
     """
 
@@ -45,14 +50,14 @@
 
 
 def advance(head: LogHead, epoch: int) -> LogHead | None:
-    """The head for an epoch; None when the log has gone past it, so that a late writer fails."""
+    """Return the head fenced for an epoch, or None if the log is at a later epoch already."""
     if head.epoch > epoch:
         return None
     return msgspec.structs.replace(head, epoch=epoch)
 
 
 def append(head: LogHead, epoch: int, claims: Iterable[LoggedClaim]) -> LogHead | None:
-    """Add claims of an epoch; None when the log is fenced against it."""
+    """Return the head with added claims of an epoch, or None if the log is fenced against it."""
     advanced = advance(head, epoch)
     if advanced is None:
         return None
@@ -61,7 +66,7 @@
 
 
 def logged_claims(claims: Iterable[CopiedClaim]) -> tuple[LoggedClaim, ...]:
-    """What the log keeps of claims: one record for each claimant."""
+    """Return the log records of claims, one for each claimant."""
     return tuple(
         LoggedClaim(claim.key, claimant, claim.fingerprint)
         for claim in claims
@@ -70,10 +75,11 @@
 
 
 def copied_claims(claims: Iterable[LoggedClaim]) -> tuple[CopiedClaim, ...]:
-    """Claims as read from the log, for holders.
+    """Return the claims of a log in the form that holders import.
 
-    A log does not tell which of a key's claimants withdrew, so all are kept and none of several
-    is granted the key any more. Ages are not known; each claim is kept for a whole retention.
+    A log does not show which of a key's claimants withdrew. So all claimants are kept, and if there
+    are several, the key is granted to none of them. The log has no ages, so each claim is kept for
+    a full retention from now on.
     """
     claimants: dict[ClaimKey, dict[bytes, None]] = {}
     fingerprints: dict[ClaimKey, bytes] = {}
@@ -81,21 +87,22 @@
         claimants.setdefault(claim.key, {})[claim.claimant] = None
         fingerprints[claim.key] = claim.fingerprint
     return tuple(
-        CopiedClaim(key, EntryState.OFFERED, tuple(sorted(names)), fingerprints[key], 0.0)
-        for key, names in claimants.items()
+        CopiedClaim(key, EntryState.OFFERED, tuple(sorted(key_claimants)), fingerprints[key], 0.0)
+        for key, key_claimants in claimants.items()
     )
 
 
-def is_log_complete(record: GroupEpoch, proven: Set[NodeId]) -> bool:
-    """Whether the log has every claim that may have been granted up to the end of an epoch.
+def is_log_complete(record: GroupEpoch, log_only_holders: Set[NodeId]) -> bool:
+    """Return whether the log has every claim that may have been granted up to the end of an epoch.
 
     Args:
-        record: The epoch that is over.
-        proven: Holders whose mark stands and that cannot vote any more: sealed or ended.
+        record: The epoch that has ended.
+        log_only_holders: Holders that have a mark in the key-value service and cannot vote any
+            more, because they are sealed or their run has ended.
 
     Returns:
-        True when the epoch began with all its claims in the log and those that are not proven
-        are too few to have granted a key without it.
+        True if all claims with which the epoch began are in the log, and the other holders are too
+        few to have granted a key without the log.
     """
-    num_unproven = sum(1 for holder in record.holders if holder.node not in proven)
-    return record.is_logged and num_unproven < record.quorum
+    num_others = sum(1 for holder in record.holders if holder.node not in log_only_holders)
+    return record.is_logged and num_others < record.quorum
--- a/src/weirscale/domain/claims/merge.py
+++ b/src/weirscale/domain/claims/merge.py
@@ -1,4 +1,4 @@
-"""Union of the claims that a majority of an epoch's holders kept, for the next epoch."""
+"""Merge of the claims from a majority of an epoch's holders, for the next epoch."""
 
 from collections.abc import Iterable
 
@@ -10,15 +10,15 @@
 def merge_claims(copies: Iterable[Iterable[CopiedClaim]]) -> tuple[CopiedClaim, ...]:
     """Merge the claims of several holders.
 
-    A claimant that was granted a key has the votes of a majority, so at least one holder of any
-    other majority names it. Where holders name different claimants, any of them may have been
-    granted the key: all are kept, and then none is granted it any more.
+    A claimant that was granted a key has the votes of a majority, so every other majority includes
+    a holder that voted for this claimant. If the holders voted for different claimants, any of them
+    may have been granted the key. So all are kept, and the key is granted to none of them.
     """
     merged: dict[ClaimKey, CopiedClaim] = {}
     for copy in copies:
         for claim in copy:
-            known = merged.get(claim.key)
-            merged[claim.key] = claim if known is None else _merge_two(known, claim)
+            earlier = merged.get(claim.key)
+            merged[claim.key] = claim if earlier is None else _merge_two(earlier, claim)
     return tuple(merged.values())
 
 
--- a/src/weirscale/domain/claims/planning.py
+++ b/src/weirscale/domain/claims/planning.py
@@ -1,4 +1,4 @@
-"""Who should hold the claims of a group, and when its holders must change."""
+"""Choice of the nodes that hold a group's claims, and of the time to change them."""
 
 from collections.abc import Sequence
 
@@ -10,11 +10,11 @@
 
 
 class LiveNode(msgspec.Struct, frozen=True):
-    """A node as membership sees it.
+    """A live member of the fleet.
 
     Attributes:
-        holder: Its run, address and zone.
-        may_hold: False when it is leaving: it hands its claims on.
+        holder: The node's run, address and zone.
+        may_hold: Whether the node may hold claims; False while it leaves the fleet.
     """
 
     holder: Holder
@@ -22,12 +22,12 @@
 
 
 def rank(group: int, node: NodeId) -> int:
-    """Rendezvous score of a node for a group; the highest is first."""
+    """Return the rendezvous weight of a node for a group; the highest weight ranks first."""
     return rendezvous_weight(node.name, group + 1)
 
 
 def planner_of(group: int, nodes: Sequence[LiveNode]) -> NodeId | None:
-    """The node that changes the group's holders when that is due."""
+    """Return the node that is responsible for changes of the group's holders."""
     candidates = [node.holder.node for node in nodes if node.may_hold]
     return max(candidates, key=lambda node: (rank(group, node), node), default=None)
 
@@ -35,24 +35,26 @@
 def choose_holders(
     group: int, record: GroupEpoch | None, nodes: Sequence[LiveNode], num_holders: int
 ) -> tuple[Holder, ...]:
-    """Choose holders in as many zones as there are, keeping present ones where they fit."""
-    present = {holder.node for holder in record.holders} if record is not None else set()
+    """Choose holders in as many zones as possible; among equals, prefer current holders."""
+    current = {holder.node for holder in record.holders} if record is not None else set()
     eligible = [node.holder for node in nodes if node.may_hold]
-    eligible.sort(key=lambda each: (each.node in present, rank(group, each.node)), reverse=True)
+    eligible.sort(
+        key=lambda holder: (holder.node in current, rank(group, holder.node)), reverse=True
+    )
     chosen: list[Holder] = []
     num_in_zone: dict[ZoneName, int] = {}
     while eligible and len(chosen) < num_holders:
-        best = min(eligible, key=lambda each: num_in_zone.get(each.zone, 0))
+        best = min(eligible, key=lambda holder: num_in_zone.get(holder.zone, 0))
         eligible.remove(best)
         chosen.append(best)
         num_in_zone[best.zone] = num_in_zone.get(best.zone, 0) + 1
-    return tuple(sorted(chosen, key=lambda each: each.node))
+    return tuple(sorted(chosen, key=lambda holder: holder.node))
 
 
 def needs_change(
     group: int, record: GroupEpoch | None, nodes: Sequence[LiveNode], num_holders: int
 ) -> bool:
-    """Whether the group should have other holders than it has."""
+    """Return whether the group's holders differ from those that it should have."""
     holders = choose_holders(group, record, nodes, num_holders)
     if not holders or record is None:
         return bool(holders)
@@ -60,11 +62,11 @@
 
 
 def lost_holders(record: GroupEpoch, nodes: Sequence[LiveNode]) -> tuple[Holder, ...]:
-    """Holders of the record whose run membership no longer sees."""
+    """Return the holders of the record whose run is no longer a live member."""
     live = {node.holder.node for node in nodes}
     return tuple(holder for holder in record.holders if holder.node not in live)
 
 
 def has_lost_quorum(record: GroupEpoch, num_lost: int) -> bool:
-    """Whether so many holders are gone that a quorum can never be had again."""
+    """Return whether too few holders remain to form a quorum."""
     return len(record.holders) - num_lost < record.quorum
