--- a/src/weirscale/domain/choice/__init__.py
+++ b/src/weirscale/domain/choice/__init__.py
@@ -1,1 +1,1 @@
-"""The choice of engine for a request, behind one interface with several policies."""
+"""Choice of the engine for a request, by a policy behind a common interface."""
--- a/src/weirscale/domain/choice/eligible.py
+++ b/src/weirscale/domain/choice/eligible.py
@@ -1,11 +1,11 @@
-"""Which candidates a request may go to, and how loaded they are; shared by all policies."""
+"""Eligible candidates of a request and their relative load; shared by all policies."""
 
 from collections.abc import Sequence
 
 from weirscale.domain.choice.policy import ChoiceRequest, EngineCandidate
 
 MIN_ADMISSION_WEIGHT = 0.01
-"""Lower weights count as this one, so that a returning engine is never divided by zero."""
+"""Lower bound of the admission weight, which prevents division by zero for recovering engines."""
 
 
 def eligible_candidates(
@@ -13,20 +13,20 @@
 ) -> list[EngineCandidate]:
     """Return the candidates that have not failed this request.
 
-    Engines that are full are left out as long as one is not, because they would refuse.
+    Full engines would refuse the request, so they are left out unless all candidates are full.
     """
     excluded = request.excluded
-    left = [candidate for candidate in candidates if candidate.engine not in excluded]
+    remaining = [candidate for candidate in candidates if candidate.engine not in excluded]
     with_room = [
         candidate
-        for candidate in left
+        for candidate in remaining
         if candidate.num_outstanding < candidate.max_concurrent_requests
     ]
-    return with_room or left
+    return with_room or remaining
 
 
 def relative_load(candidate: EngineCandidate) -> float:
-    """Return outstanding requests as a share of what the engine may take now."""
+    """Return the outstanding requests as a share of the engine's currently allowed concurrency."""
     capacity = candidate.max_concurrent_requests
     weight = max(candidate.admission_weight, MIN_ADMISSION_WEIGHT)
     return candidate.num_outstanding / (capacity * weight)
--- a/src/weirscale/domain/choice/kept_kv.py
+++ b/src/weirscale/domain/choice/kept_kv.py
@@ -1,10 +1,10 @@
-"""Whether to import a prefix from a store of kept KV cache instead of computing it.
+"""Decision whether to import a prefix from a kept-KV store instead of computing it.
 
-A prompt that an engine has served is likely to be in the store for a while, since engines export
-what they compute. The keys are chained from tenant, model, weight version and adapter, so a prefix
-of another tenant or of other weights is never asked for. Whether the store really had it shows in
-the cached tokens of the answer, from which the trust in a store is learned: a store that is slow or
-dead is soon not asked any more, and one waits no longer than `max_import_wait_s` for it.
+Engines export the KV cache blocks that they compute, so a prompt that an engine has served is
+likely to be in the stores for a while. The keys are chained from tenant, model, weight version and
+adapter, so a prefix of another tenant or of other weights is never imported. The cached tokens in
+an engine's answer show whether the import succeeded, and give the reliability of the store. A slow
+or unavailable store is therefore soon avoided, and an import waits for `max_import_wait_s` at most.
 """
 
 from collections import OrderedDict
@@ -17,32 +17,33 @@
 from weirscale.domain.configuration.model import KeptKvStore, RoutingObjective
 from weirscale.domain.identifiers import BlockHash, EngineName, RequestId
 
-MAX_KEPT_KEYS = 20_000
-"""Keys of served prompts remembered, some 3 MB; the least recently served are dropped."""
+MAX_EXPORTED_KEYS = 20_000
+"""Keys of served prompts kept, about 3 MB; the least recently served are dropped."""
 
 MAX_OPEN_IMPORTS = 4096
-"""Imports whose outcome is awaited; oldest dropped first."""
+"""Imports kept until their outcome is available; the oldest are dropped first."""
 
 LEARNING_RATE = 0.2
-"""Weight of the latest import in the trust in a store: a dead one is avoided after a few."""
+"""Weight of the latest import in a store's reliability: an unavailable store is avoided after a few
+imports."""
 
-MIN_TRUST = 0.3
-"""Below this trust a store is asked only once in TRIAL_INTERVAL_S."""
+MIN_RELIABILITY = 0.3
+"""Below this reliability a store is used only once in TRIAL_INTERVAL_S."""
 
 TRIAL_INTERVAL_S = 30.0
-"""A store that failed is tried again after this time."""
+"""Time after which an unreliable store is tried again."""
 
 
 class ImportPlan(msgspec.Struct, frozen=True):
-    """An import that beats computing.
+    """An import that is expected to be faster than computing the blocks.
 
     Attributes:
         store: Address of the store.
-        block_hash: Deepest block to import.
-        num_blocks: Leading blocks that the engine then holds.
-        num_imported_blocks: Blocks that it does not hold yet.
-        import_s: Expected time of the import.
-        gain_s: Expected time saved, the chance of failure counted.
+        block_hash: Hash of the deepest block to import.
+        num_blocks: Leading blocks that the engine has after the import.
+        num_imported_blocks: Those of them that the engine does not have yet.
+        import_s: Expected duration of the import.
+        gain_s: Expected time saved, with the probability of failure taken into account.
     """
 
     store: str
@@ -53,12 +54,18 @@
     gain_s: float
 
 
-class _Store:
-    """What is known of one store."""
+class _StoreState:
+    """State of one store.
+
+    Attributes:
+        declared: The store's entry in the configuration.
+        reliability: Moving average, from 0 to 1, of the share of imported tokens that arrived.
+        tried_at_s: Time of the last planned import.
+    """
 
     def __init__(self, declared: KeptKvStore) -> None:
         self.declared = declared
-        self.trust = 1.0
+        self.reliability = 1.0
         self.tried_at_s = 0.0
 
 
@@ -69,35 +76,35 @@
 
 
 class ImportPlanner:
-    """What the stores are believed to keep, and how far they can be relied on."""
+    """Plans imports from the blocks that the stores presumably have and the stores' reliability."""
 
     def __init__(self, stores: Sequence[KeptKvStore] = ()) -> None:
-        self._stores: dict[str, _Store] = {}
-        self._kept: OrderedDict[int, None] = OrderedDict()
-        self._open: OrderedDict[tuple[RequestId, EngineName], _OpenImport] = OrderedDict()
+        self._stores: dict[str, _StoreState] = {}
+        self._exported_keys: OrderedDict[int, None] = OrderedDict()
+        self._open_imports: OrderedDict[tuple[RequestId, EngineName], _OpenImport] = OrderedDict()
         self.set_stores(stores)
 
     def set_stores(self, stores: Sequence[KeptKvStore]) -> None:
-        """Take over the declared stores; what was learned of unchanged ones is kept."""
-        known = self._stores
+        """Replace the declared stores; the reliability of unchanged stores is kept."""
+        previous = self._stores
         self._stores = {}
         for declared in stores:
-            store = known.get(declared.address)
+            store = previous.get(declared.address)
             is_same = store is not None and store.declared == declared
-            self._stores[declared.address] = store if store and is_same else _Store(declared)
+            self._stores[declared.address] = store if store and is_same else _StoreState(declared)
 
     def record_served_prompt(self, block_hashes: Sequence[BlockHash]) -> None:
-        """Learn that an engine has served a prompt, and so exported it."""
+        """Record that an engine has served a prompt and so has exported its blocks."""
         if not self._stores:
             return
         for key in keys_at(block_hashes, ladder_depths(len(block_hashes))):
-            self._kept[key] = None
-            self._kept.move_to_end(key)
-        while len(self._kept) > MAX_KEPT_KEYS:
-            self._kept.popitem(last=False)
+            self._exported_keys[key] = None
+            self._exported_keys.move_to_end(key)
+        while len(self._exported_keys) > MAX_EXPORTED_KEYS:
+            self._exported_keys.popitem(last=False)
 
     def kept_depth(self, block_hashes: Sequence[BlockHash]) -> int:
-        """Return how many leading blocks are believed to be kept."""
+        """Return how many leading blocks the stores presumably have."""
         if not self._stores:
             return 0
         depths = ladder_depths(len(block_hashes))
@@ -106,7 +113,7 @@
             (
                 depth
                 for depth, key in zip(reversed(depths), reversed(keys), strict=True)
-                if key in self._kept
+                if key in self._exported_keys
             ),
             0,
         )
@@ -120,15 +127,15 @@
         objective: RoutingObjective,
         now_s: float,
     ) -> ImportPlan | None:
-        """Return the import that saves most time for a candidate, or None if computing is better.
+        """Return the import that saves a candidate the most time, or None if none saves any.
 
         Args:
             request: The request.
             candidate: The engine that would import.
-            num_matched_blocks: Leading blocks that it holds.
-            num_kept_blocks: Leading blocks believed to be kept, from `kept_depth`.
-            objective: Holds the longest wait.
-            now_s: Time.
+            num_matched_blocks: Leading blocks that the engine already has.
+            num_kept_blocks: Leading blocks that the stores presumably have, from `kept_depth`.
+            objective: Gives the longest wait for an import.
+            now_s: Current time.
         """
         num_blocks = num_kept_blocks - num_matched_blocks
         if num_blocks <= 0:
@@ -144,9 +151,9 @@
                 gain_s=_gain_s(store, num_tokens, candidate, objective),
             )
             for address, store in self._stores.items()
-            if store.trust >= MIN_TRUST or now_s - store.tried_at_s >= TRIAL_INTERVAL_S
+            if store.reliability >= MIN_RELIABILITY or now_s - store.tried_at_s >= TRIAL_INTERVAL_S
         ]
-        best = max(plans, key=lambda each: each.gain_s, default=None)
+        best = max(plans, key=lambda plan: plan.gain_s, default=None)
         if best is None or best.gain_s <= 0.0 or best.import_s > objective.max_import_wait_s:
             return None
         return best
@@ -159,38 +166,42 @@
         num_matched_blocks: int,
         now_s: float,
     ) -> None:
-        """Remember an import whose outcome is to be learned."""
+        """Record a planned import until its outcome is available."""
         self._stores[plan.store].tried_at_s = now_s
         tokens_per_block = request.tokens_per_block
-        self._open[(request.request_id, engine)] = _OpenImport(
+        self._open_imports[(request.request_id, engine)] = _OpenImport(
             plan.store,
             num_matched_blocks * tokens_per_block,
             plan.num_imported_blocks * tokens_per_block,
         )
-        while len(self._open) > MAX_OPEN_IMPORTS:
-            self._open.popitem(last=False)
+        while len(self._open_imports) > MAX_OPEN_IMPORTS:
+            self._open_imports.popitem(last=False)
 
     def record_completion(
         self, request_id: RequestId, engine: EngineName, num_cached_tokens: int
     ) -> bool:
-        """Learn from an answer; True if the request was to import."""
-        planned = self._open.pop((request_id, engine), None)
-        if planned is None:
+        """Update a store's reliability from an answer.
+
+        Returns:
+            Whether the request had a planned import.
+        """
+        open_import = self._open_imports.pop((request_id, engine), None)
+        if open_import is None:
             return False
-        store = self._stores.get(planned.store)
+        store = self._stores.get(open_import.store)
         if store is not None:
-            num_gained = num_cached_tokens - planned.num_held_tokens
-            share = min(max(num_gained / planned.num_imported_tokens, 0.0), 1.0)
-            store.trust += LEARNING_RATE * (share - store.trust)
+            num_gained = num_cached_tokens - open_import.num_held_tokens
+            share = min(max(num_gained / open_import.num_imported_tokens, 0.0), 1.0)
+            store.reliability += LEARNING_RATE * (share - store.reliability)
         return True
 
 
 def _gain_s(
-    store: _Store, num_tokens: float, candidate: EngineCandidate, objective: RoutingObjective
+    store: _StoreState, num_tokens: float, candidate: EngineCandidate, objective: RoutingObjective
 ) -> float:
-    """Return the expected saving: a failed import costs its wait on top of computing."""
+    """Return the expected time saved; a failed import costs its wait in addition to computing."""
     import_s = num_tokens / store.declared.bandwidth_tokens_per_s
     compute_s = num_tokens / candidate.prefill_tokens_per_s
-    trust = max(store.trust, MIN_TRUST)
+    reliability = max(store.reliability, MIN_RELIABILITY)
     wait_s = min(import_s, objective.max_import_wait_s)
-    return trust * (compute_s - import_s) - (1.0 - trust) * wait_s
+    return reliability * (compute_s - import_s) - (1.0 - reliability) * wait_s
--- a/src/weirscale/domain/choice/peer_sends.py
+++ b/src/weirscale/domain/choice/peer_sends.py
@@ -1,7 +1,7 @@
-"""What other nodes sent lately, as far as they told: the load and the prefixes on their way.
+"""Recent sends of other nodes, as announced in their send notices: load and prefixes in flight.
 
-Events and digests take seconds to tell of a prefix that another node has just sent somewhere; a
-note takes milliseconds. Notes are a hint on top: lost ones cost a repeated prefill at worst.
+Cache events and digests take seconds to show a prefix that another node has just sent to an engine;
+a notice takes milliseconds. Notices are only hints: a lost one costs a repeated prefill at worst.
 """
 
 from collections import deque
@@ -12,28 +12,28 @@
 from weirscale.domain.identifiers import BlockHash, EngineName
 
 MAX_NOTES_PER_ENGINE = 256
-"""Notes whose tokens are remembered for each engine."""
+"""Notices per engine whose tokens are kept."""
 
 
 class PeerSends:
-    """Sends of other nodes; written by the task that receives notes, read by the policy."""
+    """Sends of other nodes; written by the task that receives the notices, read by the policy."""
 
     def __init__(self) -> None:
-        self._recent = RecentSends(ladder_depths)
+        self._recent_sends = RecentSends(ladder_depths)
         self._tokens: dict[EngineName, deque[tuple[float, int]]] = {}
 
     def record(
         self, engine: EngineName, keys: Sequence[int], num_missing_tokens: int, now_s: float
     ) -> None:
-        """Take in a note.
+        """Record a send notice.
 
         Args:
-            engine: Where the prompt was sent.
-            keys: Keys of its blocks at `ladder_depths`.
-            num_missing_tokens: Tokens that the engine has to compute for it.
-            now_s: Time.
+            engine: The engine to which the prompt was sent.
+            keys: Keys of the prompt's blocks at `ladder_depths`.
+            num_missing_tokens: Prompt tokens that the engine has to compute.
+            now_s: Current time.
         """
-        self._recent.record_keys(keys, engine, now_s)
+        self._recent_sends.record_keys(keys, engine, now_s)
         tokens = self._tokens.get(engine)
         if tokens is None:
             tokens = deque(maxlen=MAX_NOTES_PER_ENGINE)
@@ -43,30 +43,32 @@
     def match(
         self, block_hashes: Sequence[BlockHash], now_s: float
     ) -> Mapping[EngineName, PrefixMatch]:
-        """Return the engines that hold or compute a prefix of the chain, as noted."""
+        """Return the engines that have or compute a prefix of the chain, according to notices."""
         matches: dict[EngineName, PrefixMatch] = {}
-        for engine, num_blocks in self._recent.match(block_hashes, now_s):
-            known = matches.get(engine)
-            if known is None or known.num_blocks < num_blocks:
+        for engine, num_blocks in self._recent_sends.match(block_hashes, now_s):
+            deepest = matches.get(engine)
+            if deepest is None or deepest.num_blocks < num_blocks:
                 matches[engine] = PrefixMatch(num_blocks=num_blocks, age_s=0.0)
         return matches
 
     def num_waiting_tokens(
         self, engine: EngineName, since_s: float, tokens_per_s: float, now_s: float
     ) -> int:
-        """Return the prompt tokens of others' sends that still wait at an engine.
+        """Return the prompt tokens of other nodes' sends that still wait at an engine.
 
         Args:
             engine: The engine.
-            since_s: Earlier sends are in its load report already.
-            tokens_per_s: Its prefill speed.
-            now_s: Time.
+            since_s: Time of the engine's load report, which already includes earlier sends.
+            tokens_per_s: The engine's prefill speed.
+            now_s: Current time.
         """
         num_waiting = 0.0
-        at_s = since_s
+        estimated_at_s = since_s
         for sent_at_s, num_tokens in self._tokens.get(engine, ()):
             if sent_at_s <= since_s:
                 continue
-            num_waiting = max(num_waiting - (sent_at_s - at_s) * tokens_per_s, 0.0) + num_tokens
-            at_s = sent_at_s
-        return int(max(num_waiting - (now_s - at_s) * tokens_per_s, 0.0))
+            num_waiting = (
+                max(num_waiting - (sent_at_s - estimated_at_s) * tokens_per_s, 0.0) + num_tokens
+            )
+            estimated_at_s = sent_at_s
+        return int(max(num_waiting - (now_s - estimated_at_s) * tokens_per_s, 0.0))
--- a/src/weirscale/domain/choice/policy.py
+++ b/src/weirscale/domain/choice/policy.py
@@ -1,4 +1,4 @@
-"""What a policy that chooses an engine is told, and what it answers."""
+"""Inputs and results of a policy that chooses an engine."""
 
 from collections.abc import Sequence
 
@@ -17,23 +17,24 @@
 
 
 class EngineCandidate(msgspec.Struct, frozen=True):
-    """An engine that may take the request, with what the node believes of it.
+    """An engine that may serve the request, with its state as estimated by this node.
 
     Attributes:
-        engine: Its name.
-        zone: Where it stands.
-        role: Which phase it serves.
-        incarnation: The run last seen.
-        weight_version: The version last seen.
-        link_delay_s: One-way delay from this node.
-        num_outstanding: Requests on it: last report corrected by what this node sent since.
-        num_waiting_prefill_tokens: Prompt tokens to compute before a new request's, corrected.
+        engine: The engine's name.
+        zone: Zone in which the engine runs.
+        role: Phases of a request that the engine serves.
+        incarnation: The last reported run.
+        weight_version: The last reported weight version.
+        link_delay_s: One-way network delay from this node.
+        num_outstanding: Requests at the engine: the last report plus what this node sent since.
+        num_waiting_prefill_tokens: Prompt tokens to compute before those of a new request,
+            likewise corrected.
         prefill_tokens_per_s: Prefill speed, measured or declared.
-        max_concurrent_requests: Declared concurrency.
-        num_total_blocks: Blocks that its cache holds.
-        num_cached_blocks: Blocks held, as last reported.
+        max_concurrent_requests: Declared limit on concurrent requests.
+        num_total_blocks: Capacity of the engine's cache in blocks.
+        num_cached_blocks: Blocks in the cache according to the last report.
         report_age_s: Age of the load report.
-        admission_weight: 1 when healthy; below 1 while it returns slowly after failures.
+        admission_weight: 1 for a healthy engine; below 1 while load ramps up after failures.
     """
 
     engine: EngineName
@@ -53,12 +54,12 @@
 
 
 class ChoiceRequest(msgspec.Struct, frozen=True):
-    """What a policy may know of a request.
+    """The properties of a request that a policy uses.
 
     Attributes:
-        request_id: The request.
-        tenant: Its tenant.
-        block_hashes: Chained hashes of its full prompt blocks.
+        request_id: Id of the request.
+        tenant: The request's tenant.
+        block_hashes: Chained hashes of the prompt's full blocks.
         num_prompt_tokens: Estimated prompt tokens.
         tokens_per_block: Estimated tokens in a block.
         excluded: Engines that have failed this request.
@@ -73,18 +74,18 @@
 
 
 class CandidateEstimate(msgspec.Struct, frozen=True):
-    """The terms that a policy weighed for one candidate, for `explain`; seconds and tokens.
+    """The terms of the cost of one candidate, shown by `explain`.
 
     Attributes:
         engine: The candidate.
-        cost: What was minimised.
-        num_matched_blocks: Prompt blocks believed to be cached there.
-        queue_s: Wait behind others.
-        prefill_s: Computing the missing part.
-        link_s: Network delay.
-        import_s: Importing from the kept-KV store, 0 when not imported.
-        waste_s: Weighted recomputation and eviction caused.
-        belief_age_s: Age of the cache belief used.
+        cost: The total cost in seconds, which the policy minimises.
+        num_matched_blocks: Leading prompt blocks that are presumably cached at the engine.
+        queue_s: Wait behind other requests.
+        prefill_s: Time to compute the missing part of the prompt.
+        link_s: Network delay, there and back.
+        import_s: Duration of an import from a kept-KV store; 0 without an import.
+        waste_s: Weighted time of recomputation and evictions.
+        belief_age_s: Age of the information on the cached blocks.
     """
 
     engine: EngineName
@@ -102,12 +103,12 @@
     """A policy's decision.
 
     Attributes:
-        engine: The engine chosen.
-        estimates: What was weighed, best first; may be cut to the best few.
-        num_matched_blocks: Blocks that the policy counts on.
+        engine: The chosen engine.
+        estimates: The estimates of the candidates, best first; possibly only the best few.
+        num_matched_blocks: Leading prompt blocks that are presumably cached at the engine.
         estimated_ttft_s: Expected time to first token.
-        import_from: Address of a kept-KV store to import from, or None.
-        import_block_hash: Deepest block to import, or None.
+        import_from: Address of the kept-KV store to import from, or None.
+        import_block_hash: Hash of the deepest block to import, or None.
     """
 
     engine: EngineName
--- a/src/weirscale/domain/choice/prefix_aware.py
+++ b/src/weirscale/domain/choice/prefix_aware.py
@@ -1,14 +1,14 @@
 """The prefix-aware policy: least estimated time to first token plus weighted waste.
 
-Beliefs about caches are late and sampled, and load reports lag. Three things keep many nodes from
-spoiling each other's choices without talking:
-
-- nodes tell one another of sends that make an engine compute, so first askers at different nodes
-  meet at one engine and wait for one prefill; without such notes a prefix that nobody is believed
-  to hold is drawn to its rendezvous engine;
-- engines without a match are considered only if rendezvous or chance proposes them, so nodes do
-  not all pick the one engine that looked idle in the last report;
-- among estimates that differ by less than their error, the choice is random.
+Information on caches is delayed and sampled, and load reports lag. Three rules keep the independent
+choices of many nodes from conflicting:
+
+- Nodes announce sends that make an engine compute. So the first requests for a prefix, at different
+  nodes, go to the same engine and wait for a single prefill. Without such announcements, a prefix
+  that is presumably cached nowhere is attracted to its rendezvous engine.
+- An engine without a match is considered only if it is proposed by rendezvous hashing or at random.
+  So the nodes do not all choose the one engine that was idle in the last report.
+- Among estimates that differ by less than their error, the choice is random.
 """
 
 import math
@@ -37,71 +37,73 @@
 from weirscale.domain.rendezvous import rendezvous_score
 
 NUM_RANKED_PROPOSALS = 3
-"""Engines that rendezvous proposes for a prefix; the later ones take over when it is hot."""
+"""Engines that rendezvous hashing proposes for a prefix; the second and third share the load of a
+hot prefix."""
 
 NUM_RANDOM_PROPOSALS = 2
-"""Engines that chance proposes, as in the power of two choices."""
+"""Engines that are proposed at random, as in the power of two choices."""
 
-MAX_ALL_PROPOSED = 9
-"""Up to so many candidates all are estimated."""
+MAX_UNSAMPLED_CANDIDATES = 9
+"""Up to this number of candidates, all are estimated."""
 
-NUM_OF_EQUAL_DEPTH = 3
-"""Of engines that hold equally much, the ones with the shortest queues are estimated; more than
-one, so that nodes do not all pick the same."""
+NUM_PROPOSALS_PER_DEPTH = 3
+"""Among engines with an equally long cached prefix, this number with the shortest queues is
+estimated. It is more than one, so that the nodes do not all choose the same engine."""
 
 AFFINITY_SHARE = 0.7
-"""The rendezvous key is the block at the highest power of two below this share of the prompt:
-the tail is mostly the caller's own, and prompts of one page share the key."""
+"""The rendezvous key is the block at the highest power of two within this share of the prompt. The
+end of a prompt is mostly specific to the caller, while prompts for the same page share the key."""
 
-AFFINITY_TRUST = 0.5
-"""Chance that another node has just sent the same cold prefix to its rendezvous engine; counted
-only where other nodes tell nothing of their sends."""
+AFFINITY_PROBABILITY = 0.5
+"""Assumed probability that another node has just sent the same uncached prefix to its rendezvous
+engine; used only if nodes do not announce their sends."""
 
-TIE_S = 0.004
-"""Estimates closer than this, for each second of the load report's age, count as equal."""
+TIE_S_PER_REPORT_AGE_S = 0.004
+"""Estimates that differ by less than this, per second of the load report's age, count as equal."""
 
 MIN_TIE_S = 0.001
 MAX_REPORTED_ESTIMATES = 5
-"""Estimates kept in a choice for `explain`."""
+"""Maximum number of estimates in a choice, for `explain`."""
 
-FAILED_BELIEF_SHARE = 0.5
-"""Below this share of predicted tokens, own recent sends to the engine are forgotten."""
+MIN_CACHED_SHARE = 0.5
+"""If a smaller share of the predicted tokens was cached, this node's recent sends to the engine are
+dropped."""
 
 
-TellSend = Callable[[ChoiceRequest, EngineName, int], None]
-"""Takes the request, the engine and the prompt tokens that the engine has to compute."""
+AnnounceSend = Callable[[ChoiceRequest, EngineName, int], None]
+"""Announces a send, given the request, the engine and the prompt tokens that it has to compute."""
 
 
 class PrefixAware:
-    """Chooses by estimated cost.
+    """Chooses the engine with the lowest estimated cost.
 
     Args:
-        beliefs: What is believed of engines' caches.
+        cache_view: Presumed contents of the engines' caches.
         objective: The deployment's weights.
-        noted: What other nodes tell of their sends, or None without notes.
-        kept_kv: What stores of kept KV cache are believed to keep, or None without stores.
-        tell: Tells other nodes of a send and the prompt tokens that it makes the engine compute.
+        peer_sends: Sends announced by other nodes, or None if nodes do not announce sends.
+        announce: Announces a send to the other nodes, or None.
+        import_planner: Plans imports from kept-KV stores, or None without stores.
     """
 
     def __init__(
         self,
-        beliefs: CacheView,
+        cache_view: CacheView,
         objective: RoutingObjective,
-        noted: PeerSends | None = None,
-        tell: TellSend | None = None,
+        peer_sends: PeerSends | None = None,
+        announce: AnnounceSend | None = None,
         import_planner: ImportPlanner | None = None,
     ) -> None:
-        self._kept_kv = import_planner or ImportPlanner()
-        self._beliefs = beliefs
-        self._tell = tell
-        self._runs = EngineRuns()
-        self._noted = noted
+        self._import_planner = import_planner or ImportPlanner()
+        self._cache_view = cache_view
+        self._announce = announce
+        self._engine_runs = EngineRuns()
+        self._peer_sends = peer_sends
         self._objective = objective
-        self._recent = RecentSends()
-        self._trust = MatchAccuracy()
+        self._recent_sends = RecentSends()
+        self._match_accuracy = MatchAccuracy()
 
     def set_objective(self, objective: RoutingObjective) -> None:
-        """Take over changed weights."""
+        """Replace the deployment's weights."""
         self._objective = objective
 
     def choose(
@@ -111,39 +113,39 @@
         now_s: float,
         random: Random,
     ) -> Choice | None:
-        """Choose the candidate of least cost."""
+        """Return the candidate with the lowest cost, or None if no candidate is eligible."""
         eligible = eligible_candidates(request, candidates)
         if not eligible:
             return None
-        for engine in self._runs.note(candidates, now_s):
-            self._recent.forget(engine)
-            self._trust.forget(engine)
-        beliefs = self._prompt_beliefs(request, now_s)
-        ranked = self._ranked(request, eligible, random)
-        proposals = self._proposals(eligible, ranked, beliefs, random)
-        proposals = [self._with_noted_load(each, now_s) for each in proposals]
-        model = cost_model(request, self._objective, proposals, beliefs)
-        imports = self._imports(request, proposals, beliefs, now_s)
-        expected = beliefs
-        if self._noted is None and not imports:
-            expected = self._with_affinity(request, ranked[0].engine, beliefs)
+        for engine in self._engine_runs.record(candidates, now_s):
+            self._recent_sends.forget(engine)
+            self._match_accuracy.reset(engine)
+        cached_prefixes = self._cached_prefixes(request, now_s)
+        ranked = self._rank_by_affinity(request, eligible, random)
+        proposals = self._propose(eligible, ranked, cached_prefixes, random)
+        proposals = [self._with_peer_load(candidate, now_s) for candidate in proposals]
+        model = cost_model(request, self._objective, proposals, cached_prefixes)
+        imports = self._plan_imports(request, proposals, cached_prefixes, now_s)
+        expected = cached_prefixes
+        if self._peer_sends is None and not imports:
+            expected = self._with_affinity(request, ranked[0].engine, cached_prefixes)
         estimates = [
             with_import(
-                model.estimate(each, expected.get(each.engine, NO_CACHED_PREFIX)),
-                imports.get(each.engine),
+                model.estimate(candidate, expected.get(candidate.engine, NO_CACHED_PREFIX)),
+                imports.get(candidate.engine),
             )
-            for each in proposals
+            for candidate in proposals
         ]
         estimates.sort(key=_cost)
-        chosen = _among_ties(estimates, proposals, random)
-        num_matched_blocks = beliefs.get(chosen.engine, NO_CACHED_PREFIX).num_matched_blocks
-        num_promised_blocks = num_matched_blocks / self._trust.trust(chosen.engine)
-        self._trust.record_prediction(
-            request.request_id, chosen.engine, num_promised_blocks * request.tokens_per_block
+        chosen = _choose_among_ties(estimates, proposals, random)
+        num_matched_blocks = cached_prefixes.get(chosen.engine, NO_CACHED_PREFIX).num_matched_blocks
+        num_predicted_blocks = num_matched_blocks / self._match_accuracy.accuracy(chosen.engine)
+        self._match_accuracy.record_prediction(
+            request.request_id, chosen.engine, num_predicted_blocks * request.tokens_per_block
         )
         plan = imports.get(chosen.engine)
         if plan is not None:
-            self._kept_kv.record_planned_import(
+            self._import_planner.record_planned_import(
                 request, chosen.engine, plan, int(num_matched_blocks), now_s
             )
         return Choice(
@@ -156,79 +158,86 @@
         )
 
     def record_send(self, request: ChoiceRequest, engine: EngineName, now_s: float) -> None:
-        """Count the prompt as cached there from now on, and tell other nodes."""
-        if self._tell is not None:
-            belief = self._prompt_beliefs(request, now_s).get(engine, NO_CACHED_PREFIX)
-            num_cached_tokens = int(belief.num_matched_blocks * request.tokens_per_block)
-            self._tell(request, engine, max(request.num_prompt_tokens - num_cached_tokens, 0))
-        self._recent.record_send(request.block_hashes, engine, now_s)
+        """Count the prompt as cached at the engine from now on, and announce the send."""
+        if self._announce is not None:
+            cached_prefix = self._cached_prefixes(request, now_s).get(engine, NO_CACHED_PREFIX)
+            num_cached_tokens = int(cached_prefix.num_matched_blocks * request.tokens_per_block)
+            self._announce(request, engine, max(request.num_prompt_tokens - num_cached_tokens, 0))
+        self._recent_sends.record_send(request.block_hashes, engine, now_s)
 
     def record_completion(
         self, request: ChoiceRequest, engine: EngineName, num_cached_tokens: int, now_s: float
     ) -> None:
-        """Compare the belief with what was real."""
-        self._kept_kv.record_served_prompt(request.block_hashes)
-        if self._kept_kv.record_completion(request.request_id, engine, num_cached_tokens):
-            # The cached tokens tell of the store as much as of the engine.
-            self._trust.forget_prediction(request.request_id, engine)
+        """Compare the predicted with the actual cached tokens of a completed request."""
+        self._import_planner.record_served_prompt(request.block_hashes)
+        if self._import_planner.record_completion(request.request_id, engine, num_cached_tokens):
+            # Imported tokens count as cached too, so they cannot confirm the prediction.
+            self._match_accuracy.discard_prediction(request.request_id, engine)
             return
-        share = self._trust.compare_with_actual(request.request_id, engine, num_cached_tokens)
-        if share is not None and share < FAILED_BELIEF_SHARE:
-            self._recent.forget(engine)
+        share = self._match_accuracy.compare_with_actual(
+            request.request_id, engine, num_cached_tokens
+        )
+        if share is not None and share < MIN_CACHED_SHARE:
+            self._recent_sends.forget(engine)
 
-    def _prompt_beliefs(
+    def _cached_prefixes(
         self, request: ChoiceRequest, now_s: float
     ) -> dict[EngineName, CachedPrefix]:
-        """Join digests with recent sends, own and noted, all scaled by trust."""
-        beliefs: dict[EngineName, CachedPrefix] = {}
-        for engine, match in self._beliefs.match(request.block_hashes, now_s).items():
-            num_blocks = match.num_blocks * self._trust.trust(engine)
-            beliefs[engine] = CachedPrefix(num_blocks, match.age_s)
+        """Return expected cached prefixes from digests, own recent sends and announced sends.
+
+        The numbers of blocks are scaled by the accuracy of earlier predictions for the engine.
+        """
+        cached_prefixes: dict[EngineName, CachedPrefix] = {}
+        for engine, match in self._cache_view.match(request.block_hashes, now_s).items():
+            num_blocks = match.num_blocks * self._match_accuracy.accuracy(engine)
+            cached_prefixes[engine] = CachedPrefix(num_blocks, match.age_s)
         for engine, num_sent_blocks in self._recent_matches(request.block_hashes, now_s):
-            num_blocks = num_sent_blocks * self._trust.trust(engine)
-            known = beliefs.get(engine, NO_CACHED_PREFIX)
-            if num_blocks > known.num_matched_blocks:
-                beliefs[engine] = CachedPrefix(num_blocks, 0.0)
-        return beliefs
+            num_blocks = num_sent_blocks * self._match_accuracy.accuracy(engine)
+            longest = cached_prefixes.get(engine, NO_CACHED_PREFIX)
+            if num_blocks > longest.num_matched_blocks:
+                cached_prefixes[engine] = CachedPrefix(num_blocks, 0.0)
+        return cached_prefixes
 
-    def _imports(
+    def _plan_imports(
         self,
         request: ChoiceRequest,
         proposals: list[EngineCandidate],
-        beliefs: Mapping[EngineName, CachedPrefix],
+        cached_prefixes: Mapping[EngineName, CachedPrefix],
         now_s: float,
     ) -> dict[EngineName, ImportPlan]:
-        """Return the candidates for which an import beats computing."""
-        num_kept_blocks = self._kept_kv.kept_depth(request.block_hashes)
+        """Return the planned imports of the candidates for which an import saves time."""
+        num_kept_blocks = self._import_planner.kept_depth(request.block_hashes)
         if num_kept_blocks == 0:
             return {}
         plans: dict[EngineName, ImportPlan] = {}
-        for each in proposals:
-            num_matched_blocks = int(beliefs.get(each.engine, NO_CACHED_PREFIX).num_matched_blocks)
-            plan = self._kept_kv.plan(
-                request, each, num_matched_blocks, num_kept_blocks, self._objective, now_s
+        for candidate in proposals:
+            num_matched_blocks = int(
+                cached_prefixes.get(candidate.engine, NO_CACHED_PREFIX).num_matched_blocks
+            )
+            plan = self._import_planner.plan(
+                request, candidate, num_matched_blocks, num_kept_blocks, self._objective, now_s
             )
             if plan is not None:
-                plans[each.engine] = plan
+                plans[candidate.engine] = plan
         return plans
 
     def _recent_matches(
         self, block_hashes: Sequence[BlockHash], now_s: float
     ) -> Iterator[tuple[EngineName, int]]:
-        """Yield engines with the leading blocks sent there lately, some maybe twice."""
-        yield from self._recent.match(block_hashes, now_s)
-        if self._noted is None:
+        """Yield engines with the leading blocks recently sent there; an engine may occur twice."""
+        yield from self._recent_sends.match(block_hashes, now_s)
+        if self._peer_sends is None:
             return
-        for engine, match in self._noted.match(block_hashes, now_s).items():
-            if not self._runs.is_new(engine, now_s):
+        for engine, match in self._peer_sends.match(block_hashes, now_s).items():
+            if not self._engine_runs.is_new(engine, now_s):
                 yield engine, match.num_blocks
 
-    def _with_noted_load(self, candidate: EngineCandidate, now_s: float) -> EngineCandidate:
-        """Add to a candidate's queue what other nodes sent since its load report."""
-        if self._noted is None:
+    def _with_peer_load(self, candidate: EngineCandidate, now_s: float) -> EngineCandidate:
+        """Return the candidate with other nodes' sends since its load report added to its queue."""
+        if self._peer_sends is None:
             return candidate
         reported_at_s = now_s - candidate.report_age_s
-        num_tokens = self._noted.num_waiting_tokens(
+        num_tokens = self._peer_sends.num_waiting_tokens(
             candidate.engine, reported_at_s, candidate.prefill_tokens_per_s, now_s
         )
         if num_tokens == 0:
@@ -236,65 +245,67 @@
         num_waiting = candidate.num_waiting_prefill_tokens + num_tokens
         return msgspec.structs.replace(candidate, num_waiting_prefill_tokens=num_waiting)
 
-    def _ranked(
+    def _rank_by_affinity(
         self, request: ChoiceRequest, eligible: list[EngineCandidate], random: Random
     ) -> list[EngineCandidate]:
-        """Return the first candidates by rendezvous hash of the prompt's prefix."""
+        """Return the candidates that rank highest by rendezvous hash of the prompt's prefix."""
         key = affinity_key(request, random)
         return nlargest(
-            NUM_RANKED_PROPOSALS, eligible, lambda each: rendezvous_score(key, each.engine)
+            NUM_RANKED_PROPOSALS,
+            eligible,
+            lambda candidate: rendezvous_score(key, candidate.engine),
         )
 
-    def _proposals(
+    def _propose(
         self,
         eligible: list[EngineCandidate],
         ranked: list[EngineCandidate],
-        beliefs: Mapping[EngineName, CachedPrefix],
+        cached_prefixes: Mapping[EngineName, CachedPrefix],
         random: Random,
     ) -> list[EngineCandidate]:
-        """Return the candidates worth estimating."""
-        if len(eligible) <= MAX_ALL_PROPOSED:
+        """Return the candidates to estimate."""
+        if len(eligible) <= MAX_UNSAMPLED_CANDIDATES:
             return eligible
-        proposals = {each.engine: each for each in ranked}
-        for each in random.sample(eligible, NUM_RANDOM_PROPOSALS):
-            proposals[each.engine] = each
+        proposals = {candidate.engine: candidate for candidate in ranked}
+        for candidate in random.sample(eligible, NUM_RANDOM_PROPOSALS):
+            proposals[candidate.engine] = candidate
         by_depth: dict[float, list[EngineCandidate]] = {}
-        for each in eligible:
-            belief = beliefs.get(each.engine)
-            if belief is not None:
-                by_depth.setdefault(belief.num_matched_blocks, []).append(each)
+        for candidate in eligible:
+            cached_prefix = cached_prefixes.get(candidate.engine)
+            if cached_prefix is not None:
+                by_depth.setdefault(cached_prefix.num_matched_blocks, []).append(candidate)
         for group in by_depth.values():
-            for each in nsmallest(NUM_OF_EQUAL_DEPTH, group, _waiting_tokens):
-                proposals[each.engine] = each
+            for candidate in nsmallest(NUM_PROPOSALS_PER_DEPTH, group, _waiting_tokens):
+                proposals[candidate.engine] = candidate
         return list(proposals.values())
 
     def _with_affinity(
         self,
         request: ChoiceRequest,
-        first: EngineName,
-        beliefs: dict[EngineName, CachedPrefix],
+        first_ranked: EngineName,
+        cached_prefixes: dict[EngineName, CachedPrefix],
     ) -> dict[EngineName, CachedPrefix]:
-        """Count a cold prefix as half cached at its first engine by rendezvous hash."""
+        """Count an uncached prefix as half cached at the engine that ranks first for it."""
         num_blocks = affinity_depth(len(request.block_hashes))
         if num_blocks == 0:
-            return beliefs
-        if any(each.num_matched_blocks >= num_blocks for each in beliefs.values()):
-            return beliefs
-        known = beliefs.get(first, NO_CACHED_PREFIX)
-        num_expected = known.num_matched_blocks + AFFINITY_TRUST * (
-            num_blocks - known.num_matched_blocks
+            return cached_prefixes
+        if any(prefix.num_matched_blocks >= num_blocks for prefix in cached_prefixes.values()):
+            return cached_prefixes
+        cached = cached_prefixes.get(first_ranked, NO_CACHED_PREFIX)
+        num_expected = cached.num_matched_blocks + AFFINITY_PROBABILITY * (
+            num_blocks - cached.num_matched_blocks
         )
-        return {**beliefs, first: CachedPrefix(num_expected, known.age_s)}
+        return {**cached_prefixes, first_ranked: CachedPrefix(num_expected, cached.age_s)}
 
 
 def affinity_depth(num_blocks: int) -> int:
-    """Return the depth of the block whose hash is the rendezvous key, 0 without one."""
-    most = int(num_blocks * AFFINITY_SHARE)
-    return 1 << (most.bit_length() - 1) if most else min(num_blocks, 1)
+    """Return the depth of the block whose hash is the rendezvous key; 0 if there is no block."""
+    max_depth = int(num_blocks * AFFINITY_SHARE)
+    return 1 << (max_depth.bit_length() - 1) if max_depth else min(num_blocks, 1)
 
 
 def affinity_key(request: ChoiceRequest, random: Random) -> int:
-    """Return the rendezvous key of a prompt, a random one for a prompt without a full block."""
+    """Return the rendezvous key of a prompt; a random key for a prompt without a full block."""
     num_blocks = affinity_depth(len(request.block_hashes))
     if num_blocks == 0:
         return random.getrandbits(64)
@@ -309,15 +320,18 @@
     return estimate.cost
 
 
-def _among_ties(
+def _choose_among_ties(
     estimates: list[CandidateEstimate], proposals: list[EngineCandidate], random: Random
 ) -> CandidateEstimate:
-    """Choose at random, in favour of the best, among estimates within their error."""
-    age_s = max(each.report_age_s for each in proposals)
-    tie_s = max(TIE_S * age_s, MIN_TIE_S)
+    """Choose at random among the estimates that differ by less than their error.
+
+    Estimates with a lower cost have a higher probability.
+    """
+    age_s = max(candidate.report_age_s for candidate in proposals)
+    tie_s = max(TIE_S_PER_REPORT_AGE_S * age_s, MIN_TIE_S)
     best_cost = estimates[0].cost
-    near = [each for each in estimates if each.cost - best_cost < 3 * tie_s]
-    if len(near) == 1:
-        return near[0]
-    weights = [math.exp((best_cost - each.cost) / tie_s) for each in near]
-    return random.choices(near, weights)[0]
+    tied = [estimate for estimate in estimates if estimate.cost - best_cost < 3 * tie_s]
+    if len(tied) == 1:
+        return tied[0]
+    weights = [math.exp((best_cost - estimate.cost) / tie_s) for estimate in tied]
+    return random.choices(tied, weights)[0]
--- a/src/weirscale/domain/choice/prefix_match.py
+++ b/src/weirscale/domain/choice/prefix_match.py
@@ -1,14 +1,14 @@
-"""What is believed of cached prefixes."""
+"""Match of a prompt against the cached prefixes of an engine."""
 
 import msgspec
 
 
 class PrefixMatch(msgspec.Struct, frozen=True):
-    """What is believed of one engine and one prompt.
+    """Leading blocks of one prompt that are presumably cached at one engine.
 
     Attributes:
-        num_blocks: Leading blocks of the prompt believed to be cached.
-        age_s: Age of the knowledge.
+        num_blocks: Number of these blocks.
+        age_s: Age of the information.
     """
 
     num_blocks: int
--- a/src/weirscale/domain/choice/recent_sends.py
+++ b/src/weirscale/domain/choice/recent_sends.py
@@ -1,7 +1,7 @@
-"""What this node itself sent lately: prefixes that engines are computing or have just computed.
+"""Recently sent prompts, whose prefixes engines are computing or have just computed.
 
-Bridges the time until digests tell of them, and sends those who ask for a prefix while it is being
-computed to the engine that computes it.
+They fill the gap until cache digests include these prefixes. So a request with a prefix that is
+being computed goes to the engine that computes it.
 """
 
 from collections.abc import Callable, Iterator, Sequence
@@ -13,28 +13,30 @@
 from weirscale.domain.prefix.sampling import block_key
 
 GENERATION_S = 3.0
-"""A send is remembered for one to two generations: the lag of events and digests together."""
+"""A send is kept for one to two generations, which covers the lag of cache events and digests."""
 
 BLOCK_STEP = 8
-"""Of a node's own sends every so many blocks of a chain are remembered, and its last."""
+"""Distance of the recorded blocks in the chain of a node's own send; the last block is recorded
+too."""
 
 LADDER_STEPS_PER_DOUBLING = 4
-"""Of other nodes' sends so many blocks are told for each doubling of depth: 32 for 2,000 blocks."""
+"""Blocks per doubling of depth that nodes announce of their sends: 32 for a chain of 2,000
+blocks."""
 
 MAX_GENERATION_KEYS = 100_000
-"""A generation ends early at so many keys; bounds memory to some 20 MB."""
+"""A generation ends early at this number of keys, which limits memory to about 20 MB."""
 
 NO_SHIFT = 0
 ALL_SAMPLED = 0
 
 
 ChooseDepths = Callable[[int], Sequence[int]]
-"""Returns for a number of blocks the depths that are remembered, ascending, the last included."""
+"""Returns the depths to record for a chain of so many blocks, ascending, including the last."""
 
 
 @lru_cache(maxsize=1024)
 def even_depths(num_blocks: int) -> Sequence[int]:
-    """Return every BLOCK_STEP-th depth and the last."""
+    """Return every BLOCK_STEP-th depth and the last one."""
     depths = list(range(BLOCK_STEP, num_blocks + 1, BLOCK_STEP))
     if num_blocks % BLOCK_STEP:
         depths.append(num_blocks)
@@ -43,7 +45,10 @@
 
 @lru_cache(maxsize=1024)
 def ladder_depths(num_blocks: int) -> Sequence[int]:
-    """Return depths that grow by a constant factor, and the last; the same for all prompts."""
+    """Return depths that grow by a constant factor, and the last one.
+
+    Except for the last one, the depths are the same for all prompts.
+    """
     depths: list[int] = []
     step = 0
     while (depth := int(BLOCK_STEP * 2 ** (step / LADDER_STEPS_PER_DOUBLING))) < num_blocks:
@@ -59,8 +64,8 @@
     return [block_key(block_hashes[depth - 1]) for depth in depths]
 
 
-class _KeysAt(Sequence[int]):
-    """The keys at depths, made when looked at: bisection looks at few of them."""
+class _LazyKeys(Sequence[int]):
+    """The keys at the depths, computed on access because a bisection needs only a few of them."""
 
     __slots__ = ("_block_hashes", "_depths")
 
@@ -82,10 +87,10 @@
 
 
 class RecentSends:
-    """Chains sent in the last seconds, in two generations of which the older is dropped whole.
+    """Chains sent in the last seconds, in two generations; the older one is dropped as a whole.
 
     Args:
-        choose_depths: Which blocks of a chain are remembered.
+        choose_depths: Returns the depths of the blocks to record.
     """
 
     def __init__(self, choose_depths: ChooseDepths = even_depths) -> None:
@@ -99,12 +104,12 @@
     def record_send(
         self, block_hashes: Sequence[BlockHash], engine: EngineName, now_s: float
     ) -> None:
-        """Remember that a prompt was sent to an engine."""
+        """Record that a prompt was sent to an engine."""
         depths = self._choose_depths(len(block_hashes))
         self.record_keys(keys_at(block_hashes, depths), engine, now_s)
 
     def record_keys(self, keys: Sequence[int], engine: EngineName, now_s: float) -> None:
-        """Remember the keys of a prompt that was sent to an engine."""
+        """Record the keys of a prompt that was sent to an engine."""
         self._rotate(now_s)
         bit = self._bits.get(engine)
         if bit is None:
@@ -117,10 +122,10 @@
     def match(
         self, block_hashes: Sequence[BlockHash], now_s: float
     ) -> Iterator[tuple[EngineName, int]]:
-        """Yield engines and the leading blocks of the chain sent there, some maybe twice."""
+        """Yield engines with the number of leading blocks sent there; an engine may occur twice."""
         self._rotate(now_s)
         depths = self._choose_depths(len(block_hashes))
-        keys = _KeysAt(block_hashes, depths)
+        keys = _LazyKeys(block_hashes, depths)
         all_bits = (1 << len(self._bits)) - 1
         for generation in (self._newer, self._older):
             if not len(generation):
@@ -133,11 +138,11 @@
                     yield self._engines[bit], num_blocks
 
     def forget(self, engine: EngineName) -> None:
-        """Forget what was sent to an engine that turned out not to hold it."""
+        """Drop all sends to an engine that turned out not to have the blocks cached."""
         bit = self._bits.get(engine)
         if bit is not None:
-            self._newer.remove_where(bit, _always)
-            self._older.remove_where(bit, _always)
+            self._newer.remove_where(bit, _any_key)
+            self._older.remove_where(bit, _any_key)
 
     def _rotate(self, now_s: float) -> None:
         if self._started_at_s is None:
@@ -150,5 +155,5 @@
         self._started_at_s = now_s
 
 
-def _always(_key: int) -> bool:
+def _any_key(_key: int) -> bool:
     return True
