--- a/src/weirscale/domain/duties/__init__.py
+++ b/src/weirscale/domain/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Who does what: duties derived from membership, fenced by leases."""
+"""Assignment of duties to nodes, derived from membership and fenced by leases."""
--- a/src/weirscale/domain/duties/assignment.py
+++ b/src/weirscale/domain/duties/assignment.py
@@ -1,7 +1,8 @@
-"""Which nodes hold a duty: rendezvous hashing over live nodes, agreed without messages.
+"""Assignment of duties by rendezvous hashing over live nodes, without messages.
 
-Nodes with the same view give the same answer; while views differ, two nodes may both believe that
-they hold a duty. Where that would do harm, the duty is fenced by a lease as well.
+Nodes with the same view of the membership compute the same assignment. While views differ, two
+nodes may both act as the holder of a duty. Duties for which that is harmful are also fenced by a
+lease.
 """
 
 import enum
@@ -14,20 +15,24 @@
 
 
 class DutyKind(enum.Enum):
-    """Kinds of work that few nodes do for all; the value seeds the hash, so never reuse one."""
+    """Kinds of work that a few nodes do for the fleet.
+
+    The value seeds the hash, so a value must not be reused for another kind.
+    """
 
     ENGINE_HOME = "engine_home"
-    """Follows an engine's cache events and load, for the nodes of its zone."""
+    """Tracks an engine's cache events and load on behalf of the nodes in the engine's zone."""
     PLACEMENT_PLANNER = "placement_planner"
-    """Gives orders to engines; fenced by a lease."""
+    """Sends orders to engines; fenced by a lease."""
 
 
 class Duty(msgspec.Struct, frozen=True):
     """One duty.
 
     Attributes:
-        kind: What is to be done.
-        subject: What it is done for, such as an engine's name; empty where there is one only.
+        kind: Kind of work.
+        subject: Name of the object of the work, such as an engine; empty if the fleet has only one
+            duty of the kind.
     """
 
     kind: DutyKind
@@ -35,12 +40,12 @@
 
     @property
     def key(self) -> str:
-        """Name of the duty in the key-value service and in logs."""
+        """Key of the duty in the key-value service and in logs."""
         return f"{self.kind.value}/{self.subject}" if self.subject else self.kind.value
 
 
 class DutyCandidate(msgspec.Struct, frozen=True):
-    """A live node that may take duties; leaving ones take a duty only if nobody else can."""
+    """A live node that may hold duties; leaving nodes rank after all others."""
 
     node: NodeId
     zone: ZoneName
@@ -50,21 +55,25 @@
 def rank_candidates(
     duty: Duty, candidates: Iterable[DutyCandidate], zone: ZoneName | None = None
 ) -> list[DutyCandidate]:
-    """Order candidates by weight for a duty, best first.
+    """Return the candidates sorted by weight for a duty, best first.
 
-    The weight depends on duty and node name alone, so when a node joins or goes only the duties
-    that it takes or held move.
+    The weight depends only on the duty and the node's name. So when a node joins or leaves, only
+    the duties that are assigned to it move.
 
     Args:
         duty: The duty.
         candidates: Live nodes.
-        zone: Only nodes of this zone, or None for all.
+        zone: Zone of the nodes to rank, or None for all zones.
     """
-    wanted = [each for each in candidates if zone is None or each.zone == zone]
+    in_zone = [candidate for candidate in candidates if zone is None or candidate.zone == zone]
     key = rendezvous_key(duty.key)
     return sorted(
-        wanted,
-        key=lambda each: (each.is_leaving, -rendezvous_weight(each.node.name, key), each.node),
+        in_zone,
+        key=lambda candidate: (
+            candidate.is_leaving,
+            -rendezvous_weight(candidate.node.name, key),
+            candidate.node,
+        ),
     )
 
 
@@ -72,14 +81,14 @@
     duty: Duty, candidates: Iterable[DutyCandidate], count: int, zone: ZoneName | None = None
 ) -> tuple[NodeId, ...]:
     """Return the `count` best nodes for a duty, best first."""
-    return tuple(each.node for each in rank_candidates(duty, candidates, zone)[:count])
+    return tuple(candidate.node for candidate in rank_candidates(duty, candidates, zone)[:count])
 
 
 def engine_home(
     engine: EngineName, zone: ZoneName, candidates: Iterable[DutyCandidate]
 ) -> NodeId | None:
-    """Return the home node of an engine: of its own zone if any node lives there."""
+    """Return the home node of an engine, in the engine's zone if that has a live node."""
     duty = Duty(DutyKind.ENGINE_HOME, engine)
-    everywhere = tuple(candidates)
-    best = holders(duty, everywhere, 1, zone) or holders(duty, everywhere, 1)
+    all_candidates = tuple(candidates)
+    best = holders(duty, all_candidates, 1, zone) or holders(duty, all_candidates, 1)
     return best[0] if best else None
--- a/src/weirscale/domain/duties/lease.py
+++ b/src/weirscale/domain/duties/lease.py
@@ -1,15 +1,17 @@
-"""The protocol of a fenced lease: at most one effective holder of a duty.
+"""The protocol of a fenced lease, which gives a duty at most one effective holder.
 
-The duty's key in the key-value service hangs on the holder's lease, so it vanishes with it. The
-fencing token is the key's create revision, which grows each time the duty is taken. Two rules
-keep a stale holder harmless:
+The duty's key in the key-value service is attached to the holder's lease, so it is deleted when the
+lease ends. The fencing token is the key's create revision, which grows each time the duty is
+acquired. Two rules prevent damage by a stale holder:
 
-- The holder counts its lease from before the request that granted or renewed it was sent, so it
-  stops before the service gives the duty to another one. It checks this at each point of use.
-- What it sends carries the token, and the receiver refuses a token lower than the highest seen.
-  That stops what was sent in time and arrives late.
+- The holder counts the lease's duration from before it sent the request that granted or renewed the
+  lease. So it stops before the service gives the duty to another node. The holder checks the lease
+  at each point of use.
+- The holder's messages carry the token, and receivers reject tokens lower than the highest one
+  seen. This stops messages that were sent in time but arrive late.
 
-Pure: `next_operation` says what to ask the service, `after_answer` takes the answer.
+The module does no I/O: `next_operation` returns the call to make to the service, and `after_answer`
+handles the answer.
 """
 
 import enum
@@ -23,11 +25,11 @@
     """Durations of a lease.
 
     Attributes:
-        time_to_live_s: What the service grants.
-        margin_s: Taken off locally: clocks may run apart by this much in a time to live.
-        renew_interval_s: Time between renewals; several must fail before the lease is lost.
-        retry_interval_s: Wait after failed calls.
-        standby_interval_s: Time between looks at a duty that another node holds.
+        time_to_live_s: Duration for which the service grants the lease.
+        margin_s: Subtracted locally, because clocks may drift by this much in a time to live.
+        renew_interval_s: Time between renewals; the lease is lost only after several failures.
+        retry_interval_s: Delay after a failed call.
+        standby_interval_s: Time between reads of a duty's key while another node holds the duty.
     """
 
     time_to_live_s: float = 10.0
@@ -38,7 +40,7 @@
 
 
 class LeasePhase(enum.Enum):
-    """What the node does next about a duty."""
+    """Next step of a node for a duty."""
 
     READ = "read"
     GRANT = "grant"
@@ -56,15 +58,15 @@
 
 
 class LeaseState(msgspec.Struct, frozen=True):
-    """What a node knows of its own lease on a duty.
+    """A node's state of its lease on a duty.
 
     Attributes:
-        phase: What comes next.
-        lease_id: Its lease, 0 without one.
-        valid_until_s: Until when the lease certainly lives, on the node's own clock.
-        token: Fencing token, 0 unless the duty was taken.
-        not_before_s: No operation before this time.
-        other_holder: Value of the duty's key when another node held it, for status.
+        phase: Next step.
+        lease_id: Id of the node's lease; 0 without a lease.
+        valid_until_s: Time on the node's clock until which the lease is certainly valid.
+        token: Fencing token; 0 unless the node has acquired the duty.
+        not_before_s: Time of the next operation.
+        other_holder: Value of the duty's key if another node held it, for the status output.
     """
 
     phase: LeasePhase = LeasePhase.READ
@@ -75,17 +77,17 @@
     other_holder: bytes = b""
 
     def is_held(self, now_s: float) -> bool:
-        """Whether the node certainly holds the duty now; ask at each point of use."""
+        """Return whether the node certainly holds the duty now; call this at each point of use."""
         return self.token != 0 and now_s < self.valid_until_s
 
 
 class DutyKey(msgspec.Struct, frozen=True):
-    """The duty's key as it stands in the service.
+    """The duty's key as stored in the key-value service.
 
     Attributes:
-        lease_id: The lease that it hangs on.
-        create_revision: Revision at which the duty was taken.
-        holder: Its value, the holder's name.
+        lease_id: The lease to which the key is attached.
+        create_revision: Revision at which the duty was acquired.
+        holder: Value of the key: the holder's name.
     """
 
     lease_id: int
@@ -94,29 +96,29 @@
 
 
 class KeyAnswer(msgspec.Struct, frozen=True):
-    """Answers READ_KEY, and TAKE_KEY whether it succeeded or not; None when there is no key."""
+    """Answer to READ_KEY, and to TAKE_KEY both on success and on failure; None without a key."""
 
     key: DutyKey | None
 
 
 class LeaseGranted(msgspec.Struct, frozen=True):
-    """Answers GRANT_LEASE."""
+    """Answer to GRANT_LEASE."""
 
     lease_id: int
 
 
 class LeaseRenewed(msgspec.Struct, frozen=True):
-    """Answers KEEP_ALIVE."""
+    """Answer to KEEP_ALIVE."""
 
     time_to_live_s: float
 
 
 class LeaseLost(msgspec.Struct, frozen=True):
-    """The lease has expired at the service."""
+    """Answer to an operation on a lease that has expired at the service."""
 
 
 class CallFailed(msgspec.Struct, frozen=True):
-    """No answer, or a refusal: what was asked may have happened or not."""
+    """No answer, or an error; the operation may or may not have taken effect."""
 
     retry_after_s: float = 0.0
 
@@ -132,7 +134,7 @@
 
 
 def next_operation(state: LeaseState, now_s: float) -> LeaseOperation | None:
-    """Return what to ask the service now, None before `not_before_s`."""
+    """Return the operation to call at the service now, or None before `not_before_s`."""
     if now_s < state.not_before_s:
         return None
     return _OPERATIONS[state.phase]
@@ -141,14 +143,14 @@
 def after_answer(
     state: LeaseState, answer: LeaseAnswer, sent_at_s: float, now_s: float, rules: LeaseRules
 ) -> LeaseState:
-    """Take the service's answer.
+    """Return the state after an answer of the service.
 
     Args:
         state: State in which the operation was sent.
-        answer: The answer; a time-out is `CallFailed`.
-        sent_at_s: Just before the request was sent.
-        now_s: When the answer was read.
-        rules: Durations.
+        answer: The answer; a timeout is `CallFailed`.
+        sent_at_s: Time just before the request was sent.
+        now_s: Time at which the answer was read.
+        rules: Durations of the lease.
     """
     if isinstance(answer, KeyAnswer):
         return _after_read(state, answer.key, sent_at_s, now_s, rules)
@@ -170,19 +172,20 @@
 
 
 def after_release(now_s: float, rules: LeaseRules) -> LeaseState:
-    """State after giving a duty up: drop it before the service is told."""
+    """Return the state after releasing a duty; apply it before the call to the service."""
     return LeaseState(not_before_s=now_s + rules.retry_interval_s)
 
 
 def _after_read(
     state: LeaseState, key: DutyKey | None, sent_at_s: float, now_s: float, rules: LeaseRules
 ) -> LeaseState:
-    """The duty's key was read, alone or with the answer to an attempt to take it."""
+    """Return the state after the duty's key was read, by a read or an attempt to acquire it."""
     if key is None:
         phase = LeasePhase.TAKE if state.lease_id else LeasePhase.GRANT
         return msgspec.structs.replace(state, phase=phase, token=0)
     if state.lease_id and key.lease_id == state.lease_id:
-        # Ours, also when the answer to the taking was lost. Validity stays that of the lease.
+        # This node holds the key, possibly since an attempt to acquire it whose answer was lost.
+        # The key's validity is still that of the lease.
         return msgspec.structs.replace(
             state,
             phase=LeasePhase.HOLD,
@@ -196,8 +199,8 @@
     state: LeaseState, failure: CallFailed, now_s: float, rules: LeaseRules
 ) -> LeaseState:
     not_before_s = now_s + max(rules.retry_interval_s, failure.retry_after_s)
-    # A holder's lease may live on: renew it later, and hold the duty until `valid_until_s` only.
-    # Any other call may have taken effect: reading tells.
+    # A holder's lease may still be valid: retry the renewal, and hold the duty until
+    # `valid_until_s` only. Any other call may have taken effect, so read the key first.
     phase = state.phase if state.phase is LeasePhase.HOLD else LeasePhase.READ
     return msgspec.structs.replace(state, phase=phase, not_before_s=not_before_s)
 
