--- a/src/weirscale/messages/__init__.py
+++ b/src/weirscale/messages/__init__.py
@@ -1,1 +1,1 @@
-"""All typed messages that weirscale's own processes and tasks exchange."""
+"""Typed messages between weirscale's own processes and tasks."""
--- a/src/weirscale/messages/cache.py
+++ b/src/weirscale/messages/cache.py
@@ -1,4 +1,4 @@
-"""Cache events that engines publish, shaped after vLLM's KV cache event batches."""
+"""Cache events that engines publish, modelled on vLLM's KV cache event batches."""
 
 import msgspec
 
@@ -13,11 +13,11 @@
 
 
 class BlockStored(msgspec.Struct, frozen=True, tag="stored", array_like=True):
-    """Blocks that the engine now holds, in chain order.
+    """Blocks that the engine has stored, in chain order.
 
     Attributes:
-        block_hashes: Chained hashes, each the child of the one before.
-        parent_block_hash: The block that the first one follows, or None at a chain's start.
+        block_hashes: Chained hashes; each block is the child of the previous one.
+        parent_block_hash: Parent of the first block, or None at the start of a chain.
     """
 
     block_hashes: tuple[BlockHash, ...]
@@ -42,11 +42,11 @@
 
     Attributes:
         engine: The engine's name.
-        incarnation: The engine's run; events of a lower one are void.
-        model: The model loaded.
-        weight_version: Version of the weights that the blocks were computed with.
-        sequence: One more than that of the batch before; starts at 1 in each incarnation.
-        events: What changed.
+        incarnation: The engine's run; events of a lower incarnation are void.
+        model: The loaded model.
+        weight_version: Version of the weights with which the blocks were computed.
+        sequence: Number of the batch; starts at 1 in each incarnation and grows by 1.
+        events: The changes.
     """
 
     engine: EngineName
@@ -58,15 +58,15 @@
 
 
 class CacheDump(msgspec.Struct, frozen=True):
-    """All blocks of one engine at one moment.
+    """Snapshot of all blocks of one engine.
 
     Attributes:
         engine: The engine's name.
         incarnation: The engine's run.
-        model: The model loaded.
+        model: The loaded model.
         weight_version: Version of the weights.
-        sequence: The last batch that the dump includes.
-        block_hashes: Every block held, least recently used first.
+        sequence: Number of the last batch that the snapshot includes.
+        block_hashes: All cached blocks, least recently used first.
     """
 
     engine: EngineName
@@ -78,24 +78,24 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """What an engine says of itself; it lags by up to a second or so.
+    """State that an engine reports; it lags by up to about a second.
 
     Attributes:
         engine: The engine's name.
         incarnation: The engine's run.
-        model: The model loaded, or None while none is.
-        weight_version: Version loaded, or None.
-        adapters: Adapters loaded.
+        model: The loaded model, or None.
+        weight_version: The loaded weight version, or None.
+        adapters: The loaded adapters.
         num_running: Requests in the running batch.
         num_waiting: Requests waiting for the batch.
-        num_waiting_prefill_tokens: Prompt tokens still to compute for waiting and running ones.
+        num_waiting_prefill_tokens: Prompt tokens still to compute for waiting and running requests.
         num_cached_blocks: Blocks in the prefix cache.
-        num_total_blocks: Most blocks that fit.
+        num_total_blocks: Capacity of the prefix cache in blocks.
         is_leaving: Whether the engine is about to stop.
-        order_token: Fencing token of the last order carried out, 0 before any.
-        role: The role that it serves, or None if it does not say.
-        loading_token: Token of the load that it has accepted and not ended, 0 while none.
-        failed_load_token: Token of the last load that failed in this run, 0 if none has.
+        order_token: Fencing token of the last executed order; 0 before the first.
+        role: The engine's role, or None if the engine does not report one.
+        loading_token: Fencing token of the load in progress; 0 without one.
+        failed_load_token: Fencing token of the last failed load of this run; 0 without one.
     """
 
     engine: EngineName
--- a/src/weirscale/messages/claims.py
+++ b/src/weirscale/messages/claims.py
@@ -30,7 +30,7 @@
 
 
 class ClaimWithdraw(msgspec.Struct, frozen=True, tag="claim_withdraw", array_like=True):
-    """Call: take a claimant's vote back."""
+    """Call: withdraw the vote for a claimant."""
 
     group: int
     epoch: int
@@ -39,7 +39,7 @@
 
 
 class ClaimComplete(msgspec.Struct, frozen=True, tag="claim_complete", array_like=True):
-    """Call: a claimant's request has run."""
+    """Call: record that a claimant's request has run."""
 
     group: int
     epoch: int
@@ -50,7 +50,7 @@
 
 
 class ClaimLogAppend(msgspec.Struct, frozen=True, tag="claim_log_append", array_like=True):
-    """Call to a holder: put a claim with a quorum of votes into the group's log."""
+    """Call to a holder: append a claim that has a quorum of votes to the group's log."""
 
     group: int
     epoch: int
@@ -58,19 +58,19 @@
 
 
 class ClaimSeal(msgspec.Struct, frozen=True, tag="claim_seal", array_like=True):
-    """Call: stop answering in an epoch, so that its claims can be copied."""
+    """Call: stop voting in an epoch, so that its claims can be copied."""
 
     group: int
     epoch: int
 
 
 class ClaimSealed(msgspec.Struct, frozen=True, tag="claim_sealed", array_like=True):
-    """Outcome of a seal.
+    """Result of a seal.
 
     Attributes:
-        is_sealed: Whether the holder will never again answer in the epoch.
-        num_claims: Claims to copy.
-        uncertain_wait_s: How much longer the holder refuses unknown keys.
+        is_sealed: Whether the holder will never vote in the epoch again.
+        num_claims: Number of claims to copy.
+        uncertain_wait_s: Time for which the holder would still refuse unknown keys.
     """
 
     is_sealed: bool
@@ -94,15 +94,15 @@
 
 
 class ClaimPrepare(msgspec.Struct, frozen=True, tag="claim_prepare", array_like=True):
-    """Call: hold a page of the claims of the epoch before, for an epoch to come.
+    """Call: store a page of the previous epoch's claims, in preparation for a new epoch.
 
     Attributes:
-        record: The epoch to come.
-        num_claims: Claims in all.
-        offset: Where this page begins; pages come in order.
-        claims: The page.
-        retention_s: How long claims are kept.
-        uncertain_wait_s: How long unknown keys are refused from now on.
+        record: The new epoch.
+        num_claims: Total number of claims.
+        offset: Position of this page's first claim; pages are sent in order.
+        claims: The claims of this page.
+        retention_s: Time for which claims are kept.
+        uncertain_wait_s: Time for which unknown keys are refused from now on.
     """
 
     record: GroupEpoch
@@ -114,32 +114,32 @@
 
 
 class ClaimAnnounce(msgspec.Struct, frozen=True, tag="claim_announce", array_like=True):
-    """Call and cast: this epoch is in force."""
+    """Call and cast: announce that an epoch is in force."""
 
     record: GroupEpoch
 
 
 class ClaimAck(msgspec.Struct, frozen=True, tag="claim_ack", array_like=True):
-    """Outcome of a call that has no other answer; `record` as in `ClaimOfferReply`."""
+    """Result of a call without an answer of its own; `record` as in `ClaimOfferReply`."""
 
     is_done: bool
     record: GroupEpoch | None = None
 
 
 class KnownEpoch(msgspec.Struct, frozen=True, array_like=True):
-    """The epoch of a group that the asking node knows; 0 for none."""
+    """The last epoch of a group that the sender has received; 0 for none."""
 
     group: int
     epoch: int
 
 
 class ClaimEpochsQuery(msgspec.Struct, frozen=True, tag="claim_epochs", array_like=True):
-    """Call: tell which of these groups have a newer epoch."""
+    """Call: return the groups among these that have a newer epoch."""
 
     known: tuple[KnownEpoch, ...]
 
 
 class ClaimEpochsReply(msgspec.Struct, frozen=True, tag="claim_epochs_reply", array_like=True):
-    """Newer epochs of the groups asked for."""
+    """Newer epochs of the queried groups."""
 
     records: tuple[GroupEpoch, ...]
--- a/src/weirscale/messages/codec.py
+++ b/src/weirscale/messages/codec.py
@@ -1,8 +1,8 @@
-"""Encoding of typed messages between own processes: msgspec Structs as CBOR.
+"""Encoding of typed messages between weirscale's processes: msgspec Structs as CBOR.
 
-A message type must carry a tag, which names it on the wire. Types with `array_like=True` are the
-most compact: the tag comes first, then the fields in order. Bad input never raises: it is
-answered with a typed failure.
+A message type must have a tag, which names the type on the wire. The encoding of types with
+`array_like=True` is the most compact: the tag, then the fields in order. Decoding bad input does
+not raise but returns a typed failure.
 """
 
 import enum
@@ -12,14 +12,15 @@
 from result import Err, Ok, Result
 
 MAX_MESSAGE_BYTES = 8 * 1024 * 1024
-"""Largest message that is decoded; the largest real ones are configurations and cache digests."""
+"""Size of the largest message that is decoded; configurations and cache digests are the largest in
+practice."""
 
 _BUILTIN_TYPES = (bytes,)
-"""Types that CBOR carries as they are."""
+"""Types that CBOR encodes natively."""
 
 
 class CodecFailureKind(enum.Enum):
-    """Why bytes are not a message."""
+    """Reasons why bytes could not be decoded."""
 
     TOO_LARGE = "too_large"
     NOT_CBOR = "not_cbor"
@@ -29,7 +30,7 @@
 
 
 class CodecFailure(msgspec.Struct, frozen=True):
-    """Bytes that are not a message of a registered type; `detail` names the remedy."""
+    """Bytes that are not a message of a registered type; `detail` gives the cause and remedy."""
 
     kind: CodecFailureKind
     detail: str
@@ -43,15 +44,21 @@
         self._types: dict[str, type[msgspec.Struct]] = {}
 
     def register(self, message_type: type[msgspec.Struct]) -> str:
-        """Make a type known and return its tag; another type with the same tag is a bug."""
+        """Register a type for decoding and return its tag.
+
+        Raises:
+            ValueError: If another type has the same tag.
+        """
         tag = message_tag(message_type)
-        known = self._types.setdefault(tag, message_type)
-        if known is not message_type:
-            raise ValueError(f"tag {tag!r} names both {known.__name__} and {message_type.__name__}")
+        registered = self._types.setdefault(tag, message_type)
+        if registered is not message_type:
+            raise ValueError(
+                f"tag {tag!r} is used by both {registered.__name__} and {message_type.__name__}"
+            )
         return tag
 
     def encode(self, message: msgspec.Struct) -> bytes:
-        """Encode a message; its type need not be registered on the sending side."""
+        """Encode a message; the sender need not register its type."""
         message_tag(type(message))
         builtins = msgspec.to_builtins(message, builtin_types=_BUILTIN_TYPES)
         return cbor2.dumps(builtins)
@@ -77,7 +84,7 @@
         if message_type is None:
             return _failure(
                 CodecFailureKind.UNKNOWN_TAG,
-                f"tag {tag[:64]!r} has no handler; run one version on both nodes",
+                f"tag {tag[:64]!r} has no handler; run the same version on both nodes",
             )
         try:
             message = msgspec.convert(
@@ -86,13 +93,17 @@
         except (msgspec.ValidationError, TypeError, ValueError, RecursionError) as error:
             return _failure(
                 CodecFailureKind.WRONG_SHAPE,
-                f"{tag}: {error}; run one version on both nodes",
+                f"{tag}: {error}; run the same version on both nodes",
             )
         return Ok(message)
 
 
 def message_tag(message_type: type[msgspec.Struct]) -> str:
-    """Return the tag that names a message type on the wire; a type without one is a bug."""
+    """Return the tag that names a message type on the wire.
+
+    Raises:
+        ValueError: If the type has no string tag.
+    """
     tag = message_type.__struct_config__.tag
     if not isinstance(tag, str):
         raise ValueError(f"{message_type.__name__} has no string tag; declare it with tag=...")
--- a/src/weirscale/messages/digest.py
+++ b/src/weirscale/messages/digest.py
@@ -1,8 +1,8 @@
-"""Digests of engines' caches and loads: what a home node tells the nodes of its zone.
+"""Digests of engines' caches and loads, which a home node sends to the nodes of its zone.
 
-A digest carries sampled block keys, not hashes: the upper KEY_BITS of a hash, of which only keys
-with `sample_bits` zero low bits travel. All nodes sample alike because the hash itself decides, so
-a prompt's chain can be matched against any digest.
+A digest carries sampled block keys instead of hashes. A key is the upper KEY_BYTES bytes of a hash,
+and only keys with `sample_bits` zero low bits are sent. The sampling depends only on the hash, so
+it is the same on all nodes and a prompt's chain can be matched against any digest.
 """
 
 import msgspec
@@ -17,10 +17,11 @@
 from weirscale.messages.cache import LoadReport
 
 KEY_BYTES = 5
-"""Bytes of a block key on the wire: among 10 million keys a false match is rarer than 1 in 10^5."""
+"""Size of a block key on the wire: among 10 million keys, the probability of a false match is below
+1 in 10^5."""
 
 KEY_SHIFT = 64 - 8 * KEY_BYTES
-"""A block's key is its hash shifted right by this."""
+"""Bits by which a block's hash is shifted right to give its key."""
 
 
 def pack_keys(keys: list[int]) -> bytes:
@@ -29,7 +30,7 @@
 
 
 def unpack_keys(packed: bytes) -> list[int]:
-    """Decode block keys; a broken tail is ignored."""
+    """Decode block keys; an incomplete key at the end is ignored."""
     last = len(packed) - KEY_BYTES
     return [
         int.from_bytes(packed[start : start + KEY_BYTES], "big")
@@ -66,17 +67,17 @@
         model: ModelName | None,
         weight_version: WeightVersion | None,
     ) -> LoadReport:
-        """Return the whole report again."""
+        """Return the load report from which the summary was made."""
         fields = {name: getattr(self, name) for name in REPORTED_FIELDS}
         return LoadReport(engine, incarnation, model, weight_version, **fields)
 
 
 REPORTED_FIELDS = tuple(name for name in LoadSummary.__struct_fields__ if name != "age_s")
-"""What a summary and the report have in common."""
+"""Fields that a summary and a load report have in common."""
 
 
 class LoadDigest(msgspec.Struct, frozen=True, array_like=True, tag="load_digest"):
-    """An engine's load alone; sent while nothing is known of its cache."""
+    """An engine's load without its cache; sent while the home node has no cache state."""
 
     engine: EngineName
     incarnation: Incarnation
@@ -86,17 +87,17 @@
 
 
 class CacheDigest(msgspec.Struct, frozen=True, array_like=True, tag="cache_digest"):
-    """Changes of one engine's cache since the digest before.
+    """Changes of one engine's cache since the previous digest.
 
     Attributes:
         engine: The engine's name.
-        incarnation: The engine's run that the keys belong to.
-        stream: Names the publisher's stream; a later publisher's is higher.
-        sequence: One more than that of the digest before; 1 in a new stream.
-        sample_bits: Every key with that many zero low bits travels; others may be missing.
-        is_reset: Whether everything told before is void.
-        added: Packed keys of blocks now held.
-        removed: Packed keys of blocks no longer held.
+        incarnation: The engine's run to which the keys belong.
+        stream: Identifies the publisher's stream; streams of later publishers are higher.
+        sequence: Number of the digest; starts at 1 in each stream and grows by 1.
+        sample_bits: Every key with this many zero low bits is included; others may be missing.
+        is_reset: Whether all earlier digests of the engine are void.
+        added: Packed keys of the blocks added to the cache.
+        removed: Packed keys of the blocks removed from the cache.
     """
 
     engine: EngineName
@@ -121,12 +122,12 @@
 
 
 class DigestRequest(msgspec.Struct, frozen=True, array_like=True, tag="digest_request"):
-    """Asks a home for the digests after a sequence.
+    """Request to a home node for the digests after a sequence number.
 
     Attributes:
         engine: The engine.
-        stream: The stream known to the asker, 0 for none.
-        after_sequence: Last sequence taken in.
+        stream: The last stream that the requester received; 0 for none.
+        after_sequence: The last sequence number that the requester applied.
     """
 
     engine: EngineName
@@ -135,12 +136,12 @@
 
 
 class DigestReply(msgspec.Struct, frozen=True, array_like=True, tag="digest_reply"):
-    """What the asker has missed.
+    """The digests that the requester has missed.
 
     Attributes:
-        is_home: Whether the answering node is home of the engine and knows its cache.
-        digests: The digests after the sequence asked for, when they are still at hand.
-        full: Everything, when they are not.
+        is_home: Whether the answering node is the engine's home and has the state of its cache.
+        digests: The digests after the requested sequence number, if they are still available.
+        full: The full digest, if they are not.
     """
 
     is_home: bool
@@ -149,12 +150,12 @@
 
 
 class SendNote(msgspec.Struct, frozen=True, array_like=True, tag="send_note"):
-    """Tells other nodes of a prompt that makes an engine compute.
+    """Notice to other nodes about a sent prompt that makes an engine compute.
 
     Attributes:
-        engine: Where it was sent.
+        engine: The engine to which the prompt was sent.
         num_missing_tokens: Prompt tokens that the engine has to compute.
-        keys: Packed keys of the prompt's blocks at the ladder of depths.
+        keys: Packed keys of the prompt's blocks at `ladder_depths`.
     """
 
     engine: EngineName
--- a/src/weirscale/messages/engine_states.py
+++ b/src/weirscale/messages/engine_states.py
@@ -1,4 +1,4 @@
-"""States of a zone's engines, as a node of the zone tells them to the placement planner."""
+"""States of a zone's engines, which a node of the zone reports to the placement planner."""
 
 import msgspec
 
@@ -13,28 +13,28 @@
 from weirscale.messages.cache import LoadReport
 
 AGE_UNIT_S = 0.2
-"""Ages travel in these units, one byte each."""
+"""Unit in which ages are sent, one byte each."""
 
 MAX_AGE_UNITS = 255
-"""Stands for this age and every higher one."""
+"""The highest age that can be sent; higher ages are sent as this one."""
 
 
 class EngineState(msgspec.Struct, frozen=True, array_like=True):
-    """What a planner must know of one engine.
+    """State of one engine that the planner needs.
 
     Attributes:
-        engine: Its name.
-        incarnation: Its run.
-        model: The model loaded, or None.
-        weight_version: The version loaded, or None.
-        adapters: Adapters loaded.
-        num_running: Requests running or waiting when the state last changed otherwise.
-        order_token: Token of the last order carried out.
-        role: The role that it serves, or None if it does not say.
-        loading_token: Token of the load that it is carrying out, 0 while none.
-        failed_load_token: Token of the last load that failed in this run, 0 if none has.
-        is_leaving: Whether it is about to stop.
-        is_up: Whether the telling node finds it healthy.
+        engine: The engine's name.
+        incarnation: The engine's run.
+        model: The loaded model, or None.
+        weight_version: The loaded weight version, or None.
+        adapters: The loaded adapters.
+        num_running: Requests running or waiting when any other field last changed.
+        order_token: Fencing token of the last executed order.
+        role: The engine's role, or None if the engine does not report one.
+        loading_token: Fencing token of the load in progress; 0 without one.
+        failed_load_token: Fencing token of the last failed load of this run; 0 without one.
+        is_leaving: Whether the engine is about to stop.
+        is_up: Whether the engine is healthy according to the reporting node.
     """
 
     engine: EngineName
@@ -52,7 +52,7 @@
 
     @staticmethod
     def of(report: LoadReport, is_leaving: bool, is_up: bool) -> "EngineState":
-        """Return the state that a report tells, with what else is known of the engine."""
+        """Return the state according to a load report, with the given leaving and health states."""
         return EngineState(
             engine=report.engine,
             incarnation=report.incarnation,
@@ -72,11 +72,11 @@
 class EngineStatesRequest(
     msgspec.Struct, frozen=True, array_like=True, tag="engine_states_request"
 ):
-    """Asks a node what it has heard of a zone's engines.
+    """Request to a node for the states of a zone's engines.
 
     Attributes:
         zone: The zone.
-        known_digest: Digest of the states that the asker has from this node, 0 for none.
+        known_digest: Digest of the states that the requester has from this node; 0 for none.
     """
 
     zone: ZoneName
@@ -84,12 +84,12 @@
 
 
 class EngineStatesReply(msgspec.Struct, frozen=True, array_like=True, tag="engine_states_reply"):
-    """What the node has heard.
+    """The states of a zone's engines.
 
     Attributes:
-        digest: Names the states, `num_running` aside.
+        digest: Digest of the states without `num_running`.
         ages: Age of each state's load report in AGE_UNIT_S, one byte each, in order of names.
-        states: All states in order of names; empty if the asker has them.
+        states: All states in order of names; empty if the requester has them already.
     """
 
     digest: int
@@ -98,5 +98,5 @@
 
 
 def pack_age(age_s: float) -> int:
-    """Return an age as one byte, rounded up."""
+    """Return an age in AGE_UNIT_S that fits one byte, rounded up."""
     return max(0, min(MAX_AGE_UNITS, -int(-age_s // AGE_UNIT_S)))
--- a/src/weirscale/messages/envelope.py
+++ b/src/weirscale/messages/envelope.py
@@ -1,14 +1,14 @@
-"""Authentication of what nodes send one another: shared keys, replay protection, binding.
+"""Authentication of messages between nodes: shared keys, replay protection and binding.
 
 Wire layout: one byte key id, MAC_BYTES of keyed BLAKE2b, then a CBOR array (the header and the
 payload). The MAC also covers a binding that is not sent: the destination's address for casts and
 calls, the request's MAC for replies. So nothing is parsed before it is authenticated, and an
-envelope is worth nothing at another destination or as the answer to another request.
+envelope is invalid at another destination or as the reply to another request.
 
-Replay protection uses no clocks. Each run of a sender counts its envelopes; a receiver keeps a
-window of counters for each sender. The window of a run that the receiver has not met opens only
-after a challenge: the sender must return a fresh nonce. So what was recorded before the receiver
-restarted cannot be played to it again.
+Replay protection uses no clocks. Each run of a sender numbers its envelopes, and a receiver keeps a
+window of counters for each sender. For a run that is new to the receiver, the window opens only
+after a challenge, in which the sender must return a fresh nonce. So envelopes that were recorded
+before a restart of the receiver cannot be replayed to it.
 """
 
 import enum
@@ -24,27 +24,28 @@
 from weirscale.domain.identifiers import Incarnation, NodeAddress, NodeId, NodeName
 
 MAC_BYTES = 12
-"""96 bits: forging needs 2**95 datagrams on average, and each byte is paid in every datagram."""
+"""96 bits: a forgery takes 2**95 datagrams on average. More bytes would enlarge every datagram."""
 
 MIN_SECRET_BYTES = 16
 MAX_SECRET_BYTES = 64
-"""Bounds of a shared key; BLAKE2b takes at most 64 bytes."""
+"""Limits on the size of a shared key; BLAKE2b accepts at most 64 bytes."""
 
 NONCE_BYTES = 8
 REPLAY_WINDOW = 1024
-"""Counters that may arrive out of order; a sender's envelopes reordered further are dropped."""
+"""Window in which a sender's counters may arrive out of order; older ones are dropped."""
 
 REPLAYED_DETAIL = "counter seen before; send again under a new one"
-"""What the sender of a refused call is told."""
+"""Error detail for the sender of a call that was rejected as a replay."""
 
 MAX_SENDERS = 4096
-"""Replay windows kept, least recently heard dropped first; a dropped one needs a new challenge."""
+"""Replay windows kept. The least recently used are dropped first; their senders are challenged
+again."""
 
 _PREFIX_BYTES = 1 + MAC_BYTES
 
 
 class EnvelopeKind(enum.IntEnum):
-    """What an envelope carries."""
+    """Kinds of envelopes."""
 
     CAST = 0
     CALL = 1
@@ -55,7 +56,7 @@
 
 
 class EnvelopeFailureKind(enum.Enum):
-    """Why an envelope is not taken."""
+    """Reasons why an envelope is rejected."""
 
     TOO_SHORT = "too_short"
     UNKNOWN_KEY = "unknown_key"
@@ -67,7 +68,7 @@
 
 
 class EnvelopeFailure(msgspec.Struct, frozen=True):
-    """An envelope that is not taken; `detail` names the remedy."""
+    """The rejection of an envelope; `detail` gives the cause and the remedy."""
 
     kind: EnvelopeFailureKind
     detail: str
@@ -77,7 +78,7 @@
     """A shared key.
 
     Attributes:
-        key_id: 0 to 255; names the key on the wire.
+        key_id: Id of the key on the wire, 0 to 255.
         secret: 16 to 64 random bytes, the same on all nodes.
     """
 
@@ -86,23 +87,27 @@
 
     def __post_init__(self) -> None:
         if not 0 <= self.key_id <= 255:
-            raise ValueError(f"key id {self.key_id} is not within 0 to 255")
+            raise ValueError(f"key id {self.key_id} is not between 0 and 255")
         if not MIN_SECRET_BYTES <= len(self.secret) <= MAX_SECRET_BYTES:
-            raise ValueError(f"key {self.key_id}: give 16 to 64 bytes, not {len(self.secret)}")
+            raise ValueError(f"key {self.key_id}: use 16 to 64 bytes, not {len(self.secret)}")
 
 
 class KeyRing:
-    """Keys in use: the first one signs, all verify.
+    """Shared keys in use: the first one signs, all verify.
 
-    To rotate without a gap: add the new key last on all nodes, then move it first on all nodes,
-    then drop the old one.
+    To rotate keys without an interruption, add the new key as the last one on all nodes, then move
+    it to the first place on all nodes, then remove the old key.
     """
 
     def __init__(self, keys: tuple[PeerKey, ...]) -> None:
         self.replace(keys)
 
     def replace(self, keys: tuple[PeerKey, ...]) -> None:
-        """Use other keys from now on; at least one, with distinct ids."""
+        """Replace the keys.
+
+        Raises:
+            ValueError: If there is no key or two keys have the same id.
+        """
         secrets = {key.key_id: key.secret for key in keys}
         if not keys or len(secrets) != len(keys):
             raise ValueError("give at least one peer key, each with its own id")
@@ -110,14 +115,14 @@
         self._secrets = secrets
 
     def sign(self, body: bytes, binding: bytes) -> bytes:
-        """Return the whole envelope for a body."""
+        """Return the signed envelope for a body."""
         key = self._signing_key
         return bytes((key.key_id,)) + _mac(key.secret, body, binding) + body
 
     def verify(self, data: bytes, binding: bytes) -> Result[bytes, EnvelopeFailure]:
-        """Return an envelope's body if its MAC is right."""
+        """Return an envelope's body if its MAC is valid."""
         if len(data) <= _PREFIX_BYTES:
-            return _failure(EnvelopeFailureKind.TOO_SHORT, "no whole envelope; drop it")
+            return _failure(EnvelopeFailureKind.TOO_SHORT, "incomplete envelope; drop it")
         secret = self._secrets.get(data[0])
         if secret is None:
             return _failure(
@@ -134,17 +139,17 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """Header and payload, as authenticated.
+    """Authenticated header and payload.
 
     Attributes:
-        kind: What it carries.
+        kind: Kind of the envelope.
         sender_name: The sending node's name.
         sender_incarnation: The sending node's run.
-        counter: Grows with each envelope of the run.
-        host: The address at which the sender listens.
-        port: Its port.
-        nonce: The challenge's nonce where one is made or answered, else empty.
-        payload: The encoded message, empty where none.
+        counter: Number of the envelope; grows with each envelope of the run.
+        host: IP address on which the sender listens.
+        port: Port on which the sender listens.
+        nonce: The nonce of a challenge or its answer; empty in other envelopes.
+        payload: The encoded message; empty without one.
     """
 
     kind: EnvelopeKind
@@ -158,17 +163,17 @@
 
     @property
     def sender(self) -> NodeId:
-        """The run of the node that sent it."""
+        """The sending node and its run."""
         return NodeId(NodeName(self.sender_name), Incarnation(self.sender_incarnation))
 
     @property
     def source(self) -> NodeAddress:
-        """Where the sender listens."""
+        """The address on which the sender listens."""
         return NodeAddress(self.host, self.port)
 
 
 class EnvelopeSigner:
-    """Makes the envelopes of one run of a node."""
+    """Creates the signed envelopes of one run of a node."""
 
     def __init__(self, keys: KeyRing, sender: NodeId, source: NodeAddress) -> None:
         self._keys = keys
@@ -195,7 +200,7 @@
 
 
 def open_envelope(keys: KeyRing, data: bytes, binding: bytes) -> Result[Envelope, EnvelopeFailure]:
-    """Verify and parse an envelope; replay protection is the `ReplayGuard`'s."""
+    """Verify and parse an envelope; `ReplayGuard` protects against replays."""
     verified = keys.verify(data, binding)
     if isinstance(verified, Err):
         return verified
@@ -203,33 +208,35 @@
         fields = cbor2.loads(verified.ok_value)
         return Ok(msgspec.convert(fields, Envelope, strict=True, builtin_types=(bytes,)))
     except Exception as error:
-        return _failure(EnvelopeFailureKind.MALFORMED, f"{error}; run one version on both nodes")
+        return _failure(
+            EnvelopeFailureKind.MALFORMED, f"{error}; run the same version on both nodes"
+        )
 
 
 def address_binding(destination: NodeAddress) -> bytes:
-    """Binding of casts and calls: where they are sent."""
+    """Return the binding of casts and calls: the destination's address."""
     return f"{destination.host} {destination.port}".encode()
 
 
 def reply_binding(request: bytes) -> bytes:
-    """Binding of replies: the request's key id and MAC, unique to the request."""
+    """Return the binding of replies: key id and MAC of the request, which are unique to it."""
     return request[:_PREFIX_BYTES]
 
 
 class ReplayGuard:
-    """Windows of counters seen, one for each sending node; bounded in number."""
+    """Replay windows of a limited number of senders, one for each sending node."""
 
     def __init__(self, max_senders: int = MAX_SENDERS) -> None:
         self._max_senders = max_senders
         self._windows: OrderedDict[NodeName, _Window] = OrderedDict()
 
     def check(self, envelope: Envelope) -> Result[None, EnvelopeFailure]:
-        """Take an envelope's counter once.
+        """Accept an envelope's counter if it was not accepted before.
 
         Errors:
             UNKNOWN_SENDER: The run is new; challenge it, then `admit` it.
             STALE_INCARNATION: A later run of the sender has been admitted.
-            REPLAYED: The counter was taken before, or has left the window.
+            REPLAYED: The counter was accepted before, or lies below the window.
         """
         sender = envelope.sender
         window = self._windows.get(sender.name)
@@ -240,28 +247,32 @@
         if sender.incarnation < window.incarnation:
             return _failure(
                 EnvelopeFailureKind.STALE_INCARNATION,
-                "a later run of the node is known; give each node its own name",
+                "a later run of the node was admitted; give each node its own name",
             )
         self._windows.move_to_end(sender.name)
-        if not window.take(envelope.counter):
+        if not window.accept(envelope.counter):
             return _failure(EnvelopeFailureKind.REPLAYED, REPLAYED_DETAIL)
         return Ok(None)
 
     def admit(self, envelope: Envelope, held_counters: Iterable[int] = ()) -> bool:
         """Open the window of a run that answered a challenge.
 
-        All counters up to the answer's count as taken, except those of envelopes held meanwhile:
-        what was sent before and not held may have been sent again since, so it must not be taken.
+        All counters up to the answer's count as accepted, except those of envelopes held back
+        during the challenge. Any other earlier envelope may be a replay, so it must be rejected.
+
+        Args:
+            envelope: The answer to the challenge.
+            held_counters: Counters of the envelopes held back.
 
         Returns:
-            False for a run gone stale or an answer seen before.
+            False for a stale run or a replayed answer.
         """
         sender = envelope.sender
         window = self._windows.get(sender.name)
         if window is not None and sender.incarnation < window.incarnation:
             return False
         if window is not None and sender.incarnation == window.incarnation:
-            return window.take(envelope.counter)
+            return window.accept(envelope.counter)
         self._windows[sender.name] = _Window(sender.incarnation, envelope.counter, held_counters)
         self._windows.move_to_end(sender.name)
         while len(self._windows) > self._max_senders:
@@ -270,7 +281,7 @@
 
 
 class _Window:
-    """Counters of one run that were taken; bit i stands for `highest - i`."""
+    """Accepted counters of one run; bit i stands for counter `highest - i`."""
 
     __slots__ = ("bits", "highest", "incarnation")
 
@@ -282,12 +293,12 @@
             if 0 < highest - counter < REPLAY_WINDOW:
                 self.bits &= ~(1 << (highest - counter))
 
-    def take(self, counter: int) -> bool:
-        """Mark a counter; False if it was marked or lies below the window."""
+    def accept(self, counter: int) -> bool:
+        """Accept a counter; return False if it was accepted before or lies below the window."""
         if counter > self.highest:
             shift = counter - self.highest
-            kept = self.bits << shift if shift < REPLAY_WINDOW else 0
-            self.bits = (kept | 1) & _WINDOW_MASK
+            shifted_bits = self.bits << shift if shift < REPLAY_WINDOW else 0
+            self.bits = (shifted_bits | 1) & _WINDOW_MASK
             self.highest = counter
             return True
         offset = self.highest - counter
@@ -302,7 +313,7 @@
 
 def _mac(secret: bytes, body: bytes, binding: bytes) -> bytes:
     digest = hashlib.blake2b(key=secret, digest_size=MAC_BYTES)
-    # The length keeps (binding, body) pairs apart that would concatenate to the same bytes.
+    # The length distinguishes (binding, body) pairs whose concatenations are equal.
     digest.update(len(binding).to_bytes(2, "big"))
     digest.update(binding)
     digest.update(body)
--- a/src/weirscale/messages/explain.py
+++ b/src/weirscale/messages/explain.py
@@ -1,4 +1,4 @@
-"""What a node remembers of a request's routing, and the call that asks a node for it."""
+"""Record of a request's routing decisions at a node, and the call that reads it."""
 
 import msgspec
 
@@ -15,15 +15,15 @@
 
 
 class AttemptResult(msgspec.Struct, frozen=True):
-    """What became of an attempt.
+    """Result of an attempt.
 
     Attributes:
-        failure: Kind of the failure, None for a complete answer.
-        detail: The failure's detail.
-        num_prompt_tokens: As the engine counted.
-        num_cached_tokens: Prompt tokens that the engine took from its cache.
-        ttft_s: Time to the first chunk, None without one.
-        duration_s: Time to the end.
+        failure: Kind of the failure; None for a complete answer.
+        detail: Detail of the failure.
+        num_prompt_tokens: Prompt tokens according to the engine.
+        num_cached_tokens: Prompt tokens that the engine found in its cache.
+        ttft_s: Time to the first chunk; None without a chunk.
+        duration_s: Duration of the attempt.
     """
 
     failure: str | None
@@ -35,22 +35,22 @@
 
 
 class AttemptRecord(msgspec.Struct, frozen=True):
-    """One decision and its outcome.
+    """One routing decision and its result.
 
     Attributes:
-        attempt: Its number.
-        decided_at_s: When, on the node's clock.
-        engine: The engine chosen, None when the attempt was refused.
-        address: Where it was called.
-        incarnation: The run chosen.
-        weight_version: The version that had to serve.
-        num_candidates: Engines that were weighed.
-        num_held_out: Engines of the model that were not: down, leaving, full or unfit.
-        estimates: The terms of the best candidates, best first.
-        num_predicted_cached_tokens: Prompt tokens that were counted on to be cached.
+        attempt: Number of the attempt.
+        decided_at_s: Time of the decision on the node's clock.
+        engine: The chosen engine; None if the attempt was refused.
+        address: Address of the engine.
+        incarnation: The chosen engine's run.
+        weight_version: The required weight version.
+        num_candidates: Engines among which the policy chose.
+        num_held_out: Other engines of the model, which were down, leaving, full or unsuitable.
+        estimates: Cost estimates of the best candidates, best first.
+        num_predicted_cached_tokens: Prompt tokens that were expected to be cached.
         estimated_ttft_s: Expected time to first token.
-        refusal: Code of the refusal, None when an engine was chosen.
-        result: What became of it, None while it runs.
+        refusal: Code of the refusal; None if an engine was chosen.
+        result: Result of the attempt; None while it runs.
     """
 
     attempt: int
@@ -69,14 +69,14 @@
 
 
 class DecisionRecord(msgspec.Struct, frozen=True):
-    """All decisions of one request on one node.
+    """All routing decisions for one request at one node.
 
     Attributes:
-        request_id: The request.
-        node: The node that served it.
-        tenant: Its tenant.
-        model: The model asked for.
-        attempts: Decisions in order.
+        request_id: Id of the request.
+        node: The node that served the request.
+        tenant: The request's tenant.
+        model: The requested model.
+        attempts: The decisions in order.
     """
 
     request_id: RequestId
@@ -87,12 +87,12 @@
 
 
 class ExplainRequest(msgspec.Struct, frozen=True, tag="explain_request"):
-    """Asks a node what it remembers of a request."""
+    """Request to a node for its record of a request."""
 
     request_id: RequestId
 
 
 class ExplainReply(msgspec.Struct, frozen=True, tag="explain_reply"):
-    """What the node remembers, None if nothing."""
+    """The node's record of the request, or None."""
 
     record: DecisionRecord | None
--- a/src/weirscale/messages/limits.py
+++ b/src/weirscale/messages/limits.py
@@ -1,17 +1,17 @@
-"""Messages by which nodes share the tenants' limits; only tenants with demand are in them."""
+"""Messages with which nodes share the tenants' limits; they list only tenants with demand."""
 
 import msgspec
 
 
 class TenantDemand(msgspec.Struct, frozen=True, array_like=True):
-    """What a node asks for one tenant.
+    """Demand of a node for one tenant.
 
     Attributes:
         tenant: 32-bit digest of the tenant's name.
-        num_requests: Request tokens wanted.
-        num_prompt_tokens: Prompt tokens wanted.
+        num_requests: Tokens of the request rate limit that the node requests.
+        num_prompt_tokens: Tokens of the prompt-token rate limit that the node requests.
         slots_held: Concurrency slots that the node holds or uses.
-        slots_wanted: Concurrency slots that it could use, held ones included.
+        slots_wanted: Concurrency slots that the node could use, including those it holds.
     """
 
     tenant: int
@@ -22,13 +22,13 @@
 
 
 class LimitDemand(msgspec.Struct, frozen=True, tag="lim_d", array_like=True):
-    """Cast to the home of some tenants' limits.
+    """Cast to the home node of some tenants' limits.
 
     Attributes:
         run: The sender's incarnation.
-        sequence: Grows with each demand of the run to this home.
-        is_home: Whether the sender asks as the home of another zone.
-        items: What it asks.
+        sequence: Grows with each demand of the run to this home node.
+        is_home: Whether the sender makes the request as the home node of another zone.
+        items: The demands, one per tenant.
     """
 
     run: int
@@ -38,14 +38,14 @@
 
 
 class TenantGrant(msgspec.Struct, frozen=True, array_like=True):
-    """What a home gives for one tenant.
+    """Grant of a home node for one tenant.
 
     Attributes:
         tenant: 32-bit digest of the tenant's name.
-        num_requests: Request tokens given for good.
-        num_prompt_tokens: Prompt tokens given for good.
+        num_requests: Tokens of the request rate limit, granted permanently.
+        num_prompt_tokens: Tokens of the prompt-token rate limit, granted permanently.
         slots: Concurrency slots that the node may hold from now on, until they expire.
-        requests_per_s: Rate that the node may expect, for estimates of its callers' wait.
+        requests_per_s: Rate that the node can expect, for estimates of its callers' wait.
     """
 
     tenant: int
@@ -56,13 +56,13 @@
 
 
 class LimitGrant(msgspec.Struct, frozen=True, tag="lim_g", array_like=True):
-    """Cast: the answer to one demand, void if a later one was sent.
+    """Cast: the answer to one demand; void if a later demand was sent.
 
     Attributes:
-        run: Incarnation of the node asked for.
-        sequence: The demand's sequence.
-        is_home: Whether it answers a home of another zone.
-        items: What is given.
+        run: Incarnation of the node that sent the demand.
+        sequence: Sequence number of the demand.
+        is_home: Whether the demand came from the home node of another zone.
+        items: The grants, one per tenant.
     """
 
     run: int
--- a/src/weirscale/messages/membership.py
+++ b/src/weirscale/messages/membership.py
@@ -1,4 +1,4 @@
-"""Messages of the membership protocol; array-like with short tags, since sent all the time."""
+"""Messages of the membership protocol; compact on the wire because they are sent constantly."""
 
 import enum
 
@@ -14,7 +14,7 @@
 
 
 class MemberState(enum.IntEnum):
-    """State of a member; of two claims about the same refutation the higher state wins."""
+    """State of a member; among updates with the same refutation count the higher state wins."""
 
     ALIVE = 0
     LEAVING = 1
@@ -24,17 +24,17 @@
 
 
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What a node holds of a member.
+    """State of one member, as recorded at a node and sent between nodes.
 
     Attributes:
         name: The member's name.
-        incarnation: Its run.
-        refutations: Times that the run has refuted a claim about it; only the member raises it.
-        state: Its state.
-        host: Where it listens.
-        port: Its peer port.
-        zone: Its zone.
-        accuser: For SUSPECT: the node whose probes failed; else empty.
+        incarnation: The member's run.
+        refutations: Number of updates that the run has refuted; only the member increases it.
+        state: The member's state.
+        host: IP address on which the member listens.
+        port: The member's peer port.
+        zone: The member's zone.
+        accuser: For SUSPECT, the node whose probes failed; otherwise empty.
     """
 
     name: NodeName
@@ -48,12 +48,12 @@
 
     @property
     def node(self) -> NodeId:
-        """The member's identity."""
+        """The member's name and run."""
         return NodeId(self.name, self.incarnation)
 
     @property
     def address(self) -> NodeAddress:
-        """Where the member listens."""
+        """The address on which the member listens."""
         return NodeAddress(self.host, self.port)
 
     @property
@@ -62,20 +62,20 @@
         return self.state < MemberState.DEAD
 
     def precedence(self) -> tuple[int, bool, int, int]:
-        """Order of claims about one name: the greater one holds. Having left is final for a run."""
+        """Return the sort key of a name's updates; the highest wins. LEFT is final for a run."""
         has_left = self.state is MemberState.LEFT
         return (self.incarnation, has_left, self.refutations, self.state)
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag="mp"):
-    """Asks one run of a node for an ack.
+    """Request to one run of a node for an ack.
 
     Attributes:
-        sequence: Returned in the ack.
-        target_name: The node meant; another one at the address does not ack.
-        target_incarnation: The run meant.
+        sequence: Sequence number, returned in the ack.
+        target_name: The probed node; another node at the same address does not ack.
+        target_incarnation: The probed run.
         digest: Digest of the sender's live members.
-        updates: News, piggybacked.
+        updates: Piggybacked updates.
     """
 
     sequence: int
@@ -86,7 +86,7 @@
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag="ma"):
-    """Answers a ping, directly or relayed by a helper."""
+    """Answer to a ping, direct or relayed by a helper node."""
 
     sequence: int
     digest: int
@@ -94,24 +94,25 @@
 
 
 class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag="mr"):
-    """Asks a helper to ping a node and relay its ack."""
+    """Request to a helper node to ping a node and relay its ack."""
 
     sequence: int
     target: MemberUpdate
 
 
 class Gossip(msgspec.Struct, frozen=True, array_like=True, tag="mg"):
-    """News that should not wait for the next ping."""
+    """Updates that are sent without waiting for the next ping."""
 
     updates: tuple[MemberUpdate, ...]
 
 
 class SyncRequest(msgspec.Struct, frozen=True, array_like=True, tag="ms"):
-    """Asks for the members in which two views differ; also how a node joins.
+    """Request for the members in which two views differ; also sent to join.
 
     Attributes:
         sender: The sender's own record.
-        bucket_digests: Digests of the sender's live members by bucket of names; empty asks for all.
+        bucket_digests: Digests of the sender's live members by bucket of names; empty to request
+            all members.
     """
 
     sender: MemberUpdate
@@ -119,7 +120,7 @@
 
 
 class SyncReply(msgspec.Struct, frozen=True, array_like=True, tag="my"):
-    """Records in the buckets that differ, those of dead members included.
+    """Records in the buckets that differ, including those of dead members.
 
     Attributes:
         buckets: Numbers of the buckets that differ.
--- a/src/weirscale/messages/placement.py
+++ b/src/weirscale/messages/placement.py
@@ -1,4 +1,4 @@
-"""The placement record kept in the key-value service, and the progress that status shows."""
+"""The placement record in the key-value service, and the rollout progress in the status output."""
 
 import msgspec
 
@@ -12,16 +12,16 @@
 
 
 class LoadInProgress(msgspec.Struct, frozen=True):
-    """A load that was ordered and has neither finished nor failed; it holds a slot.
+    """An ordered load that has neither finished nor failed; it occupies a load slot.
 
     Attributes:
-        engine: The engine that loads.
-        incarnation: Its run when the order was decided.
+        engine: The loading engine.
+        incarnation: The engine's run at the time of the order.
         model: The model to load.
         weight_version: The version to load.
         token: Fencing token of the order.
-        is_given_up: Whether it has failed by taking too long. It keeps its slot, because the
-            engine may still be reading weights, until a report shows that it is not.
+        is_given_up: Whether the load has timed out and counts as failed. The engine may still be
+            reading weights, so the load keeps its slot until a report shows that it has ended.
     """
 
     engine: EngineName
@@ -33,15 +33,15 @@
 
 
 class FailedLoad(msgspec.Struct, frozen=True):
-    """A load that failed; kept while its version is the declared one.
+    """A failed load; kept while its version is the declared one.
 
     Attributes:
-        engine: The engine that did not load.
+        engine: The engine that failed to load.
         model: The model.
         weight_version: The version.
-        reason: What happened, for status.
-        is_restoring: Whether it was to bring the version before back after the rollout stopped;
-            such a failure does not count against that version.
+        reason: Cause of the failure, for the status output.
+        is_restoring: Whether the load was to restore the previous version after the rollout
+            stopped; such a failure does not count against that version.
     """
 
     engine: EngineName
@@ -52,21 +52,21 @@
 
 
 class ServedVersion(msgspec.Struct, frozen=True):
-    """The version that a model served last, before any that is being rolled out."""
+    """The version that a model served last, not counting a rollout in progress."""
 
     model: ModelName
     weight_version: WeightVersion
 
 
 class PlacementRecord(msgspec.Struct, frozen=True, tag="placement_record"):
-    """What must outlive a planner: written by compare-and-swap before any order is given.
+    """Persistent state of the planner, written by compare-and-swap before an order is sent.
 
     Attributes:
-        next_token: Fencing token of the next order; never given twice.
+        next_token: Fencing token of the next order; never used twice.
         loads: Loads in progress over the whole fleet.
         failures: Failed loads of declared versions.
         served: The version that each model served last; engines that a stopped rollout left
-            without weights go back to it.
+            without weights load it again.
     """
 
     next_token: int = 1
@@ -76,19 +76,19 @@
 
 
 class RolloutProgress(msgspec.Struct, frozen=True, tag="rollout_progress"):
-    """How far one model is from what is declared.
+    """Progress of one model's rollout towards the declared state.
 
     Attributes:
         model: The model.
         weight_version: The declared version.
-        num_engines: Engines declared for it.
-        num_ready: Those that serve the model at any version.
-        num_current: Those that serve the declared version with all adapters.
-        loading: Engines that are loading it now, at any version.
-        stuck: Those of them whose load was given up but may still read weights.
+        num_engines: Engines declared for the model.
+        num_ready: Engines that serve the model at any version.
+        num_current: Engines that serve the declared version with all adapters.
+        loading: Engines that are loading the model, at any version.
+        stuck: Loading engines whose load has timed out but which may still be reading weights.
         failures: Failed loads of the declared version.
         state: One of `RolloutState`'s values.
-        remedy: What an operator can do; empty where nothing is needed.
+        remedy: Action for the operator; empty if none is needed.
     """
 
     model: ModelName
@@ -104,15 +104,15 @@
 
 
 class PlacementStatusRequest(msgspec.Struct, frozen=True, tag="placement_status_request"):
-    """Asks a node for the progress of rollouts."""
+    """Request to a node for the progress of rollouts."""
 
 
 class PlacementStatusReply(msgspec.Struct, frozen=True, tag="placement_status_reply"):
-    """What the node knows.
+    """Progress of rollouts according to a node.
 
     Attributes:
-        node: The node asked.
-        is_planner: Whether it holds the planner's lease; only then is the rest current.
+        node: The answering node.
+        is_planner: Whether the node holds the planner's lease; otherwise `rollouts` may be stale.
         rollouts: Progress of each declared model.
     """
 
