--- a/src/weirscale/messages/envelope.py
+++ b/src/weirscale/messages/envelope.py
@@ -35,7 +35,8 @@
 """Window in which a sender's counters may arrive out of order; older ones are dropped."""
 
 REPLAYED_DETAIL = "counter seen before; send again under a new one"
-"""Error detail for the sender of a call that was rejected as a replay."""
+"""Error detail sent to the sender of a call that was rejected as a replay. The sender compares the
+text, so it must not change."""
 
 MAX_SENDERS = 4096
 """Replay windows kept. The least recently used are dropped first; their senders are challenged
