--- a/src/weirscale/domain/limits/admission.py
+++ b/src/weirscale/domain/limits/admission.py
@@ -13,21 +13,22 @@
 from weirscale.domain.request.refusal import Refusal, RefusalCode
 
 MAX_WAITING = 2048
-"""Most requests that wait on a node: bounds memory; beyond it waits exceed any deadline."""
+"""Maximum number of waiting requests on a node. Bounds memory; with more requests, waits would
+exceed any deadline."""
 INITIAL_HOLD_S = 0.5
-"""Assumed time that a permit is held before any has been given back."""
+"""Assumed mean time that a permit is held, until the first permit is released."""
 HOLD_SMOOTHING = 0.05
 """Weight of the newest sample in the mean time that a permit is held."""
 MIN_RETRY_AFTER_S = 0.1
-"""Least advice to callers: below it they would hammer the node."""
+"""Minimum of Retry-After: with less, callers would overload the node with retries."""
 MAX_RETRY_AFTER_S = 30.0
-"""Longest advice to callers: estimates further out are worth nothing."""
+"""Maximum of Retry-After: estimates of longer waits are unreliable."""
 
 AllowanceSource = Callable[[Tenant, float], TenantAllowance]
 
 
-class _Running(msgspec.Struct, frozen=True):
-    """A permit that is out."""
+class _RunningRequest(msgspec.Struct, frozen=True):
+    """A started request, which holds a permit."""
 
     allowance: TenantAllowance
     started_at_s: float
@@ -41,7 +42,7 @@
 
 
 def tenant_limit_refusal(tenant: TenantName, wait_s: float) -> Refusal:
-    """The tenant's own limit would hold the request past its deadline."""
+    """Return the refusal of a request that its tenant's limit would delay past the deadline."""
     return _refusal(
         RefusalCode.TENANT_LIMIT,
         429,
@@ -52,7 +53,7 @@
 
 
 def overloaded_refusal(wait_s: float) -> Refusal:
-    """The node's queue would hold the request past its deadline."""
+    """Return the refusal of a request that the node's queue would delay past the deadline."""
     return _refusal(
         RefusalCode.OVERLOADED,
         503,
@@ -63,7 +64,7 @@
 
 
 def deadline_refusal(wait_s: float) -> Refusal:
-    """The deadline passed while the request waited."""
+    """Return the refusal of a request whose deadline passed while it waited."""
     return _refusal(
         RefusalCode.DEADLINE_EXCEEDED,
         504,
@@ -74,12 +75,12 @@
 
 
 class AdmissionQueue:
-    """The requests that wait and run on one node.
+    """The waiting and running requests of one node.
 
     Args:
-        max_running: Permits out at once.
-        allowance_of: Gives the node's allowance for a tenant; called for each request, so it
-            must answer the same object as long as the tenant's limits stay.
+        max_running: Maximum number of requests that run at once; each holds a permit.
+        allowance_of: Returns the node's allowance for a tenant. It is called several times for each
+            request, so it must return the same object as long as the tenant's limits do not change.
     """
 
     def __init__(self, max_running: int, allowance_of: AllowanceSource) -> None:
@@ -87,26 +88,26 @@
         self._allowance_of = allowance_of
         self._queue = FairQueue()
         self._waiting: dict[int, WaitingRequest] = {}
-        self._running: dict[int, _Running] = {}
+        self._running: dict[int, _RunningRequest] = {}
         self._deadlines: list[tuple[float, int]] = []
         self._mean_hold_s = INITIAL_HOLD_S
 
     @property
     def num_running(self) -> int:
-        """Permits that are out."""
+        """Number of running requests, which is the number of permits held."""
         return len(self._running)
 
     @property
     def num_waiting(self) -> int:
-        """Requests that wait."""
+        """Number of waiting requests."""
         return len(self._queue)
 
     def waiting(self) -> dict[TenantName, WaitingTotals]:
-        """What waits, by tenant."""
+        """Return the totals of waiting requests by tenant."""
         return self._queue.waiting()
 
     def offer(self, request: WaitingRequest, now_s: float) -> Refusal | None:
-        """Queue a request, or refuse it at once when its wait would miss the deadline."""
+        """Queue a request; return a refusal instead if its wait would exceed its deadline."""
         if now_s >= request.deadline_s:
             return deadline_refusal(MIN_RETRY_AFTER_S)
         time_left_s = request.deadline_s - now_s
@@ -122,37 +123,37 @@
         return None
 
     def start_ready(self, now_s: float) -> list[WaitingRequest]:
-        """Start every request that may start now, in fair order."""
+        """Start and return every request that may start now, in fair order."""
         started = []
         while len(self._running) < self.max_running:
-            request = self._queue.pop(now_s, lambda head: self._can_start(head, now_s))
+            request = self._queue.pop(now_s, lambda head: self._is_allowed(head, now_s))
             if request is None:
                 break
             allowance = self._allowance_of(request.tenant, now_s)
             allowance.start(request.num_prompt_tokens, now_s)
             del self._waiting[request.ticket]
-            self._running[request.ticket] = _Running(allowance, now_s)
+            self._running[request.ticket] = _RunningRequest(allowance, now_s)
             started.append(request)
         return started
 
     def remove_expired(self, now_s: float) -> list[tuple[WaitingRequest, Refusal]]:
-        """Remove every waiting request whose deadline has passed."""
-        answers = []
+        """Remove and return every waiting request whose deadline has passed, with its refusal."""
+        expired = []
         while self._deadlines and self._deadlines[0][0] <= now_s:
             _, ticket = heapq.heappop(self._deadlines)
             request = self._waiting.get(ticket)
             if request is not None:
                 self.withdraw(ticket)
-                answers.append((request, deadline_refusal(self._mean_hold_s)))
-        return answers
+                expired.append((request, deadline_refusal(self._mean_hold_s)))
+        return expired
 
     def withdraw(self, ticket: int) -> bool:
-        """Remove a waiting request; False if it does not wait."""
+        """Remove a waiting request; return False if it is not waiting."""
         request = self._waiting.pop(ticket, None)
         return request is not None and self._queue.remove(request)
 
     def finish(self, ticket: int, now_s: float) -> bool:
-        """Take a permit back; False if it is not out, so a second release changes nothing."""
+        """Release the permit of a request; return False if it holds none (a second release)."""
         running = self._running.pop(ticket, None)
         if running is None:
             return False
@@ -162,19 +163,22 @@
         return True
 
     def next_deadline_s(self) -> float | None:
-        """The earliest deadline among those waiting."""
+        """Return the earliest deadline of the waiting requests, None without any."""
         while self._deadlines and self._deadlines[0][1] not in self._waiting:
             heapq.heappop(self._deadlines)
         return self._deadlines[0][0] if self._deadlines else None
 
     def estimated_wait_s(self, request: WaitingRequest, now_s: float) -> float:
-        """Wait for a free permit behind those ahead; each permit frees once a mean hold time."""
+        """Return the estimated wait for a permit behind the requests ahead.
+
+        Each permit is expected to be released once per mean hold time.
+        """
         if len(self._running) < self.max_running:
-            return 0.0  # those that wait now wait for their tenants' limits, not for a permit
+            return 0.0  # requests waiting now wait for their tenants' limits, not for a permit
         num_ahead = self._queue.num_ahead_of(request, now_s)
         return (num_ahead + 1) * self._mean_hold_s / max(1, self.max_running)
 
-    def _can_start(self, request: WaitingRequest, now_s: float) -> bool:
+    def _is_allowed(self, request: WaitingRequest, now_s: float) -> bool:
         return self._allowance_of(request.tenant, now_s).can_start(request.num_prompt_tokens, now_s)
 
     def _tenant_wait_s(self, request: WaitingRequest, now_s: float) -> float:
--- a/src/weirscale/domain/limits/allowance.py
+++ b/src/weirscale/domain/limits/allowance.py
@@ -1,26 +1,26 @@
-"""What one node may start for one tenant now."""
+"""The requests that one node may start for one tenant now."""
 
 PROMPT_BURST_S = 10.0
-"""Depth of the prompt token bucket in seconds of its rate: room for one long draft at once."""
+"""Depth of the prompt token bucket in seconds of its rate: room for one long prompt at once."""
 
 
 class TenantAllowance:
-    """The node's allowance for a tenant; this one is for tenants without limits."""
+    """The node's allowance for a tenant; this base class is for tenants without limits."""
 
     def can_start(self, num_prompt_tokens: int, now_s: float) -> bool:
-        """Whether a request may start now."""
+        """Return whether a request may start now."""
         return True
 
     def start(self, num_prompt_tokens: int, now_s: float) -> None:
-        """Account for a request that starts; only after `can_start`."""
+        """Record the start of a request; call it only after `can_start` returned True."""
 
     def finish(self) -> None:
-        """Account for the end of a request."""
+        """Record the end of a request."""
 
     def wait_s(self, num_ahead: int, num_prompt_tokens: int) -> float:
-        """Time for the rates to admit this many requests, the asked one included."""
+        """Return the seconds until the rates admit `num_ahead` requests, the new one included."""
         return 0.0
 
     def num_slots(self, now_s: float) -> int | None:
-        """Requests that may run at once; None for no limit."""
+        """Return how many requests may run at once; None for no limit."""
         return None
--- a/src/weirscale/domain/limits/exchange.py
+++ b/src/weirscale/domain/limits/exchange.py
@@ -1,9 +1,9 @@
-"""How the nodes of a fleet share the tenants' limits: what to send when, and what to do on receipt.
+"""The protocol by which the nodes of a fleet share the tenants' limits: what to send, and when.
 
-Each zone owns a fixed part of every limit, by the zones that the configuration declares, so a cut
-between zones changes no part. In each zone one node, the home, picked by rendezvous hashing for
-each shard of the tenants, keeps that part; nodes ask their zone's home, and a home that runs short
-asks homes of other zones for what they can spare.
+Each zone owns a fixed part of every limit. The parts follow from the zones that the configuration
+declares, so a partition between zones does not change them. In each zone one node per shard of the
+tenants, the home, keeps that part; it is chosen by rendezvous hashing. Nodes send demands to the
+home in their zone. A home that runs short asks homes in other zones for what they can spare.
 """
 
 import itertools
@@ -23,39 +23,39 @@
 from weirscale.messages.limits import LimitDemand, LimitGrant, TenantDemand
 
 REGULAR_INTERVAL_S = 2.0
-"""How often a node renews its demands; below half of the slots' lease."""
+"""Interval at which a node renews its demands; less than half of the slots' lease."""
 RENEW_INTERVAL_S = 4.0
-"""How often a home renews the slots that it borrowed; three times within their lease."""
+"""Interval at which a home renews the slots that it borrowed: three times within their lease."""
 URGENT_INTERVAL_S = 0.05
-"""Least time between demands for waiting requests; above a round trip within a zone."""
+"""Minimum time between demands for waiting requests; above a round trip within a zone."""
 BORROW_INTERVAL_S = 0.25
-"""How often a home looks whether its pools run short."""
+"""Interval at which a home checks whether its pools run short."""
 BORROW_FANOUT = 3
-"""Homes of other zones asked at once."""
+"""Number of homes in other zones that are asked at once."""
 SHRINK_FACTOR = 4
-"""The bound on the nodes is lowered only when this much above them."""
+"""The bound on the number of nodes is lowered only when it is this many times that number."""
 MAX_ITEMS = 30
-"""Tenants in one datagram: at most 28 bytes each, below the largest cast."""
-NO_LACK = (0, 0, 0)
+"""Tenants in one datagram: at most 28 bytes each, so it stays below the maximum size of a cast."""
+NO_SHORTFALL = (0, 0, 0)
 UNLIMITED = TenantAllowance()
 
 
 class Outgoing(msgspec.Struct, frozen=True):
-    """A cast to send."""
+    """A cast (one-way datagram) to send."""
 
     destination: NodeAddress
     message: LimitDemand | LimitGrant
 
 
-class _Asked(msgspec.Struct, frozen=True):
-    """The latest demand for a tenant to one home."""
+class _SentDemand(msgspec.Struct, frozen=True):
+    """The latest demand for a tenant that was sent to one home."""
 
     sequence: int
     sent_at_s: float
 
 
 def is_limited(tenant: Tenant) -> bool:
-    """Whether the tenant has any limit."""
+    """Return whether the tenant has any limit."""
     return not (
         tenant.requests_per_s is None
         and tenant.prompt_tokens_per_s is None
@@ -68,8 +68,8 @@
 
     Args:
         own: This node.
-        run: Its incarnation.
-        random: Picks the zones to borrow from.
+        run: This node's incarnation.
+        random: Chooses the zones to borrow from.
     """
 
     def __init__(self, own: Member, run: int, random: Random) -> None:
@@ -83,15 +83,15 @@
         self._home_since_s: dict[int, float] = {}
         self._holdings: dict[int, ShareHolding] = {}
         self._pools: dict[int, SharePool] = {}
-        self._asked: dict[tuple[int, NodeAddress], _Asked] = {}
-        self._heard: dict[tuple[int, NodeAddress], tuple[int, int]] = {}
+        self._sent_demands: dict[tuple[int, NodeAddress], _SentDemand] = {}
+        self._last_stamps: dict[tuple[int, NodeAddress], tuple[int, int]] = {}
         self._regular_at_s = float("-inf")
         self._urgent_at_s = float("-inf")
         self._borrowed_at_s = float("-inf")
         self._renewed_at_s = float("-inf")
 
     def set_members(self, members: Iterable[Member], now_s: float) -> None:
-        """Learn who is live; homes move with it, and a new home's pools start anew."""
+        """Set the live nodes and choose the homes again; the pools of a new home start empty."""
         by_zone: dict[ZoneName, list[NodeAddress]] = {}
         live = tuple(members)
         self._fit_node_bound(len(live), now_s)
@@ -115,13 +115,20 @@
             if digest % NUM_SHARDS in self._home_since_s
         }
         addresses = {member.address for member in live}
-        self._heard = {key: stamp for key, stamp in self._heard.items() if key[1] in addresses}
-        self._asked = {key: asked for key, asked in self._asked.items() if key[1] in addresses}
+        self._last_stamps = {
+            key: stamp for key, stamp in self._last_stamps.items() if key[1] in addresses
+        }
+        self._sent_demands = {
+            key: demand for key, demand in self._sent_demands.items() if key[1] in addresses
+        }
 
     def set_limits(
         self, tenants: Iterable[Tenant], zones: Iterable[ZoneName], now_s: float
     ) -> None:
-        """Learn the configuration; a pool whose tenant or zone part changed starts anew."""
+        """Set the configured tenants and zones.
+
+        A pool is created anew if its tenant's limits or its zone's part changed.
+        """
         self._tenants = {
             tenant_digest(tenant.name): tenant for tenant in tenants if is_limited(tenant)
         }
@@ -135,12 +142,15 @@
             tenant = self._tenants.get(digest)
             if tenant is not None:
                 holding.tenant = tenant
-                self._give_standing(holding)
+                self._update_standing(holding)
             elif holding.num_running == 0:
                 del self._holdings[digest]
 
     def _fit_node_bound(self, num_nodes: int, now_s: float) -> None:
-        """Keep a power of two above the nodes; it moves seldom, for pools start anew with it."""
+        """Keep the bound a power of two that is not below the number of nodes.
+
+        The bound changes rarely, because each change discards the pools.
+        """
         bound = self._share.max_nodes
         if num_nodes <= bound < SHRINK_FACTOR * max(1, num_nodes):
             return
@@ -150,40 +160,40 @@
     def _set_share(self, share: ZoneShare, now_s: float) -> None:
         if share == self._share:
             return
-        self._share = share  # the parts of all zones move
+        self._share = share  # a change moves the parts of all zones
         self._pools.clear()
         self._home_since_s = dict.fromkeys(self._home_since_s, now_s)
         for holding in self._holdings.values():
-            self._give_standing(holding)
+            self._update_standing(holding)
 
-    def _give_standing(self, holding: ShareHolding) -> None:
+    def _update_standing(self, holding: ShareHolding) -> None:
         tenant = holding.tenant
         holding.set_standing(
             standing_requests(tenant, self._share), standing_slots(tenant, self._share)
         )
 
     def allowance_of(self, tenant: Tenant, now_s: float) -> TenantAllowance:
-        """This node's allowance for a tenant."""
+        """Return this node's allowance for a tenant."""
         if not is_limited(tenant):
             return UNLIMITED
         return self.holding_of(tenant, now_s)
 
     def holding_of(self, tenant: Tenant, now_s: float) -> ShareHolding:
-        """What this node holds of a limited tenant's shares."""
+        """Return this node's holding of a limited tenant's shares."""
         digest = tenant_digest(tenant.name)
         holding = self._holdings.get(digest)
         if holding is None:
             holding = self._holdings[digest] = ShareHolding(tenant, digest, now_s)
-            self._give_standing(holding)
+            self._update_standing(holding)
         return holding
 
     def record_arrival(self, tenant: Tenant, num_prompt_tokens: int, now_s: float) -> None:
-        """A request of the tenant came to this node."""
+        """Record that a request of the tenant arrived at this node."""
         if is_limited(tenant):
             self.holding_of(tenant, now_s).record_arrival(num_prompt_tokens)
 
     def is_due(self, has_waiting: bool, now_s: float) -> bool:
-        """Whether `due` would do anything."""
+        """Return whether `due` has anything to do."""
         if has_waiting and now_s - self._urgent_at_s >= URGENT_INTERVAL_S:
             return True
         if self._pools and now_s - self._borrowed_at_s >= BORROW_INTERVAL_S:
@@ -191,21 +201,24 @@
         return now_s - self._regular_at_s >= REGULAR_INTERVAL_S
 
     def due(self, waiting: Mapping[TenantName, WaitingTotals], now_s: float) -> list[Outgoing]:
-        """What to send now; call it after each change and at least every REGULAR_INTERVAL_S."""
+        """Return the casts to send now.
+
+        Call it after each change and at least every REGULAR_INTERVAL_S.
+        """
         outgoing: list[Outgoing] = []
         if now_s - self._regular_at_s >= REGULAR_INTERVAL_S:
             self._regular_at_s = now_s
             for holding in self._holdings.values():
                 holding.measure(holding.tenant.name in waiting, now_s)
-            outgoing += self._ask(self._holdings.values(), waiting, now_s)
+            outgoing += self._send_demands(self._holdings.values(), waiting, now_s)
         elif waiting and now_s - self._urgent_at_s >= URGENT_INTERVAL_S:
             self._urgent_at_s = now_s
             short = [
                 holding
                 for holding in self._holdings.values()
-                if holding.tenant.name in waiting and holding.is_ask_due(now_s)
+                if holding.tenant.name in waiting and holding.is_demand_due(now_s)
             ]
-            outgoing += self._ask(short, waiting, now_s)
+            outgoing += self._send_demands(short, waiting, now_s)
         if now_s - self._borrowed_at_s >= BORROW_INTERVAL_S and self._pools:
             self._borrowed_at_s = now_s
             outgoing += self._borrow(now_s)
@@ -214,15 +227,15 @@
     def handle_demand(
         self, source: NodeAddress, demand: LimitDemand, now_s: float
     ) -> Outgoing | None:
-        """Answer as a home; None where this node is not the home or the demand is an old one."""
+        """Answer a demand as a home; return None if it is outdated or this node is not the home."""
         granted = []
         for item in demand.items:
-            name = (item.tenant, source)
+            key = (item.tenant, source)
             stamp = (demand.run, demand.sequence)
             pool = self._pool(item.tenant)
-            if pool is None or stamp <= self._heard.get(name, (-1, -1)):
+            if pool is None or stamp <= self._last_stamps.get(key, (-1, -1)):
                 continue
-            self._heard[name] = stamp
+            self._last_stamps[key] = stamp
             granted.append(pool.grant(source, demand.is_home, item, now_s))
         if not granted:
             return None
@@ -230,21 +243,21 @@
         return Outgoing(source, grant)
 
     def handle_grant(self, source: NodeAddress, grant: LimitGrant, now_s: float) -> None:
-        """Add what a home gave; a grant that does not answer the latest demand is void."""
+        """Add what a home granted; ignore a grant that does not answer the latest demand."""
         for item in grant.items:
-            asked = self._asked.get((item.tenant, source))
-            if grant.run != self._run or asked is None or asked.sequence != grant.sequence:
+            pending = self._sent_demands.get((item.tenant, source))
+            if grant.run != self._run or pending is None or pending.sequence != grant.sequence:
                 continue
-            del self._asked[item.tenant, source]
+            del self._sent_demands[item.tenant, source]
             if grant.is_home:
                 pool = self._pool(item.tenant)
                 if pool is not None:
-                    pool.take_borrowed(source, item, asked.sent_at_s, now_s)
+                    pool.add_borrowed(source, item, pending.sent_at_s, now_s)
             elif item.tenant in self._holdings:
-                self._holdings[item.tenant].take(item, asked.sent_at_s)
+                self._holdings[item.tenant].add_grant(item, pending.sent_at_s)
 
     def _pool(self, digest: int) -> SharePool | None:
-        """The pool of a tenant whose home this node is."""
+        """Return the pool of a tenant; None if this node is not the tenant's home."""
         since_s = self._home_since_s.get(digest % NUM_SHARDS)
         tenant = self._tenants.get(digest)
         if since_s is None or tenant is None:
@@ -254,7 +267,7 @@
             pool = self._pools[digest] = SharePool(tenant, self._share, since_s)
         return pool
 
-    def _ask(
+    def _send_demands(
         self,
         holdings: Iterable[ShareHolding],
         waiting: Mapping[TenantName, WaitingTotals],
@@ -262,24 +275,24 @@
     ) -> list[Outgoing]:
         items: dict[NodeAddress, list[TenantDemand]] = {}
         for holding in list(holdings):
-            wants = waiting.get(holding.tenant.name, NO_WAITING)
-            demand = holding.demand(wants.num_requests, wants.num_prompt_tokens, now_s)
+            totals = waiting.get(holding.tenant.name, NO_WAITING)
+            demand = holding.demand(totals.num_requests, totals.num_prompt_tokens, now_s)
             home = self._homes.get((self._own.zone, holding.digest % NUM_SHARDS))
             if demand is None or home is None:
                 continue
             if home == self._own.address:
-                self._ask_self(holding, demand, now_s)
+                self._grant_to_self(holding, demand, now_s)
             else:
                 items.setdefault(home, []).append(demand)
-        return self._demands(items, is_home=False, now_s=now_s)
+        return self._batch_demands(items, is_home=False, now_s=now_s)
 
-    def _ask_self(self, holding: ShareHolding, demand: TenantDemand, now_s: float) -> None:
+    def _grant_to_self(self, holding: ShareHolding, demand: TenantDemand, now_s: float) -> None:
         pool = self._pool(holding.digest)
         if pool is not None:
-            holding.take(pool.grant(self._own.address, False, demand, now_s), now_s)
+            holding.add_grant(pool.grant(self._own.address, False, demand, now_s), now_s)
 
     def _borrow(self, now_s: float) -> list[Outgoing]:
-        """As a home: ask some other zones for what is lacking, and renew borrowed slots."""
+        """As a home, ask some other zones for the unmet demand and renew borrowed slots."""
         items: dict[NodeAddress, list[TenantDemand]] = {}
         is_renewal = now_s - self._renewed_at_s >= RENEW_INTERVAL_S
         if is_renewal:
@@ -287,39 +300,39 @@
         others = [
             [
                 home
-                for (zone, of), home in self._homes.items()
-                if of == shard and zone != self._own.zone
+                for (zone, home_shard), home in self._homes.items()
+                if home_shard == shard and zone != self._own.zone
             ]
             for shard in range(NUM_SHARDS)
         ]
-        asked = [self._random.sample(homes, min(BORROW_FANOUT, len(homes))) for homes in others]
+        sampled = [self._random.sample(homes, min(BORROW_FANOUT, len(homes))) for homes in others]
         for digest, pool in self._pools.items():
             shard = digest % NUM_SHARDS
             is_short = pool.is_borrowing_due(now_s)
             if not is_short and not is_renewal:
                 continue
-            few = asked[shard][: max(pool.unmet(now_s))] if is_short else []
-            lack = pool.wants_from(len(few), now_s) if few else NO_LACK
-            keeps = pool.needs_borrowed_slots(now_s)
+            lenders = sampled[shard][: max(pool.unmet(now_s))] if is_short else []
+            share = pool.demand_per_home(len(lenders), now_s) if lenders else NO_SHORTFALL
+            needs_slots = pool.needs_borrowed_slots(now_s)
             for home in others[shard]:
                 held = pool.borrowed_from(home, now_s)
-                more = lack if home in few else NO_LACK
-                if any(more) or (held and is_renewal):
-                    wanted = (held if keeps else 0) + more[2]
-                    demand = TenantDemand(digest, more[0], more[1], held, wanted)
+                extra = share if home in lenders else NO_SHORTFALL
+                if any(extra) or (held and is_renewal):
+                    wanted = (held if needs_slots else 0) + extra[2]
+                    demand = TenantDemand(digest, extra[0], extra[1], held, wanted)
                     items.setdefault(home, []).append(demand)
-        return self._demands(items, is_home=True, now_s=now_s)
+        return self._batch_demands(items, is_home=True, now_s=now_s)
 
-    def _demands(
+    def _batch_demands(
         self, items: Mapping[NodeAddress, list[TenantDemand]], is_home: bool, now_s: float
     ) -> list[Outgoing]:
         outgoing = []
         for home, demands in items.items():
             for start in range(0, len(demands), MAX_ITEMS):
-                page = tuple(demands[start : start + MAX_ITEMS])
+                batch = tuple(demands[start : start + MAX_ITEMS])
                 sequence = next(self._sequences)
-                for demand in page:
-                    self._asked[demand.tenant, home] = _Asked(sequence, now_s)
-                message = LimitDemand(self._run, sequence, is_home, page)
+                for demand in batch:
+                    self._sent_demands[demand.tenant, home] = _SentDemand(sequence, now_s)
+                message = LimitDemand(self._run, sequence, is_home, batch)
                 outgoing.append(Outgoing(home, message))
         return outgoing
--- a/src/weirscale/domain/limits/homes.py
+++ b/src/weirscale/domain/limits/homes.py
@@ -1,4 +1,4 @@
-"""Which node of a zone is home to which tenants' limits."""
+"""Assignment of tenants' limits to homes: the nodes of a zone that keep them."""
 
 import msgspec
 import xxhash
@@ -7,7 +7,9 @@
 from weirscale.domain.rendezvous import rendezvous_weight
 
 NUM_SHARDS = 8
-"""Homes of a zone: spreads the work, while a node's demands still fit a few datagrams."""
+"""Shards of the tenants, each with a home in every zone.
+
+The shards spread the work, while a node's demands still fit into a few datagrams."""
 
 
 class Member(msgspec.Struct, frozen=True):
@@ -18,12 +20,15 @@
 
 
 def tenant_digest(name: TenantName) -> int:
-    """32-bit digest of a tenant's name."""
+    """Return the 32-bit digest of a tenant's name."""
     return xxhash.xxh32_intdigest(name.encode())
 
 
 def choose_homes(addresses: list[NodeAddress]) -> list[NodeAddress]:
-    """The home of each shard: the highest score among nodes that have the fewest shards yet."""
+    """Return the home of each shard.
+
+    It is the node with the highest score among the nodes that have the fewest shards so far.
+    """
     num_shards = dict.fromkeys(addresses, 0)
     homes = []
     for shard in range(NUM_SHARDS):
--- a/src/weirscale/domain/limits/share_pool.py
+++ b/src/weirscale/domain/limits/share_pool.py
@@ -1,10 +1,10 @@
 """A zone's part of one tenant's limits, kept by the zone's home for that tenant.
 
-Every token and slot is in one place: in a pool, with a node, or lost on the way, never in two. So
-messages that are lost, doubled or late lower what the tenant gets and never raise it.
+Every token and slot is in exactly one place: in a pool, at a node, or lost in transit. So messages
+that are lost, duplicated or late lower what the tenant gets and never raise it.
 
-Tokens are given for good. Slots are leased: a borrower counts its lease from the moment it sent
-the demand that was granted, the pool counts from the moment it heard that demand, which is later.
+Tokens are granted permanently. Slots are leased: a borrower counts its lease from the time at which
+it sent the demand. The pool counts from the receipt of that demand, which is later.
 """
 
 import math
@@ -25,19 +25,20 @@
 from weirscale.messages.limits import TenantDemand, TenantGrant
 
 NODE_LEASE_S = 5.0
-"""How long a node may use slots without a new grant."""
+"""How long a node may use leased slots without a new grant."""
 HOME_LEASE_S = 15.0
 """How long a home may use another zone's slots without a new grant; covers its nodes' leases."""
-DEMAND_MEMORY_S = 2.0
-"""How long an unmet demand counts when slots are divided."""
+UNMET_DEMAND_TTL_S = 2.0
+"""How long an unmet demand for tokens counts. While it does, the home borrows tokens for it and
+grants none to other zones."""
 TAKEOVER_SHARE = 0.5
-"""Part of the zone's limits that a new home gives before the leases of its predecessor end."""
+"""Part of the zone's limits that a new home grants before its predecessor's leases end."""
 MIN_BORROW_WAIT_S = 0.25
-"""Least time between two demands to other zones; above a round trip between regions."""
+"""Minimum time between two demands to other zones; above a round trip between regions."""
 MAX_BORROW_WAIT_S = 4.0
-"""While other zones have nothing to spare, the time between demands grows up to this."""
-BORROWED_TOKENS_LIFE_S = 2.0
-"""How long tokens from other zones are kept; then they are void."""
+"""Maximum time between demands, reached by doubling while other zones have nothing to spare."""
+BORROWED_TOKENS_TTL_S = 2.0
+"""How long tokens from other zones are kept before they expire."""
 
 
 class _Loan(msgspec.Struct, frozen=True):
@@ -48,7 +49,7 @@
     wanted: int
 
 
-class _Lack(msgspec.Struct, frozen=True):
+class _Shortfall(msgspec.Struct, frozen=True):
     """Tokens that a node asked for and did not get."""
 
     num_requests: int
@@ -61,13 +62,13 @@
 
     Args:
         tenant: The tenant as configured.
-        share: The zone's part.
+        share: The zone's part of every limit.
         now_s: When this node became the tenant's home.
     """
 
     def __init__(self, tenant: Tenant, share: ZoneShare, now_s: float) -> None:
         self.tenant = tenant
-        self._made_at_s = now_s
+        self._created_at_s = now_s
         self._requests: TokenBucket | None = None
         self._prompt_tokens: TokenBucket | None = None
         self._slots: int | None = None
@@ -78,18 +79,18 @@
         self._borrowed_requests = 0
         self._borrowed_prompt_tokens = 0
         self._borrowed_at_s = now_s
-        self._lacking: dict[NodeAddress, _Lack] = {}
+        self._shortfalls: dict[NodeAddress, _Shortfall] = {}
         self._borrow_wait_s = MIN_BORROW_WAIT_S
         self._borrow_at_s = now_s
-        self._make_limits(tenant, share, now_s)
+        self._create_limits(tenant, share, now_s)
 
-    def _make_limits(self, tenant: Tenant, share: ZoneShare, now_s: float) -> None:
+    def _create_limits(self, tenant: Tenant, share: ZoneShare, now_s: float) -> None:
         if tenant.requests_per_s is not None:
             pooled = tenant.burst_requests - standing_requests(tenant, share) * share.max_nodes
             depth = max(1.0, pooled / share.num_zones)
-            first = max(1.0, depth * TAKEOVER_SHARE)
+            initial = max(1.0, depth * TAKEOVER_SHARE)
             rate_per_s = tenant.requests_per_s / share.num_zones
-            self._requests = TokenBucket(rate_per_s, depth, now_s, first)
+            self._requests = TokenBucket(rate_per_s, depth, now_s, initial)
         if tenant.prompt_tokens_per_s is not None:
             rate_per_s = tenant.prompt_tokens_per_s / share.num_zones
             depth = rate_per_s * PROMPT_BURST_S
@@ -102,34 +103,42 @@
     def grant(
         self, source: NodeAddress, is_home: bool, demand: TenantDemand, now_s: float
     ) -> TenantGrant:
-        """Answer a demand of a node, or of another zone's home, which gets only what is spare."""
+        """Answer a demand of a node, or of another zone's home, which gets only spare tokens."""
         self._drop_expired(now_s)
         if is_home:
-            num_requests = self._spare(self._requests, demand.num_requests, now_s)
-            num_prompt_tokens = self._spare(self._prompt_tokens, demand.num_prompt_tokens, now_s)
+            num_requests = self._grant_spare(self._requests, demand.num_requests, now_s)
+            num_prompt_tokens = self._grant_spare(
+                self._prompt_tokens, demand.num_prompt_tokens, now_s
+            )
         else:
-            num_requests = self._give_requests(source, demand.num_requests, now_s)
-            num_prompt_tokens = self._give_prompt_tokens(demand.num_prompt_tokens, now_s)
-            self._note_unmet(source, demand, num_requests, num_prompt_tokens, now_s)
+            num_requests = self._grant_requests(source, demand.num_requests, now_s)
+            num_prompt_tokens = self._grant_prompt_tokens(demand.num_prompt_tokens, now_s)
+            self._record_unmet(source, demand, num_requests, num_prompt_tokens, now_s)
         slots = self._lend(source, is_home, demand, now_s)
         return TenantGrant(
             demand.tenant, num_requests, num_prompt_tokens, slots, self._expected_rate()
         )
 
     def unmet(self, now_s: float) -> tuple[int, int, int]:
-        """Request tokens, prompt tokens and slots that this zone's nodes lack now."""
+        """Return the request tokens, prompt tokens and slots that this zone's nodes lack now."""
         self._drop_expired(now_s)
         slots = 0
         if self._slots is not None:
             wanted = sum(loan.wanted for loan in self._loans.values())
             slots = max(0, min(wanted, self._limit_slots()) - self._owned_slots(now_s))
-        lacking = self._lacking.values()
-        requests = sum(lack.num_requests for lack in lacking) - self._borrowed_requests
-        tokens = sum(lack.num_prompt_tokens for lack in lacking) - self._borrowed_prompt_tokens
+        shortfalls = self._shortfalls.values()
+        requests = sum(shortfall.num_requests for shortfall in shortfalls) - self._borrowed_requests
+        tokens = (
+            sum(shortfall.num_prompt_tokens for shortfall in shortfalls)
+            - self._borrowed_prompt_tokens
+        )
         return max(0, requests), max(0, tokens), slots
 
     def borrowed_from(self, home: NodeAddress, now_s: float) -> int:
-        """Slots of another zone that this one's nodes may still use, returned ones included."""
+        """Return how many slots of another zone this zone's nodes may still use.
+
+        Returned slots count until the nodes' leases on them have ended.
+        """
         loans = (self._borrowed_slots.get(home), self._returned_slots.get(home))
         return max(
             (loan.slots for loan in loans if loan is not None and loan.expires_at_s > now_s),
@@ -137,28 +146,31 @@
         )
 
     def is_borrowing_due(self, now_s: float) -> bool:
-        """Whether to ask other zones now; each time without a gift doubles the wait to the next."""
+        """Return whether to ask other zones now, and schedule the next demand.
+
+        The interval doubles with each call; a grant resets it.
+        """
         if now_s < self._borrow_at_s or not any(self.unmet(now_s)):
             return False
         self._borrow_at_s = now_s + self._borrow_wait_s
         self._borrow_wait_s = min(MAX_BORROW_WAIT_S, 2 * self._borrow_wait_s)
         return True
 
-    def wants_from(self, num_homes: int, now_s: float) -> tuple[int, int, int]:
-        """What to ask each of `num_homes` other homes for beyond what it lends already."""
-        return tuple(math.ceil(lack / num_homes) for lack in self.unmet(now_s))  # type: ignore[return-value]
+    def demand_per_home(self, num_homes: int, now_s: float) -> tuple[int, int, int]:
+        """Return what to ask each of `num_homes` other homes for, beyond what they lend already."""
+        return tuple(math.ceil(shortfall / num_homes) for shortfall in self.unmet(now_s))  # type: ignore[return-value]
 
     def needs_borrowed_slots(self, now_s: float) -> bool:
-        """Whether this zone's nodes use more slots than the zone owns."""
+        """Return whether this zone's nodes use or want more slots than the zone owns."""
         if self._slots is None:
             return False
         self._drop_expired(now_s)
         return sum(max(loan.slots, loan.wanted) for loan in self._loans.values()) > self._slots
 
-    def take_borrowed(
-        self, home: NodeAddress, granted: TenantGrant, asked_at_s: float, now_s: float
+    def add_borrowed(
+        self, home: NodeAddress, granted: TenantGrant, sent_at_s: float, now_s: float
     ) -> None:
-        """Add what another zone's home gave in answer to a demand sent at `asked_at_s`."""
+        """Add what another zone's home granted in answer to a demand sent at `sent_at_s`."""
         self._borrowed_requests += granted.num_requests
         self._borrowed_prompt_tokens += granted.num_prompt_tokens
         self._borrowed_at_s = now_s
@@ -168,7 +180,7 @@
             self._borrow_at_s = min(self._borrow_at_s, now_s + MIN_BORROW_WAIT_S)
         if before > granted.slots:
             self._returned_slots[home] = _Loan(before, now_s + NODE_LEASE_S, 0)
-        expires_at_s = asked_at_s + HOME_LEASE_S
+        expires_at_s = sent_at_s + HOME_LEASE_S
         self._borrowed_slots[home] = _Loan(granted.slots, expires_at_s, 0)
 
     def _lend(self, source: NodeAddress, is_home: bool, demand: TenantDemand, now_s: float) -> int:
@@ -177,7 +189,7 @@
         lent_to_others = sum(loan.slots for other, loan in self._loans.items() if other != source)
         free = self._available_slots(is_home, now_s) - lent_to_others
         slots = max(0, min(demand.slots_wanted, free))
-        if self._others_lack(source):
+        if self._has_unmet_others(source):
             fair = slots // 2 if is_home else self._fair_slots(source, now_s)
             slots = min(slots, fair)
         lease_s = HOME_LEASE_S if is_home else NODE_LEASE_S
@@ -189,20 +201,21 @@
         return slots
 
     def _available_slots(self, is_home: bool, now_s: float) -> int:
-        """Slots to lend in all; other zones get own ones only, never such as are borrowed.
+        """Return the total number of slots to lend.
 
-        While the predecessor's leases may run, only a part of the own slots is lent.
+        Other zones get only the zone's own slots, never borrowed ones. While leases of the previous
+        home may still run, only a part of the own slots is lent.
         """
         own = self._slots or 0
-        if own and now_s - self._made_at_s < NODE_LEASE_S:
+        if own and now_s - self._created_at_s < NODE_LEASE_S:
             own = max(1, math.floor(own * TAKEOVER_SHARE))
-        return own if is_home else own + self._borrowed(now_s)
+        return own if is_home else own + self._num_borrowed_slots(now_s)
 
     def _owned_slots(self, now_s: float) -> int:
-        return (self._slots or 0) + self._borrowed(now_s)
+        return (self._slots or 0) + self._num_borrowed_slots(now_s)
 
-    def _borrowed(self, now_s: float) -> int:
-        """Slots of other zones that are borrowed long enough to cover a node's whole lease."""
+    def _num_borrowed_slots(self, now_s: float) -> int:
+        """Return the number of slots borrowed for long enough to cover a node's whole lease."""
         return sum(
             loan.slots
             for loan in self._borrowed_slots.values()
@@ -212,7 +225,7 @@
     def _limit_slots(self) -> int:
         return self.tenant.max_concurrent_requests or 0
 
-    def _others_lack(self, source: NodeAddress) -> bool:
+    def _has_unmet_others(self, source: NodeAddress) -> bool:
         return any(
             loan.wanted > loan.slots for other, loan in self._loans.items() if other != source
         )
@@ -221,18 +234,18 @@
         num_demanding = len({*self._loans, source})
         return max(1, self._owned_slots(now_s) // num_demanding)
 
-    def _give_requests(self, source: NodeAddress, wanted: int, now_s: float) -> int:
+    def _grant_requests(self, source: NodeAddress, wanted: int, now_s: float) -> int:
         if self._requests is None:
             return 0
-        fair = min(wanted, self._fairness.most_for(source, now_s))
+        fair = min(wanted, self._fairness.max_grant(source, now_s))
         own = min(fair, math.floor(self._requests.available(now_s)))
         self._requests.take(own, now_s)
         borrowed = min(fair - own, self._borrowed_requests)
         self._borrowed_requests -= borrowed
-        self._fairness.note(source, own + borrowed, own + borrowed < wanted, now_s)
+        self._fairness.record(source, own + borrowed, own + borrowed < wanted, now_s)
         return own + borrowed
 
-    def _give_prompt_tokens(self, wanted: int, now_s: float) -> int:
+    def _grant_prompt_tokens(self, wanted: int, now_s: float) -> int:
         if self._prompt_tokens is None:
             return 0
         own = min(wanted, math.floor(self._prompt_tokens.available(now_s)))
@@ -241,15 +254,15 @@
         self._borrowed_prompt_tokens -= borrowed
         return own + borrowed
 
-    def _spare(self, bucket: TokenBucket | None, wanted: int, now_s: float) -> int:
-        """Give to another zone only while this zone's own nodes lack nothing."""
-        if bucket is None or self._lacking:
+    def _grant_spare(self, bucket: TokenBucket | None, wanted: int, now_s: float) -> int:
+        """Grant tokens to another zone, only while this zone's own nodes have no unmet demand."""
+        if bucket is None or self._shortfalls:
             return 0
-        given = min(wanted, math.floor(bucket.available(now_s)))
-        bucket.take(given, now_s)
-        return given
+        granted = min(wanted, math.floor(bucket.available(now_s)))
+        bucket.take(granted, now_s)
+        return granted
 
-    def _note_unmet(
+    def _record_unmet(
         self,
         source: NodeAddress,
         demand: TenantDemand,
@@ -257,15 +270,15 @@
         num_prompt_tokens: int,
         now_s: float,
     ) -> None:
-        lacking_requests = demand.num_requests - num_requests if self._requests else 0
-        lacking_tokens = demand.num_prompt_tokens - num_prompt_tokens if self._prompt_tokens else 0
-        if lacking_requests > 0 or lacking_tokens > 0:
-            self._lacking[source] = _Lack(lacking_requests, lacking_tokens, now_s)
+        missing_requests = demand.num_requests - num_requests if self._requests else 0
+        missing_tokens = demand.num_prompt_tokens - num_prompt_tokens if self._prompt_tokens else 0
+        if missing_requests > 0 or missing_tokens > 0:
+            self._shortfalls[source] = _Shortfall(missing_requests, missing_tokens, now_s)
         else:
-            self._lacking.pop(source, None)
+            self._shortfalls.pop(source, None)
 
     def _expected_rate(self) -> float:
-        """Rate that one node may expect; optimistic, since other zones may lend theirs."""
+        """Return the rate that a node may expect; optimistic, as other zones may lend theirs."""
         if self.tenant.requests_per_s is None:
             return 0.0
         return self.tenant.requests_per_s / max(1, len(self._loans))
@@ -274,9 +287,11 @@
         for source in [key for key, loan in self._loans.items() if loan.expires_at_s <= now_s]:
             del self._loans[source]
         for source in [
-            key for key, lack in self._lacking.items() if now_s - lack.at_s > DEMAND_MEMORY_S
+            key
+            for key, shortfall in self._shortfalls.items()
+            if now_s - shortfall.at_s > UNMET_DEMAND_TTL_S
         ]:
-            del self._lacking[source]
-        if now_s - self._borrowed_at_s > BORROWED_TOKENS_LIFE_S:
+            del self._shortfalls[source]
+        if now_s - self._borrowed_at_s > BORROWED_TOKENS_TTL_S:
             self._borrowed_requests = 0
             self._borrowed_prompt_tokens = 0
--- a/src/weirscale/domain/limits/token_bucket.py
+++ b/src/weirscale/domain/limits/token_bucket.py
@@ -1,14 +1,14 @@
-"""Token bucket: a rate with a burst."""
+"""Token bucket: a rate limit that allows bursts."""
 
 
 class TokenBucket:
-    """Fills at a rate up to a depth; callers take whole amounts.
+    """A bucket that fills at a constant rate up to a depth.
 
     Args:
-        rate_per_s: Tokens added a second.
-        depth: Most tokens held.
+        rate_per_s: Tokens added per second.
+        depth: Maximum number of tokens held.
         now_s: Monotonic time of creation.
-        num_tokens: Tokens held at first; the depth when None.
+        num_tokens: Tokens held at creation; the depth when None.
     """
 
     def __init__(
@@ -20,14 +20,14 @@
         self._updated_at_s = now_s
 
     def available(self, now_s: float) -> float:
-        """Tokens held now."""
+        """Return the number of tokens held now."""
         elapsed_s = max(0.0, now_s - self._updated_at_s)
         self._num_tokens = min(self.depth, self._num_tokens + elapsed_s * self.rate_per_s)
         self._updated_at_s = max(now_s, self._updated_at_s)
         return self._num_tokens
 
     def take(self, amount: float, now_s: float) -> bool:
-        """Take an amount if it is there."""
+        """Take an amount; return False and take nothing if it is not available."""
         if self.available(now_s) < amount:
             return False
         self._num_tokens -= amount
--- a/src/weirscale/domain/limits/zone_share.py
+++ b/src/weirscale/domain/limits/zone_share.py
@@ -1,4 +1,4 @@
-"""How a limit is parted between zones and nodes; the parts sum to the limit."""
+"""Division of a limit between zones and nodes; the parts sum to the limit."""
 
 import msgspec
 
@@ -6,17 +6,17 @@
 
 
 def part_of(limit: int, index: int, num_parts: int) -> int:
-    """Size of one of `num_parts` whole parts that sum to the limit."""
+    """Return the size of part `index` of `num_parts` integer parts that sum to the limit."""
     return (index + 1) * limit // num_parts - index * limit // num_parts
 
 
 class ZoneShare(msgspec.Struct, frozen=True):
-    """Which part of every limit a zone owns: part `index` of `num_zones` declared zones.
+    """The part of every limit that a zone owns.
 
     Attributes:
-        index: The zone's place among the zones.
-        num_zones: Declared zones.
-        max_nodes: Bound on the nodes of the fleet, each of which may own a standing part.
+        index: The zone's position among the declared zones.
+        num_zones: Number of declared zones.
+        max_nodes: Bound on the number of nodes in the fleet; each may own a standing part.
     """
 
     index: int
@@ -25,7 +25,7 @@
 
 
 def standing_requests(tenant: Tenant, share: ZoneShare) -> int:
-    """Requests that each node may start before it has asked: 1 where the burst has room for it.
+    """Return how many requests each node may start without a grant: 1 if the burst allows it.
 
     Together they take at most half of the burst; the zones' pools have the rest.
     """
@@ -33,6 +33,6 @@
 
 
 def standing_slots(tenant: Tenant, share: ZoneShare) -> int:
-    """Slots that each node owns: 1 where the limit has room for it, at most half in all."""
+    """Return how many slots each node owns: 1 if all together are at most half of the limit."""
     limit = tenant.max_concurrent_requests
     return 1 if limit is not None and limit >= 2 * share.max_nodes else 0
