--- a/src/weirscale/domain/health/__init__.py
+++ b/src/weirscale/domain/health/__init__.py
@@ -1,1 +1,1 @@
-"""Health of back ends: circuits, slow return, quarantine."""
+"""Health of back ends: circuit breakers, slow start, quarantine."""
--- a/src/weirscale/domain/health/circuit.py
+++ b/src/weirscale/domain/health/circuit.py
@@ -1,8 +1,9 @@
-"""The circuit of one back end: an immutable value and its transitions.
+"""The circuit breaker of one back end: an immutable value and its transitions.
 
-A circuit is closed (work flows), open (no work until a time), or half-open (the time has passed:
-one trial request decides). Half-open is not stored; it is an open circuit past its time. A
-quarantine is an opening for a wrong answer: it lasts longer and only a request can end it.
+A circuit is closed (requests are sent), open (no requests until a given time), or half-open (that
+time has passed, and one trial request decides). Half-open is not stored; it is an open circuit past
+its time. A quarantine is an opening after a wrong answer: it lasts longer, and only a successful
+request can end it.
 """
 
 import enum
@@ -13,14 +14,14 @@
 from weirscale.domain.health.rules import HealthRules
 
 DOUBLING = 2.0
-"""Each opening that follows soon lasts twice as long as the one before."""
+"""Factor by which an opening is longer than the previous one, if it follows soon."""
 
 MAX_DOUBLINGS = 16
-"""Bounds the exponent; every rule's longest time is reached far earlier."""
+"""Bounds the exponent; the maximum durations of the rules are reached far earlier."""
 
 
 class CircuitState(enum.Enum):
-    """Whether a back end may get work."""
+    """State of a circuit, which decides whether the back end may get work."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -32,19 +33,19 @@
     """Health of one back end as one node sees it; times are monotonic seconds.
 
     Attributes:
-        is_open: Whether it is open or half-open.
-        is_quarantined: Whether it is open for a wrong answer.
-        needs_request: Whether only a successful request may close it (a probe may not).
+        is_open: Whether the circuit is open or half-open.
+        is_quarantined: Whether it is open because of a wrong answer.
+        needs_request: Whether only a successful request may close it (not a probe).
         num_consecutive_failures: Failed requests in a row.
         num_failed_probes: Failed probes in a row.
         failure_weight: Decayed number of failed requests.
         sample_weight: Decayed number of requests.
         sampled_at_s: When the two weights were last decayed.
-        num_openings: Openings that followed one another soon.
+        num_openings: Number of openings in a row, each soon after the one before.
         opened_at_s: Start of the last opening.
         open_until_s: End of the last opening.
-        closed_at_s: When the slow return began, None for a back end that was always healthy.
-        reason: Why it was opened last.
+        closed_at_s: When the slow start began; None for a back end that was always healthy.
+        reason: Reason for the last opening.
     """
 
     is_open: bool = False
@@ -63,11 +64,11 @@
 
 
 HEALTHY = Circuit()
-"""A back end of which nothing bad is known."""
+"""The circuit of a back end without any recorded failure."""
 
 
 def state_at(circuit: Circuit, now_s: float) -> CircuitState:
-    """Return the state at a time."""
+    """Return the state of a circuit at a given time."""
     if not circuit.is_open:
         return CircuitState.CLOSED
     if now_s >= circuit.open_until_s:
@@ -88,7 +89,7 @@
 
 
 def after_success(circuit: Circuit, rules: HealthRules, now_s: float) -> Circuit:
-    """Learn that a request was answered; ends a half-open state."""
+    """Return the circuit after an answered request, which closes a half-open circuit."""
     state = state_at(circuit, now_s)
     if state is CircuitState.HALF_OPEN:
         return _closed(circuit, now_s)
@@ -99,7 +100,10 @@
 
 
 def after_probe_success(circuit: Circuit, now_s: float) -> Circuit:
-    """Learn that a probe was answered; ends a half-open state that began with failed probes."""
+    """Return the circuit after an answered probe.
+
+    It closes a half-open circuit unless that needs a successful request.
+    """
     if state_at(circuit, now_s) is CircuitState.HALF_OPEN and not circuit.needs_request:
         return _closed(circuit, now_s)
     if circuit.num_failed_probes == 0:
@@ -115,16 +119,16 @@
     reason: str,
     counts_in_a_row: bool = True,
 ) -> Circuit:
-    """Learn that a request failed.
+    """Return the circuit after a failed request.
 
     Args:
-        circuit: State before.
+        circuit: The circuit before the failure.
         rules: Thresholds.
-        now_s: Time.
-        random: For the jitter of the opening.
-        reason: What failed, for reports.
+        now_s: Current time.
+        random: Source of the opening's jitter.
+        reason: Cause of the failure, for reports.
         counts_in_a_row: False for failures that the caller's own deadline may have caused; they
-            count for the failure rate alone.
+            count only in the failure rate.
     """
     state = state_at(circuit, now_s)
     if state is CircuitState.HALF_OPEN:
@@ -146,7 +150,7 @@
 def after_probe_failure(
     circuit: Circuit, rules: HealthRules, now_s: float, random: Random, reason: str
 ) -> Circuit:
-    """Learn that a probe got no answer."""
+    """Return the circuit after a probe without an answer."""
     state = state_at(circuit, now_s)
     if state is CircuitState.HALF_OPEN:
         return _opened(circuit, rules, now_s, random, reason, circuit.needs_request)
@@ -162,7 +166,7 @@
 def after_wrong_answer(
     circuit: Circuit, rules: HealthRules, now_s: float, random: Random, reason: str
 ) -> Circuit:
-    """Learn that the back end answered wrongly: quarantine it."""
+    """Return the circuit after a wrong answer: the back end is quarantined."""
     if state_at(circuit, now_s) is CircuitState.QUARANTINED:
         return circuit
     num_openings = _openings_after(circuit, rules, now_s)
@@ -181,10 +185,11 @@
 
 
 def after_restart(circuit: Circuit, rules: HealthRules, now_s: float, random: Random) -> Circuit:
-    """Learn that the back end runs anew: forget its failures, unless it keeps restarting.
+    """Return the circuit after a restart of the back end.
 
-    Each restart counts as an opening, so a back end that crashes again and again is held out for
-    ever longer. A quarantined one must first answer a request well.
+    Its failures are dropped unless it keeps restarting. Each restart counts as an opening, so a
+    back end that crashes repeatedly is held out for longer each time. A quarantined back end must
+    first answer a request correctly.
     """
     num_openings = _openings_after(circuit, rules, now_s)
     if circuit.is_quarantined:
@@ -226,7 +231,7 @@
 
 
 def _openings_after(circuit: Circuit, rules: HealthRules, now_s: float) -> int:
-    """Count one more opening, or the first again after a long healthy time."""
+    """Return the number of openings in a row, this one included; 1 after a long healthy time."""
     healthy_since_s = circuit.opened_at_s if circuit.closed_at_s is None else circuit.closed_at_s
     if circuit.num_openings and now_s - healthy_since_s <= rules.forget_openings_s:
         return circuit.num_openings + 1
@@ -243,10 +248,10 @@
 
 def _sampled(circuit: Circuit, rules: HealthRules, now_s: float, failed: bool) -> Circuit:
     elapsed_s = max(0.0, now_s - circuit.sampled_at_s)
-    kept = 0.5 ** (elapsed_s / rules.sample_half_life_s)
+    decay = 0.5 ** (elapsed_s / rules.sample_half_life_s)
     return msgspec.structs.replace(
         circuit,
-        sample_weight=circuit.sample_weight * kept + 1.0,
-        failure_weight=circuit.failure_weight * kept + (1.0 if failed else 0.0),
+        sample_weight=circuit.sample_weight * decay + 1.0,
+        failure_weight=circuit.failure_weight * decay + (1.0 if failed else 0.0),
         sampled_at_s=now_s,
     )
--- a/src/weirscale/domain/health/leaving.py
+++ b/src/weirscale/domain/health/leaving.py
@@ -1,9 +1,9 @@
-"""Whether a back end is about to stop, from any source, and for which of its runs.
+"""Announcements that a back end is about to stop: their sources, and the run that they apply to.
 
-What a back end says of itself holds for that run for good; only a new run (a higher incarnation)
-clears it. The machine list lags, and its answers may be older than ones seen before: it holds while
-it says so, and for a while after it stops saying so unless a new run is seen. The while is bounded,
-since a late list may have meant the run before.
+The back end's own announcement applies to that run permanently; only a new run (a higher
+incarnation) clears it. The machine list lags, and an answer may be older than a previous one. So
+its entry applies while it is listed and for LIST_HOLD_S after its removal, unless a new run is
+seen. That time is bounded, because a late list may have meant the previous run.
 """
 
 import enum
@@ -13,11 +13,11 @@
 from weirscale.domain.identifiers import Incarnation
 
 LIST_HOLD_S = 60.0
-"""How long a leaving entry outlasts its removal from the list; far above the list's usual lag."""
+"""How long a leaving entry applies after its removal from the list; far above the usual lag."""
 
 
 class LeavingSource(enum.Enum):
-    """Who said that a back end leaves."""
+    """Source of the information that a back end is leaving."""
 
     MACHINE_LIST = "machine_list"
     LOAD_REPORT = "load_report"
@@ -25,14 +25,14 @@
 
 
 class Leaving(msgspec.Struct, frozen=True):
-    """What is known of a back end's leaving.
+    """The announcements that a back end is leaving.
 
     Attributes:
-        source: How the back end itself said so, None if it did not.
-        incarnation: The run that said so.
-        is_listed: Whether the machine list says so now.
-        listed_incarnation: The run known when the list began to say so, None if not known.
-        hold_until_s: Until when the list's entry holds after its removal.
+        source: How the back end itself announced it; None if it did not.
+        incarnation: The run that announced it.
+        is_listed: Whether the machine list has it as leaving now.
+        listed_incarnation: The run known when it was first listed; None if none was known.
+        hold_until_s: Time until which the list's entry applies after its removal.
     """
 
     source: LeavingSource | None = None
@@ -42,24 +42,24 @@
     hold_until_s: float = 0.0
 
     def is_leaving_at(self, now_s: float) -> bool:
-        """Whether it must get no new work."""
+        """Return whether the back end must get no new work."""
         return self.source is not None or self.is_listed or now_s < self.hold_until_s
 
     def source_at(self, now_s: float) -> LeavingSource | None:
-        """Who says so, None while it stays."""
+        """Return the source of the announcement; None while the back end is not leaving."""
         if self.source is not None:
             return self.source
         return LeavingSource.MACHINE_LIST if self.is_leaving_at(now_s) else None
 
 
 STAYING = Leaving()
-"""Nobody said that it leaves."""
+"""State of a back end without any announcement that it is leaving."""
 
 
 def after_own_statement(
     leaving: Leaving, source: LeavingSource, incarnation: Incarnation
 ) -> Leaving:
-    """Learn from the back end itself that a run of it leaves."""
+    """Return the state after the back end itself announced that a run is leaving."""
     if leaving.source is not None and incarnation <= leaving.incarnation:
         return leaving
     return msgspec.structs.replace(leaving, source=source, incarnation=incarnation)
@@ -68,13 +68,13 @@
 def after_machine_list(
     leaving: Leaving, is_leaving: bool, incarnation: Incarnation | None, now_s: float
 ) -> Leaving:
-    """Learn what the machine list says now.
+    """Return the state after a new machine list.
 
     Args:
-        leaving: What was known.
-        is_leaving: What the list says.
+        leaving: The state before.
+        is_leaving: Whether the list has the back end as leaving.
         incarnation: The run known now; None if none is known.
-        now_s: Time.
+        now_s: Current time.
     """
     if is_leaving == leaving.is_listed:
         return leaving
@@ -86,7 +86,7 @@
 
 
 def after_incarnation(leaving: Leaving, incarnation: Incarnation) -> Leaving:
-    """Learn which run is there now; a higher one than the run that left stays."""
+    """Return the state for the current run; a newer run than the leaving one is not leaving."""
     if leaving is STAYING:
         return leaving
     if leaving.source is not None and incarnation > leaving.incarnation:
--- a/src/weirscale/domain/health/pool.py
+++ b/src/weirscale/domain/health/pool.py
@@ -1,8 +1,9 @@
-"""Health of a pool: back ends that can stand in for one another.
+"""Health of a pool of interchangeable back ends.
 
-Circuits may hold out only a share of a pool. When more are open, the network (or this node) is
-likelier bad than so many back ends, and an empty pool would serve nobody: those nearest to their
-next trial are let in again at the smallest weight. Quarantined ones come last, leaving ones never.
+Circuits may hold out only a share of a pool. When more circuits are open, a fault of the network
+(or of this node) is likelier than that many faulty back ends, and an empty pool would serve nobody.
+So the back ends that are nearest to their next trial are readmitted at the minimum weight.
+Quarantined back ends are readmitted last, leaving ones never.
 """
 
 from collections.abc import Sequence
@@ -14,23 +15,23 @@
 
 
 class PoolMember(Protocol):
-    """A back end with its health."""
+    """A back end with its health state."""
 
     @property
     def circuit(self) -> Circuit:
-        """Its circuit."""
+        """The back end's circuit."""
         ...
 
     @property
     def leaving(self) -> Leaving:
-        """Whether it leaves."""
+        """The announcements that the back end is leaving."""
         ...
 
 
 def admission_weights(
     members: Sequence[PoolMember], rules: HealthRules, now_s: float
 ) -> list[float]:
-    """Return the share of work for each member, 0 for none, in the members' order."""
+    """Return each member's share of work in the order of `members`; 0 means no work."""
     weights: list[float] = []
     held_out: list[int] = []
     num_staying = 0
@@ -44,10 +45,10 @@
         weights.append(weight)
         if weight == 0.0:
             held_out.append(index)
-    num_most = int(rules.max_ejected_share * num_staying)
-    if len(held_out) > num_most:
+    max_held_out = int(rules.max_ejected_share * num_staying)
+    if len(held_out) > max_held_out:
         held_out.sort(key=lambda index: _readmission_order(members[index].circuit))
-        for index in held_out[: len(held_out) - num_most]:
+        for index in held_out[: len(held_out) - max_held_out]:
             weights[index] = rules.min_weight
     return weights
 
--- a/src/weirscale/domain/health/rules.py
+++ b/src/weirscale/domain/health/rules.py
@@ -1,31 +1,32 @@
-"""Numbers that govern the health of back ends, with the reason for each default."""
+"""Thresholds for the health of back ends."""
 
 import msgspec
 
 
 class HealthRules(msgspec.Struct, frozen=True):
-    """Thresholds and times of circuits.
+    """Thresholds and durations of circuits.
 
     Attributes:
         max_consecutive_failures: Failed requests in a row that open a circuit; one alone is
             common when a connection is reset.
         max_failed_probes: Failed probes in a row that open a circuit.
         max_failure_rate: Share of failed requests that opens a circuit.
-        min_samples: Decayed number of recent requests below which the failure rate says nothing.
+        min_samples: Decayed number of recent requests below which the failure rate is ignored.
         sample_half_life_s: Time after which a past outcome counts half.
-        open_time_s: Length of the first opening; doubles with each one that follows soon.
-        max_open_time_s: Longest opening.
+        open_time_s: Duration of the first opening; doubles with each opening that follows soon.
+        max_open_time_s: Maximum duration of an opening.
         open_jitter: Share by which an opening is lengthened or shortened at random, so that nodes
-            do not all try again at one moment.
-        quarantine_time_s: Length of the first quarantine after a wrong answer; doubles.
-        max_quarantine_time_s: Longest quarantine.
+            do not all retry at the same time.
+        quarantine_time_s: Duration of the first quarantine after a wrong answer; doubles with each
+            quarantine that follows soon.
+        max_quarantine_time_s: Maximum duration of a quarantine.
         forget_openings_s: A back end healthy for this long starts again from `open_time_s`.
-        num_tolerated_restarts: Restarts that follow one another soon before a back end that keeps
+        num_tolerated_restarts: Restarts in a row that are tolerated before a back end that keeps
             restarting is held out.
-        slow_start_s: Time over which a returning back end's share grows to the full.
-        min_weight: Share of work at the start of the return and during trials.
-        max_ejected_share: Largest share of a pool held out by circuits; beyond it, a bad network is
-            likelier than so many bad back ends.
+        slow_start_s: Time over which the share of a readmitted back end grows to the full share.
+        min_weight: Share of work at the beginning of the slow start and during trials.
+        max_ejected_share: Maximum share of a pool that circuits hold out; beyond it, a faulty
+            network is likelier than that many faulty back ends.
     """
 
     max_consecutive_failures: int = 3
--- a/src/weirscale/domain/request/__init__.py
+++ b/src/weirscale/domain/request/__init__.py
@@ -1,1 +1,1 @@
-"""The request aggregate: what a caller asked, what became of it, when it may be tried again."""
+"""Requests: their contents, their outcome, and the rules for retries."""
--- a/src/weirscale/domain/request/model.py
+++ b/src/weirscale/domain/request/model.py
@@ -1,4 +1,4 @@
-"""Requests as the router sees them, independent of the protocol they came by."""
+"""Requests inside the router, independent of the protocol by which they arrived."""
 
 import enum
 from collections.abc import Mapping
@@ -18,28 +18,28 @@
     """Whether a back end ran a request."""
 
     NOT_RUN = "not_run"
-    """Proved: no back end has started or will start work on it."""
+    """It is proved that no back end has started or will start work on the request."""
     RAN = "ran"
-    """A back end answered it."""
+    """A back end answered the request."""
     UNKNOWN = "unknown"
-    """It may have run; only the caller can find out."""
+    """The request may have run; only the caller can find out."""
 
 
 class GenerationRequest(msgspec.Struct, frozen=True):
     """A caller's request for generated text.
 
     Attributes:
-        request_id: Unique id, given by the caller or made by the node.
-        tenant: The tenant whose API key came with it.
-        model: The model asked for.
+        request_id: Unique id, given by the caller or created by the node.
+        tenant: The tenant of the request's API key.
+        model: The requested model.
         adapter: Adapter of the model, or None for the base model.
         prompt: The canonical prompt bytes (see `weirscale.domain.prefix.prompt`).
         body: The OpenAI-shaped body, passed on to the engine.
         path: `/v1/chat/completions` or `/v1/completions`.
-        max_tokens: Most tokens to generate.
+        max_tokens: Maximum number of tokens to generate.
         priority: Lower is served first, as in vLLM.
         deadline_s: Time, on the node's monotonic clock, at which the caller gives up.
-        repeatable: Whether it may run more than once.
+        repeatable: Whether the request may run more than once.
         idempotency_key: The caller's key, or None.
         streamed: Whether the caller wants server-sent events.
     """
@@ -60,18 +60,18 @@
 
 
 class ServiceRequest(msgspec.Struct, frozen=True):
-    """A caller's request to a named service, passed through whole.
+    """A caller's request to a named service, passed through unchanged.
 
     Attributes:
-        request_id: Unique id, given by the caller or made by the node.
-        tenant: The tenant whose API key came with it.
+        request_id: Unique id, given by the caller or created by the node.
+        tenant: The tenant of the request's API key.
         service: The service's name in the configuration.
         method: HTTP method.
         path: Path and query below the service's root, with a leading slash.
         headers: Headers to pass on, lower-case names.
-        body: The whole body.
+        body: The complete body.
         deadline_s: Time, on the node's monotonic clock, at which the caller gives up.
-        repeatable: Whether it may run more than once.
+        repeatable: Whether the request may run more than once.
         idempotency_key: The caller's key, or None.
         priority: Lower is served first.
     """
@@ -90,7 +90,7 @@
 
 
 class ServiceResponse(msgspec.Struct, frozen=True):
-    """A service's whole answer."""
+    """A service's complete response."""
 
     status: int
     headers: Mapping[str, str]
@@ -102,12 +102,12 @@
 
     Attributes:
         request_id: The request that the chunk belongs to.
-        sequence: 0 for the first chunk, then one more for each chunk of one answer.
+        sequence: Position of the chunk in its answer, starting at 0.
         text: The generated text.
         num_tokens: Tokens in `text`.
         finish_reason: `stop` or `length` on the last chunk, else None.
-        num_prompt_tokens: On the last chunk: tokens of the prompt.
-        num_cached_tokens: On the last chunk: prompt tokens served from the prefix cache.
+        num_prompt_tokens: On the last chunk, the number of prompt tokens.
+        num_cached_tokens: On the last chunk, the prompt tokens served from the prefix cache.
     """
 
     request_id: RequestId
--- a/src/weirscale/domain/request/refusal.py
+++ b/src/weirscale/domain/request/refusal.py
@@ -1,4 +1,4 @@
-"""The one error that callers see: a stable code, whether the request ran, and a remedy."""
+"""The error type that callers receive: a stable code, whether the request ran, and a remedy."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class RefusalCode(enum.Enum):
-    """Stable codes of errors towards callers; the value is what callers read."""
+    """Stable error codes; callers receive the value."""
 
     INVALID_REQUEST = "invalid_request"
     BODY_TOO_LARGE = "body_too_large"
@@ -34,11 +34,11 @@
 
     Attributes:
         code: Stable code.
-        http_status: Status for HTTP callers.
-        run_status: Whether the request ran; NOT_RUN only where that is proved.
-        message: What happened, one sentence.
+        http_status: HTTP status code.
+        run_status: Whether the request ran; NOT_RUN only if that is proved.
+        message: Description of the error in one sentence.
         remedy: What the caller can do.
-        retry_after_s: When to come back, or None where waiting does not help.
+        retry_after_s: Seconds after which to retry, or None if waiting does not help.
     """
 
     code: RefusalCode
--- a/src/weirscale/domain/request/refusals.py
+++ b/src/weirscale/domain/request/refusals.py
@@ -1,4 +1,4 @@
-"""Constructors of refusals: every error that callers can see, with its remedy."""
+"""Constructors of refusals, the errors that callers receive, each with its remedy."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 from weirscale.domain.request.refusal import Refusal, RefusalCode
 
 RETRY_SOON_S = 1.0
-"""When to come back after a failure that another attempt may not meet."""
+"""Retry-After for failures that another attempt may avoid."""
 
 _RUN_STATUS_REMEDY = {
     RunStatus.NOT_RUN: "Send it again later; it did not run.",
@@ -19,12 +19,12 @@
 
 
 def invalid_request(message: str, remedy: str, http_status: int = 400) -> Refusal:
-    """Input that can never be served."""
+    """Refuse input that can never be served."""
     return Refusal(RefusalCode.INVALID_REQUEST, http_status, RunStatus.NOT_RUN, message, remedy)
 
 
 def body_too_large(limit_bytes: int) -> Refusal:
-    """A body over the limit."""
+    """Refuse a body that exceeds the size limit."""
     return Refusal(
         RefusalCode.BODY_TOO_LARGE,
         413,
@@ -35,7 +35,7 @@
 
 
 def headers_too_large(limit_bytes: int) -> Refusal:
-    """Headers over the limit."""
+    """Refuse headers that exceed the size limit."""
     return Refusal(
         RefusalCode.INVALID_REQUEST,
         431,
@@ -46,7 +46,7 @@
 
 
 def unauthenticated() -> Refusal:
-    """No or unknown API key."""
+    """Refuse a request with a missing or unknown API key."""
     return Refusal(
         RefusalCode.UNAUTHENTICATED,
         401,
@@ -57,7 +57,7 @@
 
 
 def unknown_model(name: str) -> Refusal:
-    """A model or adapter that the configuration does not have."""
+    """Refuse a model or adapter that is not in the configuration."""
     return Refusal(
         RefusalCode.UNKNOWN_MODEL,
         404,
@@ -68,7 +68,7 @@
 
 
 def unknown_service(name: str) -> Refusal:
-    """A service that the configuration does not have."""
+    """Refuse a service that is not in the configuration."""
     return Refusal(
         RefusalCode.UNKNOWN_SERVICE,
         404,
@@ -79,7 +79,7 @@
 
 
 def unknown_route(method: str, path: str) -> Refusal:
-    """A path or method that nothing serves."""
+    """Refuse a path that is not served."""
     return Refusal(
         RefusalCode.UNKNOWN_ROUTE,
         404,
@@ -90,7 +90,7 @@
 
 
 def method_not_allowed(method: str, allowed: str) -> Refusal:
-    """A known path with another method."""
+    """Refuse a method that is not allowed for a known path."""
     return Refusal(
         RefusalCode.UNKNOWN_ROUTE,
         405,
@@ -101,7 +101,7 @@
 
 
 def body_timeout(timeout_s: float) -> Refusal:
-    """The caller stopped sending its body."""
+    """Refuse a request whose body did not arrive in time."""
     return Refusal(
         RefusalCode.REQUEST_TIMEOUT,
         408,
@@ -112,7 +112,7 @@
 
 
 def draining() -> Refusal:
-    """The node is stopping."""
+    """Refuse a request because the node is stopping."""
     return Refusal(
         RefusalCode.DRAINING,
         503,
@@ -124,7 +124,7 @@
 
 
 def not_configured() -> Refusal:
-    """No configuration has reached the node yet."""
+    """Refuse a request because the node has no configuration yet."""
     return Refusal(
         RefusalCode.NOT_CONFIGURED,
         503,
@@ -136,7 +136,7 @@
 
 
 def deadline_exceeded(run_status: RunStatus) -> Refusal:
-    """The caller's time is up."""
+    """Refuse a request whose deadline has passed."""
     return Refusal(
         RefusalCode.DEADLINE_EXCEEDED,
         504,
@@ -148,7 +148,7 @@
 
 
 def backend_failed(run_status: RunStatus, detail: str) -> Refusal:
-    """No back end answered, and no further attempt is allowed."""
+    """Refuse a request that no back end answered and that may not be retried."""
     return Refusal(
         RefusalCode.BACKEND_FAILED,
         503 if run_status is RunStatus.NOT_RUN else 502,
@@ -160,7 +160,7 @@
 
 
 def rejected_by_engine(detail: str) -> Refusal:
-    """The engine found the request itself invalid."""
+    """Refuse a request that the engine rejected as invalid."""
     return Refusal(
         RefusalCode.INVALID_REQUEST,
         400,
@@ -171,7 +171,7 @@
 
 
 def stream_broken(detail: str) -> Refusal:
-    """An answer that was begun and can't be completed."""
+    """End an answer that was started and cannot be completed."""
     return Refusal(
         RefusalCode.STREAM_BROKEN,
         502,
@@ -183,7 +183,7 @@
 
 
 def duplicate_completed(holder_request_id: str) -> Refusal:
-    """The key's request has run, and its answer is not kept."""
+    """Refuse a duplicate of a request that has run and whose answer is not stored."""
     return Refusal(
         RefusalCode.DUPLICATE_REQUEST,
         409,
@@ -194,7 +194,7 @@
 
 
 def duplicate_in_progress(holder_request_id: str) -> Refusal:
-    """Another request with the key may be running."""
+    """Refuse a duplicate of a request that may still be running."""
     return Refusal(
         RefusalCode.DUPLICATE_REQUEST,
         409,
@@ -206,7 +206,7 @@
 
 
 def duplicate_conflict() -> Refusal:
-    """The key was used with another body."""
+    """Refuse an idempotency key that was used with a different request."""
     return Refusal(
         RefusalCode.DUPLICATE_REQUEST,
         422,
@@ -217,7 +217,7 @@
 
 
 def with_run_status(refusal: Refusal, run_status: RunStatus) -> Refusal:
-    """Correct a refusal that was made without knowing of earlier attempts."""
+    """Return the refusal with the run status of earlier attempts, unless it has its own."""
     if run_status is RunStatus.NOT_RUN or refusal.run_status is not RunStatus.NOT_RUN:
         return refusal
     return msgspec.structs.replace(
--- a/src/weirscale/domain/request/retry_budget.py
+++ b/src/weirscale/domain/request/retry_budget.py
@@ -1,19 +1,19 @@
-"""Retry budget: retries are a share of live traffic, so that a failing zone is not buried."""
+"""Retry budget: limits retries to a share of traffic, to avoid overloading a failing zone."""
 
 from weirscale.domain.configuration.model import RetryRules
 
 MAX_BANKED_S = 10.0
-"""Unused allowance is kept for as long as this many seconds of `min_retries_per_s`."""
+"""Maximum unused allowance, in seconds of `min_retries_per_s`."""
 
 MAX_BANKED_RETRIES = 100.0
-"""Most retries that past traffic can pay for, so that a long calm does not allow a storm."""
+"""Maximum retries saved from past traffic, so that a long calm does not allow a retry storm."""
 
 
 class RetryBudget:
-    """A bucket of retry tokens of one node.
+    """A node's bucket of retry tokens.
 
-    First attempts pay `budget_ratio` tokens in, time pays `min_retries_per_s`, each retry (or
-    hedge) takes one out.
+    Each first attempt adds `budget_ratio` tokens, and time adds `min_retries_per_s`. Each retry or
+    hedge takes one token.
     """
 
     def __init__(self, now_s: float) -> None:
@@ -22,11 +22,11 @@
         self._has_started = False
 
     def record_first_attempt(self, rules: RetryRules) -> None:
-        """Pay in for a request's first attempt."""
+        """Add the tokens for the first attempt of a request."""
         self._tokens = min(MAX_BANKED_RETRIES, self._tokens + rules.budget_ratio)
 
     def try_take(self, rules: RetryRules, now_s: float) -> bool:
-        """Take one retry; False if the budget is spent."""
+        """Take a token for a retry; return False if the budget is exhausted."""
         self._refill(rules, now_s)
         if self._tokens < 1.0:
             return False
@@ -34,12 +34,12 @@
         return True
 
     def _refill(self, rules: RetryRules, now_s: float) -> None:
-        floor_cap = rules.min_retries_per_s * MAX_BANKED_S
+        max_banked = rules.min_retries_per_s * MAX_BANKED_S
         if not self._has_started:
             self._has_started = True
-            self._tokens += floor_cap
+            self._tokens += max_banked
         elapsed_s = max(0.0, now_s - self._refilled_at_s)
         self._refilled_at_s = now_s
-        if self._tokens < floor_cap:
+        if self._tokens < max_banked:
             earned = elapsed_s * rules.min_retries_per_s
-            self._tokens = min(floor_cap, self._tokens + earned)
+            self._tokens = min(max_banked, self._tokens + earned)
--- a/src/weirscale/domain/request/retry_policy.py
+++ b/src/weirscale/domain/request/retry_policy.py
@@ -1,4 +1,4 @@
-"""What to do after a failed attempt: resume, continue or retry elsewhere, or give up."""
+"""Decisions after a failed attempt: resume it, try another back end, or give up."""
 
 import enum
 
@@ -10,71 +10,71 @@
 from weirscale.domain.request.refusal import Refusal
 
 MAX_IDLE_RESUMES = 3
-"""Resumes without progress; a stream that gains chunks starts counting anew."""
+"""Maximum resumes without progress; each received chunk resets the count."""
 
 MAX_IDLE_RESUMES_AFTER_STALL = 1
-"""An engine that stalls twice in a row is left: waiting again costs `CHUNK_STALL_S`."""
+"""An engine that stalls twice in a row is abandoned: waiting again costs `CHUNK_STALL_S`."""
 
 MAX_IDLE_RESUMES_ONLY_CHOICE = 6
-"""Resumes of a request that no other back end may run: with back-off, some three seconds."""
+"""Maximum resumes of a request that no other back end may run: with backoff, about 3 s."""
 
 RESUME_BACKOFF_S = 0.05
-"""Pause before the second idle resume; doubles with each further one."""
+"""Backoff before the second resume without progress; doubles with each further one."""
 
 CHUNK_STALL_S = 3.0
-"""A stream without a chunk for this long has stalled; 50 times the target between tokens."""
+"""A stream has stalled after this long without a chunk; 50 times the target between tokens."""
 
 MIN_FIRST_CHUNK_TIMEOUT_S = 10.0
-"""Least wait for a first chunk: a long prompt behind a full batch takes seconds."""
+"""Minimum timeout of the first chunk: a long prompt behind a full batch takes seconds."""
 
 FIRST_CHUNK_TIMEOUT_FACTOR = 4.0
-"""Wait for a first chunk, as a multiple of the time that the policy expected."""
+"""Timeout of the first chunk, as a multiple of the expected time to first token."""
 
 RETRY_SHARE_OF_TIME_LEFT = 0.5
-"""Share of the time left that an attempt may wait for its first chunk."""
+"""Maximum share of the time left that an attempt may wait for its first chunk."""
 
 MIN_SHARE_S = 1.0
-"""Least of such shares, so that waiting does not end in ever shorter steps."""
+"""Minimum of that share, so that successive attempts do not get ever shorter timeouts."""
 
 
 class FailureClass(enum.Enum):
-    """What a failure says about the request, whichever back end it came from."""
+    """What a failure implies about the request, whichever back end failed."""
 
     NOT_RUN = "not_run"
-    """This back end certainly did not run it; another may."""
+    """This back end certainly did not run the request; another back end may."""
     INVALID = "invalid"
-    """This and every other back end rejects it; not run."""
+    """Every back end rejects the request; it did not run."""
     INTERRUPTED = "interrupted"
-    """It may have run or be running; the same back end may still hold it."""
+    """The request may have run or be running; the same back end may still have it."""
     STALLED = "stalled"
-    """Nothing came in time; it may be running."""
+    """No chunk arrived in time; the request may be running."""
     CUT_OFF = "cut_off"
-    """It may have run; the back end can't be reached to find out."""
+    """The request may have run; the back end cannot be reached to find out."""
     FORGOTTEN = "forgotten"
-    """It may have run; the back end does not hold it (any more)."""
+    """The request may have run; the back end does not have it, or no longer."""
 
 
 class NextStep(enum.Enum):
-    """What to do after a failure."""
+    """The action after a failure."""
 
     RESUME = "resume"
-    """Ask the same engine for the rest of the same attempt."""
+    """Ask the same engine for the rest of this attempt's answer."""
     ANOTHER = "another"
-    """Start an attempt on another back end, continuing from what was sent."""
+    """Start an attempt on another back end that continues after the chunks already sent."""
     GIVE_UP = "give_up"
     """Answer the caller with a refusal."""
 
 
 class RequestProgress(msgspec.Struct, frozen=True):
-    """What the policy may know of a request when an attempt has failed.
+    """Progress of a request at the time of a failed attempt.
 
     Attributes:
-        repeatable: Whether it may run more than once.
-        num_attempts: Attempts made, the failed one included.
-        num_chunks: Chunks of the answer so far, over all attempts.
-        num_idle_resumes: Resumes of this attempt since its last chunk.
+        repeatable: Whether the request may run more than once.
+        num_attempts: Number of attempts, the failed one included.
+        num_chunks: Number of chunks of the answer so far, over all attempts.
+        num_idle_resumes: Number of resumes of this attempt since its last chunk.
         may_have_run: Whether any attempt, this one included, may have run.
-        time_left_s: Until the caller's deadline.
+        time_left_s: Seconds until the caller's deadline.
     """
 
     repeatable: bool
@@ -86,7 +86,7 @@
 
 
 def next_step(failure: FailureClass, progress: RequestProgress, rules: RetryRules) -> NextStep:
-    """Decide what follows a failure; the retry budget has the last word on ANOTHER."""
+    """Return the action after a failure; ANOTHER also needs a token of the retry budget."""
     if progress.time_left_s <= 0 or failure is FailureClass.INVALID:
         return NextStep.GIVE_UP
     may_run_elsewhere = progress.repeatable or not progress.may_have_run
@@ -99,8 +99,8 @@
 def _max_idle_resumes(
     failure: FailureClass, progress: RequestProgress, is_only_choice: bool
 ) -> int:
-    is_held_maybe = failure in (FailureClass.INTERRUPTED, FailureClass.STALLED)
-    if is_only_choice and (is_held_maybe or failure is FailureClass.CUT_OFF):
+    may_be_held = failure in (FailureClass.INTERRUPTED, FailureClass.STALLED)
+    if is_only_choice and (may_be_held or failure is FailureClass.CUT_OFF):
         return MAX_IDLE_RESUMES_ONLY_CHOICE
     if failure is FailureClass.INTERRUPTED:
         return MAX_IDLE_RESUMES
@@ -110,22 +110,22 @@
 
 
 def resume_backoff_s(num_idle_resumes: int) -> float:
-    """Pause before a resume; the first goes at once."""
+    """Return the pause before a resume; there is none before the first."""
     if num_idle_resumes == 0:
         return 0.0
     return float(RESUME_BACKOFF_S * 2 ** (num_idle_resumes - 1))
 
 
 def first_chunk_timeout_s(estimated_ttft_s: float, time_left_s: float) -> float:
-    """How long to wait for a first chunk before asking again, here or elsewhere."""
+    """Return how long to wait for a first chunk before resuming or trying another back end."""
     expected_s = FIRST_CHUNK_TIMEOUT_FACTOR * estimated_ttft_s
-    patience_s = max(MIN_FIRST_CHUNK_TIMEOUT_S, expected_s)
+    timeout_s = max(MIN_FIRST_CHUNK_TIMEOUT_S, expected_s)
     share_s = max(MIN_SHARE_S, time_left_s * RETRY_SHARE_OF_TIME_LEFT)
-    return min(patience_s, share_s, time_left_s)
+    return min(timeout_s, share_s, time_left_s)
 
 
 class RunEvidence:
-    """What is known about whether a request ran, over all its attempts."""
+    """Evidence of whether a request ran, over all its attempts."""
 
     __slots__ = ("_has_answer", "_may_have_run")
 
@@ -134,11 +134,11 @@
         self._has_answer = False
 
     def record_possible_run(self) -> None:
-        """An attempt was sent, and its failure does not prove that it did not run."""
+        """Record a sent attempt whose failure does not prove that the request did not run."""
         self._may_have_run = True
 
     def record_answer(self) -> None:
-        """A back end has answered, at least in part."""
+        """Record that a back end has answered, at least in part."""
         self._may_have_run = True
         self._has_answer = True
 
@@ -149,7 +149,7 @@
 
     @property
     def status(self) -> RunStatus:
-        """What may be told the caller."""
+        """The run status to report to the caller."""
         if self._has_answer:
             return RunStatus.RAN
         return RunStatus.UNKNOWN if self._may_have_run else RunStatus.NOT_RUN
--- a/src/weirscale/domain/request/stream.py
+++ b/src/weirscale/domain/request/stream.py
@@ -1,4 +1,4 @@
-"""Checks that the chunks of an answer are its own, each once and in order."""
+"""Checks that the chunks of a stream belong to its request and arrive once and in order."""
 
 import enum
 
@@ -7,23 +7,23 @@
 
 
 class ChunkVerdict(enum.Enum):
-    """What to do with a chunk that arrived."""
+    """The action for a received chunk."""
 
     PASS = "pass"
-    """The next chunk of the answer: pass it on."""
+    """It is the next chunk of the answer: pass it on."""
     REPEATED = "repeated"
-    """Passed on already: drop it."""
+    """It was already passed on: drop it."""
     CROSSED = "crossed"
-    """Belongs to another request: the stream can't be trusted any more."""
+    """It belongs to another request: the stream can no longer be trusted."""
     GAP = "gap"
-    """A chunk before it is missing: ask for the missing ones."""
+    """An earlier chunk is missing: request the missing chunks."""
 
 
 class StreamCheck:
-    """Follows one answer over all its attempts.
+    """Checks one answer over all its attempts.
 
-    A chunk passes only if it carries the request's id and the very next sequence, so whatever an
-    engine or a network does, the caller sees a prefix of one answer.
+    A chunk passes only if it has the request's id and the next sequence number. So whatever an
+    engine or the network does, the caller receives a prefix of one answer.
     """
 
     __slots__ = ("_request_id", "is_finished", "next_sequence", "num_tokens", "texts")
@@ -36,7 +36,7 @@
         self.texts: list[str] = []
 
     def check(self, chunk: TokenChunk) -> ChunkVerdict:
-        """Judge a chunk; a passed one moves the expected sequence on."""
+        """Return the verdict on a chunk; a chunk that passes increments the expected sequence."""
         if chunk.request_id != self._request_id:
             return ChunkVerdict.CROSSED
         if self.is_finished or chunk.sequence < self.next_sequence:
@@ -51,5 +51,5 @@
 
     @property
     def text(self) -> str:
-        """All text passed so far."""
+        """The complete text that was passed on so far."""
         return "".join(self.texts)
