--- a/src/weirscale/domain/prefix/__init__.py
+++ b/src/weirscale/domain/prefix/__init__.py
@@ -1,1 +1,1 @@
-"""Prefix identity and beliefs about which engine caches what."""
+"""Identity of prompt prefixes, and an index of which engines presumably cache them."""
--- a/src/weirscale/domain/prefix/block_set.py
+++ b/src/weirscale/domain/prefix/block_set.py
@@ -1,7 +1,7 @@
-"""A compact set of block hashes: open addressing in one array, 12 to 24 bytes a block.
+"""A compact set of block hashes: open addressing in one array, 12 to 24 bytes per block.
 
-A Python set of integers costs some 70 bytes an entry; a node that is home of a few engines holds
-hundreds of thousands.
+A Python set of integers costs about 70 bytes per entry, and the home node of a few engines holds
+hundreds of thousands of hashes.
 """
 
 from array import array
@@ -13,14 +13,14 @@
 """Marks a free slot."""
 
 ZERO_SUBSTITUTE = 2**64 - 1
-"""Stands for the hash 0, which marks free slots; the two then count as one block."""
+"""Stored instead of the hash 0, which marks free slots; the two count as the same block."""
 
 MIN_NUM_SLOTS = 16
 MAX_LOAD = 0.66
-"""Share of used slots above which the table doubles; probes stay short below it."""
+"""Share of used slots above which the table doubles, so that probe sequences stay short."""
 
 HOME_SHIFT = 24
-"""Slots are chosen by higher bits, because sampled hashes have equal low bits."""
+"""A hash's home slot follows from its higher bits, because sampled hashes have equal low bits."""
 
 
 class BlockSet:
@@ -43,7 +43,7 @@
         return self._slots[self._find(block_hash or ZERO_SUBSTITUTE)] != EMPTY
 
     def add(self, block_hash: int) -> bool:
-        """Add a hash; False if it was there."""
+        """Add a hash; return False if it was present."""
         block_hash = block_hash or ZERO_SUBSTITUTE
         slot = self._find(block_hash)
         if self._slots[slot] != EMPTY:
@@ -55,7 +55,7 @@
         return True
 
     def discard(self, block_hash: int) -> bool:
-        """Remove a hash; False if it was not there."""
+        """Remove a hash; return False if it was absent."""
         slots = self._slots
         mask = self._mask
         free = self._find(block_hash or ZERO_SUBSTITUTE)
@@ -68,7 +68,7 @@
             if moved == EMPTY:
                 break
             home = (moved >> HOME_SHIFT) & mask
-            # An entry may fill the free slot only if its own probe sequence passes there.
+            # An entry may move to the free slot only if its probe sequence includes that slot.
             if (probe - home) & mask >= (probe - free) & mask:
                 slots[free] = moved
                 free = probe
@@ -77,7 +77,7 @@
         return True
 
     def clear(self) -> None:
-        """Remove all hashes and give the memory back."""
+        """Remove all hashes and free the memory."""
         self._reset(MIN_NUM_SLOTS)
 
     def _reset(self, num_slots: int) -> None:
@@ -86,7 +86,7 @@
         self._num_blocks = 0
 
     def _find(self, block_hash: int) -> int:
-        """Return the slot that holds the hash, or the free slot where it belongs."""
+        """Return the slot that holds the hash, or the free slot in which to store it."""
         slots = self._slots
         mask = self._mask
         slot = (block_hash >> HOME_SHIFT) & mask
--- a/src/weirscale/domain/prefix/cache_view.py
+++ b/src/weirscale/domain/prefix/cache_view.py
@@ -1,4 +1,4 @@
-"""What one node believes of the caches of its zone, from the digests of their home nodes."""
+"""A node's view of the engine caches in its zone, built from the digests of their home nodes."""
 
 import enum
 from collections.abc import Mapping, Sequence
@@ -10,28 +10,28 @@
 from weirscale.messages.digest import KEY_SHIFT, CacheDigest, FullDigest, unpack_keys
 
 MAX_GAP_S = 3.0
-"""Longest time that an engine's keys are believed while digests of it are missing."""
+"""Maximum time that an engine's keys are kept while one of its digests is missing."""
 
 MAX_SILENCE_S = 10.0
-"""Longest time without any digest; a home publishes at least every few seconds."""
+"""Maximum time without any digest; a home publishes at least every few seconds."""
 
 STREAM_TAKEOVER_S = 5.0
-"""A lower stream is followed only after the higher one has been silent for so long."""
+"""A lower stream is accepted only after this long without a digest of the higher stream."""
 
 
 class ViewOutcome(enum.Enum):
-    """What became of a digest."""
+    """Result of processing a digest."""
 
     APPLIED = "applied"
     DUPLICATE = "duplicate"
     VOID = "void"
-    """Of an earlier run of the engine or of a former home."""
+    """It comes from an earlier run of the engine or from a former home."""
     GAP = "gap"
-    """An earlier digest is missing: ask the home for what comes after `position`."""
+    """An earlier digest is missing: request the digests after `position` from the home."""
 
 
 class _EngineView:
-    """State of one engine in the view."""
+    """The view of one engine's cache."""
 
     __slots__ = (
         "bit",
@@ -56,7 +56,7 @@
 
 
 class CacheView:
-    """Beliefs about the engines of a zone; hints, never promises."""
+    """Presumably cached blocks of the engines in a zone; hints without a guarantee."""
 
     def __init__(self) -> None:
         self._masks = EngineMasks()
@@ -68,12 +68,12 @@
         return len(self._masks)
 
     def position(self, engine: EngineName) -> tuple[int, int]:
-        """Return stream and sequence taken in last, zeros for an unknown engine."""
+        """Return stream and sequence of the last applied digest; zeros for an unknown engine."""
         view = self._views.get(engine)
         return (view.stream, view.sequence) if view else (0, 0)
 
     def keys(self, engine: EngineName) -> set[int]:
-        """Return the keys believed held that the declared sample covers; for checks."""
+        """Return the keys presumably held that the declared sample covers; for checks."""
         view = self._views.get(engine)
         if view is None:
             return set()
@@ -81,20 +81,20 @@
         return {key for key in held if is_sampled(key, view.sample_bits)}
 
     def receive(self, digest: CacheDigest, now_s: float) -> ViewOutcome:
-        """Take in a digest."""
+        """Apply a digest."""
         view = self._view_for(digest.engine, digest.incarnation, now_s)
         if view is None:
             return ViewOutcome.VOID
         if digest.stream != view.stream:
-            if not self._may_follow(view, digest.stream, now_s):
+            if not self._is_accepted(view, digest.stream, now_s):
                 return ViewOutcome.VOID
             view.stream = digest.stream
             view.sequence = 0
         view.heard_at_s = now_s
         if digest.sequence <= view.sequence:
             return ViewOutcome.DUPLICATE
-        follows = digest.sequence == view.sequence + 1
-        if not (follows or digest.is_reset):
+        is_next = digest.sequence == view.sequence + 1
+        if not (is_next or digest.is_reset):
             if view.gap_since_s is None:
                 view.gap_since_s = now_s
             return ViewOutcome.GAP
@@ -104,9 +104,9 @@
         return ViewOutcome.APPLIED
 
     def receive_full(self, full: FullDigest, now_s: float) -> ViewOutcome:
-        """Replace what is believed of an engine."""
+        """Replace the view of an engine by a full digest."""
         view = self._view_for(full.engine, full.incarnation, now_s)
-        if view is None or not self._may_follow(view, full.stream, now_s):
+        if view is None or not self._is_accepted(view, full.stream, now_s):
             return ViewOutcome.VOID
         if full.stream == view.stream and full.sequence < view.sequence:
             return ViewOutcome.VOID
@@ -123,20 +123,20 @@
         return ViewOutcome.APPLIED
 
     def record_run(self, engine: EngineName, incarnation: Incarnation, now_s: float) -> None:
-        """Learn from elsewhere that the engine runs with an incarnation: older keys are void."""
+        """Record the engine's incarnation from another source; keys of earlier runs are dropped."""
         view = self._views.get(engine)
         if view is not None and incarnation > view.incarnation:
             self._view_for(engine, incarnation, now_s)
 
     def drop(self, engine: EngineName) -> None:
-        """Forget an engine."""
+        """Remove an engine."""
         view = self._views.pop(engine, None)
         if view is not None:
             self._masks.retire_bit(view.bit)
             self._groups = None
 
     def expire(self, now_s: float) -> None:
-        """Forget what is believed of engines whose digests are missing for too long."""
+        """Remove engines without digests for too long; empty those with an old gap."""
         for engine, view in list(self._views.items()):
             is_silent = now_s - view.heard_at_s > MAX_SILENCE_S
             gap_since_s = view.gap_since_s
@@ -149,13 +149,13 @@
     def match(
         self, block_hashes: Sequence[BlockHash], now_s: float
     ) -> Mapping[EngineName, PrefixMatch]:
-        """Return the engines believed to hold a prefix of the chain."""
+        """Return the engines that presumably hold a prefix of the chain, with length and age."""
         if self._groups is None:
             self._group_by_sample()
         engines_by_bit = self._engines_by_bit
         matches: dict[EngineName, PrefixMatch] = {}
-        for sample_bits, within in (self._groups or {}).items():
-            depths = self._masks.leading_depths(block_hashes, KEY_SHIFT, sample_bits, within)
+        for sample_bits, engine_bits in (self._groups or {}).items():
+            depths = self._masks.leading_depths(block_hashes, KEY_SHIFT, sample_bits, engine_bits)
             for mask, num_blocks in depths:
                 remaining = mask
                 while remaining:
@@ -167,7 +167,7 @@
         return matches
 
     def _group_by_sample(self) -> None:
-        """Prepare matching: engines of one sampling level are matched together."""
+        """Group the engines by sampling level; each group is matched together."""
         groups: dict[int, int] = {}
         for view in self._views.values():
             groups[view.sample_bits] = groups.get(view.sample_bits, 0) | view.bit
@@ -177,7 +177,7 @@
     def _view_for(
         self, engine: EngineName, incarnation: Incarnation, now_s: float
     ) -> _EngineView | None:
-        """Return the engine's view, emptied for a new run; None for an earlier run."""
+        """Return the engine's view, emptied for a new run; return None for an earlier run."""
         view = self._views.get(engine)
         if view is None:
             view = _EngineView(self._masks.new_bit(), incarnation, now_s)
@@ -191,8 +191,8 @@
             view.gap_since_s = now_s
         return view
 
-    def _may_follow(self, view: _EngineView, stream: int, now_s: float) -> bool:
-        """Return whether a publisher's stream is to be followed."""
+    def _is_accepted(self, view: _EngineView, stream: int, now_s: float) -> bool:
+        """Return whether digests of a publisher's stream are accepted."""
         if stream >= view.stream:
             return True
         return now_s - view.heard_at_s > STREAM_TAKEOVER_S
--- a/src/weirscale/domain/prefix/chain.py
+++ b/src/weirscale/domain/prefix/chain.py
@@ -1,9 +1,9 @@
 """Chained block hashes: the identity of a prompt prefix.
 
-A block's hash covers its bytes and the hash of the block before it. The chain is seeded with
-tenant, model, weight version and adapter, so blocks of another tenant or of other weights never
-compare equal (barring a 64-bit collision, which costs a wrong estimate only: the engine keys its
-cache by its own full identity).
+A block's hash covers its bytes and the hash of the previous block. The chain is seeded with tenant,
+model, weight version and adapter, so blocks of different tenants or weights never compare equal.
+The exception is a 64-bit collision, which only causes a wrong estimate: the engine keys its cache
+by its own full identity.
 """
 
 import xxhash
@@ -17,10 +17,10 @@
 )
 
 SEED_SEPARATOR = "\x1f"
-"""Keeps neighbouring seed fields apart."""
+"""Separates the fields of the seed."""
 
 BYTES_PER_TOKEN = 4.0
-"""Rough bytes in one token of Latin text; only for estimates."""
+"""Approximate number of bytes per token of Latin text; only for estimates."""
 
 
 def chain_seed(
@@ -29,7 +29,7 @@
     weight_version: WeightVersion,
     adapter: AdapterName | None,
 ) -> BlockHash:
-    """Return the hash that a chain starts from; tenant is also called the cache salt."""
+    """Return the hash that a chain starts with; engines call the tenant the cache salt."""
     identity = SEED_SEPARATOR.join((tenant, model, weight_version, adapter or ""))
     return BlockHash(xxhash.xxh3_64_intdigest(identity.encode()))
 
@@ -37,13 +37,13 @@
 def extend_chain(
     parent: BlockHash, prompt: bytes, start_byte: int, block_size_bytes: int
 ) -> list[BlockHash]:
-    """Hash the full blocks of a prompt from a byte offset on.
+    """Return the hashes of a prompt's full blocks from a byte offset on.
 
     Args:
         parent: Hash of the block that ends at `start_byte`, or the seed.
-        prompt: The whole prompt.
+        prompt: The complete prompt.
         start_byte: Multiple of the block size.
-        block_size_bytes: Bytes in a block.
+        block_size_bytes: Bytes per block.
 
     Returns:
         One hash for each full block after `start_byte`, in order.
--- a/src/weirscale/domain/prefix/chain_cache.py
+++ b/src/weirscale/domain/prefix/chain_cache.py
@@ -1,8 +1,8 @@
-"""Remembers the chains of prompts seen before, so that hot prompts are not hashed block by block.
+"""Cache of prompts' hash chains, so that frequent prompts are not hashed block by block.
 
-A prompt is cut into strides of some 16 kB. The digest (128 bit) of everything up to a stride's end
-names that stride's block hashes. Nested prompts share strides as far as they share bytes, and a
-stride that is known costs one streaming digest instead of hundreds of chained ones.
+A prompt is split into strides of about 16 kB. The cache key of a stride's block hashes is the
+128-bit digest of the prompt up to the end of the stride. Prompts with a common beginning share the
+strides inside it. A cached stride costs one streaming digest instead of hundreds of chained ones.
 """
 
 from array import array
@@ -16,24 +16,24 @@
 from weirscale.domain.prefix.chain import extend_chain
 
 STRIDE_BYTES = 16 * 1024
-"""Prompt bytes that one remembered entry covers; rounded down to whole blocks."""
+"""Prompt bytes that one cached entry covers; rounded down to full blocks."""
 
 DEFAULT_MAX_BYTES = 2 * 1024 * 1024
-"""Memory for remembered hashes: with blocks of 64 bytes it covers 16 MB of distinct prompts."""
+"""Memory for cached hashes: with blocks of 64 bytes it covers 16 MB of distinct prompts."""
 
 HASH_BYTES = 8
 ENTRY_OVERHEAD_BYTES = 300
-"""Measured cost of one entry besides its hashes: key, array object and table slot."""
+"""Memory of one entry besides its hashes: key, array object and table slot."""
 
 
 class ChainCache:
     """Block hashes of prompts, by the digest of the bytes they cover.
 
-    Two prompts with equal 128-bit digests are taken as equal; a collision would only give a wrong
+    Two prompts with equal 128-bit digests count as equal. A collision would only cause a wrong
     estimate, because the engine keys its cache by its own full identity.
 
     Args:
-        max_bytes: Bound on memory; the least recently used strides are dropped.
+        max_bytes: Bound on the memory; the least recently used strides are dropped.
     """
 
     def __init__(self, max_bytes: int = DEFAULT_MAX_BYTES) -> None:
@@ -43,7 +43,7 @@
 
     @property
     def num_bytes(self) -> int:
-        """Memory held, estimated."""
+        """Estimated memory in use."""
         return self._num_bytes
 
     def chain(self, seed: BlockHash, prompt: bytes, block_size_bytes: int) -> Sequence[BlockHash]:
@@ -51,8 +51,8 @@
 
         Args:
             seed: Hash that the chain starts from.
-            prompt: The whole prompt.
-            block_size_bytes: Bytes in a block.
+            prompt: The complete prompt.
+            block_size_bytes: Bytes per block.
         """
         stride_bytes = max(STRIDE_BYTES // block_size_bytes, 1) * block_size_bytes
         digest = xxhash.xxh3_128(block_size_bytes.to_bytes(8, "big"), seed=seed)
@@ -80,11 +80,11 @@
         stride_bytes: int,
         block_size_bytes: int,
     ) -> "array[int]":
-        """Return one stride's hashes, hashing and remembering them when they are not known."""
-        known = self._strides.get(key)
-        if known is not None:
+        """Return one stride's hashes; compute and cache them if they are not cached."""
+        cached = self._strides.get(key)
+        if cached is not None:
             self._strides.move_to_end(key)
-            return known
+            return cached
         piece = bytes(prompt[start : start + stride_bytes])
         stride = array("Q", extend_chain(parent, piece, 0, block_size_bytes))
         self._strides[key] = stride
--- a/src/weirscale/domain/prefix/digest_publisher.py
+++ b/src/weirscale/domain/prefix/digest_publisher.py
@@ -1,7 +1,7 @@
-"""Turns the changes of one engine's index into digests that stay within a byte budget.
+"""Publishes the changes of one engine's index as digests within a byte budget.
 
 The publisher holds a backlog of keys whose state changed and sends it in sequence. When the
-backlog would take too long it samples more coarsely; when there is budget to spare it refines the
+backlog would take too long, it samples the keys more coarsely. When budget is left, it refines the
 sample step by step. Receivers can therefore always rely on the declared sample bits.
 """
 
@@ -21,37 +21,38 @@
 )
 
 MAX_KEYS_PER_DIGEST = 180
-"""Keeps an encoded digest below 1000 bytes, so that it fits one cast with its signature."""
+"""Keeps an encoded digest below 1000 bytes, so that it fits into one cast with its signature."""
 
 MIN_KEYS_PER_DIGEST = 8
-"""With fewer the overhead outweighs the keys; the allowance then goes below zero for a while."""
+"""With fewer keys the overhead would outweigh them. For this minimum the allowance may become
+negative for a while."""
 
 HEARTBEAT_S = 3.0
-"""Longest time without a digest; a third of the silence after which receivers forget."""
+"""Maximum time without a digest; a third of the time after which receivers drop the engine."""
 
 DIGEST_OVERHEAD_BYTES = 90
 """Encoded size of a digest without keys, with its signature."""
 
 MAX_BACKLOG_S = 1.0
-"""A change waits no longer than this for its turn; beyond it the sample gets coarser."""
+"""Maximum time that a change waits to be sent; beyond it the sample becomes coarser."""
 
 BURST_S = 2.0
-"""Unused budget is kept for so long; covers a refinement and a new run's first digests."""
+"""Unused budget is kept for this long; covers a refinement or a new run's first digests."""
 
 REFINE_SHARE = 0.5
-"""The sample is refined only if changes would then take less than this share of the budget."""
+"""The sample is refined only if changes would then need at most this share of the budget."""
 
 MAX_REFINING_S = 60.0
 """A refinement that would take longer than this is not started."""
 
 DEFAULT_MAX_KEYS = 8192
-"""Keys of one engine in a receiver's table, of some 118 bytes each."""
+"""Maximum keys of one engine in a receiver's table, about 118 bytes each."""
 
 RATE_SMOOTHING_S = 5.0
 """Time constant of the change rate."""
 
 NUM_KEPT_DIGESTS = 32
-"""Digests kept for receivers that missed some; a full digest is many times larger."""
+"""Digests kept for receivers that missed some, because a full digest is many times larger."""
 
 
 class DigestPublisher:
@@ -59,9 +60,9 @@
 
     Args:
         index: The engine's exact index.
-        stream: Name of the stream; higher than that of any earlier publisher of the engine.
+        stream: Number of the stream; higher than that of any earlier publisher of the engine.
         bytes_per_s: Budget for this engine, over all receivers together.
-        max_keys: Keys of this engine that receivers are made to remember at most.
+        max_keys: Maximum number of this engine's keys that receivers store.
     """
 
     def __init__(
@@ -86,7 +87,7 @@
         self._changes_per_s = 0.0
         self._published_at_s: float | None = None
         self._sent_at_s = -math.inf
-        self._kept: deque[CacheDigest] = deque(maxlen=NUM_KEPT_DIGESTS)
+        self._recent_digests: deque[CacheDigest] = deque(maxlen=NUM_KEPT_DIGESTS)
 
     @property
     def sample_bits(self) -> int:
@@ -95,7 +96,7 @@
 
     @property
     def num_waiting_keys(self) -> int:
-        """Changes not yet sent."""
+        """Number of changes that are not yet sent."""
         return len(self._backlog) + len(self._refining)
 
     def set_budget(self, bytes_per_s: float) -> None:
@@ -106,14 +107,14 @@
         """Return the digests to send now to every receiver.
 
         Args:
-            num_receivers: Nodes that each get a copy; the budget is divided among them.
-            now_s: Time.
+            num_receivers: Number of nodes that get a copy; the budget is divided among them.
+            now_s: Current time.
         """
         rate = self._bytes_per_s / max(num_receivers, 1)
-        elapsed_s = self._note_time(now_s)
+        elapsed_s = self._advance_clock(now_s)
         self._allowance_bytes = min(self._allowance_bytes + rate * elapsed_s, rate * BURST_S)
-        num_changes = self._take_changes()
-        self._note_changes(num_changes, elapsed_s)
+        num_changes = self._collect_changes()
+        self._update_change_rate(num_changes, elapsed_s)
         self._coarsen(rate)
         if not self._refining and not self._is_coarsening_due:
             self._finish_or_start_refining(rate)
@@ -123,16 +124,18 @@
         """Answer a receiver that missed digests."""
         if self._index.needs_dump or self._sequence == 0:
             return DigestReply(is_home=False)
-        missed = [each for each in self._kept if each.sequence > request.after_sequence]
+        missed = [
+            digest for digest in self._recent_digests if digest.sequence > request.after_sequence
+        ]
         is_complete = bool(missed) and missed[0].sequence == request.after_sequence + 1
         if request.stream == self._stream and is_complete:
             return DigestReply(is_home=True, digests=tuple(missed))
         return DigestReply(is_home=True, full=self._full())
 
     def _full(self) -> FullDigest:
-        """Return all keys sampled, those of a running refinement included.
+        """Return a digest of all sampled keys, including those of a running refinement.
 
-        Later digests may repeat some, which changes nothing.
+        Later digests may repeat some of the keys, which has no effect.
         """
         bits = self._sending_bits
         keys = [block_key(block_hash) for block_hash in self._index.blocks]
@@ -145,19 +148,19 @@
             held=pack_keys([key for key in keys if is_sampled(key, bits)]),
         )
 
-    def _note_time(self, now_s: float) -> float:
-        before_s = self._published_at_s
+    def _advance_clock(self, now_s: float) -> float:
+        previous_s = self._published_at_s
         self._published_at_s = now_s
-        return BURST_S if before_s is None else max(now_s - before_s, 0.0)
+        return BURST_S if previous_s is None else max(now_s - previous_s, 0.0)
 
-    def _note_changes(self, num_changes: int, elapsed_s: float) -> None:
+    def _update_change_rate(self, num_changes: int, elapsed_s: float) -> None:
         if elapsed_s <= 0:
             return
         share = 1.0 - math.exp(-elapsed_s / RATE_SMOOTHING_S)
         self._changes_per_s += share * (num_changes / elapsed_s - self._changes_per_s)
 
-    def _take_changes(self) -> int:
-        """Move the index's changes to the backlog; return how many there were, before sampling."""
+    def _collect_changes(self) -> int:
+        """Move the index's changes to the backlog; return their number before sampling."""
         was_reset, added, removed = self._index.take_changes()
         if was_reset:
             self._is_reset_due = True
@@ -176,8 +179,8 @@
     def _coarsen(self, rate: float) -> None:
         """Sample more coarsely until the backlog can be sent in time."""
         max_keys = max(int(rate * MAX_BACKLOG_S / KEY_BYTES), 1)
-        # A refinement given up must not leave keys at receivers that are no longer updated: the
-        # declared level goes up by one at least, on which they drop every key outside of it.
+        # After an abandoned refinement, receivers must not keep keys that are no longer updated.
+        # So the declared level rises by at least one, and receivers drop every key outside of it.
         while self._is_too_fine(max_keys) and self._sample_bits < MAX_SAMPLE_BITS:
             self._sample_bits += 1
             self._sending_bits = self._sample_bits
@@ -194,7 +197,7 @@
         return len(self._backlog) > max_waiting_keys or num_held_keys > self._max_keys
 
     def _finish_or_start_refining(self, rate: float) -> None:
-        """Declare a refinement that is sent, or start the next one if the budget allows it."""
+        """Declare a completed refinement, or start the next one if the budget allows it."""
         if self._sending_bits < self._sample_bits:
             self._sample_bits = self._sending_bits
             return
@@ -216,13 +219,13 @@
                 self._refining[key] = True
 
     def _send(self, rate: float, now_s: float) -> list[CacheDigest]:
-        """Cut what waits into digests as far as the allowance goes, or give a sign of life."""
+        """Return digests of the waiting keys as far as the allowance permits, or a heartbeat."""
         digests: list[CacheDigest] = []
         while self.num_waiting_keys and self._allowance_bytes > 0:
             num_affordable = int(self._allowance_bytes / KEY_BYTES)
             num_keys = min(max(num_affordable, MIN_KEYS_PER_DIGEST), MAX_KEYS_PER_DIGEST)
-            keys = _take(self._backlog, num_keys)
-            keys += _take(self._refining, num_keys - len(keys))
+            keys = _pop_oldest(self._backlog, num_keys)
+            keys += _pop_oldest(self._refining, num_keys - len(keys))
             digests.append(self._digest(keys))
             self._allowance_bytes -= DIGEST_OVERHEAD_BYTES + KEY_BYTES * len(keys)
         if not digests and (self._is_reset_due or now_s - self._sent_at_s >= HEARTBEAT_S):
@@ -247,13 +250,13 @@
         )
         self._is_reset_due = False
         self._is_coarsening_due = False
-        self._kept.append(digest)
+        self._recent_digests.append(digest)
         return digest
 
 
-def _take(waiting: dict[int, bool], num_most: int) -> list[tuple[int, bool]]:
-    """Remove and return the entries that have waited longest."""
-    taken = list(islice(waiting.items(), num_most))
+def _pop_oldest(waiting: dict[int, bool], max_entries: int) -> list[tuple[int, bool]]:
+    """Remove and return up to `max_entries` entries that have waited longest."""
+    taken = list(islice(waiting.items(), max_entries))
     for key, _ in taken:
         del waiting[key]
     return taken
--- a/src/weirscale/domain/prefix/engine_index.py
+++ b/src/weirscale/domain/prefix/engine_index.py
@@ -1,9 +1,9 @@
-"""The exact set of blocks of one engine, as far as its events have told.
+"""The exact set of blocks of one engine, according to its events.
 
-Kept by the engine's home node. Events come late and with gaps; the rules here make sure that a
-block is never believed longer than it takes to learn of its removal:
+It is kept by the engine's home node. Events arrive late and with gaps. These rules ensure that a
+block is kept no longer than it takes to learn of its removal:
 
-- batches are applied strictly in sequence; later ones wait for the missing one;
+- batches are applied strictly in sequence; later batches wait for a missing one;
 - a higher incarnation or another weight version empties the set at once;
 - a gap that is not filled within MAX_GAP_S empties the set until a dump is loaded.
 """
@@ -21,32 +21,32 @@
 )
 
 MAX_WAITING_BATCHES = 64
-"""Batches kept while one is missing; some seconds of events. With more, a dump is cheaper."""
+"""Batches kept while one is missing: some seconds of events. With more, a dump is cheaper."""
 
 MAX_GAP_S = 2.0
-"""Longest time that the state before a gap is believed: as long as events lag anyway."""
+"""Maximum time that the state before a gap is kept: as long as events lag anyway."""
 
 NO_INCARNATION = Incarnation(-1)
-"""Lower than that of any engine: nothing is known yet."""
+"""Incarnation before the first batch or dump; lower than that of any engine."""
 
 FIRST_SEQUENCE = 1
-"""Sequence of the first batch of an incarnation, before which the cache is empty."""
+"""Sequence of the first batch of an incarnation; the cache is empty before it."""
 
 
 class ApplyOutcome(enum.Enum):
-    """What became of a batch or a dump."""
+    """Result of processing a batch or a dump."""
 
     APPLIED = "applied"
     DUPLICATE = "duplicate"
-    """Already included; nothing changed."""
+    """It was already applied; nothing changed."""
     VOID = "void"
-    """Of an earlier run of the engine; nothing changed."""
+    """It comes from an earlier run of the engine; nothing changed."""
     GAP = "gap"
-    """An earlier batch is missing: ask for a replay after `sequence`, or for a dump."""
+    """An earlier batch is missing: request a replay after `sequence`, or a dump."""
 
 
 class EngineIndex:
-    """Blocks of one engine's present run.
+    """Blocks of one engine's current run.
 
     Args:
         engine: The engine's name.
@@ -66,7 +66,7 @@
 
     @property
     def blocks(self) -> BlockSet:
-        """The blocks believed to be held; read only."""
+        """The blocks presumably held; read only."""
         return self._blocks
 
     @property
@@ -75,7 +75,7 @@
         return self.needs_dump or self._gap_since_s is not None
 
     def apply(self, batch: CacheEventBatch, now_s: float) -> ApplyOutcome:
-        """Take in one batch."""
+        """Apply one batch."""
         if batch.incarnation < self.incarnation:
             return ApplyOutcome.VOID
         if batch.incarnation > self.incarnation:
@@ -86,22 +86,22 @@
         if starts_run:
             self.needs_dump = False
         if batch.sequence != self.sequence + 1 or self.needs_dump:
-            self._keep_waiting(batch, now_s)
+            self._hold_back(batch, now_s)
             return ApplyOutcome.GAP
         self._apply_events(batch)
         self._apply_waiting(now_s)
         return ApplyOutcome.APPLIED
 
     def load_dump(self, dump: CacheDump, now_s: float) -> ApplyOutcome:
-        """Replace the state by a dump, unless the dump is older than the state."""
+        """Replace the state by a dump, unless the dump is older."""
         if dump.incarnation < self.incarnation:
             return ApplyOutcome.VOID
-        same_run = dump.incarnation == self.incarnation
-        if same_run and dump.sequence < self.sequence:
+        is_same_run = dump.incarnation == self.incarnation
+        if is_same_run and dump.sequence < self.sequence:
             return ApplyOutcome.VOID
-        if same_run and dump.sequence == self.sequence and not self.needs_dump:
+        if is_same_run and dump.sequence == self.sequence and not self.needs_dump:
             return ApplyOutcome.DUPLICATE
-        if not same_run:
+        if not is_same_run:
             self._start_run(dump.incarnation, dump.weight_version)
         self.weight_version = dump.weight_version
         self.sequence = dump.sequence
@@ -111,32 +111,33 @@
         return ApplyOutcome.APPLIED
 
     def record_run(self, incarnation: Incarnation, weight_version: WeightVersion) -> None:
-        """Learn from elsewhere (a load report) which run and weights the engine has."""
+        """Record the engine's run and weights from another source (a load report)."""
         if incarnation < self.incarnation:
             return
         if incarnation > self.incarnation:
             self._start_run(incarnation, weight_version)
 
     def expire(self, now_s: float) -> bool:
-        """Empty the set if a gap has stayed open for too long; True if it did."""
-        since = self._gap_since_s
-        if since is None or now_s - since < MAX_GAP_S:
+        """Empty the set if a gap has been open for too long; return whether that is so."""
+        gap_since_s = self._gap_since_s
+        if gap_since_s is None or now_s - gap_since_s < MAX_GAP_S:
             return False
         self.invalidate()
         return True
 
     def invalidate(self) -> None:
-        """Forget the blocks; only a dump makes the index useful again."""
+        """Drop the blocks; the index then needs a dump."""
         self.needs_dump = True
         self._gap_since_s = None
         self._replace_blocks(BlockSet())
 
     def take_changes(self) -> tuple[bool, list[BlockHash], list[BlockHash]]:
-        """Return and forget what changed since the last call.
+        """Return the changes since the last call and clear them.
 
         Returns:
-            Whether the state was replaced (all blocks held are then in the added ones), the blocks
-            added and the blocks removed. A block that came and went is in neither.
+            Whether the state was replaced, the added blocks and the removed blocks. After a
+            replacement, the added blocks are all blocks held. A block that was both added and
+            removed is in neither list.
         """
         if self._was_reset:
             self._was_reset = False
@@ -167,9 +168,9 @@
         self._was_held.clear()
         self._was_reset = True
 
-    def _keep_waiting(self, batch: CacheEventBatch, now_s: float) -> None:
+    def _hold_back(self, batch: CacheEventBatch, now_s: float) -> None:
         if batch.weight_version != self.weight_version:
-            # Whatever the missing batches say, blocks of other weights are void from here on.
+            # Whatever the missing batches contain, blocks of other weights are void from here on.
             self._replace_blocks(BlockSet())
         if self._gap_since_s is None and not self.needs_dump:
             self._gap_since_s = now_s
@@ -179,13 +180,13 @@
         self._waiting[batch.sequence] = batch
 
     def _apply_waiting(self, now_s: float) -> None:
-        """Apply waiting batches that now follow, and drop those already included."""
+        """Apply waiting batches that are next in sequence, and drop those already applied."""
         while True:
             batch = self._waiting.pop(self.sequence + 1, None)
             if batch is None:
                 break
             self._apply_events(batch)
-        for sequence in [each for each in self._waiting if each <= self.sequence]:
+        for sequence in [number for number in self._waiting if number <= self.sequence]:
             del self._waiting[sequence]
         if not self._waiting:
             self._gap_since_s = None
--- a/src/weirscale/domain/prefix/engine_masks.py
+++ b/src/weirscale/domain/prefix/engine_masks.py
@@ -1,17 +1,17 @@
-"""Which engines hold a block key: one table for all engines of a zone, one bit for each engine."""
+"""Table from block key to the engines that hold it, with one bit for each engine of a zone."""
 
 from collections.abc import Callable, Sequence
 
 MAX_RETIRED_BITS = 16
-"""Bits of emptied engines that may linger in the table before it is swept; a sweep of 100,000
-entries takes some 10 ms."""
+"""Bits of emptied engines that may stay in the table before a sweep removes them. A sweep of
+100,000 entries takes about 10 ms."""
 
 
 class EngineMasks:
-    """Table of key to engine bits.
+    """Table from key to engine bits.
 
-    Emptying an engine is cheap: its bit is retired and a new one is used; retired bits are swept
-    out of the table together.
+    Emptying an engine is cheap: its bit is retired and a new bit is used. A sweep removes several
+    retired bits from the table at once.
     """
 
     def __init__(self) -> None:
@@ -28,25 +28,25 @@
         return self._live
 
     def new_bit(self) -> int:
-        """Return a bit that no key has, for one engine."""
+        """Return a bit for one engine that no key has."""
         used = self._live | self._retired
         bit = ~used & (used + 1)
         self._live |= bit
         return bit
 
     def retire_bit(self, bit: int) -> None:
-        """Empty an engine; its bit must not be used again."""
+        """Empty an engine; the caller must not use its bit again."""
         self._live &= ~bit
         self._retired |= bit
         if self._retired.bit_count() >= MAX_RETIRED_BITS:
             self._sweep()
 
     def add(self, key: int, bit: int) -> None:
-        """Note that the engine holds the key."""
+        """Record that the engine holds the key."""
         self._masks[key] = self._masks.get(key, 0) | bit
 
     def remove(self, key: int, bit: int) -> None:
-        """Note that the engine does not hold the key."""
+        """Record that the engine does not hold the key."""
         mask = self._masks.get(key, 0) & ~bit
         if mask:
             self._masks[key] = mask
@@ -65,38 +65,40 @@
         return {key for key, mask in self._masks.items() if mask & bit}
 
     def leading_depths(
-        self, block_hashes: Sequence[int], shift: int, sample_bits: int, within: int
+        self, block_hashes: Sequence[int], shift: int, sample_bits: int, engine_bits: int
     ) -> list[tuple[int, int]]:
-        """Find how deep each engine holds a chain, by bisection.
+        """Return how many leading blocks of a chain each engine holds, by bisection.
 
-        Engines evict the tail of a chain before its head, so a sampled block that is held implies
-        all blocks before it; the number of look-ups grows with the number of different depths and
-        with the logarithm of the chain's length.
+        Engines evict the tail of a chain before its head, so a held sampled block implies all
+        blocks before it. The number of look-ups grows with the number of different depths and with
+        the logarithm of the chain's length.
 
         Args:
             block_hashes: The chain.
             shift: A hash shifted right by this is a key.
-            sample_bits: Only keys with so many zero low bits are in the table.
-            within: Bits of the engines asked about, none of them retired.
+            sample_bits: Only keys with this many zero low bits are in the table.
+            engine_bits: Bits of the engines to look up, none of them retired.
 
         Returns:
-            Pairs of engine bits and leading blocks held, at least; engines without any are absent.
+            Pairs of engine bits and a lower bound of the leading blocks held; engines without any
+            are absent.
         """
         num_blocks = len(block_hashes)
-        unsampled = (1 << sample_bits) - 1
+        sample_mask = (1 << sample_bits) - 1
         masks = self._masks
         depths: list[tuple[int, int]] = []
-        # Each segment: the last block held by `present`, and a later one held by `remaining` only.
-        segments = [(-1, within, num_blocks, 0)]
+        # Each segment: the last block held by `present`, these engines, a later block that only
+        # `remaining` hold, and these engines.
+        segments = [(-1, engine_bits, num_blocks, 0)]
         while segments:
             low, present, high, remaining = segments.pop()
-            leaving = present & ~remaining
-            if not leaving:
+            ending = present & ~remaining
+            if not ending:
                 continue
-            probe = _next_sampled(block_hashes, shift, unsampled, low, high)
+            probe = _next_sampled(block_hashes, shift, sample_mask, low, high)
             if probe < 0:
                 if low >= 0:
-                    depths.append((leaving, low + 1))
+                    depths.append((ending, low + 1))
                 continue
             held = (masks.get(block_hashes[probe] >> shift, 0) & present) | remaining
             segments.append((low, present, probe, held))
@@ -110,19 +112,19 @@
 
 
 def _next_sampled(
-    block_hashes: Sequence[int], shift: int, unsampled: int, low: int, high: int
+    block_hashes: Sequence[int], shift: int, sample_mask: int, low: int, high: int
 ) -> int:
     """Return a sampled position near the middle between two exclusive bounds, or -1."""
     if high - low < 2:
         return -1
     middle = (low + high) // 2
-    if not unsampled:
+    if not sample_mask:
         return middle
-    unsampled_bits = unsampled << shift
+    hash_mask = sample_mask << shift
     for offset, block_hash in enumerate(block_hashes[middle:high]):
-        if not block_hash & unsampled_bits:
+        if not block_hash & hash_mask:
             return middle + offset
     for offset, block_hash in enumerate(reversed(block_hashes[low + 1 : middle])):
-        if not block_hash & unsampled_bits:
+        if not block_hash & hash_mask:
             return middle - 1 - offset
     return -1
--- a/src/weirscale/domain/prefix/note_budget.py
+++ b/src/weirscale/domain/prefix/note_budget.py
@@ -1,17 +1,17 @@
-"""Byte budget of notes about sends: a token bucket over all receivers together."""
+"""Byte budget of send notices (`send_note` casts): a token bucket for all receivers together."""
 
 NOTE_OVERHEAD_BYTES = 80
-"""Encoded size of a note without keys, with its signature."""
+"""Encoded size of a notice without keys, with its signature."""
 
 BURST_S = 2.0
-"""Unused budget is kept for so long, which lets a shift of the hot set through at once."""
+"""Unused budget is kept for this long, enough for the burst when the set of hot prompts changes."""
 
 
 class NoteBudget:
-    """Decides whether a note may be sent.
+    """Decides whether a send notice may be sent.
 
     Args:
-        bytes_per_s: Budget over all receivers.
+        bytes_per_s: Budget for all receivers together.
     """
 
     def __init__(self, bytes_per_s: float) -> None:
@@ -20,11 +20,11 @@
         self._counted_at_s: float | None = None
 
     def may_send(self, num_key_bytes: int, num_receivers: int, now_s: float) -> bool:
-        """Return whether a note to all receivers fits, and count it if it does."""
+        """Return whether a notice to all receivers fits into the budget; count it if it does."""
         if self._counted_at_s is not None:
             earned = (now_s - self._counted_at_s) * self._bytes_per_s
-            most = self._bytes_per_s * BURST_S
-            self._allowance_bytes = min(self._allowance_bytes + earned, most)
+            max_bytes = self._bytes_per_s * BURST_S
+            self._allowance_bytes = min(self._allowance_bytes + earned, max_bytes)
         self._counted_at_s = now_s
         num_bytes = (num_key_bytes + NOTE_OVERHEAD_BYTES) * num_receivers
         if num_bytes > self._allowance_bytes:
--- a/src/weirscale/domain/prefix/prompt.py
+++ b/src/weirscale/domain/prefix/prompt.py
@@ -1,13 +1,13 @@
 """Canonical prompt bytes of an OpenAI-shaped body.
 
-The stand-in engine and the router hash the same bytes. An adapter for an engine that hashes token
-ids instead rehashes the `token_ids` of its events or tokenizes here.
+The simulated engine and the router hash the same bytes. For an engine that hashes token ids, an
+adapter must rehash the `token_ids` of its events, or tokenize here.
 """
 
 from collections.abc import Mapping
 
 ROLE_SEPARATOR = "\x1e"
-"""Ends a role name and a message; cannot be typed by accident."""
+"""Terminates a role name and a message; a control character that texts do not contain."""
 
 
 def prompt_bytes(body: Mapping[str, object]) -> bytes | None:
@@ -17,7 +17,7 @@
         body: Parsed request body.
 
     Returns:
-        The bytes, or None if the body has neither field in a known shape.
+        The bytes, or None if the body has neither field in a supported form.
     """
     prompt = body.get("prompt")
     if isinstance(prompt, str):
--- a/src/weirscale/domain/prefix/sampling.py
+++ b/src/weirscale/domain/prefix/sampling.py
@@ -1,9 +1,9 @@
-"""Content-based sampling of blocks: the hash decides, so all nodes sample the same blocks."""
+"""Sampling of blocks by their hashes, so that all nodes sample the same blocks."""
 
 from weirscale.messages.digest import KEY_SHIFT
 
 MAX_SAMPLE_BITS = 12
-"""One block in 4096 at the coarsest: with fewer, most prompts would have no sampled block."""
+"""The coarsest sample is one block in 4096: with fewer, most prompts would have none."""
 
 
 def block_key(block_hash: int) -> int:
@@ -12,5 +12,5 @@
 
 
 def is_sampled(key: int, sample_bits: int) -> bool:
-    """Return whether the key travels at a sampling level."""
+    """Return whether the key belongs to the sample of a sampling level."""
     return key & ((1 << sample_bits) - 1) == 0
