--- a/features/membership_faults.feature
+++ b/features/membership_faults.feature
@@ -72,7 +72,7 @@
     Then no node holds it live
 
   Scenario Outline: A claim is taken only when it is stronger
-    Given beliefs that hold member "m" at incarnation 5, refutations 2, state <held>
+    Given a membership state that holds member "m" at incarnation 5, refutations 2, state <held>
     When a claim arrives with incarnation <incarnation>, refutations <refutations>, state <claim>
     Then the member is held at state <then>
 
@@ -102,7 +102,7 @@
     Then the marked node is held leaving and the omitted one stays alive
 
   Scenario: Tombstones are bounded in number and in time
-    Given beliefs that remember at most 50 dead members for 100 s
+    Given a membership state that keeps at most 50 dead members for 100 s
     When 200 members are born and die
     Then 50 dead members are remembered
     And none is remembered 101 s later
--- a/features/steps/membership_faults_steps.py
+++ b/features/steps/membership_faults_steps.py
@@ -280,8 +280,8 @@
     assert context.gone
 
 
-@given('beliefs that hold member "m" at incarnation 5, refutations 2, state {held}')
-def step_beliefs(context, held):
+@given('a membership state that holds member "m" at incarnation 5, refutations 2, state {held}')
+def step_membership_state(context, held):
     context.state = MembershipState(OWN, MembershipRules(), 0.0)
     context.state.apply(MEMBER, 0.0)
     context.state.apply(replace(MEMBER, state=MemberState[held], accuser="x"), 0.0)
@@ -371,7 +371,7 @@
     assert (context.marked, context.omitted) == (PeerState.LEAVING, PeerState.ALIVE)
 
 
-@given("beliefs that remember at most {count:d} dead members for {time:d} s")
+@given("a membership state that keeps at most {count:d} dead members for {time:d} s")
 def step_tombstone_rules(context, count, time):
     context.rules = MembershipRules(max_tombstones=count, tombstone_s=time)
     context.state = MembershipState(OWN, context.rules, 0.0)
--- a/src/weirscale/domain/membership/__init__.py
+++ b/src/weirscale/domain/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which nodes are alive: failure detection and dissemination rules."""
+"""Membership of the fleet: failure detection and dissemination of updates."""
--- a/src/weirscale/domain/membership/actions.py
+++ b/src/weirscale/domain/membership/actions.py
@@ -1,4 +1,4 @@
-"""What the membership protocol asks its task to do."""
+"""Actions that the membership protocol returns for its task to carry out."""
 
 import msgspec
 
@@ -6,14 +6,14 @@
 
 
 class SendCast(msgspec.Struct, frozen=True):
-    """Send one message without waiting."""
+    """Send one message without waiting for an answer."""
 
     destination: NodeAddress
     message: msgspec.Struct
 
 
 class StartSync(msgspec.Struct, frozen=True):
-    """Call a node with `sync_request()` and give the reply to `handle_sync_reply`."""
+    """Call a node with `sync_request()` and pass the reply to `handle_sync_reply`."""
 
     destination: NodeAddress
 
--- a/src/weirscale/domain/membership/broadcasts.py
+++ b/src/weirscale/domain/membership/broadcasts.py
@@ -1,4 +1,4 @@
-"""News waiting to be spread, each piece a bounded number of times."""
+"""Queue of member updates to disseminate, each a bounded number of times."""
 
 from weirscale.messages.membership import MemberState, MemberUpdate
 
@@ -12,7 +12,7 @@
 
 
 class BroadcastQueue:
-    """News by member; a newer piece about a member replaces the older one."""
+    """Updates by member; a newer update of a member replaces the older one."""
 
     def __init__(self) -> None:
         self._num_sent: dict[_Key, int] = {}
@@ -22,7 +22,7 @@
         return len(self._updates)
 
     def put(self, update: MemberUpdate) -> None:
-        """Spread a piece of news; accusations by several nodes are spread side by side."""
+        """Queue an update; accusations of a member by several nodes are queued separately."""
         if update.state is not MemberState.SUSPECT:
             self._drop_accusations(update)
         key = (update.name, update.accuser)
@@ -32,11 +32,11 @@
     def take(
         self, max_transmissions: int, first: MemberUpdate | None = None
     ) -> tuple[MemberUpdate, ...]:
-        """Return the least-sent news that fits into a cast and count it as sent once more.
+        """Return the least-sent updates that fit into a cast, and count them as sent once more.
 
         Args:
-            max_transmissions: News sent this often is dropped.
-            first: A record that must be in the cast, not counted.
+            max_transmissions: An update is dropped after it was sent this often.
+            first: A record that the cast must contain; it is not counted as sent.
         """
         if not self._updates:
             return () if first is None else (first,)
--- a/src/weirscale/domain/membership/machine_hints.py
+++ b/src/weirscale/domain/membership/machine_hints.py
@@ -1,4 +1,4 @@
-"""What the platform's lagging machine list adds: hints, never the truth alone."""
+"""Hints from the platform's machine list, which lags and is therefore never decisive alone."""
 
 from collections.abc import Iterable, Mapping
 
@@ -7,25 +7,26 @@
 
 
 class MachineHints:
-    """Last list read: which machines are leaving, and which members it no longer names."""
+    """The latest machine list: which machines are leaving, and which members are not listed."""
 
     def __init__(self) -> None:
         self.version = 0
-        """Grows with each change of what `is_leaving` answers."""
+        """Increases when results of `is_leaving` may have changed."""
         self._leaving: frozenset[str] = frozenset()
         self._absent: set[NodeName] = set()
 
     def update_list(
         self, is_leaving_by_host: Mapping[str, bool], members: Iterable[MemberUpdate]
     ) -> list[NodeName]:
-        """Take a new list.
+        """Replace the list.
 
         Args:
-            is_leaving_by_host: Machines by host or host:port.
+            is_leaving_by_host: Whether each machine is leaving, by host or host:port.
             members: Live members.
 
         Returns:
-            Members newly absent from the list, to be probed soon; none for an empty list.
+            Members that are newly absent from the list and should be probed soon; none if the list
+            is empty.
         """
         leaving = frozenset(host for host, is_leaving in is_leaving_by_host.items() if is_leaving)
         if leaving != self._leaving:
@@ -36,16 +37,16 @@
         absent = {
             member.name
             for member in members
-            if not any(host in is_leaving_by_host for host in _names_of(member))
+            if not any(host in is_leaving_by_host for host in _list_keys(member))
         }
         newly_absent = sorted(absent - self._absent)
         self._absent = absent
         return newly_absent
 
     def is_leaving(self, member: MemberUpdate) -> bool:
-        """Whether the list says that the member's machine is about to go."""
-        return bool(self._leaving) and any(name in self._leaving for name in _names_of(member))
+        """Return whether the member's machine is listed as leaving."""
+        return bool(self._leaving) and any(name in self._leaving for name in _list_keys(member))
 
 
-def _names_of(member: MemberUpdate) -> tuple[str, str]:
+def _list_keys(member: MemberUpdate) -> tuple[str, str]:
     return (member.host, f"{member.host}:{member.port}")
--- a/src/weirscale/domain/membership/probes.py
+++ b/src/weirscale/domain/membership/probes.py
@@ -1,4 +1,4 @@
-"""Probes in flight and pings relayed for others."""
+"""Probes in flight and pings relayed for other nodes."""
 
 import msgspec
 
@@ -10,9 +10,9 @@
     """A probe of one member.
 
     Attributes:
-        target: The record that was probed.
+        target: The probed member's record when the probe started.
         sent_at_s: When the ping was sent.
-        helpers_asked: Whether indirect probes were asked for.
+        helpers_asked: Whether indirect probes were requested.
     """
 
     target: MemberUpdate
@@ -21,7 +21,7 @@
 
 
 class Relay(msgspec.Struct):
-    """A ping sent for another node, whose ack is passed on to it."""
+    """A ping sent for another node; its ack is forwarded to that node."""
 
     origin: NodeAddress
     origin_sequence: int
@@ -29,7 +29,7 @@
 
 
 class ProbeTable:
-    """Probes and relays by the sequence of their pings."""
+    """Probes and relays by the sequence number of their pings."""
 
     def __init__(self) -> None:
         self._sequence = 0
@@ -38,7 +38,7 @@
         self._relays: dict[int, Relay] = {}
 
     def start(self, target: MemberUpdate, now_s: float) -> int | None:
-        """Start a probe; returns its sequence, or None if one of the member is in flight."""
+        """Start a probe; return its sequence, or None if a probe of the member is in flight."""
         if target.name in self._probed:
             return None
         self._sequence += 1
@@ -47,25 +47,25 @@
         return self._sequence
 
     def start_relay(self, origin: NodeAddress, origin_sequence: int, now_s: float) -> int:
-        """Start a relayed ping; returns its own sequence."""
+        """Start a relayed ping; return its sequence."""
         self._sequence += 1
         self._relays[self._sequence] = Relay(origin, origin_sequence, now_s)
         return self._sequence
 
     def next_sequence(self) -> int:
-        """Return a sequence for a ping whose ack is of no account."""
+        """Return a sequence for a ping whose ack is ignored."""
         self._sequence += 1
         return self._sequence
 
     def finish(self, sequence: int) -> Probe | None:
-        """End the probe of an ack (or a failed one)."""
+        """End a probe that was acknowledged or failed; return None if it is not in flight."""
         probe = self._probes.pop(sequence, None)
         if probe is not None:
             self._probed.discard(probe.target.name)
         return probe
 
     def finish_relay(self, sequence: int) -> Relay | None:
-        """End the relayed ping of an ack."""
+        """End an acknowledged relayed ping; return None if it is not in flight."""
         return self._relays.pop(sequence, None)
 
     def in_flight(self) -> list[tuple[int, Probe]]:
@@ -73,13 +73,13 @@
         return list(self._probes.items())
 
     def drop_relays(self, sent_before_s: float) -> None:
-        """Forget relayed pings without an ack."""
+        """Drop unacknowledged relayed pings that were sent before a given time."""
         for sequence, relay in list(self._relays.items()):
             if relay.sent_at_s < sent_before_s:
                 del self._relays[sequence]
 
     def clear(self) -> None:
-        """Forget everything in flight: after a pause nothing can be concluded from it."""
+        """Drop everything in flight: after a pause of this process, missing acks prove nothing."""
         self._probes.clear()
         self._probed.clear()
         self._relays.clear()
--- a/src/weirscale/domain/membership/protocol.py
+++ b/src/weirscale/domain/membership/protocol.py
@@ -1,6 +1,7 @@
 """The membership protocol of one node: SWIM with suspicion, local health and anti-entropy.
 
-Pure: the task hands in messages and ticks with the current time, and carries out the actions.
+The protocol does no I/O: the task passes in messages and ticks with the current time, and carries
+out the returned actions.
 """
 
 from collections.abc import Sequence
@@ -24,7 +25,7 @@
 )
 
 DEPARTURE_FANOUT = 12
-"""Nodes told by a leaving node itself; they spread it on."""
+"""Nodes to which a stopping node itself sends its departure; they disseminate it."""
 
 
 class MembershipProtocol:
@@ -32,9 +33,10 @@
 
     Args:
         own: This node's record, ALIVE with no refutations.
-        seeds: Addresses of nodes to join by; also tried later, so separate fleets merge.
+        seeds: Addresses of nodes to join by. They are also tried later, so that partitioned fleets
+            merge.
         rules: Intervals and limits.
-        random: Choices of targets.
+        random: Chooses targets.
         now_s: Current time.
     """
 
@@ -63,19 +65,19 @@
 
     @property
     def has_joined(self) -> bool:
-        """Whether a seed has answered (or none was given)."""
+        """Whether a seed has answered, or no seeds were given."""
         return self._has_joined
 
     def tick(self, now_s: float) -> list[Action]:
-        """Step all timers; call every `rules.tick_s`."""
-        self._notice_pause(now_s)
+        """Advance all timers; call it every `rules.tick_s`."""
+        self._handle_pause(now_s)
         actions: list[Action] = []
         if self.state.is_superseded:
             return actions
         self._advance_probes(now_s, actions)
         self._start_round(now_s, actions)
-        self._confirm_suspects(now_s, actions)
-        self.state.bury_expired(now_s)
+        self._probe_queued(now_s, actions)
+        self.state.declare_expired_dead(now_s)
         self._gossip(now_s, actions)
         self._probe_dead(now_s, actions)
         self._try_seed(now_s, actions)
@@ -83,7 +85,7 @@
         return actions
 
     def handle_ping(self, source: NodeAddress, ping: Ping, now_s: float) -> list[Action]:
-        """Answer a ping meant for this run."""
+        """Answer a ping of this run; send the own record if the ping is for another run."""
         self.state.apply_all(ping.updates, now_s)
         own = self.state.own
         if not own.is_live or self.state.is_superseded:
@@ -91,44 +93,44 @@
         if NodeId(ping.target_name, ping.target_incarnation) != own.node:
             return [SendCast(source, Gossip((own,)))]
         actions: list[Action] = [
-            SendCast(source, Ack(ping.sequence, self.state.table.digest, self._news()))
+            SendCast(source, Ack(ping.sequence, self.state.table.digest, self._updates_to_send()))
         ]
         self._compare_digest(source, ping.digest, now_s, actions)
         return actions
 
     def handle_ack(self, source: NodeAddress, ack: Ack, now_s: float) -> list[Action]:
-        """End the probe that the ack belongs to, or pass it on."""
+        """End the probe that the ack belongs to, or forward the ack if the ping was relayed."""
         self.state.apply_all(ack.updates, now_s)
         actions: list[Action] = []
         relay = self._probes.finish_relay(ack.sequence)
         if relay is not None:
-            passed_on = Ack(relay.origin_sequence, self.state.table.digest)
-            actions.append(SendCast(relay.origin, passed_on))
+            relayed_ack = Ack(relay.origin_sequence, self.state.table.digest)
+            actions.append(SendCast(relay.origin, relayed_ack))
             return actions
         if self._probes.finish(ack.sequence) is not None:
-            self.state.penalise(-1)
+            self.state.adjust_health_penalty(-1)
         self._compare_digest(source, ack.digest, now_s, actions)
         return actions
 
     def handle_ping_request(
         self, source: NodeAddress, request: PingRequest, now_s: float
     ) -> list[Action]:
-        """Ping a node for another one."""
+        """Ping a node on behalf of another node."""
         sequence = self._probes.start_relay(source, request.sequence, now_s)
         return [SendCast(request.target.address, self._ping(sequence, request.target))]
 
     def handle_gossip(self, gossip: Gossip, now_s: float) -> list[Action]:
-        """Take news."""
+        """Apply updates."""
         self.state.apply_all(gossip.updates, now_s)
         return []
 
     def sync_request(self) -> SyncRequest:
-        """Return what `StartSync` sends."""
+        """Return the request that `StartSync` sends."""
         digests = tuple(self.state.table.bucket_digests) if self._has_joined else ()
         return SyncRequest(self.state.own, digests)
 
     def answer_sync(self, request: SyncRequest, now_s: float) -> SyncReply:
-        """Answer with the records in which the two views differ."""
+        """Return the records of the buckets in which the two tables differ."""
         table = self.state.table
         buckets = table.differing_buckets(request.bucket_digests)
         reply = SyncReply(buckets, tuple(table.in_buckets(buckets)))
@@ -138,22 +140,22 @@
     def handle_sync_reply(
         self, source: NodeAddress, reply: SyncReply, now_s: float
     ) -> list[Action]:
-        """Take the records of another view and send it those in which this one is ahead."""
+        """Apply the records of another node, and send it the records that are newer here."""
         self._has_joined = True
-        theirs = {update.name: update for update in reply.updates}
-        ahead: list[MemberUpdate] = []
+        remote = {update.name: update for update in reply.updates}
+        newer: list[MemberUpdate] = []
         for record in self.state.table.in_buckets(reply.buckets):
-            other = theirs.get(record.name)
+            other = remote.get(record.name)
             if (other is None and record.is_live) or (
                 other is not None and record.precedence() > other.precedence()
             ):
-                ahead.append(record)
+                newer.append(record)
         self.state.apply_all(reply.updates, now_s)
-        return [SendCast(source, Gossip(group)) for group in split_for_casts(ahead)]
+        return [SendCast(source, Gossip(group)) for group in split_for_casts(newer)]
 
     def probe_soon(self, name: NodeName) -> None:
-        """Probe a member at the next tick, after a hint from outside."""
-        self.state.to_confirm.append(name)
+        """Probe a member at the next tick, after a hint from another source."""
+        self.state.to_probe.append(name)
 
     def leave(self, now_s: float) -> None:
         """Announce that this node is about to stop; it stays a member until `depart`."""
@@ -161,21 +163,21 @@
             self.state.declare_self(MemberState.LEAVING, now_s)
 
     def depart(self, now_s: float) -> list[Action]:
-        """Announce that this node has stopped; nothing may be asked of it afterwards."""
+        """Announce that this node has stopped; it serves no more requests."""
         self.state.declare_self(MemberState.LEFT, now_s)
         table = self.state.table
-        told = table.sample_live(self._random, DEPARTURE_FANOUT)
-        return [SendCast(member.address, Gossip((self.state.own,))) for member in told]
+        receivers = table.sample_live(self._random, DEPARTURE_FANOUT)
+        return [SendCast(member.address, Gossip((self.state.own,))) for member in receivers]
 
-    def _notice_pause(self, now_s: float) -> None:
-        """After a pause nothing follows from acks and refutations that were not heard in it."""
+    def _handle_pause(self, now_s: float) -> None:
+        """Detect a pause of this process; acks and refutations missed during it prove nothing."""
         late_s = now_s - self._last_tick_s - self._rules.tick_s
         self._last_tick_s = now_s
         if late_s < self._rules.late_tick_s:
             return
         self._probes.clear()
         self.state.suspicions.postpone(late_s)
-        self.state.penalise(self._rules.max_health_penalty)
+        self.state.adjust_health_penalty(self._rules.max_health_penalty)
         self._next_round_s = now_s + self._rules.probe_interval_s
 
     def _advance_probes(self, now_s: float, actions: list[Action]) -> None:
@@ -183,11 +185,11 @@
         for sequence, probe in self._probes.in_flight():
             waited_s = now_s - probe.sent_at_s
             if waited_s >= self._rules.probe_timeout_s * stretch:
-                # No penalty yet: when many nodes crash at once, failed probes are nobody's fault
-                # here. A refuted accusation is the proof of bad timing.
+                # No penalty yet: when many nodes crash at once, this node is not the cause of the
+                # failed probes. Only a refuted accusation proves that its timing is bad.
                 self._probes.finish(sequence)
                 self.state.accuse(probe.target, now_s)
-                # The node behind a failed one may have failed with it; do not wait for a round.
+                # The next node in the ring may have failed as well; do not wait for the next round.
                 self._probe_successors(now_s, actions, in_fleet=True)
             elif waited_s >= self._rules.direct_timeout_s * stretch and not probe.helpers_asked:
                 self._ask_helpers(sequence, probe, actions)
@@ -214,7 +216,10 @@
                 self._probe_name(chosen.name, now_s, actions)
 
     def _probe_successors(self, now_s: float, actions: list[Action], *, in_fleet: bool) -> None:
-        """Probe the next unsuspected node of the zone's ring, and of the fleet's if wanted."""
+        """Probe the next unsuspected node in the zone's ring.
+
+        Also probe the next one in the fleet's ring if `in_fleet` or if the zone has no other node.
+        """
         table = self.state.table
         own_name = self.state.own.name
         next_in_zone = table.zone_ring.successor(own_name, table.is_alive)
@@ -226,9 +231,9 @@
         if next_in_fleet is not None:
             self._probe_name(next_in_fleet, now_s, actions)
 
-    def _confirm_suspects(self, now_s: float, actions: list[Action]) -> None:
-        names = self.state.to_confirm
-        self.state.to_confirm = []
+    def _probe_queued(self, now_s: float, actions: list[Action]) -> None:
+        names = self.state.to_probe
+        self.state.to_probe = []
         for name in names:
             self._probe_name(name, now_s, actions)
 
@@ -241,12 +246,18 @@
             actions.append(SendCast(target.address, self._ping(sequence, target)))
 
     def _ping(self, sequence: int, target: MemberUpdate) -> Ping:
-        # A member that is suspected or dead here must hear of it to refute it.
-        must_hear = target if target.state >= MemberState.SUSPECT else None
+        # A member that is suspected or dead here must learn of it, so that it can refute it.
+        record_to_refute = target if target.state >= MemberState.SUSPECT else None
         digest = self.state.table.digest
-        return Ping(sequence, target.name, target.incarnation, digest, self._news(must_hear))
+        return Ping(
+            sequence,
+            target.name,
+            target.incarnation,
+            digest,
+            self._updates_to_send(record_to_refute),
+        )
 
-    def _news(self, first: MemberUpdate | None = None) -> tuple[MemberUpdate, ...]:
+    def _updates_to_send(self, first: MemberUpdate | None = None) -> tuple[MemberUpdate, ...]:
         num_live = self.state.table.num_live
         return self.state.broadcasts.take(self._rules.num_transmissions(num_live), first)
 
@@ -256,9 +267,9 @@
         self._next_gossip_s = now_s + self._rules.gossip_interval_s
         own_name = self.state.own.name
         for member in self.state.table.sample_live(self._random, self._rules.gossip_fanout + 1):
-            news = self._news() if member.name != own_name else ()
-            if news:
-                actions.append(SendCast(member.address, Gossip(news)))
+            updates = self._updates_to_send() if member.name != own_name else ()
+            if updates:
+                actions.append(SendCast(member.address, Gossip(updates)))
 
     def _probe_dead(self, now_s: float, actions: list[Action]) -> None:
         if now_s < self._next_dead_probe_s:
--- a/src/weirscale/domain/membership/ring.py
+++ b/src/weirscale/domain/membership/ring.py
@@ -1,4 +1,4 @@
-"""A ring of node names in hash order: who probes whom, agreed without messages."""
+"""A ring of node names in hash order; it determines who probes whom without any messages."""
 
 import bisect
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class HashRing:
-    """Names ordered by hash; neighbours are unrelated to how names were chosen."""
+    """Names ordered by hash, so that neighbours do not depend on how names are chosen."""
 
     def __init__(self) -> None:
         self._positions: list[_Position] = []
@@ -27,14 +27,17 @@
             self._positions.insert(index, position)
 
     def remove(self, name: NodeName) -> None:
-        """Take a name out; no effect if absent."""
+        """Remove a name; no effect if absent."""
         position = _position(name)
         index = bisect.bisect_left(self._positions, position)
         if index < len(self._positions) and self._positions[index] == position:
             del self._positions[index]
 
     def successor(self, name: NodeName, is_wanted: Callable[[NodeName], bool]) -> NodeName | None:
-        """Return the first wanted name after a name, going round; never the name itself."""
+        """Return the first name after `name` that satisfies a condition; never `name` itself.
+
+        The search wraps around; None if no name satisfies the condition.
+        """
         start = bisect.bisect_right(self._positions, _position(name))
         for offset in range(len(self._positions)):
             candidate = self._positions[(start + offset) % len(self._positions)][1]
@@ -42,9 +45,9 @@
                 return candidate
         return None
 
-    def is_among_predecessors(self, name: NodeName, of: NodeName, count: int) -> bool:
-        """Whether a name is one of the `count` names before another one."""
-        end = bisect.bisect_left(self._positions, _position(of))
+    def is_among_predecessors(self, name: NodeName, other: NodeName, count: int) -> bool:
+        """Return whether `name` is one of the `count` names before `other`."""
+        end = bisect.bisect_left(self._positions, _position(other))
         num_names = len(self._positions)
         for offset in range(1, min(count, num_names) + 1):
             if self._positions[(end - offset) % num_names][1] == name:
--- a/src/weirscale/domain/membership/rules.py
+++ b/src/weirscale/domain/membership/rules.py
@@ -1,4 +1,4 @@
-"""Tunable numbers of the membership protocol."""
+"""Tunable parameters of the membership protocol."""
 
 import math
 
@@ -6,35 +6,35 @@
 
 
 class MembershipRules(msgspec.Struct, frozen=True):
-    """Intervals, limits and timeouts; the defaults are measured at 50 to 400 nodes.
+    """Intervals, limits and timeouts; the defaults suit fleets of 50 to 400 nodes.
 
     Attributes:
-        tick_s: How often the protocol is stepped.
-        late_tick_s: A tick later than this means that the process was paused.
-        probe_interval_s: Time between probe rounds; each round probes the next node of the own
-            zone's ring, so every node is probed once in it.
-        fleet_ring_every: Rounds in which the next node of the fleet's ring is probed as well.
-        random_every: Rounds in which a random node is probed as well.
-        direct_timeout_s: Wait for an ack before helpers are asked.
-        probe_timeout_s: Wait for any ack before the node is suspected.
-        num_helpers: Nodes asked to probe indirectly.
-        suspicion_min_s: Suspicion lasts this long when independently confirmed.
-        suspicion_max_s: Suspicion lasts this long with a single accuser.
-        num_confirmations: Further accusers that bring it down to the minimum.
-        num_confirmers: Nodes that probe a suspect at once, to confirm or not.
-        gossip_interval_s: Time between gossip rounds while there is news.
-        gossip_fanout: Nodes told in a round.
-        retransmit_factor: Each piece of news is sent this many times log10 of the fleet's size.
-        max_health_penalty: Limit of the local health score, which stretches probe timeouts.
-        dead_probe_interval_s: How often one dead member is tried again, which heals cuts.
-        seed_interval_s: How often a seed that is not in the view is tried.
-        join_interval_s: How often seeds are tried before the first answer.
-        num_join_seeds: Seeds tried at once before the first answer: one that is down or starts
-            itself must not hold up a node that starts.
-        sync_quiet_s: A digest may differ this long after a change before views are compared.
-        sync_interval_s: Shortest time between comparisons.
-        tombstone_s: Dead members are remembered this long.
-        max_tombstones: Dead members remembered at most.
+        tick_s: Interval of the protocol's ticks.
+        late_tick_s: A tick that is late by this much means that the process was paused.
+        probe_interval_s: Time between probe rounds; each round probes the next node in the own
+            zone's ring, so every node is probed once per round.
+        fleet_ring_every: Every so many rounds the next node in the fleet's ring is probed as well.
+        random_every: Every so many rounds a random node is probed as well.
+        direct_timeout_s: Time without an ack after which indirect probes are requested.
+        probe_timeout_s: Time without any ack after which the node is suspected.
+        num_helpers: Number of nodes that are asked for an indirect probe.
+        suspicion_min_s: Duration of a suspicion with enough independent confirmations.
+        suspicion_max_s: Duration of a suspicion with a single accuser.
+        num_confirmations: Number of further accusers that reduce the duration to the minimum.
+        num_confirmers: Number of nodes that probe a suspect at once to confirm the suspicion.
+        gossip_interval_s: Time between gossip rounds while there are updates to send.
+        gossip_fanout: Number of nodes that get the updates in a round.
+        retransmit_factor: Each update is sent this many times log10 of the fleet's size.
+        max_health_penalty: Limit of the local health penalty, which stretches probe timeouts.
+        dead_probe_interval_s: Interval at which a random dead member is probed; heals partitions.
+        seed_interval_s: Interval at which a seed that is not a live member is tried.
+        join_interval_s: Interval at which seeds are tried before the first answer.
+        num_join_seeds: Number of seeds tried at once before the first answer: a seed that is down
+            or starting must not delay a starting node.
+        sync_quiet_s: Time after a change during which digests may differ without a sync.
+        sync_interval_s: Minimum time between syncs.
+        tombstone_s: How long dead members are kept.
+        max_tombstones: Maximum number of dead members kept.
     """
 
     tick_s: float = 0.1
@@ -63,7 +63,7 @@
     max_tombstones: int = 2000
 
     def suspicion_timeout_s(self, num_further_accusers: int, num_live: int) -> float:
-        """Return how long a suspicion lasts, given accusers beyond the first."""
+        """Return the duration of a suspicion, given the number of accusers beyond the first."""
         expected = min(self.num_confirmations, num_live - 2)
         if expected < 1:
             return self.suspicion_min_s
@@ -72,5 +72,5 @@
         return max(self.suspicion_min_s, self.suspicion_max_s - span_s * share)
 
     def num_transmissions(self, num_live: int) -> int:
-        """Return how often each piece of news is sent."""
+        """Return how often each update is sent."""
         return math.ceil(self.retransmit_factor * math.log10(num_live + 1))
--- a/src/weirscale/domain/membership/state.py
+++ b/src/weirscale/domain/membership/state.py
@@ -1,4 +1,4 @@
-"""What a node holds of all members, and how claims by others change it."""
+"""A node's records of all members, and how updates from other nodes change them."""
 
 import msgspec
 
@@ -11,7 +11,7 @@
 
 
 class MembershipState:
-    """Applies claims by precedence, runs suspicions, refutes claims about this node.
+    """Applies updates by precedence, keeps suspicions, refutes updates about this node.
 
     Args:
         own: This node's first record.
@@ -27,8 +27,8 @@
         self.health_penalty = 0
         self.is_superseded = False
         self.changed_at_s = now_s
-        self.to_confirm: list[NodeName] = []
-        """Suspects that this node should probe at once."""
+        self.to_probe: list[NodeName] = []
+        """Members that this node should probe at the next tick."""
         self._own_name = own.name
         self._accept(own, now_s)
 
@@ -40,24 +40,24 @@
         return record
 
     def apply_all(self, updates: tuple[MemberUpdate, ...], now_s: float) -> None:
-        """Apply claims made by another node."""
+        """Apply the updates of another node."""
         for update in updates:
             self.apply(update, now_s)
 
     def apply(self, update: MemberUpdate, now_s: float) -> None:
-        """Apply one claim if it is stronger than what is held."""
+        """Apply one update if it takes precedence over the record held."""
         if update.name == self._own_name:
-            self._hear_of_self(update, now_s)
+            self._apply_to_self(update, now_s)
             return
         held = self.table.get(update.name)
         if held is None and not update.is_live:
-            # Only remembered: nobody here needs to be told of a member that was never seen.
+            # Only stored: the death of a member that was never seen here need not be announced.
             self.table.put(update, now_s)
             return
         if held is None or update.precedence() > held.precedence():
             self._accept(update, now_s)
         elif update.precedence() == held.precedence() and update.state is MemberState.SUSPECT:
-            self._hear_accuser(update)
+            self._add_accuser(update)
 
     def accuse(self, target: MemberUpdate, now_s: float) -> None:
         """Suspect a member after a failed probe of it, or confirm the suspicion of others."""
@@ -71,8 +71,8 @@
         )
         self.apply(accusation, now_s)
 
-    def bury_expired(self, now_s: float) -> None:
-        """Declare members dead whose suspicion has lasted its time."""
+    def declare_expired_dead(self, now_s: float) -> None:
+        """Declare members dead whose suspicion has timed out."""
         for name in self.suspicions.expired(now_s, self.table.num_live):
             held = self.table.get(name)
             if held is None or held.state is not MemberState.SUSPECT:
@@ -82,12 +82,12 @@
             self._accept(dead, now_s)
 
     def declare_self(self, state: MemberState, now_s: float) -> None:
-        """Announce a new state of this node."""
+        """Set and announce a new state of this node."""
         refutations = self.own.refutations + 1
         self._accept(msgspec.structs.replace(self.own, state=state, refutations=refutations), now_s)
 
-    def penalise(self, points: int) -> None:
-        """Lower (or with negative points restore) the trust in this node's own timing."""
+    def adjust_health_penalty(self, points: int) -> None:
+        """Add points, which may be negative, to the penalty that stretches this node's timeouts."""
         limit = self.rules.max_health_penalty
         self.health_penalty = min(limit, max(0, self.health_penalty + points))
 
@@ -97,24 +97,24 @@
         self.broadcasts.put(update)
         if update.state is MemberState.SUSPECT:
             self.suspicions.start(update.name, update.accuser, now_s)
-            self._consider_confirming(update)
+            self._queue_confirmation(update)
             return
         ended = self.suspicions.end(update.name)
         if ended is not None and update.is_live and self._own_name in ended.accusers:
-            self.penalise(1)
+            self.adjust_health_penalty(1)
 
-    def _hear_accuser(self, update: MemberUpdate) -> None:
+    def _add_accuser(self, update: MemberUpdate) -> None:
         if self.suspicions.confirm(update.name, update.accuser):
             self.broadcasts.put(update)
 
-    def _consider_confirming(self, update: MemberUpdate) -> None:
+    def _queue_confirmation(self, update: MemberUpdate) -> None:
         if update.accuser == self._own_name:
             return
         count = self.rules.num_confirmers
         if self.table.fleet_ring.is_among_predecessors(self._own_name, update.name, count):
-            self.to_confirm.append(update.name)
+            self.to_probe.append(update.name)
 
-    def _hear_of_self(self, update: MemberUpdate, now_s: float) -> None:
+    def _apply_to_self(self, update: MemberUpdate, now_s: float) -> None:
         own = self.own
         if update.incarnation > own.incarnation:
             self.is_superseded = True
@@ -122,7 +122,7 @@
         is_older = update.precedence() <= own.precedence()
         if update.incarnation < own.incarnation or is_older or not own.is_live:
             return
-        # A claim that only this node may make: outdo it with a higher count of refutations.
+        # Only this node may change its record: refute the update with a higher refutation count.
         refuted = msgspec.structs.replace(own, refutations=update.refutations + 1)
         self._accept(refuted, now_s)
-        self.penalise(1)
+        self.adjust_health_penalty(1)
--- a/src/weirscale/domain/membership/suspicions.py
+++ b/src/weirscale/domain/membership/suspicions.py
@@ -1,4 +1,4 @@
-"""Suspicions and when they become deaths."""
+"""Suspicions of members, and their timeouts."""
 
 import msgspec
 
@@ -7,11 +7,11 @@
 
 
 class Suspicion(msgspec.Struct):
-    """One suspected member.
+    """The suspicion of one member.
 
     Attributes:
-        started_at_s: When this node first heard of it, moved on by pauses of this process.
-        accusers: Distinct nodes whose probes failed.
+        started_at_s: When this node learned of the suspicion, postponed by pauses of this process.
+        accusers: Distinct nodes whose probes of the member failed.
     """
 
     started_at_s: float
@@ -26,11 +26,11 @@
         self._suspicions: dict[NodeName, Suspicion] = {}
 
     def start(self, name: NodeName, accuser: str, now_s: float) -> None:
-        """Begin to suspect a member."""
+        """Start the suspicion of a member."""
         self._suspicions[name] = Suspicion(now_s, {accuser})
 
     def confirm(self, name: NodeName, accuser: str) -> bool:
-        """Add an accuser; True if it is new and still shortens the suspicion."""
+        """Add an accuser; return True if it is new and still shortens the suspicion."""
         suspicion = self._suspicions.get(name)
         if suspicion is None or accuser in suspicion.accusers:
             return False
@@ -40,16 +40,16 @@
         return True
 
     def end(self, name: NodeName) -> Suspicion | None:
-        """Stop suspecting a member."""
+        """End the suspicion of a member; return None if it was not suspected."""
         return self._suspicions.pop(name, None)
 
     def postpone(self, by_s: float) -> None:
-        """Move all deadlines on: refutations could not be heard in that time."""
+        """Postpone all timeouts by a time during which refutations could not be received."""
         for suspicion in self._suspicions.values():
             suspicion.started_at_s += by_s
 
     def expired(self, now_s: float, num_live: int) -> list[NodeName]:
-        """Return members whose suspicion has lasted its time."""
+        """Return members whose suspicion has timed out."""
         return [
             name
             for name, suspicion in self._suspicions.items()
--- a/src/weirscale/domain/membership/table.py
+++ b/src/weirscale/domain/membership/table.py
@@ -1,4 +1,4 @@
-"""The table of members: the strongest claim about each name, with digests and rings."""
+"""The table of members: the record of highest precedence for each name, digests and rings."""
 
 from random import Random
 
@@ -9,15 +9,15 @@
 from weirscale.messages.membership import MemberState, MemberUpdate
 
 NUM_BUCKETS = 32
-"""Buckets of names compared by digest: 13 names each at 400 nodes."""
+"""Number of name buckets that are compared by digest: 13 names each at 400 nodes."""
 
 
 class MemberTable:
-    """Records by name; live ones are in the rings and digests, dead ones are tombstones.
+    """Records by name. Live members are in the rings and digests; dead members are tombstones.
 
     Args:
-        zone: The zone whose ring is kept beside the fleet's.
-        max_tombstones: Dead records kept at most; the oldest are dropped first.
+        zone: The zone whose ring is kept in addition to the fleet's ring.
+        max_tombstones: Maximum number of dead records; the oldest are dropped first.
     """
 
     def __init__(self, zone: ZoneName, max_tombstones: int) -> None:
@@ -35,11 +35,11 @@
 
     @property
     def num_live(self) -> int:
-        """Members that are not dead and have not left."""
+        """Number of members that are not dead and have not left."""
         return len(self._live_names)
 
     def get(self, name: NodeName) -> MemberUpdate | None:
-        """Return the record of a name."""
+        """Return the record of a name, None if there is none."""
         return self._records.get(name)
 
     def live(self) -> list[MemberUpdate]:
@@ -47,7 +47,7 @@
         return [self._records[name] for name in self._live_names]
 
     def is_alive(self, name: NodeName) -> bool:
-        """Whether a name is live and not suspected."""
+        """Return whether a member is live and not suspected."""
         record = self._records.get(name)
         return record is not None and record.state < MemberState.SUSPECT
 
@@ -63,14 +63,14 @@
         return [self._records[name] for name in names]
 
     def random_dead(self, random: Random) -> MemberUpdate | None:
-        """Return a random member that died (not one that left)."""
+        """Return a random dead member; None if there is none or the chosen one has left."""
         if not self._dead_since_s:
             return None
         record = self._records[random.choice(list(self._dead_since_s))]
         return record if record.state is MemberState.DEAD else None
 
     def put(self, update: MemberUpdate, now_s: float) -> None:
-        """Store a record in place of the one before."""
+        """Store a record in place of the previous one."""
         old = self._records.get(update.name)
         if old is not None and old.is_live:
             self._toggle_digest(old)
@@ -85,22 +85,22 @@
         self.version += 1
 
     def expire_tombstones(self, before_s: float) -> None:
-        """Forget members that died before a time."""
-        # Insertion order is the order of death, so the first young one ends the search.
+        """Remove members that died before a given time."""
+        # Insertion order is the order of death, so the search ends at the first recent tombstone.
         for name, since_s in list(self._dead_since_s.items()):
             if since_s >= before_s:
                 return
-            self._forget(name)
+            self._remove(name)
 
     def differing_buckets(self, bucket_digests: tuple[int, ...]) -> tuple[int, ...]:
-        """Return the buckets in which another view differs; all for a view of no buckets."""
+        """Return the buckets that differ from another table; all if the other has no digests."""
         if len(bucket_digests) != NUM_BUCKETS:
             return tuple(range(NUM_BUCKETS))
         pairs = enumerate(zip(self.bucket_digests, bucket_digests, strict=True))
         return tuple(bucket for bucket, (own, other) in pairs if own != other)
 
     def in_buckets(self, buckets: tuple[int, ...]) -> list[MemberUpdate]:
-        """Return all records in some buckets, tombstones included."""
+        """Return all records in the given buckets, tombstones included."""
         wanted = set(buckets)
         return [record for record in self._records.values() if _bucket(record.name) in wanted]
 
@@ -128,9 +128,9 @@
 
     def _drop_oldest_tombstones(self) -> None:
         while len(self._dead_since_s) > self._max_tombstones:
-            self._forget(next(iter(self._dead_since_s)))
+            self._remove(next(iter(self._dead_since_s)))
 
-    def _forget(self, name: NodeName) -> None:
+    def _remove(self, name: NodeName) -> None:
         del self._dead_since_s[name]
         del self._records[name]
 
