--- a/src/weirscale/domain/placement/__init__.py
+++ b/src/weirscale/domain/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Placement and rollouts: declared against observed state of engines."""
+"""Placement and rollouts: compare the declared with the observed state of engines."""
--- a/src/weirscale/domain/placement/desired.py
+++ b/src/weirscale/domain/placement/desired.py
@@ -13,7 +13,7 @@
 
 
 def desired_engines(deployment: Deployment) -> Mapping[EngineName, DesiredEngine]:
-    """Return what each declared engine must serve."""
+    """Return the desired state of each declared engine."""
     models = declared_models(deployment)
     return {
         engine.name: DesiredEngine(
--- a/src/weirscale/domain/placement/model.py
+++ b/src/weirscale/domain/placement/model.py
@@ -1,4 +1,4 @@
-"""Values that placement decides on: what is observed of engines, and the rules."""
+"""Inputs of placement decisions: observations and desired states of engines, and the rules."""
 
 import enum
 
@@ -15,17 +15,17 @@
 
 
 class PlacementRules(msgspec.Struct, frozen=True):
-    """Bounds that the configuration does not declare.
+    """Limits and timeouts that are not part of the configuration.
 
     Attributes:
-        max_fleet_loads: Loads at once over all models: the weight store serves all of them.
-        max_report_age_s: An engine whose last report is older is taken as down. Above the sum of
-            the times at which homes tell their zones and a zone tells the planner, and one more
-            of each for a lost message.
-        order_pause_s: An engine that could not be given an order is taken as down for this time,
-            so that others get their turn.
+        max_fleet_loads: Maximum concurrent loads of all models: one weight store serves them all.
+        max_report_age_s: An engine whose last report is older counts as down. This is above the sum
+            of the intervals at which homes report to their zones and a zone reports to the planner,
+            with one more of each for a lost message.
+        order_pause_s: An engine to which an order could not be delivered counts as down for this
+            time, so that other engines get orders.
         order_repeat_s: An accepted small order (adapter, role) that shows no effect after this
-            time is given again.
+            time is sent again.
     """
 
     max_fleet_loads: int = 4
@@ -35,19 +35,19 @@
 
 
 class EngineObservation(msgspec.Struct, frozen=True):
-    """What the planner sees of one engine.
+    """The state of one engine as the planner observes it.
 
     Attributes:
-        engine: Its name.
-        incarnation: Its run, None if it was never heard of.
-        model: The model that it serves, None while it has none.
-        weight_version: The version that it serves.
+        engine: The engine's name.
+        incarnation: The engine's run; None if it has never reported.
+        model: The model that it serves; None while it has none.
+        weight_version: The weight version that it serves.
         adapters: Adapters loaded.
-        num_running: Requests that a load would have to wait for.
+        num_running: Number of running requests, for which a load would have to wait.
         order_token: Token of the last order carried out.
-        is_up: Whether it has reported lately.
+        is_up: Whether it has reported recently.
         is_leaving: Whether it is about to stop.
-        role: The role that it serves, None if it does not say.
+        role: The role that it serves; None if its reports have no role.
         loading_token: Token of the load that it is carrying out, 0 while none.
         failed_load_token: Token of the last load that failed in this run, 0 if none has.
     """
@@ -67,12 +67,12 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether it can serve requests of its model."""
+        """Whether the engine can serve requests of its model."""
         return self.is_up and not self.is_leaving and self.model is not None
 
 
 class DesiredEngine(msgspec.Struct, frozen=True):
-    """What the configuration wants of one engine."""
+    """The configured state of one engine."""
 
     engine: EngineName
     model: ModelName
@@ -82,7 +82,7 @@
 
 
 class RolloutState(enum.Enum):
-    """Where a model's rollout stands."""
+    """State of a model's rollout."""
 
     DONE = "done"
     ROLLING = "rolling"
--- a/src/weirscale/domain/placement/plan.py
+++ b/src/weirscale/domain/placement/plan.py
@@ -1,4 +1,8 @@
-"""Which loads to order next: bounded, above each model's floor, and stopped by failures."""
+"""Planning of the next loads.
+
+The number of loads is bounded, each model keeps its minimum of ready engines (its floor), and too
+many failures stop a rollout.
+"""
 
 from collections.abc import Iterable, Mapping
 
@@ -11,8 +15,8 @@
 from weirscale.messages.placement import LoadInProgress, PlacementRecord
 
 MAX_UNPROVEN_LOADS = 1
-"""Engines that load a version at once while none has loaded it well and it may be at fault: it
-would take a serving engine away, or has failed before."""
+"""Maximum concurrent loads of a version that no ready engine serves, if the load is risky. It is
+risky if it takes away a serving engine or if the version has failed before."""
 
 
 class LoadPlan(msgspec.Struct, frozen=True):
@@ -20,9 +24,10 @@
 
     Attributes:
         loads: All loads in progress once the plan is carried out.
-        ordered: Those of them that are new.
-        next_token: The token after the last one given.
-        waiting_for_floor: Models whose floor forbids every load that is left.
+        ordered: The new loads among them.
+        next_token: The next unused token.
+        waiting_for_floor: Models without loads whose engines must wait, because a load would take
+            ready engines below a floor.
     """
 
     loads: tuple[LoadInProgress, ...]
@@ -32,43 +37,43 @@
 
 
 class _Counts:
-    """Ready engines and loads, kept up to date while loads are planned."""
+    """Numbers of ready engines and of loads, updated while loads are planned."""
 
     def __init__(
         self, observations: Iterable[EngineObservation], loads: Iterable[LoadInProgress]
     ) -> None:
         loading = {load.engine for load in loads}
-        self.trying: dict[ModelName, int] = {}
+        self.active: dict[ModelName, int] = {}
         self.ready: dict[ModelName, int] = {}
         self.loading: dict[ModelName, int] = {}
         self.num_loads = 0
-        for seen in observations:
-            if seen.is_ready and seen.model is not None and seen.engine not in loading:
-                self.ready[seen.model] = self.ready.get(seen.model, 0) + 1
+        for observed in observations:
+            if observed.is_ready and observed.model is not None and observed.engine not in loading:
+                self.ready[observed.model] = self.ready.get(observed.model, 0) + 1
         for load in loads:
             self.add_load(load)
 
     def add_load(self, load: LoadInProgress) -> None:
-        """Count a load; one that was given up holds its slot, but tells nothing any more."""
+        """Count a load; a load that was given up keeps its slot, but proves nothing any more."""
         self.loading[load.model] = self.loading.get(load.model, 0) + 1
         self.num_loads += 1
         if not load.is_given_up:
-            self.trying[load.model] = self.trying.get(load.model, 0) + 1
+            self.active[load.model] = self.active.get(load.model, 0) + 1
 
 
-def needs_load(wanted: DesiredEngine, seen: EngineObservation) -> bool:
-    """Whether an engine that is up must load other weights."""
-    serves = (seen.model, seen.weight_version)
+def needs_load(wanted: DesiredEngine, observed: EngineObservation) -> bool:
+    """Return whether an engine that is up must load other weights."""
+    serves = (observed.model, observed.weight_version)
     return serves != (wanted.model, wanted.weight_version)
 
 
 def is_stopped(record: PlacementRecord, model: Model) -> bool:
-    """Whether too many loads of a model's declared version have failed."""
+    """Return whether too many loads of a model's declared version have failed."""
     return num_failures(record, model) >= model.max_failed_loads
 
 
 def num_failures(record: PlacementRecord, model: Model) -> int:
-    """Count the failed loads of a model's declared version."""
+    """Return the number of failed loads of a model's declared version."""
     return sum(
         failure.model == model.name
         and failure.weight_version == model.weight_version
@@ -84,43 +89,44 @@
     observations: Mapping[EngineName, EngineObservation],
     rules: PlacementRules,
 ) -> LoadPlan:
-    """Choose the loads to order now.
+    """Return the plan of the loads to order now.
 
-    Loads that are no longer wanted are replaced first; they keep their slots. Of a model whose
-    rollout has stopped, only engines without weights load: the version served before. Engines whose
-    load of the version has failed come last, so that another engine tells whether the version is at
-    fault; before them engines without weights (loading them takes no capacity away), then the least
-    busy.
+    Loads that are no longer wanted are replaced first, in their slots. If a model's rollout has
+    stopped, only its engines without weights load, and they load the previously served version.
+    Engines without weights come first, as their loads take no capacity away, then the least busy
+    ones. Engines on which a load of the version has failed come last, so that another engine shows
+    whether the version is at fault.
     """
     token = _first_token(record, observations.values())
-    due = _due(record, desired, observations)
+    due = _due_engines(record, desired, observations)
     superseded = _superseded(record, models, desired, observations, due)
     replacing = [
-        _load(wanted, seen, token + index) for index, (wanted, seen) in enumerate(superseded)
+        _load(wanted, observed, token + index)
+        for index, (wanted, observed) in enumerate(superseded)
     ]
     loads = [*_without(record.loads, replacing), *replacing]
     token += len(replacing)
     counts = _Counts(observations.values(), loads)
     planned: list[LoadInProgress] = []
     waiting: set[ModelName] = set()
-    for declared, seen in due:
+    for declared, observed in due:
         model = models[declared.model]
-        is_going_back = is_stopped(record, model)
-        wanted = _served_before(record, model, declared, seen) if is_going_back else declared
+        has_stopped = is_stopped(record, model)
+        wanted = _restore_target(record, model, declared, observed) if has_stopped else declared
         if wanted is None or not _has_slot(model, counts, rules):
             continue
-        has_doubt = seen.model is not None or num_failures(record, model) > 0
-        is_risky = has_doubt and not is_going_back
-        if is_risky and not _is_proven(wanted, observations, counts):
+        is_unproven = observed.model is not None or num_failures(record, model) > 0
+        is_risky = is_unproven and not has_stopped
+        if is_risky and not _may_load_one_more(wanted, observations, counts):
             continue
-        if not _keeps_floor(seen, models, counts):
+        if not _keeps_floor(observed, models, counts):
             waiting.add(wanted.model)
             continue
-        planned.append(_load(wanted, seen, token))
+        planned.append(_load(wanted, observed, token))
         token += 1
         counts.add_load(planned[-1])
-        if seen.is_ready and seen.model is not None:
-            counts.ready[seen.model] -= 1
+        if observed.is_ready and observed.model is not None:
+            counts.ready[observed.model] -= 1
     return LoadPlan(
         loads=(*loads, *planned),
         ordered=(*replacing, *planned),
@@ -129,11 +135,11 @@
     )
 
 
-def _load(wanted: DesiredEngine, seen: EngineObservation, token: int) -> LoadInProgress:
-    assert seen.incarnation is not None
+def _load(wanted: DesiredEngine, observed: EngineObservation, token: int) -> LoadInProgress:
+    assert observed.incarnation is not None
     return LoadInProgress(
         engine=wanted.engine,
-        incarnation=seen.incarnation,
+        incarnation=observed.incarnation,
         model=wanted.model,
         weight_version=wanted.weight_version,
         token=token,
@@ -154,11 +160,11 @@
     observations: Mapping[EngineName, EngineObservation],
     due: Iterable[tuple[DesiredEngine, EngineObservation]],
 ) -> list[tuple[DesiredEngine, EngineObservation]]:
-    """Return engines that need another order in the slot of the load that they have.
+    """Return the engines that need another order in the slot of their current load.
 
-    Those that load what is wanted no more need it even if they still report the wanted version:
-    they may be finishing their requests before they begin the load. Loads that were given up are
-    ordered again when no engine is left on which the version has not failed.
+    An engine with a load that is no longer wanted needs one even if it still reports the wanted
+    version: it may be finishing its requests before it starts the load. Loads that were given up
+    are ordered again when the version has failed on every engine that is left.
     """
     failed = {(failure.engine, failure.weight_version) for failure in record.failures}
     untried = {
@@ -168,26 +174,31 @@
     pairs: list[tuple[DesiredEngine, EngineObservation]] = []
     for load in record.loads:
         wanted = desired.get(load.engine)
-        seen = observations.get(load.engine)
-        if wanted is None or seen is None or not _takes_orders(seen):
+        observed = observations.get(load.engine)
+        if wanted is None or observed is None or not _accepts_orders(observed):
             continue
         is_wanted = (load.model, load.weight_version) == (wanted.model, wanted.weight_version)
         model = models[wanted.model]
         if is_stopped(record, model):
-            before = _served_before(record, model, wanted, seen) if load.is_given_up else None
-            if before is not None:
-                pairs.append((before, seen))
+            previous = (
+                _restore_target(record, model, wanted, observed) if load.is_given_up else None
+            )
+            if previous is not None:
+                pairs.append((previous, observed))
         elif not is_wanted or (load.is_given_up and wanted.model not in untried | running):
-            pairs.append((wanted, seen))
+            pairs.append((wanted, observed))
     return pairs
 
 
-def _served_before(
-    record: PlacementRecord, model: Model, declared: DesiredEngine, seen: EngineObservation
+def _restore_target(
+    record: PlacementRecord, model: Model, declared: DesiredEngine, observed: EngineObservation
 ) -> DesiredEngine | None:
-    """Return what an engine that a stopped rollout left without weights loads instead."""
+    """Return the state to restore on an engine that a stopped rollout left without weights.
+
+    Return None if the engine should not load anything.
+    """
     version = served_version(record, model.name)
-    if seen.model is not None or version is None or not model.restores_failed_engines:
+    if observed.model is not None or version is None or not model.restores_failed_engines:
         return None
     has_failed = any(
         failure.engine == declared.engine and failure.weight_version == version
@@ -198,12 +209,12 @@
     return msgspec.structs.replace(declared, weight_version=version)
 
 
-def _due(
+def _due_engines(
     record: PlacementRecord,
     desired: Mapping[EngineName, DesiredEngine],
     observations: Mapping[EngineName, EngineObservation],
 ) -> list[tuple[DesiredEngine, EngineObservation]]:
-    """Return the engines that need other weights and are not loading, first ones first."""
+    """Return the engines that need other weights and are not loading, in loading order."""
     loading = {load.engine for load in record.loads}
     failed = {(failure.engine, failure.weight_version) for failure in record.failures}
     due = [
@@ -212,7 +223,9 @@
         if name not in loading and name in observations
     ]
     due = [
-        (wanted, seen) for wanted, seen in due if _takes_orders(seen) and needs_load(wanted, seen)
+        (wanted, observed)
+        for wanted, observed in due
+        if _accepts_orders(observed) and needs_load(wanted, observed)
     ]
     due.sort(
         key=lambda pair: (
@@ -225,13 +238,13 @@
     return due
 
 
-def _takes_orders(seen: EngineObservation) -> bool:
-    return seen.is_up and not seen.is_leaving and seen.incarnation is not None
+def _accepts_orders(observed: EngineObservation) -> bool:
+    return observed.is_up and not observed.is_leaving and observed.incarnation is not None
 
 
 def _first_token(record: PlacementRecord, observations: Iterable[EngineObservation]) -> int:
-    """Stay above every token that an engine reports, also if the record was lost."""
-    highest = max((seen.order_token for seen in observations), default=0)
+    """Return a token above every token that an engine reports, even if the record was lost."""
+    highest = max((observed.order_token for observed in observations), default=0)
     return max(record.next_token, highest + 1)
 
 
@@ -240,23 +253,26 @@
     return counts.num_loads < rules.max_fleet_loads and num_loading < model.max_concurrent_loads
 
 
-def _is_proven(
+def _may_load_one_more(
     wanted: DesiredEngine,
     observations: Mapping[EngineName, EngineObservation],
     counts: _Counts,
 ) -> bool:
-    """Whether the version may be loaded on one engine more: it serves somewhere, or none loads."""
-    if counts.trying.get(wanted.model, 0) < MAX_UNPROVEN_LOADS:
+    """Return whether one more engine may load the version.
+
+    It may if a ready engine serves the version, or if no other engine is loading the model.
+    """
+    if counts.active.get(wanted.model, 0) < MAX_UNPROVEN_LOADS:
         return True
     return any(other.is_ready and not needs_load(wanted, other) for other in observations.values())
 
 
 def _keeps_floor(
-    seen: EngineObservation,
+    observed: EngineObservation,
     models: Mapping[ModelName, Model],
     counts: _Counts,
 ) -> bool:
-    """Whether the model that the engine serves now keeps enough ready engines without it."""
-    if seen.model is None or seen.model not in models:
+    """Return whether the engine's current model keeps enough ready engines without it."""
+    if observed.model is None or observed.model not in models:
         return True
-    return counts.ready.get(seen.model, 0) - 1 >= models[seen.model].min_ready_engines
+    return counts.ready.get(observed.model, 0) - 1 >= models[observed.model].min_ready_engines
--- a/src/weirscale/domain/placement/progress.py
+++ b/src/weirscale/domain/placement/progress.py
@@ -1,4 +1,4 @@
-"""How far each model's rollout is, for status."""
+"""Progress of each model's rollout, for status reports."""
 
 from collections.abc import Mapping
 
@@ -15,10 +15,10 @@
         "no engine may load without going below min_ready_engines: lower it or add engines"
     ),
     RolloutState.STOPPED: (
-        "loads of this version fail: apply the version before, or a mended one under a new name"
+        "loads of this version fail: apply the previous version or a corrected one under a new name"
     ),
     RolloutState.SHORT_OF_ENGINES: (
-        "engines are down, leaving, unheard of or take no orders: look at them in status"
+        "engines are down, leaving, never observed or accept no orders: check them in status"
     ),
 }
 
@@ -31,14 +31,14 @@
     waiting_for_floor: frozenset[ModelName],
 ) -> RolloutProgress:
     """Return the progress of one model."""
-    wanted = [each for each in desired.values() if each.model == model.name]
+    wanted = [target for target in desired.values() if target.model == model.name]
     ready = [
-        (each, observations[each.engine])
-        for each in wanted
-        if each.engine in observations and observations[each.engine].is_ready
+        (target, observations[target.engine])
+        for target in wanted
+        if target.engine in observations and observations[target.engine].is_ready
     ]
-    num_ready = sum(seen.model == model.name for _, seen in ready)
-    num_current = sum(_is_current(each, seen) for each, seen in ready)
+    num_ready = sum(observed.model == model.name for _, observed in ready)
+    num_current = sum(_is_current(target, observed) for target, observed in ready)
     loading = tuple(load.engine for load in record.loads if load.model == model.name)
     stuck = tuple(
         load.engine for load in record.loads if load.model == model.name and load.is_given_up
@@ -68,5 +68,5 @@
     )
 
 
-def _is_current(wanted: DesiredEngine, seen: EngineObservation) -> bool:
-    return not needs_load(wanted, seen) and set(wanted.adapters) <= seen.adapters
+def _is_current(wanted: DesiredEngine, observed: EngineObservation) -> bool:
+    return not needs_load(wanted, observed) and set(wanted.adapters) <= observed.adapters
--- a/src/weirscale/domain/placement/served.py
+++ b/src/weirscale/domain/placement/served.py
@@ -1,4 +1,4 @@
-"""The version that each model served last: where a stopped rollout's failed engines go back to."""
+"""The last served version of each model, which a stopped rollout restores on failed engines."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -10,9 +10,9 @@
 
 
 def served_version(record: PlacementRecord, model: ModelName) -> WeightVersion | None:
-    """Return the version that a model served last, None if it is not known."""
-    found = (each.weight_version for each in record.served if each.model == model)
-    return next(found, None)
+    """Return the last served version of a model, None if it is not known."""
+    versions = (served.weight_version for served in record.served if served.model == model)
+    return next(versions, None)
 
 
 def served_versions(
@@ -20,18 +20,18 @@
     models: Mapping[ModelName, Model],
     observations: Iterable[EngineObservation],
 ) -> tuple[ServedVersion, ...]:
-    """Return the served versions as of now.
+    """Return the current served versions.
 
-    A declared version takes the place of the one before once most ready engines of the model, and
-    as many as must stay ready, serve it: a rollout that fails earlier can go back. Where nothing is
-    known yet, the version that most ready engines serve is taken.
+    A declared version replaces the previous one once the majority of the model's ready engines
+    serve it, and at least as many as must stay ready. So a rollout that fails earlier can be rolled
+    back. Without a previous version, the version with the most ready engines is used.
     """
     counts: dict[ModelName, Counter[WeightVersion]] = {name: Counter() for name in models}
-    for seen in observations:
-        if seen.is_ready and seen.model in counts and seen.weight_version is not None:
-            counts[seen.model][seen.weight_version] += 1
+    for observed in observations:
+        if observed.is_ready and observed.model in counts and observed.weight_version is not None:
+            counts[observed.model][observed.weight_version] += 1
     versions = {
-        name: _version_now(models[name], served_version(record, name), ready)
+        name: _current_version(models[name], served_version(record, name), ready)
         for name, ready in counts.items()
     }
     return tuple(
@@ -39,13 +39,13 @@
     )
 
 
-def _version_now(
-    model: Model, before: WeightVersion | None, ready: Counter[WeightVersion]
+def _current_version(
+    model: Model, previous: WeightVersion | None, ready: Counter[WeightVersion]
 ) -> WeightVersion | None:
     num_current = ready[model.weight_version]
-    is_most = 2 * num_current > ready.total()
-    if is_most and num_current >= model.min_ready_engines:
+    is_majority = 2 * num_current > ready.total()
+    if is_majority and num_current >= model.min_ready_engines:
         return model.weight_version
-    if before is None and ready:
+    if previous is None and ready:
         return max(sorted(ready), key=lambda version: ready[version])
-    return before
+    return previous
--- a/src/weirscale/domain/placement/settle.py
+++ b/src/weirscale/domain/placement/settle.py
@@ -1,4 +1,4 @@
-"""What became of loads in progress: finished, failed, or given up and perhaps still running."""
+"""Outcomes of loads in progress: finished, failed, or given up and perhaps still running."""
 
 from collections.abc import Mapping
 
@@ -13,8 +13,8 @@
 
 MAX_GIVEN_UP_TIMEOUTS = 3
 """A load that was given up keeps its slot until its engine's reports prove that it has ended, but
-at most this many times `load_timeout_s` in all: an engine that never tells must not hold it
-for ever."""
+at most this many times `load_timeout_s` in total: an engine that never reports the end must not
+hold the slot for ever."""
 
 
 class Settlement(msgspec.Struct, frozen=True):
@@ -22,9 +22,9 @@
 
     Attributes:
         record: The new record.
-        finished: Loads that have come to an end well.
+        finished: Loads that have succeeded.
         failed: Loads that have failed.
-        freed: Loads given up earlier that hold their slots no longer.
+        freed: Loads given up earlier that no longer hold their slots.
     """
 
     record: PlacementRecord
@@ -40,37 +40,37 @@
     observations: Mapping[EngineName, EngineObservation],
     load_ages_s: Mapping[int, float],
 ) -> Settlement:
-    """Settle the loads in progress.
+    """Determine the outcomes of the loads in progress.
 
     Args:
         record: Loads and failures as recorded.
         models: Declared models.
-        desired: What each engine must serve.
-        observations: What is seen of engines.
-        load_ages_s: Age of each load by its token, counted from when this planner first knew it.
+        desired: The desired state of each engine.
+        observations: The observed state of each engine.
+        load_ages_s: Age of each load by its token, since this planner first knew of the load.
 
     Returns:
-        The record without the loads that ended, and without failures of versions that are not
-        declared any more: declaring another version starts afresh.
+        The record without the loads that ended, and without failures of versions that are no longer
+        declared: the failures of a newly declared version are current from zero.
     """
     still_loading: list[LoadInProgress] = []
     freed: list[LoadInProgress] = []
     finished: list[LoadInProgress] = []
     failed: list[FailedLoad] = []
     for load in record.loads:
-        seen = observations.get(load.engine)
-        if seen is None:
+        observed = observations.get(load.engine)
+        if observed is None:
             continue
-        if is_loaded(seen, load):
+        if is_loaded(observed, load):
             finished.append(load)
             continue
         model = models.get(load.model)
         age_s = load_ages_s.get(load.token, 0.0)
         if load.is_given_up:
-            is_held = model is not None and _may_still_run(load, seen, model, age_s)
-            (still_loading if is_held else freed).append(load)
+            keeps_slot = model is not None and _may_still_run(load, observed, model, age_s)
+            (still_loading if keeps_slot else freed).append(load)
             continue
-        reason = _end_reason(load, seen, model)
+        reason = _end_reason(load, observed, model)
         if reason is None and model is not None and age_s >= model.load_timeout_s:
             reason = f"not loaded within {model.load_timeout_s:g} s"
             still_loading.append(msgspec.structs.replace(load, is_given_up=True))
@@ -87,42 +87,44 @@
     return Settlement(settled, tuple(finished), tuple(failed), tuple(freed))
 
 
-def is_loaded(seen: EngineObservation, load: LoadInProgress) -> bool:
-    """Whether a load has come to its end.
+def is_loaded(observed: EngineObservation, load: LoadInProgress) -> bool:
+    """Return whether a load has succeeded.
 
-    The token proves that the engine means this load; without it, a report made before the order
+    The token proves that the report refers to this load. Without it, a report from before the order
     could show the same version from an earlier load.
     """
     return (
-        seen.is_up
-        and seen.incarnation == load.incarnation
-        and seen.model == load.model
-        and seen.weight_version == load.weight_version
-        and seen.order_token >= load.token
+        observed.is_up
+        and observed.incarnation == load.incarnation
+        and observed.model == load.model
+        and observed.weight_version == load.weight_version
+        and observed.order_token >= load.token
     )
 
 
-def _end_reason(load: LoadInProgress, seen: EngineObservation, model: Model | None) -> str | None:
-    """Return why a load has certainly ended without success, None while it may go on."""
-    if seen.is_leaving:
+def _end_reason(
+    load: LoadInProgress, observed: EngineObservation, model: Model | None
+) -> str | None:
+    """Return why a load has certainly ended without success; None while it may continue."""
+    if observed.is_leaving:
         return "the engine is leaving"
-    if seen.incarnation is not None and seen.incarnation > load.incarnation:
+    if observed.incarnation is not None and observed.incarnation > load.incarnation:
         return "the engine restarted during the load"
     if model is None:
         return "the model is no longer declared"
-    if seen.incarnation == load.incarnation and seen.failed_load_token >= load.token:
+    if observed.incarnation == load.incarnation and observed.failed_load_token >= load.token:
         return "the engine could not load it"
     return None
 
 
 def _may_still_run(
-    load: LoadInProgress, seen: EngineObservation, model: Model, age_s: float
+    load: LoadInProgress, observed: EngineObservation, model: Model, age_s: float
 ) -> bool:
-    """Whether the engine of a load that was given up may still be reading weights for it."""
+    """Return whether the engine of a given-up load may still be reading its weights."""
     if age_s >= MAX_GIVEN_UP_TIMEOUTS * model.load_timeout_s:
         return False
-    has_gone_on = max(seen.order_token, seen.loading_token) > load.token
-    return _end_reason(load, seen, model) is None and not has_gone_on
+    has_later_order = max(observed.order_token, observed.loading_token) > load.token
+    return _end_reason(load, observed, model) is None and not has_later_order
 
 
 def _failures_of(
@@ -131,7 +133,7 @@
     record: PlacementRecord,
     desired: Mapping[EngineName, DesiredEngine],
 ) -> list[FailedLoad]:
-    """Return the failure that a load counts as; none if what it loads is wanted no more."""
+    """Return the failure of a load as a list, which is empty if the load is no longer wanted."""
     wanted = desired.get(load.engine)
     if wanted is None or wanted.model != load.model:
         return []
@@ -146,8 +148,8 @@
 def _current_failures(
     failures: tuple[FailedLoad, ...], models: Mapping[ModelName, Model]
 ) -> tuple[FailedLoad, ...]:
-    """Return the failures of declared versions, and those of going back from them."""
-    counted = tuple(
+    """Return the failures of declared versions, and failures to restore the previous versions."""
+    current = tuple(
         failure
         for failure in failures
         if not failure.is_restoring
@@ -157,7 +159,9 @@
     stopped = {
         name
         for name, model in models.items()
-        if is_stopped(PlacementRecord(failures=counted), model)
+        if is_stopped(PlacementRecord(failures=current), model)
     }
-    restoring = (each for each in failures if each.is_restoring and each.model in stopped)
-    return (*counted, *restoring)
+    restoring = (
+        failure for failure in failures if failure.is_restoring and failure.model in stopped
+    )
+    return (*current, *restoring)
--- a/src/weirscale/domain/placement/small_orders.py
+++ b/src/weirscale/domain/placement/small_orders.py
@@ -1,4 +1,4 @@
-"""Orders that take no slot: adapters and roles of engines that serve the right weights."""
+"""Orders that need no load slot: adapters and roles of engines that serve the desired weights."""
 
 from collections.abc import Mapping
 
@@ -19,7 +19,7 @@
 
 
 class RoleChange(msgspec.Struct, frozen=True):
-    """Have an engine serve a role."""
+    """Change the role of an engine."""
 
     engine: EngineName
     role: EngineRole
@@ -29,7 +29,7 @@
 
 
 class KnownRole(msgspec.Struct, frozen=True):
-    """A role that a run of an engine has accepted; for engines whose reports tell no role."""
+    """A role that a run of an engine has accepted; for engines whose reports have no role."""
 
     incarnation: Incarnation
     role: EngineRole
@@ -41,41 +41,41 @@
     known_roles: Mapping[EngineName, KnownRole],
     loading: frozenset[EngineName],
 ) -> list[SmallChange]:
-    """Return the changes that engines with the right weights still need, one for each engine.
+    """Return the changes that engines with the desired weights still need, one for each engine.
 
-    One at a time, so that an engine carries out orders in the order of their tokens.
+    There is only one at a time, so that an engine carries out orders in the order of their tokens.
     """
     changes: list[SmallChange] = []
     for name, wanted in desired.items():
-        seen = observations.get(name)
-        if seen is None or not seen.is_ready or name in loading:
+        observed = observations.get(name)
+        if observed is None or not observed.is_ready or name in loading:
             continue
-        change = _next_change(wanted, seen, known_roles.get(name))
+        change = _next_change(wanted, observed, known_roles.get(name))
         if change is not None:
             changes.append(change)
     return changes
 
 
 def _next_change(
-    wanted: DesiredEngine, seen: EngineObservation, known: KnownRole | None
+    wanted: DesiredEngine, observed: EngineObservation, accepted: KnownRole | None
 ) -> SmallChange | None:
-    if needs_load(wanted, seen):
+    if needs_load(wanted, observed):
         return None
     for adapter in wanted.adapters:
-        if adapter not in seen.adapters:
+        if adapter not in observed.adapters:
             return AdapterChange(wanted.engine, adapter, is_load=True)
-    for adapter in sorted(seen.adapters):
+    for adapter in sorted(observed.adapters):
         if adapter not in wanted.adapters:
             return AdapterChange(wanted.engine, adapter, is_load=False)
-    if _role_now(seen, known) is not wanted.role:
+    if _current_role(observed, accepted) is not wanted.role:
         return RoleChange(wanted.engine, wanted.role)
     return None
 
 
-def _role_now(seen: EngineObservation, known: KnownRole | None) -> EngineRole:
-    """Return the role that an engine says or has accepted; a new run serves both phases."""
-    if seen.role is not None:
-        return seen.role
-    if known is not None and known.incarnation == seen.incarnation:
-        return known.role
+def _current_role(observed: EngineObservation, accepted: KnownRole | None) -> EngineRole:
+    """Return the role that an engine reports or has accepted; a new run serves both phases."""
+    if observed.role is not None:
+        return observed.role
+    if accepted is not None and accepted.incarnation == observed.incarnation:
+        return accepted.role
     return EngineRole.BOTH
