--- a/src/weirscale/domain/membership/protocol.py
+++ b/src/weirscale/domain/membership/protocol.py
@@ -120,7 +120,7 @@
         return [SendCast(request.target.address, self._ping(sequence, request.target))]
 
     def handle_gossip(self, gossip: Gossip, now_s: float) -> list[Action]:
-        """Apply updates."""
+        """Apply the updates of a gossip message."""
         self.state.apply_all(gossip.updates, now_s)
         return []
 
--- a/src/weirscale/domain/placement/plan.py
+++ b/src/weirscale/domain/placement/plan.py
@@ -26,8 +26,8 @@
         loads: All loads in progress once the plan is carried out.
         ordered: The new loads among them.
         next_token: The next unused token.
-        waiting_for_floor: Models without loads whose engines must wait, because a load would take
-            ready engines below a floor.
+        waiting_for_floor: Models whose engines all wait, because each load would leave too few
+            ready engines.
     """
 
     loads: tuple[LoadInProgress, ...]
@@ -115,8 +115,8 @@
         wanted = _restore_target(record, model, declared, observed) if has_stopped else declared
         if wanted is None or not _has_slot(model, counts, rules):
             continue
-        is_unproven = observed.model is not None or num_failures(record, model) > 0
-        is_risky = is_unproven and not has_stopped
+        needs_proof = observed.model is not None or num_failures(record, model) > 0
+        is_risky = needs_proof and not has_stopped
         if is_risky and not _may_load_one_more(wanted, observations, counts):
             continue
         if not _keeps_floor(observed, models, counts):
--- a/src/weirscale/domain/placement/settle.py
+++ b/src/weirscale/domain/placement/settle.py
@@ -14,7 +14,7 @@
 MAX_GIVEN_UP_TIMEOUTS = 3
 """A load that was given up keeps its slot until its engine's reports prove that it has ended, but
 at most this many times `load_timeout_s` in total: an engine that never reports the end must not
-hold the slot for ever."""
+hold the slot forever."""
 
 
 class Settlement(msgspec.Struct, frozen=True):
--- a/src/weirscale/domain/prefix/chain.py
+++ b/src/weirscale/domain/prefix/chain.py
@@ -29,7 +29,7 @@
     weight_version: WeightVersion,
     adapter: AdapterName | None,
 ) -> BlockHash:
-    """Return the hash that a chain starts with; engines call the tenant the cache salt."""
+    """Return the hash that a chain starts with; the tenant is also called the cache salt."""
     identity = SEED_SEPARATOR.join((tenant, model, weight_version, adapter or ""))
     return BlockHash(xxhash.xxh3_64_intdigest(identity.encode()))
 
--- a/src/weirscale/domain/prefix/digest_publisher.py
+++ b/src/weirscale/domain/prefix/digest_publisher.py
@@ -37,7 +37,7 @@
 """Maximum time that a change waits to be sent; beyond it the sample becomes coarser."""
 
 BURST_S = 2.0
-"""Unused budget is kept for this long; covers a refinement or a new run's first digests."""
+"""Unused budget is kept for this long; covers a refinement and a new run's first digests."""
 
 REFINE_SHARE = 0.5
 """The sample is refined only if changes would then need at most this share of the budget."""
--- a/src/weirscale/domain/prefix/engine_masks.py
+++ b/src/weirscale/domain/prefix/engine_masks.py
@@ -87,8 +87,8 @@
         sample_mask = (1 << sample_bits) - 1
         masks = self._masks
         depths: list[tuple[int, int]] = []
-        # Each segment: the last block held by `present`, these engines, a later block that only
-        # `remaining` hold, and these engines.
+        # Each segment is (low, present, high, remaining): the engines `present` hold block `low`,
+        # and of these only `remaining` hold block `high`.
         segments = [(-1, engine_bits, num_blocks, 0)]
         while segments:
             low, present, high, remaining = segments.pop()
