--- a/features/steps/path_in_time_steps.py
+++ b/features/steps/path_in_time_steps.py
@@ -236,6 +236,6 @@
 def step_history(context, num, told, rest):
     history = RequestHistory()
     for number in range(num):
-        history.note_failure(f"runner-{number}", "broken", NextStep.RESUME)
+        history.record_failure(f"runner-{number}", "broken", NextStep.RESUME)
     *causes, last = history.causes.split(",")
     assert (len(causes), last) == (told, rest), history.causes
--- a/src/weirscale/node/execution/__init__.py
+++ b/src/weirscale/node/execution/__init__.py
@@ -1,1 +1,1 @@
-"""Runs admitted requests: attempts, resumes, retries, hedges and at-most-once claims."""
+"""Execution of admitted requests: attempts, resumes, retries, hedges and at-most-once claims."""
--- a/src/weirscale/node/execution/attempt.py
+++ b/src/weirscale/node/execution/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a generation on one engine: its stream, its resumes, its outcome."""
+"""One attempt of a generation request on one engine: its stream, resumes and outcome."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import AbstractAsyncContextManager
@@ -24,7 +24,7 @@
 )
 
 CLOSE_TIMEOUT_S = 1.0
-"""Closing a broken connection must not hold up the caller's answer."""
+"""Limit for closing a connection, so that a broken one can't delay the caller's answer."""
 
 _TIMED_OUT = EngineFailure(EngineFailureKind.TIMED_OUT, "the engine sent nothing in time")
 _ENDED_EARLY = EngineFailure(EngineFailureKind.BROKEN, "the stream ended before its last chunk")
@@ -33,10 +33,10 @@
 
 
 def classify(failure: EngineFailure, is_resume: bool) -> FailureClass:
-    """Say what an engine's failure means for the request.
+    """Return the failure class of an engine's failure.
 
-    A resume that fails says nothing about the attempt that it wanted to go on with, so it never
-    proves that the request did not run.
+    A failed resume carries no information about the attempt that it should have continued, so it
+    never proves that the request did not run.
     """
     if failure.kind in _INTERRUPTIONS:
         return FailureClass.INTERRUPTED
@@ -52,21 +52,22 @@
 
 
 ChunkSink = Callable[[TokenChunk, bool], Awaitable[None]]
-"""Takes a chunk that passed the check, and whether another one has arrived already, so that both
-may go on together; may wait for a slow caller."""
+"""Receives a chunk that passed the check, and whether the next chunk has already arrived, so that
+both can be sent together. May wait for a slow caller."""
 
 
 class AttemptFailure(msgspec.Struct, frozen=True):
-    """A failed attempt; `failure_class` tells what may follow."""
+    """A failed attempt; `failure_class` determines which steps may follow."""
 
     failure: EngineFailure
     failure_class: FailureClass
 
 
 class Attempt:
-    """Pulls one attempt's stream.
+    """Reads the stream of one attempt.
 
-    Owned by the task that made it. `next` answers only chunks that passed the request's check.
+    Used only by the task that created it. `next` returns only chunks that passed the request's
+    check.
     """
 
     def __init__(
@@ -94,17 +95,17 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether this attempt delivered the last chunk."""
+        """Return whether this attempt delivered the last chunk."""
         return self.last_chunk is not None and self.last_chunk.finish_reason is not None
 
     @property
     def num_ready(self) -> int:
-        """Chunks that have arrived and not been taken; some may yet be dropped."""
+        """Return the number of unread chunks that have arrived; the check may still drop some."""
         return num_ready_chunks(self._chunks) if self._chunks is not None else 0
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the engine may have done work for it."""
+        """Return whether the engine may have worked on this attempt."""
         if not self._was_sent:
             return False
         if self.failure is None or self._is_resume:
@@ -112,27 +113,30 @@
         return not self.failure.provably_not_run
 
     async def next(self, give_up_at_s: float) -> Result[TokenChunk, AttemptFailure]:
-        """Wait for the next chunk that passes the check, or for the attempt's failure."""
+        """Return the next chunk that passes the check, or the attempt's failure.
+
+        The wait ends at `give_up_at_s`, or after `CHUNK_STALL_S` once a chunk has arrived.
+        """
         while True:
             chunks = self._chunks
             if chunks is not None and num_ready_chunks(chunks):
                 item = await anext(chunks)
             else:
                 item = await self._pull(give_up_at_s)
-            taken = self._take(item)
-            if isinstance(taken, Err):
-                return taken
-            if taken.ok_value is not None:
-                return Ok(taken.ok_value)
-
-    def _take(self, item: ChunkOrFailure) -> Result[TokenChunk | None, AttemptFailure]:
-        """Check what the engine sent; Ok(None) for a chunk that is dropped as repeated."""
+            checked = self._check_item(item)
+            if isinstance(checked, Err):
+                return checked
+            if checked.ok_value is not None:
+                return Ok(checked.ok_value)
+
+    def _check_item(self, item: ChunkOrFailure) -> Result[TokenChunk | None, AttemptFailure]:
+        """Check an item of the stream; return Ok(None) for a repeated chunk, which is dropped."""
         if isinstance(item, Err):
             return self._fail(item.err_value)
         chunk = item.ok_value
         verdict = self.check.check(chunk)
         if verdict is ChunkVerdict.PASS:
-            self._note_passed(chunk)
+            self._record_chunk(chunk)
             return item
         if verdict is ChunkVerdict.REPEATED:
             self.num_repeated += 1
@@ -143,9 +147,14 @@
     async def stream(
         self, sink: ChunkSink, watch: StallWatch, give_up_at_s: float
     ) -> AttemptFailure | None:
-        """Hand all further chunks to a sink; None when the last one has been handed over.
+        """Pass all further chunks to a sink.
+
+        Like calling `next` for each chunk, but the watch detects stalls, which costs less than a
+        deadline for each chunk.
 
-        Like `next` for each chunk, but stalls are seen by the watch, which costs less.
+        Returns:
+            None once the last chunk has been passed on, otherwise the failure. After a resume,
+            None is also returned after the first chunk; call `stream` again for the rest.
         """
         chunks = self._chunks
         if chunks is None:
@@ -181,25 +190,25 @@
                 item = Err(_ENDED_EARLY)
             pull.waiting_since_s = None
             if pull.scope.cancel_called:
-                # Too late: nothing may be handed over while the scope is cancelled. The chunk
-                # has not been checked in, so a resumed stream brings it again.
+                # Nothing can be sent to the caller inside a cancelled scope. The check has not
+                # counted the chunk yet, so a resumed stream delivers it again.
                 item = Err(_TIMED_OUT)
-            taken = self._take(item)
-            if isinstance(taken, Err):
-                return taken.err_value
-            if taken.ok_value is not None:
-                await sink(taken.ok_value, num_ready_chunks(chunks) > 0)
+            checked = self._check_item(item)
+            if isinstance(checked, Err):
+                return checked.err_value
+            if checked.ok_value is not None:
+                await sink(checked.ok_value, num_ready_chunks(chunks) > 0)
         return None
 
     async def resume(self) -> None:
-        """Go on with the same work on the same engine; the next `next` opens the stream."""
+        """Prepare to resume the stream on the same engine; the following `next` opens it."""
         await self.close()
         self.num_idle_resumes += 1
         self._is_resume = True
         self.failure = None
 
     async def close(self) -> None:
-        """Close the connection; bounded in time, also while being cancelled."""
+        """Close the connection within `CLOSE_TIMEOUT_S`, also while the task is being cancelled."""
         context = self._context
         self._context = None
         self._chunks = None
@@ -210,7 +219,7 @@
     def finish(
         self, routing: EngineRouter, canceller: EngineCanceller, now_s: float
     ) -> AttemptOutcome:
-        """Report the outcome and stop the engine's work if it may still go on."""
+        """Report the outcome to routing; cancel the engine's work if it may still be running."""
         if self.may_have_run and not self.is_complete:
             canceller.post(self.chosen.port, self.call.request_id, self.call.attempt)
         last = self.last_chunk
@@ -228,7 +237,7 @@
         routing.report(outcome)
         return outcome
 
-    def _note_passed(self, chunk: TokenChunk) -> None:
+    def _record_chunk(self, chunk: TokenChunk) -> None:
         if self.ttft_s is None:
             self.ttft_s = anyio.current_time() - self._started_s
         self.last_chunk = chunk
@@ -272,7 +281,7 @@
     check: StreamCheck,
     time_left_s: float,
 ) -> GenerateCall:
-    """Build the call of an attempt; it continues from the chunks that passed already."""
+    """Build the call of an attempt, which continues after the chunks that have already passed."""
     return GenerateCall(
         request_id=RequestId(request.request_id),
         attempt=attempt,
--- a/src/weirscale/node/execution/attempts.py
+++ b/src/weirscale/node/execution/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of one generation request: made on chosen engines in time, ended at once."""
+"""The attempts of one generation request: where they start, how long they wait, how they end."""
 
 import anyio
 from result import Err, Ok, Result
@@ -21,24 +21,25 @@
 from weirscale.node.routing.engine_router import EngineRouter
 
 SAME_ENGINE_PAUSE_S = 0.1
-"""Pause before an engine that failed this request is tried again for want of another."""
+"""Pause before retrying an engine that failed this request, if no other engine is available."""
 
 
 class RequestAttempts:
-    """Makes and ends the attempts of one request; used by the task that runs it.
+    """Starts and ends the attempts of one request; used only by the task that runs the request.
 
     Args:
         request: The request.
-        routing: Chooses engines and learns from outcomes.
-        canceller: Stops abandoned work.
+        routing: Chooses engines and receives the outcomes of attempts.
+        canceller: Cancels the engines' work for abandoned attempts.
         counts: The executor's counts.
 
     Attributes:
-        evidence: What is known about whether the request ran.
-        history: What is told in the log.
+        evidence: Evidence of whether the request ran.
+        history: Attempts and failures, for the log.
         excluded: Engines that failed this request.
-        required_version: Weights that must serve, once a chunk is out.
-        give_up_at_s: When waiting for the latest attempt's first chunk ends.
+        required_version: Weight version that every further attempt must use, set with the first
+            chunk of the answer.
+        give_up_at_s: When the first chunk of the latest attempt times out.
     """
 
     def __init__(
@@ -60,39 +61,39 @@
         self._ended: list[Attempt] = []
 
     async def start(self, check: StreamCheck) -> Result[Attempt, Refusal]:
-        """Choose an engine and make an attempt; its stream opens with the first pull."""
+        """Choose an engine and create an attempt, whose stream opens with the first `next`."""
         choice = await self._choose(self.excluded)
         if isinstance(choice, Err) and self.excluded and _is_no_backend(choice.err_value):
             await self._pause(SAME_ENGINE_PAUSE_S)
             choice = await self._choose(frozenset())
         if isinstance(choice, Err):
             return Err(refusals.with_run_status(choice.err_value, self.evidence.status))
-        self._set_patience(choice.ok_value)
-        return Ok(self._make(choice.ok_value, check))
+        self._start_first_chunk_timeout(choice.ok_value)
+        return Ok(self._make_attempt(choice.ok_value, check))
 
     async def start_hedge(self, first: Attempt) -> Attempt | None:
-        """Make an attempt beside a slow first one, on another engine; None if there is none."""
+        """Create a second attempt on another engine; return None if no other is available."""
         slow_engine = first.chosen.choice.engine
         choice = await self._choose(self.excluded | {slow_engine})
         if isinstance(choice, Err):
             return None
         self._counts.num_hedges += 1
-        self.history.note_hedge(slow_engine)
-        return self._make(choice.ok_value, StreamCheck(self._request.request_id))
+        self.history.record_hedge(slow_engine)
+        return self._make_attempt(choice.ok_value, StreamCheck(self._request.request_id))
 
     async def resume(self, attempt: Attempt) -> None:
-        """Have an attempt's stream opened again by the next pull."""
+        """Back off, then prepare to resume the attempt's stream; the following `next` opens it."""
         self._counts.num_resumes += 1
         self.history.num_resumes += 1
         await self._pause(resume_backoff_s(attempt.num_idle_resumes))
         await attempt.resume()
-        self._set_patience(attempt.chosen)
+        self._start_first_chunk_timeout(attempt.chosen)
 
     def end(self, attempt: Attempt) -> None:
-        """Report an attempt's outcome and have its work stopped; never waits.
+        """Report an attempt's outcome and request the cancellation of its work, without waiting.
 
-        Its connection is closed by `close`, after the caller has got what there is: closing a
-        broken one may take its time.
+        `close` closes the connection later, because closing a broken connection may take long and
+        must not delay the answer to the caller.
         """
         self._counts.num_repeated_chunks += attempt.num_repeated
         if attempt.may_have_run:
@@ -112,23 +113,23 @@
             return await self._routing.choose(request, number, excluded, self.required_version)
         return Err(refusals.deadline_exceeded(self.evidence.status))
 
-    def _make(self, chosen: ChosenEngine, check: StreamCheck) -> Attempt:
+    def _make_attempt(self, chosen: ChosenEngine, check: StreamCheck) -> Attempt:
         now_s = anyio.current_time()
         number = self.history.num_attempts
-        self.history.note_attempt(chosen.choice.engine)
+        self.history.record_attempt(chosen.choice.engine)
         self._counts.num_attempts += 1
         time_left_s = self._request.deadline_s - now_s
         call = generate_call(self._request, number, chosen, check, time_left_s)
         return Attempt(call, self._request, chosen, check, now_s)
 
-    def _set_patience(self, chosen: ChosenEngine) -> None:
+    def _start_first_chunk_timeout(self, chosen: ChosenEngine) -> None:
         now_s = anyio.current_time()
         time_left_s = self._request.deadline_s - now_s
-        patience_s = first_chunk_timeout_s(chosen.choice.estimated_ttft_s, time_left_s)
-        self.give_up_at_s = now_s + patience_s
+        timeout_s = first_chunk_timeout_s(chosen.choice.estimated_ttft_s, time_left_s)
+        self.give_up_at_s = now_s + timeout_s
 
     async def _pause(self, pause_s: float) -> None:
-        """Wait, at most until the deadline."""
+        """Sleep, at most until the request's deadline."""
         if pause_s > 0:
             await anyio.sleep_until(min(anyio.current_time() + pause_s, self._request.deadline_s))
 
--- a/src/weirscale/node/execution/canceller.py
+++ b/src/weirscale/node/execution/canceller.py
@@ -1,4 +1,4 @@
-"""Cancels abandoned work on engines, off the request path."""
+"""Cancellation of abandoned work on engines, outside the tasks that serve requests."""
 
 from collections import deque
 
@@ -11,10 +11,10 @@
 from weirscale.ports.engine import EnginePort
 
 NUM_WORKERS = 8
-"""Cancels in flight at once; a dead engine holds one for `CANCEL_TIMEOUT_S`."""
+"""Maximum number of cancel calls in flight; a dead engine occupies one for `CANCEL_TIMEOUT_S`."""
 
 CANCEL_TIMEOUT_S = 2.0
-"""A cancel that takes longer is dropped: the engine's own `time_left_s` ends the work."""
+"""Timeout of a cancel call; work that is not cancelled ends with the engine's own `time_left_s`."""
 
 
 class _Cancel(msgspec.Struct, frozen=True):
@@ -24,11 +24,15 @@
 
 
 class EngineCanceller:
-    """A task that tells engines to stop the work of attempts nobody waits for.
+    """A task that cancels the engines' work for abandoned attempts.
 
-    Runs the watch over stalled streams, too, whose attempts it is then asked to cancel.
+    It also runs the stall watch. The attempts of stalled streams are cancelled here as well.
 
-    `post` never waits, so it is safe while the request's own task is being cancelled.
+    `post` never waits, so it is safe to call while the request's own task is being cancelled.
+
+    Attributes:
+        num_dropped: Cancellations that were dropped because the mailbox was full.
+        stall_watch: Detects stalled streams.
     """
 
     def __init__(self) -> None:
@@ -39,7 +43,7 @@
         self.stall_watch = StallWatch()
 
     def post(self, port: EnginePort, request_id: RequestId, attempt: int) -> None:
-        """Have an attempt's work stopped soon."""
+        """Queue the cancellation of an attempt's work; drop it if the queue is full."""
         if self._mailbox.post(_Cancel(port, request_id, attempt)):
             self._num_pending += 1
         else:
@@ -53,7 +57,7 @@
                 tasks.start_soon(self._work)
 
     async def wait_idle(self) -> None:
-        """Wait until every posted cancel has been tried."""
+        """Wait until each queued cancellation has been sent or has timed out."""
         if self._num_pending == 0:
             return
         event = anyio.Event()
--- a/src/weirscale/node/execution/claims.py
+++ b/src/weirscale/node/execution/claims.py
@@ -1,4 +1,4 @@
-"""Holds the at-most-once claim of one request and settles it at the end."""
+"""At-most-once claims of requests: claiming a key, and settling the claim at the end."""
 
 import anyio
 import xxhash
@@ -12,17 +12,19 @@
 from weirscale.node.interfaces import Claim, ClaimState
 
 SETTLE_TIMEOUT_S = 2.0
-"""Settling is best effort: an unsettled claim stays in progress until its retention ends."""
+"""Timeout of settling, which is best effort: an unsettled claim stays in progress until its
+retention ends."""
 
 CLAIM_GRACE_S = 0.1
-"""A ledger ends a claim by itself at the deadline; only one that does not is cut off after this."""
+"""Time after the deadline at which a claim call is cancelled, if the ledger has not returned at
+the deadline by itself."""
 
 MAX_KEPT_ANSWER_BYTES = 64 * 1024
-"""Answers up to this size are kept in the ledger and given to a repeated request."""
+"""Answers up to this size are stored in the ledger and returned to a repeated request."""
 
 
 def fingerprint(*parts: bytes) -> bytes:
-    """Identify a request's content, so that a key used for other content is noticed."""
+    """Return a digest of a request's content, to detect that a key is reused for other content."""
     digest = xxhash.xxh3_128()
     for part in parts:
         digest.update(len(part).to_bytes(8, "big"))
@@ -30,7 +32,7 @@
     return digest.digest()
 
 
-async def take_claim(
+async def claim_key(
     ledger: QuorumClaimLedger,
     tenant: TenantName,
     idempotency_key: str,
@@ -38,9 +40,13 @@
     content: bytes,
     deadline_s: float,
 ) -> Result[Claim, Refusal]:
-    """Claim a key for a request; Ok is GRANTED, or COMPLETED with a kept answer."""
-    # A claim that is cut off may have been granted. It then stays in progress: a repetition is
-    # refused as unknown, which is safe.
+    """Claim a key for a request.
+
+    Returns:
+        A GRANTED claim, a COMPLETED claim with its stored answer, or the refusal.
+    """
+    # A cancelled claim call may have been granted. The claim then stays in progress, and repeated
+    # requests are refused with run status UNKNOWN, which is safe.
     answer: Result[Claim, Refusal] = Err(refusals.deadline_exceeded(RunStatus.NOT_RUN))
     with anyio.CancelScope(deadline=deadline_s + CLAIM_GRACE_S):
         answer = await ledger.claim(tenant, idempotency_key, request_id, content, deadline_s)
@@ -59,9 +65,10 @@
 async def settle_claim(
     ledger: QuorumClaimLedger, claim: Claim, run_status: RunStatus, answer: ServiceResponse | None
 ) -> None:
-    """Record that the request ran, or give the key back if it provably did not.
+    """Record that the request ran, or release the key if the request provably did not run.
 
-    When it may have run, the claim stays in progress: a repetition is refused as UNKNOWN.
+    If the request may have run, its claim stays in progress, and repeated requests are refused
+    with run status UNKNOWN.
     """
     with anyio.move_on_after(SETTLE_TIMEOUT_S, shield=True):
         if run_status is RunStatus.RAN:
--- a/src/weirscale/node/execution/counts.py
+++ b/src/weirscale/node/execution/counts.py
@@ -1,4 +1,4 @@
-"""Counts of what the executors did, for metrics."""
+"""Counts of the executors' attempts, retries and failures, for metrics."""
 
 import msgspec
 
@@ -6,11 +6,11 @@
 
 
 class FailureKey(msgspec.Struct, frozen=True):
-    """What failures are counted by.
+    """Key under which failures are counted.
 
     Attributes:
         failure: Kind of the back end's failure.
-        step: What followed.
+        step: Step that followed the failure.
     """
 
     failure: str
@@ -27,15 +27,15 @@
 
 
 class GenerationCounts(msgspec.Struct):
-    """What the executor counts, for metrics; only ever grows.
+    """Counts of the generation executor, for metrics; they never decrease.
 
     Attributes:
         num_attempts: Attempts started.
         num_resumes: Streams resumed on the same engine.
         num_continued: Attempts that continued an answer on another engine.
-        num_retries: Attempts after the first, before any chunk.
-        num_hedges: Second attempts beside a slow first one.
-        num_hedge_wins: Hedges whose chunk came first.
+        num_retries: Attempts after the first, before any chunk was received.
+        num_hedges: Second attempts in parallel with a slow first one.
+        num_hedge_wins: Hedges that delivered the first chunk.
         num_repeated_chunks: Chunks dropped as repeated.
         num_budget_refusals: Retries or hedges that the budget refused.
         failures: Failed attempts and resumes.
@@ -53,7 +53,7 @@
 
 
 class ServiceCounts(msgspec.Struct):
-    """What the service executor counts, for metrics; only ever grows.
+    """Counts of the service executor, for metrics; they never decrease.
 
     Attributes:
         num_attempts: Attempts started.
--- a/src/weirscale/node/execution/generation.py
+++ b/src/weirscale/node/execution/generation.py
@@ -1,4 +1,4 @@
-"""Runs generation requests: one answer for the caller, whatever happens to single attempts."""
+"""Execution of generation requests: one answer for the caller, made of one or more attempts."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
@@ -16,7 +16,7 @@
 from weirscale.node.execution.attempt import Attempt, AttemptFailure, ChunkSink
 from weirscale.node.execution.attempts import RequestAttempts
 from weirscale.node.execution.canceller import EngineCanceller
-from weirscale.node.execution.claims import fingerprint, settle_claim, take_claim
+from weirscale.node.execution.claims import claim_key, fingerprint, settle_claim
 from weirscale.node.execution.counts import GenerationCounts
 from weirscale.node.execution.hedge import race_first_chunk
 from weirscale.node.execution.history import RequestHistory
@@ -32,11 +32,11 @@
     """Runs generation requests on the engines that routing chooses.
 
     Args:
-        routing: Chooses engines and learns from outcomes.
-        ledger: At-most-once claims, or None where the node has none.
-        rules: Answers the retry rules in force.
-        canceller: Stops abandoned work; its `run` must be running.
-        event_log: Where retries and broken streams are told.
+        routing: Chooses engines and receives the outcomes of attempts.
+        ledger: Ledger of at-most-once claims, or None if the node has none.
+        rules: Returns the retry rules in force.
+        canceller: Cancels abandoned work; its `run` must be running.
+        event_log: Receives an event for each failed attempt.
         budget: The node's retry budget, shared with the service executor.
     """
 
@@ -59,10 +59,10 @@
 
     @asynccontextmanager
     async def run(self, request: GenerationRequest) -> AsyncIterator["GenerationRun"]:
-        """Run a request; leaving the context stops whatever still runs for it.
+        """Run a request; leaving the context stops all work that still runs for it.
 
-        The iterator yields Ok chunks, each once and in order, and ends after the one with a
-        finish reason; or it ends with one Err. Nothing is read ahead of the consumer.
+        The run is an iterator that yields Ok chunks, each once and in order. It ends after the
+        chunk with a finish reason, or after one Err. Nothing is read ahead of the consumer.
         """
         run = GenerationRun(self, request)
         try:
@@ -72,7 +72,7 @@
 
 
 class GenerationRun:
-    """One request's answer: an iterator of chunks; used by one task."""
+    """The run of one request, an iterator over the chunks of its answer; used by one task."""
 
     def __init__(self, executor: GenerationExecutor, request: GenerationRequest) -> None:
         self._executor = executor
@@ -112,21 +112,21 @@
             if attempt.last_chunk is not None:
                 result = await attempt.next(self._request.deadline_s)
             else:
-                result = await self._first_of(attempt)
+                result = await self._wait_first_chunk(attempt)
             if isinstance(result, Ok):
-                return self._pass(result.ok_value)
+                return self._accept(result.ok_value)
             refusal = await self._recover(result.err_value)
             if refusal is not None:
                 return self._end(refusal)
 
     async def deliver(self, sink: ChunkSink) -> Refusal | None:
-        """Hand the rest of the answer to a sink, instead of iterating.
+        """Pass the rest of the answer to a sink, instead of iterating.
 
         Args:
-            sink: Called with each chunk in turn, after the first one has been taken by `anext`.
+            sink: Called with each chunk in order, after the first has been read with `anext`.
 
         Returns:
-            None once the last chunk has been handed over, else why there are no more.
+            None once the last chunk has been passed on, otherwise the refusal that ends the answer.
         """
         while not self._is_over:
             attempt = self._attempt
@@ -144,24 +144,24 @@
 
     async def _deliver_attempt(self, attempt: Attempt, sink: ChunkSink) -> Refusal | None:
         watch = self._executor.canceller.stall_watch
-        failed = await attempt.stream(sink, watch, self._request.deadline_s)
+        attempt_failure = await attempt.stream(sink, watch, self._request.deadline_s)
         self._is_over = attempt.is_complete
-        return None if failed is None else await self._recover(failed)
+        return None if attempt_failure is None else await self._recover(attempt_failure)
 
     @property
     def num_ready(self) -> int:
-        """Chunks that have arrived and not been taken: the consumer is behind."""
+        """Return the number of arrived, unread chunks; more than 0 if the consumer lags."""
         return self._attempt.num_ready if self._attempt is not None else 0
 
     @property
     def history(self) -> RequestHistory:
-        """What happened to the request so far."""
+        """Return the attempts and failures of the request so far."""
         return self._attempts.history
 
     async def close(self) -> None:
-        """Stop what still runs, close its connections and settle the claim."""
+        """Cancel running attempts, close their connections and settle the claim."""
         self._is_over = True
-        self._leave_attempt()
+        self._end_attempt()
         if self._hedge is not None:
             self._attempts.end(self._hedge)
         await self._attempts.close()
@@ -174,17 +174,17 @@
     async def _start(self) -> Refusal | None:
         self._has_started = True
         self._executor.budget.record_first_attempt(self._rules)
-        refusal = await self._take_claim()
+        refusal = await self._claim_key()
         if refusal is not None:
             return refusal
         return await self._start_attempt()
 
-    async def _take_claim(self) -> Refusal | None:
+    async def _claim_key(self) -> Refusal | None:
         request = self._request
         ledger = self._executor.ledger
         if request.repeatable or request.idempotency_key is None or ledger is None:
             return None
-        taken = await take_claim(
+        claimed = await claim_key(
             ledger,
             request.tenant,
             request.idempotency_key,
@@ -192,9 +192,9 @@
             _fingerprint(request),
             request.deadline_s,
         )
-        if isinstance(taken, Err):
-            return taken.err_value
-        claim = taken.ok_value
+        if isinstance(claimed, Err):
+            return claimed.err_value
+        claim = claimed.ok_value
         if claim.state is ClaimState.COMPLETED:
             return refusals.duplicate_completed(claim.holder_request_id)
         self._claim = claim
@@ -207,9 +207,9 @@
         self._attempt = started.ok_value
         return None
 
-    # --- passing chunks ---
+    # --- chunks ---
 
-    async def _first_of(self, attempt: Attempt) -> Result[TokenChunk, AttemptFailure]:
+    async def _wait_first_chunk(self, attempt: Attempt) -> Result[TokenChunk, AttemptFailure]:
         attempts = self._attempts
         hedge_after_s = self._rules.hedge_after_s
         is_first = attempts.history.num_attempts == 1
@@ -228,12 +228,12 @@
         return race.result
 
     async def _make_hedge(self, first: Attempt) -> Attempt | None:
-        if not self._recovery.may_try_another():
+        if not self._recovery.try_take_retry():
             return None
         self._hedge = await self._attempts.start_hedge(first)
         return self._hedge
 
-    def _pass(self, chunk: TokenChunk) -> ChunkOrRefusal:
+    def _accept(self, chunk: TokenChunk) -> ChunkOrRefusal:
         attempt = self._attempt
         assert attempt is not None
         if self._attempts.required_version is None:
@@ -243,28 +243,28 @@
             self._is_over = True
         return Ok(chunk)
 
-    # --- recovering ---
+    # --- recovery ---
 
-    async def _recover(self, failed: AttemptFailure) -> Refusal | None:
+    async def _recover(self, attempt_failure: AttemptFailure) -> Refusal | None:
         attempt = self._attempt
         assert attempt is not None
-        decision = self._recovery.decide(attempt, failed, self._check.next_sequence)
+        decision = self._recovery.decide(attempt, attempt_failure, self._check.next_sequence)
         if decision.step is NextStep.RESUME:
             await self._attempts.resume(attempt)
             return None
-        self._leave_attempt()
+        self._end_attempt()
         if decision.refusal is not None:
             return decision.refusal
         self._attempts.excluded |= {attempt.chosen.choice.engine}
         return await self._start_attempt()
 
-    # --- ending ---
+    # --- end ---
 
     def _end(self, refusal: Refusal) -> ChunkOrRefusal:
         self._is_over = True
         return Err(refusal)
 
-    def _leave_attempt(self) -> None:
+    def _end_attempt(self) -> None:
         if self._attempt is not None:
             self._attempts.end(self._attempt)
         self._attempt = None
--- a/src/weirscale/node/execution/hedge.py
+++ b/src/weirscale/node/execution/hedge.py
@@ -1,4 +1,4 @@
-"""Races a second attempt against a slow first one until either has a first chunk."""
+"""Hedging: a second attempt runs against a slow first one until either has its first chunk."""
 
 from collections.abc import Awaitable, Callable
 
@@ -14,9 +14,9 @@
     """How a race ended.
 
     Attributes:
-        winner: The attempt that goes on.
-        result: Its first result; a failure only if no attempt has a chunk.
-        losers: Attempts to close and cancel.
+        winner: The attempt that continues.
+        result: The winner's first result; a failure only if no attempt has a chunk.
+        losers: Attempts that the caller must close and cancel.
     """
 
     winner: Attempt
@@ -25,7 +25,8 @@
 
 
 MakeHedge = Callable[[Attempt], Awaitable[Attempt | None]]
-"""Makes the second attempt on another engine; None if none may or can be made."""
+"""Creates the second attempt on another engine; returns None if a hedge is not allowed or no engine
+is available."""
 
 
 class _Race:
@@ -46,7 +47,7 @@
     async def _run_first(self) -> None:
         result = await self._first.next(self._give_up_at_s)
         self._results[0] = result
-        # A second attempt that runs already may still win after the first has failed.
+        # A second attempt that is already running may still win after the first has failed.
         if isinstance(result, Ok) or self._second is None or 1 in self._results:
             self._tasks.cancel_scope.cancel()
 
@@ -78,12 +79,12 @@
 async def race_first_chunk(
     first: Attempt, make_hedge: MakeHedge, hedge_after_s: float, give_up_at_s: float
 ) -> RaceOutcome:
-    """Wait for the first chunk of an attempt; start a second one if it takes too long.
+    """Wait for the first chunk of an attempt; start a second attempt if the chunk takes too long.
 
     Args:
-        first: The attempt that is waited for.
-        make_hedge: Makes the second attempt.
-        hedge_after_s: Patience before the second attempt.
+        first: The first attempt.
+        make_hedge: Creates the second attempt.
+        hedge_after_s: Delay before the second attempt starts.
         give_up_at_s: When both attempts time out.
     """
     return await _Race(first, make_hedge, give_up_at_s).run(hedge_after_s)
--- a/src/weirscale/node/execution/history.py
+++ b/src/weirscale/node/execution/history.py
@@ -1,21 +1,21 @@
-"""What happened to one request, told in its line in the log."""
+"""The attempts and failures of one request, for its log line."""
 
 from weirscale.domain.request.retry_policy import NextStep
 
 MAX_CAUSES = 8
-"""Causes told one by one; a long chain of resumes is cut to its beginning and a number."""
+"""Maximum number of causes listed; of a longer chain of resumes only the number is given."""
 
 NO_CAUSES = "-"
 
 
 class RequestHistory:
-    """Attempts of one request and why there was more than one; used by one task.
+    """Attempts of one request, and the causes of further attempts; used by one task.
 
     Attributes:
         backend: The back end of the latest attempt, empty before the first.
-        num_attempts: Attempts made, hedges included.
+        num_attempts: Attempts started, hedges included.
         num_resumes: Streams resumed on the same engine.
-        num_hedges: Attempts made beside a slow one.
+        num_hedges: Attempts started in parallel with a slow one.
     """
 
     __slots__ = ("_causes", "_num_failures", "backend", "num_attempts", "num_hedges", "num_resumes")
@@ -28,19 +28,19 @@
         self._causes: list[str] = []
         self._num_failures = 0
 
-    def note_attempt(self, backend: str) -> None:
-        """An attempt is made."""
+    def record_attempt(self, backend: str) -> None:
+        """Record the start of an attempt."""
         self.num_attempts += 1
         self.backend = backend
 
-    def note_failure(self, backend: str, failure: str, step: NextStep) -> None:
-        """An attempt has failed, and `step` follows."""
+    def record_failure(self, backend: str, failure: str, step: NextStep) -> None:
+        """Record that an attempt has failed and that `step` follows."""
         self._num_failures += 1
         if len(self._causes) < MAX_CAUSES:
             self._causes.append(f"{backend}:{failure}:{step.value}")
 
-    def note_hedge(self, slow_backend: str) -> None:
-        """An attempt is made beside a slow one."""
+    def record_hedge(self, slow_backend: str) -> None:
+        """Record the start of a hedge because `slow_backend` is slow."""
         self.num_hedges += 1
         self._num_failures += 1
         if len(self._causes) < MAX_CAUSES:
@@ -48,7 +48,7 @@
 
     @property
     def causes(self) -> str:
-        """Return `backend:failure:next step` of each failure in turn, separated by commas."""
+        """Return `backend:failure:next step` of each failure in order, separated by commas."""
         num_more = self._num_failures - len(self._causes)
         more = [f"+{num_more}"] if num_more else []
         return ",".join(self._causes + more) or NO_CAUSES
--- a/src/weirscale/node/execution/recovery.py
+++ b/src/weirscale/node/execution/recovery.py
@@ -1,4 +1,4 @@
-"""Decides what follows a failed attempt of a generation, and records it."""
+"""Recovery of generation requests: decides and records what follows a failed attempt."""
 
 import anyio
 import msgspec
@@ -21,11 +21,11 @@
 
 
 class RecoveryDecision(msgspec.Struct, frozen=True):
-    """What follows a failure.
+    """The step that follows a failure.
 
     Attributes:
         step: The step.
-        refusal: What ends the request if the step is GIVE_UP.
+        refusal: The refusal that ends the request if the step is GIVE_UP, otherwise None.
     """
 
     step: NextStep
@@ -33,7 +33,7 @@
 
 
 class GenerationRecovery:
-    """Decides for one request; used by the task that runs it.
+    """Decides what follows failures of one request; used only by the task that runs it.
 
     Args:
         request: The request.
@@ -41,7 +41,7 @@
         rules: Retry rules in force.
         budget: The node's retry budget.
         counts: The executor's counts.
-        event_log: Gets one event for each failure.
+        event_log: Receives one event for each failure.
     """
 
     def __init__(
@@ -60,33 +60,35 @@
         self._counts = counts
         self._event_log = event_log
 
-    def decide(self, attempt: Attempt, failed: AttemptFailure, num_chunks: int) -> RecoveryDecision:
-        """Decide what follows a failure.
+    def decide(
+        self, attempt: Attempt, attempt_failure: AttemptFailure, num_chunks: int
+    ) -> RecoveryDecision:
+        """Decide what follows a failure, and record both.
 
         Args:
             attempt: The attempt that failed.
-            failed: How.
-            num_chunks: Chunks of the answer so far, over all attempts.
+            attempt_failure: The failure.
+            num_chunks: Chunks of the answer so far, summed over all attempts.
         """
-        failure_class = failed.failure_class
+        failure_class = attempt_failure.failure_class
         evidence = self._attempts.evidence
         if failure_class not in (FailureClass.NOT_RUN, FailureClass.INVALID):
             evidence.record_possible_run()
         time_left_s = self._request.deadline_s - anyio.current_time()
         progress = self._progress(attempt, num_chunks, time_left_s)
         step = next_step(failure_class, progress, self._rules)
-        if step is NextStep.ANOTHER and not self.may_try_another():
-            # The budget is spent. A slow engine may still answer; a failed one will not.
+        if step is NextStep.ANOTHER and not self.try_take_retry():
+            # The budget is exhausted. A slow engine may still answer; a failed one will not.
             is_slow = failure_class is FailureClass.STALLED
             step = NextStep.RESUME if is_slow else NextStep.GIVE_UP
-        self._record(attempt, failed, num_chunks, step)
+        self._record(attempt, attempt_failure, num_chunks, step)
         if step is not NextStep.GIVE_UP:
             return RecoveryDecision(step, None)
-        detail = failed.failure.detail
+        detail = attempt_failure.failure.detail
         return RecoveryDecision(step, final_refusal(failure_class, detail, evidence, time_left_s))
 
-    def may_try_another(self) -> bool:
-        """Take one more attempt from the budget; False if it is spent."""
+    def try_take_retry(self) -> bool:
+        """Take one attempt from the retry budget; return False if the budget is exhausted."""
         if self._budget.try_take(self._rules, anyio.current_time()):
             return True
         self._counts.num_budget_refusals += 1
@@ -103,12 +105,12 @@
         )
 
     def _record(
-        self, attempt: Attempt, failed: AttemptFailure, num_chunks: int, step: NextStep
+        self, attempt: Attempt, attempt_failure: AttemptFailure, num_chunks: int, step: NextStep
     ) -> None:
         engine = attempt.chosen.choice.engine
-        failure = failed.failure.kind.value
+        failure = attempt_failure.failure.kind.value
         self._count(failure, num_chunks, step)
-        self._attempts.history.note_failure(engine, failure, step)
+        self._attempts.history.record_failure(engine, failure, step)
         self._event_log.event(
             "attempt_failed",
             request_id=self._request.request_id,
@@ -116,7 +118,7 @@
             engine=engine,
             address=attempt.chosen.address,
             failure=failure,
-            detail=failed.failure.detail,
+            detail=attempt_failure.failure.detail,
             num_chunks=num_chunks,
             next=step.value,
         )
--- a/src/weirscale/node/execution/service.py
+++ b/src/weirscale/node/execution/service.py
@@ -1,4 +1,4 @@
-"""Runs service requests: passed through whole, sent again only where that is allowed."""
+"""Execution of service requests: passed through unchanged, retried only where allowed."""
 
 from collections.abc import Callable
 
@@ -21,7 +21,7 @@
     next_step,
 )
 from weirscale.node.claims.ledger import QuorumClaimLedger
-from weirscale.node.execution.claims import fingerprint, settle_claim, take_claim
+from weirscale.node.execution.claims import claim_key, fingerprint, settle_claim
 from weirscale.node.execution.counts import ServiceCounts, count_failure
 from weirscale.node.execution.history import RequestHistory
 from weirscale.node.interfaces import ChosenBackend, Claim, ClaimState
@@ -32,17 +32,17 @@
 _TIMED_OUT = ServiceFailure(ServiceFailureKind.TIMED_OUT, "the back end did not answer in time")
 
 REPLAYED_HEADER = "idempotent-replayed"
-"""Set to `true` on an answer that an earlier request with the same key got."""
+"""Set to `true` on the stored answer of an earlier request with the same idempotency key."""
 
 
 class ServiceExecutor:
     """Runs requests to named services.
 
     Args:
-        routing: Chooses back ends and learns from outcomes.
-        ledger: At-most-once claims, or None where the node has none.
-        rules: Answers the retry rules in force.
-        event_log: Where retries are told.
+        routing: Chooses back ends and receives the outcomes of attempts.
+        ledger: Ledger of at-most-once claims, or None if the node has none.
+        rules: Returns the retry rules in force.
+        event_log: Receives an event for each failed attempt.
         budget: The node's retry budget, shared with the generation executor.
     """
 
@@ -64,15 +64,15 @@
     async def run(
         self, request: ServiceRequest, history: RequestHistory | None = None
     ) -> Result[ServiceResponse, Refusal]:
-        """Run a request to its answer.
+        """Run a request and return the back end's answer.
 
-        Any HTTP status of the back end is an Ok answer. A request that may not be repeated goes
-        on to its end (within its deadline) even if the caller leaves, so that its claim tells
-        the truth.
+        An answer with any HTTP status is Ok. A request that must not be repeated runs to its end,
+        within its deadline, even if the caller disconnects, so that its claim is settled with the
+        true outcome.
 
         Args:
             request: The request.
-            history: Filled with what happens to it, for the caller's log.
+            history: Receives the attempts and failures, for the log.
         """
         history = history or RequestHistory()
         if request.repeatable:
@@ -103,7 +103,7 @@
             request.path.encode(),
             request.body,
         )
-        taken = await take_claim(
+        claimed = await claim_key(
             ledger,
             request.tenant,
             idempotency_key,
@@ -111,9 +111,9 @@
             content,
             request.deadline_s,
         )
-        if isinstance(taken, Err):
-            return taken
-        claim = taken.ok_value
+        if isinstance(claimed, Err):
+            return claimed
+        claim = claimed.ok_value
         if claim.state is ClaimState.COMPLETED:
             return _replay(claim)
         evidence = RunEvidence()
@@ -135,7 +135,7 @@
             chosen = choice.ok_value
             self.counts.num_attempts += 1
             self.counts.num_retries += history.num_attempts > 0
-            history.note_attempt(chosen.backend)
+            history.record_attempt(chosen.backend)
             answer = await self._call(request, chosen)
             if isinstance(answer, Ok):
                 evidence.record_answer()
@@ -145,7 +145,7 @@
                 evidence.record_possible_run()
             refusal = self._refusal_or_retry(request, failure, evidence, history, rules)
             step = NextStep.ANOTHER if refusal is None else NextStep.GIVE_UP
-            self._note_failure(request, chosen, failure, history, step)
+            self._record_failure(request, chosen, failure, history, step)
             if refusal is not None:
                 return Err(refusal)
             excluded |= {chosen.backend}
@@ -194,7 +194,7 @@
             may_have_run=evidence.may_have_run,
             time_left_s=request.deadline_s - now_s,
         )
-        # A service call can't be resumed, so an interrupted one counts as forgotten.
+        # A service call can't be resumed, so an interrupted call counts as FORGOTTEN.
         failure_class = FailureClass.NOT_RUN if failure.provably_not_run else FailureClass.FORGOTTEN
         step = next_step(failure_class, progress, rules)
         if step is NextStep.ANOTHER:
@@ -203,7 +203,7 @@
             self.counts.num_budget_refusals += 1
         return final_refusal(failure_class, failure.detail, evidence, progress.time_left_s)
 
-    def _note_failure(
+    def _record_failure(
         self,
         request: ServiceRequest,
         chosen: ChosenBackend,
@@ -212,7 +212,7 @@
         step: NextStep,
     ) -> None:
         count_failure(self.counts.failures, failure.kind.value, step)
-        history.note_failure(chosen.backend, failure.kind.value, step)
+        history.record_failure(chosen.backend, failure.kind.value, step)
         self._event_log.event(
             "service_attempt_failed",
             request_id=request.request_id,
