--- a/src/weirscale/node/callers/__init__.py
+++ b/src/weirscale/node/callers/__init__.py
@@ -1,1 +1,1 @@
-"""What callers talk to: an ASGI application over the node's tasks."""
+"""The interface for callers: an ASGI application on top of the node's tasks."""
--- a/src/weirscale/node/callers/app.py
+++ b/src/weirscale/node/callers/app.py
@@ -1,4 +1,4 @@
-"""The ASGI application that callers reach."""
+"""The ASGI application for callers."""
 
 import time
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 from weirscale.domain.request.model import RunStatus
 from weirscale.domain.request.refusal import Refusal
 from weirscale.node.callers.authentication import TenantIndex
-from weirscale.node.callers.body import CallerGoneError
+from weirscale.node.callers.body import CallerDisconnectedError
 from weirscale.node.callers.call import Call
 from weirscale.node.callers.caller_headers import new_request_id, request_id_of
 from weirscale.node.callers.drain import Drain
@@ -57,17 +57,17 @@
 
 
 class CallerApp:
-    """Routes calls, authenticates them and logs each with one line.
+    """Authenticates and routes calls, and logs one line for each.
 
     Args:
         configuration: The configuration in force.
-        admission: Gives permits.
+        admission: Grants permits.
         generation: Runs generation requests.
         services: Runs service requests.
-        event_log: Gets one `request` event for each call.
-        drain: Planned stop; shared with the task that stops the node.
-        metrics: Counters and histograms; also what `/metrics` shows.
-        wall_clock: Seconds since the epoch.
+        event_log: Receives one `request` event for each call.
+        drain: State of the planned stop, shared with the task that stops the node.
+        metrics: Counters and histograms, exposed at `/metrics`.
+        wall_clock: Returns the seconds since the epoch.
     """
 
     def __init__(
@@ -105,17 +105,17 @@
         headers = decode_headers(scope["headers"])
         request_id = request_id_of(headers) or new_request_id()
         call = Call(scope, receive, send, headers, request_id, anyio.current_time())
-        self._drain.enter()
+        self._drain.record_start()
         try:
             await self._serve_call(call)
-        except CallerGoneError:
+        except CallerDisconnectedError:
             call.run_status = RunStatus.NOT_RUN
         except Exception as error:
-            # A bug must not take the node down; whether the request ran is not known.
-            await self._serve_bug(call, error)
+            # A bug must not crash the node. The request may or may not have run.
+            await self._answer_internal_error(call, error)
         finally:
-            self._drain.leave()
-            self._note_end(call)
+            self._drain.record_end()
+            self._record_end(call)
 
     async def _serve_call(self, call: Call) -> None:
         in_force = self._configuration.current()
@@ -151,9 +151,12 @@
         return None
 
     async def _first_configuration(self) -> ConfigurationInForce | None:
-        """Wait for the first configuration: a node that starts hears it a moment after it listens.
+        """Wait for the first configuration, which a starting node receives just after it listens.
 
-        The wait is as long as that of the routers, which a call refused here would never reach.
+        The routers wait equally long, but a call that is refused here would never reach them.
+
+        Returns:
+            The configuration, or None if `FIRST_CONFIGURATION_WAIT_S` has passed without one.
         """
         with anyio.move_on_after(FIRST_CONFIGURATION_WAIT_S):
             return await self._configuration.changed_after(NO_REVISION)
@@ -181,22 +184,22 @@
             return 503, b"no configuration yet\n"
         return 200, b"ready\n"
 
-    async def _serve_bug(self, call: Call, error: Exception) -> None:
+    async def _answer_internal_error(self, call: Call, error: Exception) -> None:
         self._event_log.event(
             "bug", request_id=call.request_id, error=f"{type(error).__name__}: {error}"
         )
         refusal = refusals.backend_failed(RunStatus.UNKNOWN, "internal error of the node")
         if call.has_response_started:
-            call.note_refused(refusal)
+            call.record_refusal(refusal)
             raise error
         await call.refuse(refusal)
 
-    def _note_end(self, call: Call) -> None:
+    def _record_end(self, call: Call) -> None:
         duration_s = anyio.current_time() - call.started_s
         is_service = call.path.startswith(SERVICES_PREFIX)
         kind = SERVICE_KIND if is_service else GENERATION_KIND
         history = call.history
-        self._metrics.note_end(kind, call.code, call.run_status, duration_s)
+        self._metrics.record_end(kind, call.code, call.run_status, duration_s)
         self._event_log.event(
             "request",
             request_id=call.request_id,
@@ -246,6 +249,6 @@
         entries.append(_ModelEntry(model.name))
         entries += [_ModelEntry(model.name + ADAPTER_SEPARATOR + a) for a in model.adapters]
     body = msgspec.json.encode(_ModelList(tuple(entries)))
-    call.note_response_started(200)
+    call.record_response_started(200)
     await send_whole(call.send, 200, [(b"content-type", JSON_TYPE)], body)
-    call.note_answered()
+    call.record_answer()
--- a/src/weirscale/node/callers/authentication.py
+++ b/src/weirscale/node/callers/authentication.py
@@ -1,4 +1,4 @@
-"""Finds the tenant of an API key."""
+"""Authentication of callers by API key."""
 
 import hashlib
 
@@ -10,20 +10,20 @@
 
 
 class TenantIndex:
-    """Tenants by the digest of their keys, built once for each revision."""
+    """Index of tenants by the digests of their API keys, rebuilt for each revision."""
 
     def __init__(self) -> None:
         self._revision: ConfigurationRevision | None = None
         self._tenant_by_digest: dict[str, Tenant] = {}
 
     def find(self, in_force: ConfigurationInForce, authorization: str) -> Tenant | None:
-        """Return the tenant whose key an Authorization header carries, or None."""
+        """Return the tenant whose API key an Authorization header contains, or None."""
         if in_force.revision != self._revision:
             self._rebuild(in_force)
         scheme, _, key = authorization.partition(" ")
         if scheme.lower() != _SCHEME:
             return None
-        # Looking the digest up leaks at most timing of digests, never of keys.
+        # The lookup can leak timing of digests at most, never of keys.
         digest = hashlib.sha256(key.strip().encode("latin-1", "replace")).hexdigest()
         return self._tenant_by_digest.get(digest)
 
--- a/src/weirscale/node/callers/body.py
+++ b/src/weirscale/node/callers/body.py
@@ -1,4 +1,4 @@
-"""Reads request bodies with bounded memory and time."""
+"""Reading of request bodies with bounded memory and time."""
 
 import anyio
 from result import Err, Ok, Result
@@ -9,8 +9,8 @@
 from weirscale.ports.asgi import Receive
 
 
-class CallerGoneError(Exception):
-    """The caller closed its connection; nobody is left to answer."""
+class CallerDisconnectedError(Exception):
+    """The caller closed its connection, so no answer can be sent."""
 
 
 async def read_body(
@@ -18,11 +18,11 @@
 ) -> Result[bytes, Refusal]:
     """Read the whole body.
 
-    Reading stops as soon as the limit is passed or the time is up, so a flood or a stalled
-    sender never holds more than `max_body_bytes`.
+    Reading stops once `max_body_bytes` or `body_timeout_s` is exceeded, so that a flood or a
+    stalled sender never occupies more memory than `max_body_bytes`.
 
     Raises:
-        CallerGoneError: The connection closed before the end of the body.
+        CallerDisconnectedError: The connection closed before the end of the body.
     """
     declared = headers.get("content-length", "")
     if declared.isdecimal() and int(declared[:20]) > limits.max_body_bytes:
@@ -38,7 +38,7 @@
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
-            raise CallerGoneError
+            raise CallerDisconnectedError
         part = message.get("body", b"")
         num_bytes += len(part)
         if num_bytes > max_body_bytes:
--- a/src/weirscale/node/callers/call.py
+++ b/src/weirscale/node/callers/call.py
@@ -1,4 +1,4 @@
-"""One call of a caller: what the routes share, and its line in the log."""
+"""State of one call that the routes share, with the values of its log line."""
 
 from weirscale.domain.identifiers import RequestId
 from weirscale.domain.request.model import RunStatus
@@ -10,22 +10,25 @@
 
 
 class Call:
-    """One call; used by the task that serves it.
+    """One call; used only by the task that serves it.
 
     Attributes:
         scope: The ASGI scope.
         receive: The ASGI receive callable.
         send: The ASGI send callable.
         headers: Decoded headers with lower-case names.
-        request_id: The caller's id if well-formed, else a new one.
-        started_s: When it arrived.
-        tenant: The tenant's name, once known.
+        request_id: The caller's id if it is well-formed, otherwise a new one.
+        started_s: When the call arrived.
+        tenant: The tenant's name; empty until the call is authenticated.
         code: Code for the log and the metrics.
-        run_status: Whether it ran, for the log and the metrics.
-        http_status: The status sent, 0 before any.
-        ttft_s: Time to the first chunk, None without one.
-        has_response_started: Whether the status line is out.
-        history: What happened on back ends; empty until the call is run.
+        run_status: Whether the request ran, for the log and the metrics.
+        http_status: The HTTP status sent, 0 before that.
+        ttft_s: Time from arrival to the first chunk, None without a chunk.
+        num_tokens: Completion tokens received.
+        num_prompt_tokens: Prompt tokens, as counted by the engine.
+        num_cached_tokens: Prompt tokens served from the cache, as counted by the engine.
+        has_response_started: Whether the status line has been sent.
+        history: Attempts on back ends; empty until the call is run.
     """
 
     __slots__ = (
@@ -63,7 +66,7 @@
         self.request_id = request_id
         self.started_s = started_s
         self.tenant = ""
-        # Until an answer is out, the call counts as left by its caller.
+        # Until its answer is sent, the call counts as abandoned by its caller.
         self.code = ABANDONED_CODE
         self.run_status = RunStatus.UNKNOWN
         self.http_status = 0
@@ -76,31 +79,31 @@
 
     @property
     def method(self) -> str:
-        """The HTTP method."""
+        """Return the HTTP method."""
         return str(self.scope["method"])
 
     @property
     def path(self) -> str:
-        """The decoded path."""
+        """Return the decoded path."""
         return str(self.scope["path"])
 
-    def note_response_started(self, http_status: int) -> None:
-        """The status line goes out; no other one can follow."""
+    def record_response_started(self, http_status: int) -> None:
+        """Record that the status line is being sent, after which no other status can be sent."""
         self.http_status = http_status
         self.has_response_started = True
 
     async def refuse(self, refusal: Refusal) -> None:
         """Answer with a refusal."""
-        self.note_refused(refusal)
-        self.note_response_started(refusal.http_status)
+        self.record_refusal(refusal)
+        self.record_response_started(refusal.http_status)
         await send_refusal(self.send, refusal, self.request_id)
 
-    def note_refused(self, refusal: Refusal) -> None:
-        """The call ends with a refusal."""
+    def record_refusal(self, refusal: Refusal) -> None:
+        """Record that the call ends with a refusal."""
         self.code = refusal.code.value
         self.run_status = refusal.run_status
 
-    def note_answered(self) -> None:
-        """The call has got its whole answer."""
+    def record_answer(self) -> None:
+        """Record that the whole answer has been sent."""
         self.code = OK_CODE
         self.run_status = RunStatus.RAN
--- a/src/weirscale/node/callers/caller_headers.py
+++ b/src/weirscale/node/callers/caller_headers.py
@@ -1,4 +1,4 @@
-"""Headers by which callers steer a request: id, deadline, repeatability, priority, key."""
+"""Request headers that callers can set: id, deadline, repeatability, priority, idempotency key."""
 
 import re
 import uuid
@@ -14,7 +14,7 @@
 MAX_REQUEST_ID_CHARACTERS = 128
 MAX_IDEMPOTENCY_KEY_CHARACTERS = 255
 MAX_DEADLINE_MS = 3_600_000
-"""Longest deadline: an hour; longer ones are surely mistakes."""
+"""Longest accepted deadline, one hour; a longer one is most likely a mistake."""
 
 _REQUEST_ID = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.:\-]{0,127}")
 _IDEMPOTENCY_KEY = re.compile(r"[\x21-\x7e]{1,255}")
@@ -26,11 +26,11 @@
     """The parsed headers.
 
     Attributes:
-        request_id: The caller's, or a new one.
-        deadline_s: Seconds from now, or None for the default.
-        repeatable: False if the caller forbids a second run; True leaves it to the route.
-        priority: The tenant's, or a later one that the caller asked for.
-        idempotency_key: The caller's, or None.
+        request_id: The caller's request id, or a new one.
+        deadline_s: Seconds from the arrival of the call, or None for the default.
+        repeatable: False if the caller forbids a second run; with True, the route decides.
+        priority: The tenant's priority, or a lower one (a higher number) that the caller requested.
+        idempotency_key: The key set by the caller, or None.
     """
 
     request_id: RequestId
@@ -41,22 +41,22 @@
 
 
 def new_request_id() -> RequestId:
-    """Return an unused request id."""
+    """Return a new unique request id."""
     return RequestId("req-" + uuid.uuid4().hex)
 
 
 def request_id_of(headers: dict[str, str]) -> RequestId | None:
-    """Return the caller's request id if it is well-formed."""
-    given = headers.get("x-request-id")
-    if given is not None and _REQUEST_ID.fullmatch(given):
-        return RequestId(given)
+    """Return the caller's request id if it is well-formed, otherwise None."""
+    request_id = headers.get("x-request-id")
+    if request_id is not None and _REQUEST_ID.fullmatch(request_id):
+        return RequestId(request_id)
     return None
 
 
 def parse_caller_headers(
     headers: dict[str, str], tenant: Tenant, request_id: RequestId
 ) -> Result[CallerHeaders, Refusal]:
-    """Parse and check the headers; an absent one takes its default."""
+    """Parse and check the headers; an absent header gets its default value."""
     if "x-request-id" in headers and request_id_of(headers) is None:
         return _bad_header(
             "x-request-id", f"1 to {MAX_REQUEST_ID_CHARACTERS} letters, digits, `_`, `.`, `:`, `-`"
@@ -80,7 +80,7 @@
             request_id=request_id,
             deadline_s=None if deadline is None else deadline / 1000,
             repeatable=repeatable,
-            # A caller may step back behind its tenant's priority, never ahead of it.
+            # A caller may lower its tenant's priority (a higher number) but never raise it.
             priority=max(tenant.priority, priority or 0),
             idempotency_key=key,
         )
@@ -94,5 +94,5 @@
     return int(text)
 
 
-def _bad_header(name: str, wanted: str) -> Err[Refusal]:
-    return Err(refusals.invalid_request(f"The header {name} is malformed.", f"Send {wanted}."))
+def _bad_header(name: str, expected: str) -> Err[Refusal]:
+    return Err(refusals.invalid_request(f"The header {name} is malformed.", f"Send {expected}."))
--- a/src/weirscale/node/callers/completion_json.py
+++ b/src/weirscale/node/callers/completion_json.py
@@ -1,4 +1,4 @@
-"""OpenAI-shaped answers: whole ones and the events of a stream."""
+"""Answers in OpenAI's format: complete JSON bodies, and the events of a stream."""
 
 import msgspec
 
@@ -12,13 +12,13 @@
 
 
 class PromptTokensDetails(msgspec.Struct, frozen=True):
-    """How the prompt's tokens were served."""
+    """Prompt tokens by how they were served."""
 
     cached_tokens: int
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """Tokens of one answer, as the engine counted."""
+    """Token counts of one answer, as counted by the engine."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -53,7 +53,7 @@
 
 
 def usage_of(last: TokenChunk, num_completion_tokens: int) -> Usage:
-    """Return the usage of an answer that has ended with `last`."""
+    """Return the usage of an answer whose last chunk is `last`."""
     return Usage(
         prompt_tokens=last.num_prompt_tokens,
         completion_tokens=num_completion_tokens,
@@ -63,7 +63,7 @@
 
 
 def model_label(request: GenerationRequest) -> str:
-    """Return the model's name as the caller gave it."""
+    """Return the model's name as the caller sent it."""
     if request.adapter is None:
         return request.model
     return request.model + ADAPTER_SEPARATOR + request.adapter
@@ -90,7 +90,7 @@
 class EventEncoder:
     """Encodes the chunks of one answer as server-sent events.
 
-    All but the text is the same in every event of an answer, so it is encoded once.
+    Everything except the text is the same in all events of an answer, so it is encoded once.
     """
 
     __slots__ = ("_after_text", "_before_text", "_head", "_is_chat")
@@ -117,11 +117,11 @@
         self._after_text = close + b',"finish_reason":null}]}' + EVENT_END
 
     def text_event(self, text: str) -> bytes:
-        """Return the event of a piece of text."""
+        """Return the event for a piece of text."""
         return self._before_text + _encode(text) + self._after_text
 
     def last_event(self, text: str, finish_reason: str, usage: Usage) -> bytes:
-        """Return the event of the last piece, with the reason and the usage."""
+        """Return the event for the last piece of text, with the finish reason and the usage."""
         close = b"}" if self._is_chat else b""
         return b"".join(
             (
@@ -139,5 +139,5 @@
 
 
 def error_event(error_json: bytes) -> bytes:
-    """Return the event that ends a broken stream; no end marker follows it."""
+    """Return the event that ends a broken stream; `[DONE]` must not follow it."""
     return b"data: " + error_json + EVENT_END
--- a/src/weirscale/node/callers/disconnect.py
+++ b/src/weirscale/node/callers/disconnect.py
@@ -1,4 +1,4 @@
-"""Ends the work of a call when its caller leaves."""
+"""Cancellation of a call's work when its caller disconnects."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -8,13 +8,13 @@
 from weirscale.ports.asgi import Receive
 
 SEND_GRACE_S = 5.0
-"""Time after a request's deadline for what is left to be sent. A caller that does not read is
-treated as gone then: it must not hold its permit and its engine for ever."""
+"""Time after a request's deadline for sending the rest of its answer. A caller that does not read
+is then treated as disconnected, so that it can't occupy its permit and its engine forever."""
 
 
 @asynccontextmanager
 async def cancelled_on_disconnect(receive: Receive, give_up_at_s: float) -> AsyncIterator[None]:
-    """Cancel the block when the caller's connection closes; the body must have been read.
+    """Cancel the block when the caller disconnects; the request body must have been read.
 
     Args:
         receive: The ASGI receive callable.
--- a/src/weirscale/node/callers/errors.py
+++ b/src/weirscale/node/callers/errors.py
@@ -1,4 +1,4 @@
-"""Renders refusals: the OpenAI error object and the headers that repeat its main fields."""
+"""Error responses: OpenAI's error object, and the headers that repeat its main fields."""
 
 import math
 
@@ -14,7 +14,7 @@
 
 
 class ErrorObject(msgspec.Struct, frozen=True):
-    """The inner error object, shaped after OpenAI's, with three fields more."""
+    """OpenAI's error object with three additional fields: `run_status`, `remedy`, `request_id`."""
 
     message: str
     type: str
@@ -25,7 +25,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """The body of every error answer."""
+    """The body of every error response."""
 
     error: ErrorObject
 
@@ -52,7 +52,7 @@
         (REQUEST_ID_HEADER, request_id.encode()),
     ]
     if refusal.retry_after_s is not None:
-        # The header has whole seconds; rounded up so that nobody comes back too early.
+        # The header takes whole seconds; rounded up so that no caller retries too early.
         headers.append((b"retry-after", str(math.ceil(refusal.retry_after_s)).encode()))
     return headers
 
--- a/src/weirscale/node/callers/execution_metrics.py
+++ b/src/weirscale/node/callers/execution_metrics.py
@@ -1,4 +1,4 @@
-"""Shows the executors' counts among the node's metrics."""
+"""Export of the executors' counts as metrics."""
 
 from collections.abc import Iterator
 
@@ -12,7 +12,7 @@
 
 
 class ExecutionCollector(Collector):
-    """Reads the counts whenever metrics are asked for; counting itself costs no more than an int.
+    """Reads the counts when metrics are scraped, so that counting costs only an integer increment.
 
     Args:
         generation: Counts of the generation executor.
@@ -46,24 +46,24 @@
             services.num_budget_refusals,
         )
         yield _failures(generation.failures, services.failures)
-        yield _plain("resumes", "Streams resumed on the same engine.", generation.num_resumes)
-        yield _plain(
+        yield _counter("resumes", "Streams resumed on the same engine.", generation.num_resumes)
+        yield _counter(
             "continuations",
             "Answers continued on another engine.",
             generation.num_continued,
         )
-        yield _plain("hedges", "Attempts beside a slow first one.", generation.num_hedges)
-        yield _plain(
+        yield _counter("hedges", "Attempts beside a slow first one.", generation.num_hedges)
+        yield _counter(
             "hedge_wins", "Hedges whose first chunk came first.", generation.num_hedge_wins
         )
-        yield _plain(
+        yield _counter(
             "repeated_chunks",
             "Chunks of engines that were dropped as repeated.",
             generation.num_repeated_chunks,
         )
 
 
-def _plain(name: str, help_text: str, value: int) -> CounterMetricFamily:
+def _counter(name: str, help_text: str, value: int) -> CounterMetricFamily:
     return CounterMetricFamily(f"weirscale_{name}", help_text, value=value)
 
 
--- a/src/weirscale/node/callers/generation_input.py
+++ b/src/weirscale/node/callers/generation_input.py
@@ -1,4 +1,4 @@
-"""Turns the body of a completion call into a generation request, or says what is wrong."""
+"""Validation of completion calls and their conversion to generation requests."""
 
 import msgspec
 from result import Err, Ok, Result
@@ -50,7 +50,16 @@
     deployment: Deployment,
     now_s: float,
 ) -> Result[GenerationRequest, Refusal]:
-    """Check a completion call and build the request."""
+    """Check a completion call and build its generation request.
+
+    Args:
+        body: The decoded JSON body.
+        path: The path of the call.
+        tenant: The authenticated tenant.
+        headers: The parsed headers.
+        deployment: The deployment in force.
+        now_s: When the call arrived; its deadline counts from then.
+    """
     choice = _choose_model(body, deployment)
     if isinstance(choice, Err):
         return choice
--- a/src/weirscale/node/callers/generation_route.py
+++ b/src/weirscale/node/callers/generation_route.py
@@ -29,18 +29,18 @@
 from weirscale.node.limits.task import AdmissionTask
 from weirscale.ports.asgi import EVENT_STREAM_TYPE, JSON_TYPE, HeaderList, Message, send_whole
 
-MAX_EVENTS_OF_PART = 32
-"""Events that leave together at most, so that a caller far behind still gets small parts."""
+MAX_EVENTS_PER_PART = 32
+"""Maximum number of events in one body part, so that a lagging caller still gets small parts."""
 
 
 class GenerationRoute:
     """Checks, admits and runs completion calls.
 
     Args:
-        admission: Gives permits.
+        admission: Grants permits.
         executor: Runs admitted requests.
-        metrics: Where times and tokens are counted.
-        wall_clock: Seconds since the epoch, for `created`.
+        metrics: Records times and tokens.
+        wall_clock: Returns the seconds since the epoch, for `created`.
     """
 
     def __init__(
@@ -119,40 +119,40 @@
         send = call.send
         headers = _headers(call, EVENT_STREAM_TYPE)
         headers.append((b"cache-control", b"no-cache"))
-        call.note_response_started(200)
+        call.record_response_started(200)
         await send({"type": "http.response.start", "status": 200, "headers": headers})
         events: list[bytes] = []
         last = first
 
-        async def pass_on(chunk: TokenChunk, is_next_here: bool) -> None:
+        async def send_chunk(chunk: TokenChunk, is_next_ready: bool) -> None:
             nonlocal last
             last = chunk
             call.num_tokens += chunk.num_tokens
             if chunk.finish_reason is not None:
                 return
             event = encoder.text_event(chunk.text)
-            if not is_next_here and not events:
+            if not is_next_ready and not events:
                 await send({"type": "http.response.body", "body": event, "more_body": True})
                 return
-            # Events leave together only if the next one is here already.
+            # Events are batched only if the next chunk has already arrived.
             events.append(event)
-            if not is_next_here or len(events) == MAX_EVENTS_OF_PART:
-                part = _part(events, more=True)
+            if not is_next_ready or len(events) == MAX_EVENTS_PER_PART:
+                part = _body_part(events, more=True)
                 events.clear()
                 await send(part)
 
-        await pass_on(first, chunks.num_ready > 0)
-        refusal = await chunks.deliver(pass_on)
+        await send_chunk(first, chunks.num_ready > 0)
+        refusal = await chunks.deliver(send_chunk)
         if refusal is not None:
-            call.note_refused(refusal)
+            call.record_refusal(refusal)
             events.append(error_event(error_body(refusal, call.request_id)))
-            await send(_part(events, more=False))
+            await send(_body_part(events, more=False))
             return
         usage = usage_of(last, call.num_tokens)
         events.append(encoder.last_event(last.text, last.finish_reason or "", usage))
         events.append(DONE_EVENT)
-        await send(_part(events, more=False))
-        self._note_answered(call, last)
+        await send(_body_part(events, more=False))
+        self._record_answer(call, last)
 
     async def _answer_whole(
         self, call: Call, request: GenerationRequest, first: TokenChunk, chunks: GenerationRun
@@ -160,28 +160,28 @@
         texts: list[str] = []
         last = first
 
-        async def keep(chunk: TokenChunk, _is_next_here: bool) -> None:
+        async def collect_chunk(chunk: TokenChunk, _is_next_ready: bool) -> None:
             nonlocal last
             last = chunk
             texts.append(chunk.text)
             call.num_tokens += chunk.num_tokens
 
-        await keep(first, False)
-        refusal = await chunks.deliver(keep)
+        await collect_chunk(first, False)
+        refusal = await chunks.deliver(collect_chunk)
         if refusal is not None:
             await call.refuse(refusal)
             return
         usage = usage_of(last, call.num_tokens)
         body = whole_answer(request, "".join(texts), last, usage, int(self._wall_clock()))
-        call.note_response_started(200)
+        call.record_response_started(200)
         await send_whole(call.send, 200, _headers(call, JSON_TYPE), body)
-        self._note_answered(call, last)
+        self._record_answer(call, last)
 
-    def _note_answered(self, call: Call, last: TokenChunk) -> None:
+    def _record_answer(self, call: Call, last: TokenChunk) -> None:
         call.num_prompt_tokens = last.num_prompt_tokens
         call.num_cached_tokens = last.num_cached_tokens
-        self._metrics.note_prompt_tokens(last.num_prompt_tokens, last.num_cached_tokens)
-        call.note_answered()
+        self._metrics.record_prompt_tokens(last.num_prompt_tokens, last.num_cached_tokens)
+        call.record_answer()
 
 
 def _headers(call: Call, content_type: bytes) -> HeaderList:
@@ -192,5 +192,5 @@
     ]
 
 
-def _part(events: list[bytes], more: bool) -> Message:
+def _body_part(events: list[bytes], more: bool) -> Message:
     return {"type": "http.response.body", "body": b"".join(events), "more_body": more}
--- a/src/weirscale/node/callers/json_depth.py
+++ b/src/weirscale/node/callers/json_depth.py
@@ -1,16 +1,16 @@
-"""Nesting depth of JSON text, found without recursion and without parsing it."""
+"""Check of the nesting depth of JSON text, without recursion and without parsing."""
 
 import re
 
-# A string (also one that never ends), or one bracket. Possessive, so that the scan stays linear.
+# A string (also an unterminated one) or a bracket. Possessive quantifiers keep the scan linear.
 _TOKEN = re.compile(rb'"(?:[^"\\]++|\\.)*+(?:"|\\?\Z)|[\[{\]}]', re.DOTALL)
 
 _OPENING = frozenset({b"[", b"{"})
 
 
 def is_deeper_than(text: bytes, max_depth: int) -> bool:
-    """Return whether the text opens more than `max_depth` arrays and objects at once."""
-    # Fewer opening brackets than the limit, strings included, can't nest deeper.
+    """Return whether arrays and objects are nested more than `max_depth` deep."""
+    # Text with at most `max_depth` opening brackets, including those in strings, can't be deeper.
     if text.count(b"{") + text.count(b"[") <= max_depth:
         return False
     depth = 0
--- a/src/weirscale/node/callers/service_route.py
+++ b/src/weirscale/node/callers/service_route.py
@@ -1,4 +1,4 @@
-"""Serves `/services/NAME/...`: requests to named services, passed through whole."""
+"""Serves `/services/NAME/...`: requests to named services, passed through unchanged."""
 
 import msgspec
 from result import Err, Ok, Result
@@ -21,11 +21,11 @@
 SERVICES_PREFIX = "/services/"
 ANY_METHOD = "*"
 DEFAULT_REPEATABLE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
-"""Methods that HTTP declares safe; used where no route of the service matches."""
+"""Methods that HTTP defines as safe; they are repeatable if no route of the service matches."""
 
 DEFAULT_DEADLINE_S = 10.0
 
-_NOT_PASSED_ON = frozenset(
+_NOT_FORWARDED = frozenset(
     {
         "authorization",
         "connection",
@@ -41,27 +41,27 @@
         "upgrade",
     }
 )
-"""Headers of one connection, and the caller's key, which is the router's alone."""
+"""Hop-by-hop headers, and the caller's API key, which only the router may see."""
 
-_NOT_PASSED_BACK = _NOT_PASSED_ON | {"x-request-id", "x-run-status", "date", "server"}
+_NOT_RETURNED = _NOT_FORWARDED | {"x-request-id", "x-run-status", "date", "server"}
 
 
 class ServicePath(msgspec.Struct, frozen=True):
-    """A service call's path, split; `path` has the query and a leading slash."""
+    """The split path of a service call; `path` has a leading slash and includes the query."""
 
     service: ServiceName
     path: str
 
 
 def split_service_path(path: str, raw_query: bytes) -> ServicePath:
-    """Split `/services/NAME/PATH` and add the query."""
+    """Split `/services/NAME/PATH`, and append the query to the path."""
     name, _, rest = path[len(SERVICES_PREFIX) :].partition("/")
     query = "?" + raw_query.decode("latin-1") if raw_query else ""
     return ServicePath(ServiceName(name), "/" + rest + query)
 
 
 def find_route(service: Service, method: str, path: str) -> ServiceRoute:
-    """Return the first route that matches, or one that repeats only safe methods."""
+    """Return the first matching route, or a default route that repeats only safe methods."""
     for route in service.routes:
         if route.method in (ANY_METHOD, method) and path.startswith(route.path_prefix):
             return route
@@ -101,7 +101,7 @@
         headers = parse_caller_headers(call.headers, tenant, call.request_id)
         if isinstance(headers, Err):
             return headers
-        given = headers.ok_value
+        parsed_headers = headers.ok_value
         body = await read_body(call.receive, call.headers, deployment.callers)
         if isinstance(body, Err):
             return body
@@ -113,12 +113,12 @@
                 service=service.name,
                 method=call.method,
                 path=target.path,
-                headers=_headers_for_backend(call, given.idempotency_key),
+                headers=_headers_for_backend(call, parsed_headers.idempotency_key),
                 body=body.ok_value,
-                deadline_s=call.started_s + (given.deadline_s or route.deadline_s),
-                repeatable=route.repeatable and given.repeatable,
-                idempotency_key=given.idempotency_key,
-                priority=given.priority,
+                deadline_s=call.started_s + (parsed_headers.deadline_s or route.deadline_s),
+                repeatable=route.repeatable and parsed_headers.repeatable,
+                idempotency_key=parsed_headers.idempotency_key,
+                priority=parsed_headers.priority,
             )
         )
 
@@ -140,7 +140,7 @@
 
 
 def _headers_for_backend(call: Call, idempotency_key: str | None) -> dict[str, str]:
-    headers = {k: v for k, v in call.headers.items() if k not in _NOT_PASSED_ON}
+    headers = {k: v for k, v in call.headers.items() if k not in _NOT_FORWARDED}
     headers["x-request-id"] = call.request_id
     if idempotency_key is not None:
         headers["idempotency-key"] = idempotency_key
@@ -151,10 +151,10 @@
     headers: HeaderList = [
         (name.encode("latin-1"), value.encode("latin-1"))
         for name, value in response.headers.items()
-        if name.lower() not in _NOT_PASSED_BACK
+        if name.lower() not in _NOT_RETURNED
     ]
     headers.append((REQUEST_ID_HEADER, call.request_id.encode()))
     headers.append((RUN_STATUS_HEADER, b"ran"))
-    call.note_response_started(response.status)
+    call.record_response_started(response.status)
     await send_whole(call.send, response.status, headers, response.body)
-    call.note_answered()
+    call.record_answer()
