--- a/src/weirscale/node/__init__.py
+++ b/src/weirscale/node/__init__.py
@@ -1,1 +1,1 @@
-"""Tasks of a running node; each owns its sockets and its state and talks by messages."""
+"""Tasks of a running node; each owns its sockets and state and communicates by messages."""
--- a/src/weirscale/node/assembly.py
+++ b/src/weirscale/node/assembly.py
@@ -1,6 +1,6 @@
-"""Puts the tasks of one node together, for real processes and for fleets in virtual time.
+"""Assembly of the tasks of one node, for real processes and for simulated fleets in virtual time.
 
-Everything outside the node comes in as a port, so the same node runs on sockets and on an
+Everything outside the node is passed in as a port, so that the same node runs on sockets and on an
 in-memory network.
 """
 
@@ -61,11 +61,11 @@
     """One run of one node.
 
     Args:
-        identity: Who it is.
-        ports: Everything outside.
-        keys: Shared keys between nodes.
-        random: Source of randomness of all its tasks.
-        event_log: Where events go.
+        identity: Identity of the node.
+        ports: Ports to everything outside the node.
+        keys: Keys shared between nodes.
+        random: Source of randomness for all tasks of the node.
+        event_log: Receives the events of all tasks.
     """
 
     def __init__(
@@ -126,7 +126,7 @@
         self._build_planned_stop()
 
     def _build_placement(self, ports: NodePorts, random: Random) -> None:
-        """Tasks that hold the planner's lease and plan while it is held."""
+        """Create the tasks that hold the planner's lease and plan the placement meanwhile."""
         self._planner_lease = DutyLeaseTask(
             Duty(DutyKind.PLACEMENT_PLANNER),
             self.identity.node,
@@ -149,7 +149,7 @@
         self.placement_status = PlacementStatus(self.placement, self.link, self.membership)
 
     def _build_homes(self, ports: NodePorts, random: Random) -> None:
-        """Tasks that follow engines' caches and receive digests of the others."""
+        """Create the tasks that track engines' caches and receive digests of other nodes."""
         rules = HomeRules()
         self.cache_view = CacheViewTask(self.link, self.directory, rules)
         self.homes = HomeTask(
@@ -170,7 +170,7 @@
         return receivers_in_scope(self.identity.zone, self.membership, self.configuration)
 
     def _build_routing(self, random: Random) -> None:
-        """Tasks that choose back ends."""
+        """Create the tasks that choose back ends."""
         zone = self.identity.zone
         self._kept_kv = ImportPlanner()
         self._policy = PrefixAware(
@@ -217,7 +217,7 @@
         )
 
     def operator_app(self, begin_drain: Callable[[], None]) -> OperatorApp:
-        """Return the operators' application; `begin_drain` starts the planned stop."""
+        """Return the ASGI application for operators; `begin_drain` starts the planned stop."""
         return OperatorApp(
             self.configuration,
             self.membership,
@@ -262,10 +262,10 @@
             task_status.started()
 
     async def drain(self) -> bool:
-        """Refuse new requests and finish those that run.
+        """Refuse new requests and wait for the running ones to finish.
 
         Returns:
-            True if all finished within the configured time.
+            True if all requests finished within the configured time.
         """
         return await self._planned_stop.run()
 
@@ -274,7 +274,7 @@
         return in_force.deployment.retry if in_force is not None else RetryRules()
 
     async def _follow_configuration(self) -> None:
-        """Hand each new configuration's weights and stores to the policy."""
+        """Apply each new configuration's routing objective and KV stores to the policy."""
         revision = _NO_REVISION
         while True:
             in_force = await self.configuration.changed_after(revision)
--- a/src/weirscale/node/interfaces.py
+++ b/src/weirscale/node/interfaces.py
@@ -1,7 +1,7 @@
-"""What the tasks of a node offer one another.
+"""Interfaces between the tasks of a node.
 
-Request handling depends on these interfaces only, so each side can be built, tested and replaced
-alone. Implementations post messages to the owning task's mailbox; none shares state.
+Request handling depends only on these interfaces, so that each side can be built, tested and
+replaced on its own. Implementations post messages to the owning task's mailbox and share no state.
 """
 
 import enum
@@ -32,10 +32,10 @@
 
 
 class ConfigurationInForce(msgspec.Struct, frozen=True):
-    """The configuration that a node acts on.
+    """The configuration that a node currently uses.
 
     Attributes:
-        revision: The key-value service's revision of it; only ever grows on a node.
+        revision: Its revision in the key-value service; never decreases on a node.
         deployment: The declared state.
     """
 
@@ -47,16 +47,16 @@
     """Read access to the configuration in force."""
 
     def current(self) -> ConfigurationInForce | None:
-        """The configuration in force, or None before the first one arrives."""
+        """Return the configuration in force, or None before the first one arrives."""
         ...
 
     async def changed_after(self, revision: ConfigurationRevision) -> ConfigurationInForce:
-        """Wait for a revision higher than the given one (0 for any)."""
+        """Wait for a configuration with a revision above `revision` (0 for any) and return it."""
         ...
 
 
 class PeerState(enum.Enum):
-    """What membership holds of a node."""
+    """State of a live node in the membership."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -64,7 +64,7 @@
 
 
 class Peer(msgspec.Struct, frozen=True):
-    """A live node as membership sees it."""
+    """A live node according to the membership."""
 
     node: NodeId
     address: NodeAddress
@@ -77,15 +77,15 @@
 
     @property
     def self_id(self) -> NodeId:
-        """This node's own identity."""
+        """Return this node's own identity."""
         ...
 
     def peers(self) -> tuple[Peer, ...]:
-        """All nodes believed alive, suspect or leaving, this one included, sorted by id."""
+        """Return all nodes in state alive, suspect or leaving, this node included, sorted by id."""
         ...
 
     def version(self) -> int:
-        """Grows with each change of `peers`; cheap to compare."""
+        """Return a number that grows with each change of `peers`."""
         ...
 
 
@@ -94,9 +94,9 @@
 
     Attributes:
         choice: The policy's decision with its estimates.
-        port: How to call the engine.
-        incarnation: The run that was chosen; the engine refuses on mismatch.
-        weight_version: The version that must serve.
+        port: Client for the engine.
+        incarnation: The chosen run of the engine; another run refuses the call.
+        weight_version: The weight version that must serve the attempt.
         address: The engine's host:port, for logs.
     """
 
@@ -108,18 +108,18 @@
 
 
 class AttemptOutcome(msgspec.Struct, frozen=True):
-    """What became of one attempt; None failure means a complete answer.
+    """Outcome of one attempt.
 
     Attributes:
         request: The request.
-        attempt: Its number.
+        attempt: Number of the attempt within the request, from 0.
         engine: The engine.
-        incarnation: The run chosen.
-        failure: How it failed, or None.
-        num_prompt_tokens: As the engine counted.
-        num_cached_tokens: Prompt tokens from cache, as the engine counted.
-        ttft_s: From sending the attempt to its first chunk, None without one.
-        duration_s: From sending the attempt to its end.
+        incarnation: The chosen run of the engine.
+        failure: How the attempt failed, or None if its answer is complete.
+        num_prompt_tokens: Prompt tokens, as counted by the engine.
+        num_cached_tokens: Prompt tokens served from the cache, as counted by the engine.
+        ttft_s: Time from the start of the attempt to its first chunk, None without a chunk.
+        duration_s: Time from the start of the attempt to its end.
     """
 
     request: GenerationRequest
@@ -142,7 +142,7 @@
 
 
 class Permit(msgspec.Struct, frozen=True):
-    """Leave to run one request; must be released exactly once."""
+    """Permission to run one request; must be released exactly once."""
 
     tenant: TenantName
     request_id: RequestId
@@ -150,26 +150,26 @@
 
 
 class ClaimState(enum.Enum):
-    """What the ledger answers to a claim."""
+    """The ledger's decision on a claim."""
 
     GRANTED = "granted"
-    """This request is the first with its key: run it."""
+    """This request is the first with its key and may run."""
     IN_PROGRESS = "in_progress"
-    """Another request with the key may be running."""
+    """Another request with the key may be running or may have run."""
     COMPLETED = "completed"
-    """A request with the key has run; its answer may be attached."""
+    """A request with the key has run; its stored answer may be attached."""
     CONFLICT = "conflict"
-    """The key was used with another body."""
+    """The key was used for a request with other content."""
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """The ledger's answer.
+    """The ledger's answer to a claim.
 
     Attributes:
-        state: What it says.
-        key: Tenant-qualified key.
+        state: The decision.
+        key: Idempotency key, qualified by the tenant.
         holder_request_id: The request that holds the claim.
-        answer: The first request's answer when COMPLETED and small enough to be kept.
+        answer: The first request's answer, if the state is COMPLETED and the answer was stored.
     """
 
     state: ClaimState
--- a/src/weirscale/node/link_delays.py
+++ b/src/weirscale/node/link_delays.py
@@ -1,23 +1,23 @@
-"""Expected one-way delay from this node to a zone, from what the configuration says of regions."""
+"""Expected one-way delay from this node to a zone, based on the configured regions."""
 
 from weirscale.domain.identifiers import ZoneName
 from weirscale.node.interfaces import ConfigurationView
 
 SAME_ZONE_DELAY_S = 0.0003
-"""Machines of one zone share a switch."""
+"""Delay within one zone, where machines share a switch."""
 
 SAME_REGION_DELAY_S = 0.0015
-"""Between zones of one site, as the users measured it."""
+"""Delay between zones of one region, as at the users' sites."""
 
 OTHER_REGION_DELAY_S = 0.030
-"""Between regions: a typical wide-area path."""
+"""Delay between regions, typical of a wide-area network path."""
 
 
 class LinkDelays:
-    """Answers delays from one zone.
+    """Estimates network delays from one zone.
 
     Args:
-        configuration: Tells which zones share a region.
+        configuration: Defines which zones share a region.
         zone: This node's zone.
     """
 
--- a/src/weirscale/node/mailbox.py
+++ b/src/weirscale/node/mailbox.py
@@ -1,4 +1,4 @@
-"""Mailboxes of tasks: bounded queues of typed messages, with replies where the sender waits."""
+"""Mailboxes of tasks: bounded queues of typed messages, and replies for senders that wait."""
 
 from typing import Generic, TypeVar
 
@@ -9,11 +9,11 @@
 ReplyT = TypeVar("ReplyT")
 
 DEFAULT_MAILBOX_SIZE = 4096
-"""Messages that wait at most; far above a healthy task's backlog, far below memory limits."""
+"""Maximum queue length in messages; far above a healthy task's backlog, far below memory limits."""
 
 
 class Reply(Generic[ReplyT]):
-    """Where the receiver of a message puts its answer, once."""
+    """Holds the receiver's answer to one message; set once."""
 
     __slots__ = ("_event", "_value")
 
@@ -22,16 +22,16 @@
         self._value: ReplyT | None = None
 
     def set(self, value: ReplyT) -> None:
-        """Answer; the waiting sender goes on."""
+        """Set the answer and wake the waiting sender."""
         self._value = value
         self._event.set()
 
     def value(self) -> ReplyT | None:
-        """Return the answer if there is one yet."""
+        """Return the answer, or None if it has not been set."""
         return self._value
 
     async def wait(self) -> ReplyT:
-        """Wait for the answer."""
+        """Wait for the answer and return it."""
         await self._event.wait()
         return self._value  # type: ignore[return-value]
 
@@ -39,8 +39,8 @@
 class Mailbox(Generic[MessageT]):
     """The inbox of one task.
 
-    Any task may post; only the owner receives. A full mailbox refuses (`post` answers False) so
-    that a slow task shows up as refusals and never as unbounded memory.
+    Any task may post; only the owner receives. A full mailbox rejects messages (`post` returns
+    False), so that a slow task causes refusals instead of unbounded memory use.
     """
 
     def __init__(self, size: int = DEFAULT_MAILBOX_SIZE) -> None:
@@ -49,7 +49,7 @@
         self._receive: MemoryObjectReceiveStream[MessageT] = streams[1]
 
     def post(self, message: MessageT) -> bool:
-        """Leave a message without waiting; False if the mailbox is full."""
+        """Queue a message without waiting; return False if the mailbox is full."""
         try:
             self._send.send_nowait(message)
         except anyio.WouldBlock:
@@ -57,9 +57,9 @@
         return True
 
     async def put(self, message: MessageT) -> None:
-        """Leave a message, waiting for room."""
+        """Queue a message, waiting while the mailbox is full."""
         await self._send.send(message)
 
     async def receive(self) -> MessageT:
-        """Take the next message; for the owner only."""
+        """Wait for the next message and return it; only the owner may call this."""
         return await self._receive.receive()
--- a/src/weirscale/node/node_ports.py
+++ b/src/weirscale/node/node_ports.py
@@ -1,4 +1,4 @@
-"""Who a node is, and everything outside it as ports."""
+"""A node's identity, and the ports to everything outside the node."""
 
 import time
 from collections.abc import Callable
@@ -21,13 +21,13 @@
 
 
 class NodeIdentity(msgspec.Struct, frozen=True):
-    """Who a node is.
+    """Identity of a node.
 
     Attributes:
         node: Name and incarnation of this run.
-        zone: Its zone.
-        address: Its peer address, as others reach it.
-        seeds: Peer addresses to join by.
+        zone: Zone of the node.
+        address: Peer address at which other nodes reach it.
+        seeds: Peer addresses of the nodes through which it joins.
     """
 
     node: NodeId
@@ -37,15 +37,15 @@
 
 
 class NodePorts(msgspec.Struct, frozen=True):
-    """Everything outside a node.
+    """Ports to everything outside a node.
 
     Attributes:
-        network: Reaches other nodes; run by whoever made it.
+        network: Connects to other nodes; its creator must run it.
         key_value: The platform's key-value service.
-        machines: The platform's machine list, or None.
-        make_engine_port: Makes the port of a declared engine.
-        make_service_port: Makes the port of a declared service back end.
-        epoch_ms: Milliseconds since the epoch, never falling from one run to the next.
+        machines: The platform's machine list, or None if there is none.
+        make_engine_port: Creates the port of a declared engine.
+        make_service_port: Creates the port of a declared service back end.
+        epoch_ms: Returns the milliseconds since the epoch; never decreases between runs.
     """
 
     network: PeerNetwork
--- a/src/weirscale/node/planned_stop.py
+++ b/src/weirscale/node/planned_stop.py
@@ -1,4 +1,4 @@
-"""The planned stop of a node: refuse new requests, finish all others, hand duties on, leave."""
+"""The planned stop of a node: refuse new requests, finish the rest, hand over duties, leave."""
 
 import anyio
 
@@ -11,24 +11,26 @@
 from weirscale.ports.event_log import EventLog
 
 UNCONFIGURED_DRAIN_TIMEOUT_S = 5.0
-"""Without a configuration requests wait about a second for the first one; they still end whole."""
+"""Drain timeout without a configuration. Requests then wait about a second for the first
+configuration, so they can still finish."""
 
 RELEASE_TIMEOUT_S = 1.0
 HAND_OVER_TIMEOUT_S = 10.0
-"""Claim groups get new holders before this one goes, so that a rolling restart loses no claim."""
+"""Timeout of the handover of claim groups. They get new holders before this node stops, so that a
+rolling restart loses no claim."""
 
 
 class PlannedStop:
     """Carries out the planned stop of one node.
 
     Args:
-        drain: The callers' side: refuses new requests and counts those that run.
-        configuration: Holds the time limit.
-        membership: Told of the leaving at the start, and of the end.
-        canceller: Still stops engines' work for callers that left.
-        planner_lease: Released, so that another node plans at once.
-        ledger: Hands its claim groups over.
-        event_log: Where events go.
+        drain: Makes the caller interface refuse new requests, and counts the running ones.
+        configuration: Contains the drain timeout.
+        membership: Announces that this node is leaving, and at the end that it has left.
+        canceller: Finishes cancelling engines' work for callers that disconnected.
+        planner_lease: Released, so that another node can plan immediately.
+        ledger: Hands over its claim groups.
+        event_log: Receives the events.
     """
 
     def __init__(
@@ -50,7 +52,7 @@
         self._event_log = event_log
 
     async def run(self) -> bool:
-        """Stop as planned; the node's other tasks must still be running.
+        """Carry out the planned stop; the node's other tasks must still be running.
 
         Returns:
             True if all requests finished within the time limit.
@@ -58,13 +60,13 @@
         self._event_log.event("drain_began", running=self._drain.num_running)
         self._drain.begin()
         self._membership.leave()
-        with anyio.move_on_after(self._timeout_s()) as limit:
+        with anyio.move_on_after(self._timeout_s()) as time_limit:
             await self._drain.wait_idle()
             await self._canceller.wait_idle()
         await self._hand_over()
         await self._membership.depart()
         self._event_log.event("drain_ended", left_over=self._drain.num_running)
-        return not limit.cancelled_caught
+        return not time_limit.cancelled_caught
 
     def _timeout_s(self) -> float:
         in_force = self._configuration.current()
@@ -73,7 +75,7 @@
         return in_force.deployment.drain_timeout_s
 
     async def _hand_over(self) -> None:
-        """Let other nodes take over at once; bounded, since leases run out by themselves."""
+        """Hand over to other nodes. The time is bounded, because leases expire by themselves."""
         with anyio.move_on_after(RELEASE_TIMEOUT_S):
             await self._planner_lease.release()
         await self._ledger.hand_over(HAND_OVER_TIMEOUT_S)
--- a/src/weirscale/node/program.py
+++ b/src/weirscale/node/program.py
@@ -1,4 +1,4 @@
-"""The node as a process: sockets, signals, logs."""
+"""The node as a process: sockets, signals and logs."""
 
 import gc
 import signal
@@ -28,37 +28,38 @@
 MILLISECONDS_PER_S = 1000
 
 OPERATOR_HOST = "127.0.0.1"
-"""Operators' questions are answered on loopback only: the port has no authentication."""
+"""The operators' port listens on loopback only, because it has no authentication."""
 
 FINISH_TIMEOUT_S = 5.0
-"""After a drain no request runs; idle connections get this long to close."""
+"""Time for idle connections to close after a drain, when no request is running."""
 
-YOUNG_OBJECTS_BEFORE_COLLECTION = 20_000
-"""New containers that start a collection; some 10 MB at most wait in cycles."""
+GC_YOUNG_THRESHOLD = 20_000
+"""Number of new container objects that triggers a garbage collection; unreachable cycles then hold
+about 10 MB at most."""
 
 EXIT_DRAINED = 0
-EXIT_CUT = 4
-"""The drain ran out of time and cut requests."""
+EXIT_DRAIN_TIMED_OUT = 4
+"""Exit code if the drain timed out and running requests were cut off."""
 
 
 def new_incarnation() -> Incarnation:
-    """Return the incarnation of a run that starts now: milliseconds since the epoch."""
+    """Return the incarnation of a run that starts now, in milliseconds since the epoch."""
     return Incarnation(int(time.time() * MILLISECONDS_PER_S))
 
 
 def key_ring(settings: NodeSettings) -> KeyRing:
-    """Make the ring of shared keys from checked settings."""
+    """Create the ring of shared keys from checked settings."""
     keys = (PeerKey(key.key_id, key.secret.encode()) for key in settings.peer_keys)
     return KeyRing(tuple(keys))
 
 
 def make_engine_port(engine: Engine) -> EnginePort:
-    """Make the HTTP port of an engine."""
+    """Create the HTTP port of an engine."""
     return HttpEngine(engine.address)
 
 
 def make_service_port(backend: ServiceBackend) -> ServicePort:
-    """Make the HTTP port of a service back end."""
+    """Create the HTTP port of a service back end."""
     return HttpService(backend.address)
 
 
@@ -84,7 +85,7 @@
             NodeId(settings.name, new_incarnation()),
             settings.zone,
             NodeAddress(settings.host, settings.peer_port),
-            _addresses(settings.seeds),
+            _parse_addresses(settings.seeds),
         )
         self.node = Node(
             self.identity,
@@ -109,32 +110,32 @@
         """Serve until `stop` is set, then drain.
 
         Returns:
-            True if the drain cut no request.
+            True if the drain cut off no request.
         """
-        served = anyio.Event()
+        stop_serving = anyio.Event()
         async with anyio.create_task_group() as tasks:
             await tasks.start(self.network.run)
             await tasks.start(self.node.run)
-            _relieve_garbage_collector()
+            _tune_garbage_collector()
             callers = self.node.caller_app
-            tasks.start_soon(serve_asgi, callers, self._listener, served, FINISH_TIMEOUT_S)
+            tasks.start_soon(serve_asgi, callers, self._listener, stop_serving, FINISH_TIMEOUT_S)
             operators = self.node.operator_app(stop.set)
             listener = self._operator_listener
-            tasks.start_soon(serve_asgi, operators, listener, served, FINISH_TIMEOUT_S)
+            tasks.start_soon(serve_asgi, operators, listener, stop_serving, FINISH_TIMEOUT_S)
             self.event_log.event(
                 "node_started", callers=self.caller_port, operators=self.operator_port
             )
             tasks.start_soon(self._stop_when_superseded, stop)
             await stop.wait()
             was_clean = await self.node.drain()
-            served.set()
+            stop_serving.set()
             tasks.cancel_scope.cancel()
         self.event_log.event("node_stopped", clean=was_clean)
         self.stopped.set()
         return was_clean
 
     async def _stop_when_superseded(self, stop: anyio.Event) -> None:
-        """Drain this run once a later run of the same name is a member."""
+        """Drain this run once a later run of a node with the same name has joined."""
         await self.node.membership.wait_superseded()
         self.event_log.event(
             "node_superseded", remedy="give each node a name of its own, or stop the earlier run"
@@ -142,20 +143,20 @@
         stop.set()
 
 
-def _addresses(texts: tuple[str, ...]) -> tuple[NodeAddress, ...]:
+def _parse_addresses(texts: tuple[str, ...]) -> tuple[NodeAddress, ...]:
     parsed = (parse_address(text) for text in texts)
     return tuple(result.ok_value for result in parsed if isinstance(result, Ok))
 
 
-def _relieve_garbage_collector() -> None:
-    """Exempt what was made at the start from collection, and collect less often.
+def _tune_garbage_collector() -> None:
+    """Exempt all objects created at startup from garbage collection, and collect less often.
 
-    Requests are freed by their reference counts. A full collection of a node's modules and
-    settings would stop every stream for tens of milliseconds and free nothing.
+    Requests are freed by reference counting. A full collection over a node's modules and settings
+    would pause all streams for tens of milliseconds and free nothing.
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(YOUNG_OBJECTS_BEFORE_COLLECTION)
+    gc.set_threshold(GC_YOUNG_THRESHOLD)
 
 
 async def _set_on_signal(stop: anyio.Event) -> None:
@@ -172,7 +173,7 @@
         tasks.start_soon(_set_on_signal, stop)
         was_clean = await program.run(stop)
         tasks.cancel_scope.cancel()
-    return EXIT_DRAINED if was_clean else EXIT_CUT
+    return EXIT_DRAINED if was_clean else EXIT_DRAIN_TIMED_OUT
 
 
 def run_node(settings: NodeSettings) -> int:
@@ -182,7 +183,7 @@
         The process's exit code.
 
     Raises:
-        OSError: An address cannot be bound.
+        OSError: An address can't be bound.
     """
     start_line_log()
     return anyio.run(_serve, settings, backend_options={"use_uvloop": True})
--- a/src/weirscale/node/settings.py
+++ b/src/weirscale/node/settings.py
@@ -1,6 +1,7 @@
-"""A process's own settings: addresses, zone, seeds. Read from a YAML file; flags override fields.
+"""Settings of one node process, such as its addresses, zone and seeds.
 
-What all nodes share is in the deployment's configuration, never here.
+They are read from a YAML file; command line flags override fields. Settings shared by all nodes are
+part of the deployment's configuration instead.
 """
 
 import ipaddress
@@ -16,7 +17,7 @@
 from weirscale.messages.envelope import MAX_SECRET_BYTES, MIN_SECRET_BYTES
 
 MAX_SETTINGS_BYTES = 64 * 1024
-"""Settings are a screenful; anything larger is the wrong file."""
+"""Maximum size of the file; settings fit on one screen, so a larger file is the wrong one."""
 
 MAX_PORT = 65_535
 MAX_KEY_ID = 255
@@ -25,11 +26,11 @@
 
 
 class PeerKeySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A shared key between nodes; two are given while keys are rotated, the first one signs.
+    """A key shared between nodes. During key rotation two keys are given; the first one signs.
 
     Attributes:
-        key_id: Number that names the key on the wire, 0 to 255.
-        secret: The key, 16 to 64 characters.
+        key_id: Number that identifies the key on the wire, 0 to 255.
+        secret: The key, 16 to 64 bytes.
     """
 
     key_id: int
@@ -40,16 +41,16 @@
     """Settings of one node.
 
     Attributes:
-        name: Unique name; by default made from host and caller port.
-        zone: Zone of this machine, as named in the configuration.
-        host: IP number to listen on.
-        caller_port: TCP port for callers; 0 takes a free one.
+        name: Unique name; by default host and caller port, separated by a colon.
+        zone: Zone of this machine, as it is named in the configuration.
+        host: IP address to listen on.
+        caller_port: TCP port for callers; 0 selects a free port.
         peer_port: UDP and TCP port for other nodes.
-        operator_port: TCP port for operators' questions, on loopback only; 0 takes a free one.
-        seeds: Peer addresses (host:port) of nodes to join by.
+        operator_port: TCP port for operators, on loopback only; 0 selects a free port.
+        seeds: Peer addresses (host:port) of the nodes through which this node joins.
         key_value: Addresses (host:port) of the key-value service.
-        machine_list: Address (host:port) of the machine list, or None.
-        peer_keys: Shared keys between nodes; the first one signs.
+        machine_list: Address (host:port) of the machine list, or None if there is none.
+        peer_keys: Keys shared between nodes; the first one signs.
         log_level: `info` or `debug`.
     """
 
@@ -67,12 +68,12 @@
 
 
 class SettingsError(msgspec.Struct, frozen=True):
-    """Settings that cannot be used.
+    """An error in the settings.
 
     Attributes:
         field: The field, or the file's name.
-        problem: What is wrong.
-        remedy: What to change.
+        problem: The problem.
+        remedy: The change that solves it.
     """
 
     field: str
@@ -86,27 +87,27 @@
 def load_settings(
     file: Path | None, overrides: Mapping[str, object]
 ) -> Result[NodeSettings, SettingsError]:
-    """Read a settings file and lay flags over it.
+    """Read a settings file and override its fields with flags.
 
     Args:
-        file: YAML file, or None to use flags alone.
-        overrides: Fields given as flags; None values are left out.
+        file: YAML file, or None to use only flags.
+        overrides: Fields given as flags; None values are ignored.
 
     Returns:
         The checked settings, or the first error with its remedy.
     """
     fields: dict[str, object] = {}
     if file is not None:
-        read = _read_fields(file)
-        if isinstance(read, Err):
-            return read
-        fields = read.ok_value
+        parsed_file = _read_fields(file)
+        if isinstance(parsed_file, Err):
+            return parsed_file
+        fields = parsed_file.ok_value
     fields.update({name: value for name, value in overrides.items() if value is not None})
     try:
         settings = msgspec.convert(fields, NodeSettings)
     except msgspec.ValidationError as error:
-        known = ", ".join(NodeSettings.__struct_fields__)
-        return Err(SettingsError("settings", str(error), f"known fields are {known}"))
+        known_fields = ", ".join(NodeSettings.__struct_fields__)
+        return Err(SettingsError("settings", str(error), f"known fields are {known_fields}"))
     problem = _first_problem(settings)
     if problem is not None:
         return Err(problem)
@@ -114,7 +115,7 @@
 
 
 def parse_address(address: str) -> Result[NodeAddress, SettingsError]:
-    """Split `IP:port` into its parts; IPv6 numbers stand in brackets."""
+    """Parse `IP:port`; IPv6 addresses are in brackets."""
     host, separator, port = address.rpartition(":")
     host = host.strip("[]")
     remedy = "give it as IP number, colon, port, such as 127.0.0.1:7100"
@@ -126,7 +127,7 @@
 
 
 def _read_fields(file: Path) -> Result[dict[str, object], SettingsError]:
-    """Parse the file into plain fields."""
+    """Parse the file and return its fields, unchecked."""
     try:
         content = file.read_bytes()
     except OSError as error:
@@ -145,16 +146,16 @@
 
 
 def _first_problem(settings: NodeSettings) -> SettingsError | None:
-    """Check the rules that types do not express."""
+    """Return the first violation of a rule that types do not express, or None."""
     if not _is_ip_number(settings.host):
         return SettingsError("host", f"{settings.host!r} is not an IP number", "use 127.0.0.1")
-    for name, port, lowest in (
+    for name, port, min_port in (
         ("caller_port", settings.caller_port, 0),
         ("operator_port", settings.operator_port, 0),
         ("peer_port", settings.peer_port, 1),
     ):
-        if not lowest <= port <= MAX_PORT:
-            return SettingsError(name, f"{port} is no port", f"use {lowest} to {MAX_PORT}")
+        if not min_port <= port <= MAX_PORT:
+            return SettingsError(name, f"{port} is no port", f"use {min_port} to {MAX_PORT}")
     if not settings.peer_keys:
         return SettingsError("peer_keys", "no key is given", "give at least one key")
     for key in settings.peer_keys:
@@ -172,7 +173,7 @@
 
 
 def _with_name(settings: NodeSettings) -> NodeSettings:
-    """Fill in the default name."""
+    """Return the settings with the default name filled in."""
     if settings.name:
         return settings
     name = NodeName(f"{settings.host}:{settings.caller_port}")
@@ -180,7 +181,7 @@
 
 
 def _is_ip_number(host: str) -> bool:
-    """Whether the text is an IPv4 or IPv6 number."""
+    """Return whether the text is an IPv4 or IPv6 address."""
     try:
         ipaddress.ip_address(host)
     except ValueError:
