--- a/src/weirscale/node/operators/__init__.py
+++ b/src/weirscale/node/operators/__init__.py
@@ -1,1 +1,1 @@
-"""What operators ask a node, on a port of its own that listens on loopback only."""
+"""The interface for operators, on a separate port that listens on loopback only."""
--- a/src/weirscale/node/operators/app.py
+++ b/src/weirscale/node/operators/app.py
@@ -1,6 +1,6 @@
 """The operators' ASGI application: configuration, members, rollouts, explanations, drain.
 
-Read-only but for `POST /operator/drain`. Operators change the system by deployment files alone.
+Read-only except for `POST /operator/drain`. Operators change the system only by deployment files.
 """
 
 from collections.abc import Callable
@@ -38,7 +38,7 @@
 
 
 class OperatorProblem(msgspec.Struct, frozen=True):
-    """Body of an answer that is not what was asked for."""
+    """Body of an error response."""
 
     message: str
     remedy: str
@@ -52,13 +52,13 @@
 
 
 class OperatorApp:
-    """Answers operators.
+    """Serves the requests of operators.
 
     Args:
-        configuration: Knows how far a revision has come.
+        configuration: Reports how far a revision has spread through the fleet.
         membership: The live nodes.
-        explainer: Finds what was decided for a request.
-        placement: Finds the progress of rollouts, on the node that plans.
+        explainer: Finds the routing decisions of a request.
+        placement: Fetches the progress of rollouts from the node that plans the placement.
         begin_drain: Starts the planned stop of this node.
     """
 
@@ -77,7 +77,7 @@
         self._begin_drain = begin_drain
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one ASGI connection."""
+        """Serve one ASGI connection."""
         if scope["type"] == "lifespan":
             await answer_lifespan(receive, send)
         elif scope["type"] == "http":
@@ -105,8 +105,8 @@
         status = await self._placement.of_planner()
         if status is None:
             problem = OperatorProblem(
-                "no live node plans now",
-                "engines stay as they are; check that the key-value service answers",
+                "no live node currently plans the placement",
+                "engines remain unchanged; check that the key-value service answers",
             )
             await send_json(send, UNAVAILABLE, problem)
         else:
@@ -116,8 +116,8 @@
         record = await self._explainer.explain(request_id)
         if record is None:
             problem = OperatorProblem(
-                f"no live node remembers request {request_id!r}",
-                "each node keeps its latest decisions only; ask sooner, or check the id",
+                f"no live node has a record of request {request_id!r}",
+                "each node keeps only its latest decisions; query sooner, or check the id",
             )
             await send_json(send, NOT_FOUND, problem)
         elif as_text:
