--- a/src/weirscale/node/execution/attempt.py
+++ b/src/weirscale/node/execution/attempt.py
@@ -12,7 +12,7 @@
 from weirscale.domain.request.retry_policy import CHUNK_STALL_S, FailureClass
 from weirscale.domain.request.stream import ChunkVerdict, StreamCheck
 from weirscale.node.execution.canceller import EngineCanceller
-from weirscale.node.execution.stall_watch import StallWatch, WatchedPull
+from weirscale.node.execution.stall_watch import StallWatch, WatchedStream
 from weirscale.node.interfaces import AttemptOutcome, ChosenEngine
 from weirscale.node.routing.engine_router import EngineRouter
 from weirscale.ports.engine import (
@@ -122,7 +122,7 @@
             if chunks is not None and num_ready_chunks(chunks):
                 item = await anext(chunks)
             else:
-                item = await self._pull(give_up_at_s)
+                item = await self._read_item(give_up_at_s)
             checked = self._check_item(item)
             if isinstance(checked, Err):
                 return checked
@@ -160,12 +160,12 @@
         if chunks is None:
             return await self._reopen(sink, give_up_at_s)
         with anyio.CancelScope() as scope:
-            pull = WatchedPull(scope, give_up_at_s)
-            watch.add(pull)
+            watched = WatchedStream(scope, give_up_at_s)
+            watch.add(watched)
             try:
-                return await self._stream_watched(chunks, sink, pull, watch)
+                return await self._stream_watched(chunks, sink, watched, watch)
             finally:
-                watch.remove(pull)
+                watch.remove(watched)
         return self._fail(_TIMED_OUT).err_value
 
     async def _reopen(self, sink: ChunkSink, give_up_at_s: float) -> AttemptFailure | None:
@@ -179,17 +179,17 @@
         self,
         chunks: AsyncIterator[ChunkOrFailure],
         sink: ChunkSink,
-        pull: WatchedPull,
+        watched: WatchedStream,
         watch: StallWatch,
     ) -> AttemptFailure | None:
         while not self.is_complete:
-            pull.waiting_since_s = watch.now_s
+            watched.waiting_since_s = watch.now_s
             try:
                 item = await anext(chunks)
             except StopAsyncIteration:
                 item = Err(_ENDED_EARLY)
-            pull.waiting_since_s = None
-            if pull.scope.cancel_called:
+            watched.waiting_since_s = None
+            if watched.scope.cancel_called:
                 # Nothing can be sent to the caller inside a cancelled scope. The check has not
                 # counted the chunk yet, so a resumed stream delivers it again.
                 item = Err(_TIMED_OUT)
@@ -247,7 +247,7 @@
         self.failure = failure
         return Err(AttemptFailure(failure, classify(failure, self._is_resume)))
 
-    async def _pull(self, give_up_at_s: float) -> ChunkOrFailure:
+    async def _read_item(self, give_up_at_s: float) -> ChunkOrFailure:
         if self.last_chunk is not None:
             give_up_at_s = min(give_up_at_s, anyio.current_time() + CHUNK_STALL_S)
         with anyio.CancelScope(deadline=give_up_at_s) as scope:
--- a/src/weirscale/node/execution/attempts.py
+++ b/src/weirscale/node/execution/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of one generation request: where they start, how long they wait, how they end."""
+"""The attempts of one generation request: starting them with a time limit, and ending them."""
 
 import anyio
 from result import Err, Ok, Result
@@ -72,7 +72,7 @@
         return Ok(self._make_attempt(choice.ok_value, check))
 
     async def start_hedge(self, first: Attempt) -> Attempt | None:
-        """Create a second attempt on another engine; return None if no other is available."""
+        """Create an attempt on another engine, in parallel with a slow first one, if possible."""
         slow_engine = first.chosen.choice.engine
         choice = await self._choose(self.excluded | {slow_engine})
         if isinstance(choice, Err):
--- a/src/weirscale/node/execution/stall_watch.py
+++ b/src/weirscale/node/execution/stall_watch.py
@@ -12,11 +12,11 @@
 arrived meanwhile have not been read, so no stream counts as stalled yet."""
 
 
-class WatchedPull:
-    """State of a task that reads one stream; updated by the task for each chunk, read by the watch.
+class WatchedStream:
+    """State of a watched stream; updated by its task for each chunk, read by the watch.
 
     Attributes:
-        scope: Scope around the reads of the task; cancelled on a stall.
+        scope: Scope around the reads of the stream's task; cancelled on a stall.
         waiting_since_s: When the task began to wait for the next chunk, in the watch's `now_s`, or
             None while the task does something else, such as sending to a slow caller.
         give_up_at_s: When the wait times out in any case.
@@ -43,26 +43,26 @@
     def __init__(self) -> None:
         self.now_s = 0.0
         self._last_sweep_s = 0.0
-        self._pulls: set[WatchedPull] = set()
-        self._has_pulls = anyio.Event()
+        self._streams: set[WatchedStream] = set()
+        self._has_streams = anyio.Event()
 
-    def add(self, pull: WatchedPull) -> None:
+    def add(self, watched: WatchedStream) -> None:
         """Start watching a stream."""
         self.now_s = anyio.current_time()
-        self._pulls.add(pull)
-        self._has_pulls.set()
+        self._streams.add(watched)
+        self._has_streams.set()
 
-    def remove(self, pull: WatchedPull) -> None:
+    def remove(self, watched: WatchedStream) -> None:
         """Stop watching a stream."""
-        self._pulls.discard(pull)
+        self._streams.discard(watched)
 
     async def run(self) -> None:
         """Sweep periodically until cancelled, while streams are watched."""
         while True:
-            await self._has_pulls.wait()
+            await self._has_streams.wait()
             self._sweep(anyio.current_time())
-            if not self._pulls:
-                self._has_pulls = anyio.Event()
+            if not self._streams:
+                self._has_streams = anyio.Event()
                 continue
             await anyio.sleep(SWEEP_INTERVAL_S)
 
@@ -70,11 +70,11 @@
         was_suspended = now_s - self._last_sweep_s > SUSPENSION_S
         self._last_sweep_s = now_s
         self.now_s = now_s
-        for pull in self._pulls:
-            waiting_since_s = pull.waiting_since_s
+        for watched in self._streams:
+            waiting_since_s = watched.waiting_since_s
             if waiting_since_s is None:
                 continue
             if was_suspended:
-                pull.waiting_since_s = now_s
-            elif now_s >= min(waiting_since_s + CHUNK_STALL_S, pull.give_up_at_s):
-                pull.scope.cancel()
+                watched.waiting_since_s = now_s
+            elif now_s >= min(waiting_since_s + CHUNK_STALL_S, watched.give_up_at_s):
+                watched.scope.cancel()
--- a/src/weirscale/node/interfaces.py
+++ b/src/weirscale/node/interfaces.py
@@ -85,7 +85,7 @@
         ...
 
     def version(self) -> int:
-        """Return a number that grows with each change of `peers`."""
+        """Return a number that grows with each change of `peers`, for a cheap comparison."""
         ...
 
 
@@ -115,7 +115,8 @@
         attempt: Number of the attempt within the request, from 0.
         engine: The engine.
         incarnation: The chosen run of the engine.
-        failure: How the attempt failed, or None if its answer is complete.
+        failure: How the attempt failed. None for a complete answer, and for an attempt that was
+            abandoned, such as the loser of a hedge.
         num_prompt_tokens: Prompt tokens, as counted by the engine.
         num_cached_tokens: Prompt tokens served from the cache, as counted by the engine.
         ttft_s: Time from the start of the attempt to its first chunk, None without a chunk.
@@ -169,7 +170,8 @@
         state: The decision.
         key: Idempotency key, qualified by the tenant.
         holder_request_id: The request that holds the claim.
-        answer: The first request's answer, if the state is COMPLETED and the answer was stored.
+        answer: The first request's answer, if the state is COMPLETED and the answer was small
+            enough to be stored.
     """
 
     state: ClaimState
--- a/src/weirscale/node/planned_stop.py
+++ b/src/weirscale/node/planned_stop.py
@@ -75,7 +75,7 @@
         return in_force.deployment.drain_timeout_s
 
     async def _hand_over(self) -> None:
-        """Hand over to other nodes. The time is bounded, because leases expire by themselves."""
+        """Let other nodes take over immediately; bounded in time, because leases expire anyway."""
         with anyio.move_on_after(RELEASE_TIMEOUT_S):
             await self._planner_lease.release()
         await self._ledger.hand_over(HAND_OVER_TIMEOUT_S)
