--- a/src/weirscale/node/execution/history.py
+++ b/src/weirscale/node/execution/history.py
@@ -3,7 +3,7 @@
 from weirscale.domain.request.retry_policy import NextStep
 
 MAX_CAUSES = 8
-"""Maximum number of causes listed; of a longer chain of resumes only the number is given."""
+"""Maximum number of causes listed; the rest of a long chain of resumes is only counted."""
 
 NO_CAUSES = "-"
 
