--- a/src/weirscale/node/placement/status.py
+++ b/src/weirscale/node/placement/status.py
@@ -4,7 +4,7 @@
 
 from weirscale.messages.placement import PlacementStatusReply, PlacementStatusRequest
 from weirscale.node.interfaces import MembershipView
-from weirscale.node.peers.asking import first_answer
+from weirscale.node.peers.first_answer import first_answer
 from weirscale.node.peers.link import PeerLink
 from weirscale.node.placement.task import PlacementTask
 
--- a/src/weirscale/node/routing/explain.py
+++ b/src/weirscale/node/routing/explain.py
@@ -5,7 +5,7 @@
 from weirscale.domain.identifiers import RequestId
 from weirscale.messages.explain import DecisionRecord, ExplainReply, ExplainRequest
 from weirscale.node.interfaces import MembershipView, Peer
-from weirscale.node.peers.asking import first_answer
+from weirscale.node.peers.first_answer import first_answer
 from weirscale.node.peers.link import PeerLink
 from weirscale.node.routing.decisions import DecisionLog
 
