--- a/features/steps/claims_log_faults_steps.py
+++ b/features/steps/claims_log_faults_steps.py
@@ -187,7 +187,7 @@
     rules = ClaimRules(retention_s=RETENTION_S)
     writer = ClaimLogWriter(InProcessKeyValue(server), lambda: rules)
     async with anyio.create_task_group() as tasks:
-        writer.run_in(tasks)
+        writer.use_task_group(tasks)
         await script(writer)
 
 
--- a/features/support/claims_fleet.py
+++ b/features/support/claims_fleet.py
@@ -223,7 +223,7 @@
         """Groups whose newest epoch has all its holders, each active."""
         held = {}
         for node in self.running():
-            for known in node.ledger.registry.held():
+            for known in node.ledger.registry.held_epochs():
                 held[known] = held.get(known, 0) + 1
         return sum(1 for count in held.values() if count >= 3)
 
--- a/src/weirscale/node/claims/__init__.py
+++ b/src/weirscale/node/claims/__init__.py
@@ -1,1 +1,1 @@
-"""At-most-once claims between nodes: holders, coordinators and changes of epoch."""
+"""At-most-once claims of idempotency keys: holders, coordinators and epoch changes."""
--- a/src/weirscale/node/claims/answers.py
+++ b/src/weirscale/node/claims/answers.py
@@ -1,30 +1,30 @@
-"""Conversions between the ledger's values and those that request handling uses."""
+"""Conversions between the claim ledger's values and those of request handling."""
 
 from weirscale.domain.claims.model import StoredAnswer
 from weirscale.domain.request.model import RunStatus, ServiceResponse
 from weirscale.domain.request.refusal import Refusal, RefusalCode
 
 DEFAULT_RETRY_AFTER_S = 1.0
-"""Advice to callers when no quorum answers: about the time of one change of epoch."""
+"""Retry-After when no quorum answers: about the duration of one epoch change."""
 SERVICE_UNAVAILABLE = 503
 
 
-def stored_answer(answer: ServiceResponse | None) -> StoredAnswer | None:
-    """The kept form of an answer."""
+def to_stored_answer(answer: ServiceResponse | None) -> StoredAnswer | None:
+    """Convert an answer to the form that is stored with its claim."""
     if answer is None:
         return None
     return StoredAnswer(answer.status, tuple(answer.headers.items()), answer.body)
 
 
-def service_response(answer: StoredAnswer | None) -> ServiceResponse | None:
-    """The answer in the form that callers get."""
+def to_service_response(answer: StoredAnswer | None) -> ServiceResponse | None:
+    """Convert a stored answer to the response for the caller."""
     if answer is None:
         return None
     return ServiceResponse(answer.status, dict(answer.headers), answer.body)
 
 
 def claim_unavailable(detail: str, retry_after_s: float = DEFAULT_RETRY_AFTER_S) -> Refusal:
-    """The refusal when the ledger cannot tell whether a key is new."""
+    """Return the refusal for a key that may or may not have been claimed before."""
     return Refusal(
         RefusalCode.CLAIM_UNAVAILABLE,
         SERVICE_UNAVAILABLE,
--- a/src/weirscale/node/claims/granted.py
+++ b/src/weirscale/node/claims/granted.py
@@ -1,4 +1,4 @@
-"""The ledger's own form of a claim."""
+"""The claim type that the quorum ledger hands out."""
 
 from weirscale.domain.claims.model import ClaimKey
 from weirscale.node.interfaces import Claim
@@ -9,7 +9,7 @@
 
     Attributes:
         claim_key: Digest of tenant and key.
-        claimant: Names this attempt to claim; unlike the request id it is never used twice.
+        claimant: Identifies this attempt to claim; unlike the request id it is never reused.
         fingerprint: Short digest of the request.
     """
 
--- a/src/weirscale/node/claims/group_calls.py
+++ b/src/weirscale/node/claims/group_calls.py
@@ -1,4 +1,4 @@
-"""Calls to all holders of a claim group, and settling of claims with a quorum of them."""
+"""Calls to the holders of a claim group; completes and withdraws claims at a quorum of them."""
 
 from collections import deque
 from typing import Generic, TypeVar
@@ -14,26 +14,29 @@
 
 ReplyT = TypeVar("ReplyT", bound=msgspec.Struct)
 
-ANY_TIMEOUT_S = 5.0
-"""For a call that waits for the key-value service; the caller's own budget ends it sooner."""
+ANY_HOLDER_TIMEOUT_S = 5.0
+"""Timeout of a call that waits for the key-value service; the claim's budget ends it sooner."""
 SETTLE_TIMEOUT_S = 0.8
-"""For one completion or withdrawal."""
+"""Timeout of one completion or withdrawal."""
 SETTLE_ATTEMPTS = 6
-"""Tries to settle a claim with a quorum; in all longer than a change of epoch takes."""
+"""Attempts to settle a claim at a quorum; together they outlast a change of epoch."""
 SETTLE_RETRY_S = 0.25
-"""First wait between two tries; doubles."""
+"""Initial retry backoff; doubles with each attempt."""
 
 
 class HolderReplies(Generic[ReplyT]):
-    """Replies of a group's holders as they come, for one reader; it may stop early."""
+    """Iterates over the replies of a group's holders in order of arrival.
+
+    For a single reader, which may stop before all holders have replied.
+    """
 
     def __init__(self, num_holders: int) -> None:
-        self._num_left = num_holders
+        self._num_pending = num_holders
         self._arrived: deque[tuple[int, ReplyT | None]] = deque()
         self._has_arrived = anyio.Event()
 
     def put(self, index: int, reply: ReplyT | None) -> None:
-        """Add the reply of a holder, None when it gave none."""
+        """Add a holder's reply, or None if its call failed."""
         self._arrived.append((index, reply))
         self._has_arrived.set()
 
@@ -41,10 +44,10 @@
         return self
 
     async def __anext__(self) -> tuple[int, ReplyT | None]:
-        """The next reply; ends when each holder has had its turn."""
-        if self._num_left == 0:
+        """Return the next holder's index and reply; stop after one entry for each holder."""
+        if self._num_pending == 0:
             raise StopAsyncIteration
-        self._num_left -= 1
+        self._num_pending -= 1
         while not self._arrived:
             self._has_arrived = anyio.Event()
             await self._has_arrived.wait()
@@ -52,11 +55,11 @@
 
 
 class GroupCalls:
-    """Asks the holders of groups; calls and retries outlive the request that began them.
+    """Calls the holders of groups; calls and retries outlive the request that started them.
 
     Args:
-        peers: Calls to single holders.
-        epochs: The groups' epochs; newer ones in replies are taken.
+        peers: Calls single holders.
+        epochs: The groups' epochs; newer epochs found in replies are adopted.
     """
 
     def __init__(self, peers: ClaimPeers, epochs: EpochDirectory) -> None:
@@ -64,8 +67,8 @@
         self._epochs = epochs
         self._tasks: TaskGroup | None = None
 
-    def run_in(self, tasks: TaskGroup | None) -> None:
-        """Give the task group that calls run in; None when there is none any more."""
+    def use_task_group(self, tasks: TaskGroup | None) -> None:
+        """Set the task group that runs the calls; None once it is closing."""
         self._tasks = tasks
 
     def ask_all(
@@ -75,7 +78,7 @@
         reply_type: type[ReplyT],
         timeout_s: float,
     ) -> "HolderReplies[ReplyT]":
-        """Ask all holders; the calls go on when the reader stops early, so that slow ones hear."""
+        """Call all holders; calls continue if the reader stops early, to reach slow holders too."""
         replies: HolderReplies[ReplyT] = HolderReplies(len(record.holders))
 
         async def ask(index: int, holder: Holder) -> None:
@@ -89,40 +92,42 @@
         return replies
 
     async def ask_any(
-        self, record: GroupEpoch, first: int, message: msgspec.Struct, next_after_s: float
+        self, record: GroupEpoch, first_index: int, message: msgspec.Struct, next_after_s: float
     ) -> bool:
-        """Ask the holders in turn, each when the one before failed or is late, until one did it.
+        """Call the holders in turn until one acknowledges; return whether one did.
+
+        The next holder is called once the one before has failed, or has not answered in time.
 
         Args:
-            record: The holders.
-            first: Number of the holder to begin with, modulo their number.
+            record: The epoch whose holders are called.
+            first_index: Index of the first holder to call, modulo the number of holders.
             message: A call that is answered by `ClaimAck`.
-            next_after_s: How long a holder may take before the next is asked as well.
+            next_after_s: Time until the next holder is called as well.
         """
         holders = record.holders
-        failed = [anyio.Event() for _ in holders]
-        done: list[bool] = []
+        failures = [anyio.Event() for _ in holders]
+        successes: list[bool] = []
 
         async def ask(turn: int) -> None:
             if turn:
                 with anyio.move_on_after(turn * next_after_s):
-                    await failed[turn - 1].wait()
-            holder = holders[(first + turn) % len(holders)]
-            ack = await self._peers.ask(holder, message, ClaimAck, ANY_TIMEOUT_S)
+                    await failures[turn - 1].wait()
+            holder = holders[(first_index + turn) % len(holders)]
+            ack = await self._peers.ask(holder, message, ClaimAck, ANY_HOLDER_TIMEOUT_S)
             if ack is not None:
                 self._epochs.adopt(ack.record)
             if ack is not None and ack.is_done:
-                done.append(True)
+                successes.append(True)
                 tasks.cancel_scope.cancel()
-            failed[turn].set()
+            failures[turn].set()
 
         async with anyio.create_task_group() as tasks:
             for turn in range(len(holders)):
                 tasks.start_soon(ask, turn)
-        return bool(done)
+        return bool(successes)
 
     def settle_later(self, group: int, message: ClaimComplete | ClaimWithdraw) -> None:
-        """Keep trying in the background; what is never settled stays in progress."""
+        """Retry in the background; if all attempts fail, the claim stays in progress."""
         if self._tasks is not None:
             self._tasks.start_soon(self._settle, group, message)
 
@@ -135,7 +140,11 @@
             wait_s *= 2
 
     async def settle_once(self, group: int, message: ClaimComplete | ClaimWithdraw) -> bool:
-        """Tell all holders; True when a quorum of the epoch now in force did it."""
+        """Send a completion or withdrawal to all holders of the newest known epoch.
+
+        Returns:
+            Whether a quorum of them carried it out.
+        """
         record = self._epochs.record(group)
         if record is None:
             return False
--- a/src/weirscale/node/claims/keeper.py
+++ b/src/weirscale/node/claims/keeper.py
@@ -1,4 +1,4 @@
-"""Keeps the claim groups of a fleet held by live nodes, and this node's knowledge of them fresh."""
+"""Keeps claim groups on live holders, and this node's view of the groups' epochs up to date."""
 
 import itertools
 from collections.abc import Callable, Sequence
@@ -28,29 +28,30 @@
 from weirscale.ports.key_value import KeyValuePort
 
 CONCURRENT_CHANGES = 4
-"""Groups that a node changes at once: a change mostly waits for the store and for holders."""
+"""Groups that a node changes concurrently; a change mostly waits for the store and holders."""
 TICK_S = 1.0
-"""How often the state of the groups is looked at; each look is cheap when nothing changed."""
-SETTLE_S = 3.0
-"""Membership must stand still this long before holders are changed: joins come in herds."""
+"""Interval between checks of the groups; a check is cheap when nothing changed."""
+MEMBERSHIP_SETTLE_S = 3.0
+"""Membership must be unchanged this long before holders change, since nodes often join together."""
 CREATE_AFTER_S = 1.0
-"""A node waits this long after its start before it makes missing groups: others may join."""
+"""Wait after the start before a node creates missing groups, since other nodes may still join."""
 FULL_CHECK_S = 30.0
-"""All groups are looked at this often even when membership stands still."""
+"""Interval between checks of all groups while membership does not change."""
 LOST_CHECK_S = 5.0
-"""All groups are looked at this often while one seems to have lost its quorum for good."""
+"""Interval between checks of all groups while a group seems to have lost its quorum for good."""
 CONFIRM_S = 8.0
-"""How often a holder asks other zones for newer epochs; three tries within AUTHORITY_S."""
+"""How often a holder asks other zones for newer epochs; three attempts within AUTHORITY_S."""
 SEALED_TOO_LONG_S = 3.0
-"""A group sealed this long without a new epoch has lost its planner: any holder takes over."""
+"""After this time without a new epoch, the planner of a sealed group counts as failed, and any of
+its holders takes over."""
 STORE_READ_INTERVAL_S = 5.0
-"""Least time between two reads of all records by one node."""
+"""Minimum interval between two reads of all records by one node."""
 QUERY_TIMEOUT_S = 1.0
-"""For questions to other nodes."""
+"""Timeout of queries to other nodes."""
 
 
 def declared_zones(configuration: ConfigurationView) -> frozenset[ZoneName]:
-    """Zones of the configuration in force; empty before the first."""
+    """Return the zones of the configuration in force; empty while there is none."""
     in_force = configuration.current()
     if in_force is None:
         return frozenset()
@@ -59,18 +60,21 @@
 
 
 def claim_rules(configuration: ConfigurationView) -> ClaimRules:
-    """Rules of the configuration in force, or the defaults before the first."""
+    """Return the claim rules of the configuration in force, or the defaults while there is none."""
     in_force = configuration.current()
     return in_force.deployment.claims if in_force is not None else ClaimRules()
 
 
 def node_digest(node: NodeId) -> int:
-    """64-bit digest of one run of a node."""
+    """Return a 64-bit digest of a node's name and incarnation."""
     return xxhash.xxh3_64_intdigest(node.name.encode(), node.incarnation % 2**64)
 
 
 class ClaimKeeper:
-    """Plans changes of epoch, confirms epochs and learns missing ones; `run` is its task."""
+    """Plans and makes epoch changes, confirms held epochs and loads missing ones.
+
+    `run` must be running.
+    """
 
     def __init__(
         self,
@@ -93,32 +97,35 @@
         self._authority = authority
         self._random = random
         self._attempts = itertools.count(1)
-        self._seen_version = -1
-        self._version_since_s = 0.0
+        self._membership_version = -1
+        self._membership_since_s = 0.0
         self._checked_at_s = float("-inf")
         self._confirmed_at_s = float("-inf")
         self._store_read_at_s = float("-inf")
-        self._loss = LossDetector()
+        self._loss_detector = LossDetector()
         self._log = log
 
     async def run(self) -> None:
-        """Keep going until cancelled."""
+        """Maintain the groups until cancelled."""
         started_at_s = anyio.current_time()
         while True:
-            await self._learn_missing()
-            await self._confirm()
+            await self._load_missing_epochs()
+            await self._confirm_epochs()
             if anyio.current_time() - started_at_s >= CREATE_AFTER_S:
-                await self._tend_groups()
+                await self._maintain_groups()
             await anyio.sleep(TICK_S * self._random.uniform(0.8, 1.2))
 
     async def refresh(self) -> None:
-        """Ask a few nodes for newer epochs: a coordinator met holders that moved on."""
+        """Ask up to two random nodes for newer epochs.
+
+        Needed when holders no longer answer for the known epoch.
+        """
         others = list(self._peers.others())
         for node in self._random.sample(others, min(2, len(others))):
-            await self._query(node, self._registry.epochs.known())
+            await self._query(node, self._registry.epochs.known_epochs())
 
-    async def _learn_missing(self) -> None:
-        """At the start: from another node, else from the store."""
+    async def _load_missing_epochs(self) -> None:
+        """Load unknown epochs from other nodes, else from the store; needed after the start."""
         if self._registry.epochs.num_unknown() == 0:
             return
         await self.refresh()
@@ -138,20 +145,23 @@
         self._authority.record_store_read(now_s)
         return True
 
-    async def _confirm(self) -> None:
-        """As a holder, hear from other zones that no newer epoch is in force."""
+    async def _confirm_epochs(self) -> None:
+        """As a holder, check with a node of each zone that no newer epoch is in force.
+
+        If too few zones answer, read the store instead.
+        """
         now_s = anyio.current_time()
         if self._registry.num_holders() == 0 or now_s - self._confirmed_at_s < CONFIRM_S:
             return
         self._confirmed_at_s = now_s
         async with anyio.create_task_group() as tasks:
-            for node in self._one_of_each_zone():
+            for node in self._choose_per_zone():
                 tasks.start_soon(self._confirm_with, node)
         zones = declared_zones(self._configuration)
         if not self._authority.may_answer(zones, now_s + CONFIRM_S):
             await self._read_store()
 
-    def _one_of_each_zone(self) -> list[Holder]:
+    def _choose_per_zone(self) -> list[Holder]:
         by_zone: dict[ZoneName, list[Holder]] = {}
         for node in self._peers.others():
             by_zone.setdefault(node.zone, []).append(node)
@@ -159,7 +169,7 @@
 
     async def _confirm_with(self, node: Holder) -> None:
         asked_at_s = anyio.current_time()
-        if await self._query(node, self._registry.held()):
+        if await self._query(node, self._registry.held_epochs()):
             self._authority.record_zone_answer(node.zone, asked_at_s)
 
     async def _query(self, node: Holder, known: tuple[KnownEpoch, ...]) -> bool:
@@ -171,69 +181,71 @@
             self._registry.epochs.adopt(record)
         return True
 
-    async def _tend_groups(self) -> None:
-        """Change the holders of groups that need it and that are this node's to plan."""
+    async def _maintain_groups(self) -> None:
+        """Change the holders of due groups that this node plans, and of groups sealed too long."""
         now_s = anyio.current_time()
-        sealed = self._registry.groups_sealed_before(now_s - SEALED_TOO_LONG_S)
-        has_settled = self._has_settled(now_s)
-        due = self._groups_due(has_settled, now_s)
-        if not sealed and not due:
+        sealed_groups = self._registry.groups_sealed_before(now_s - SEALED_TOO_LONG_S)
+        has_settled = self._has_membership_settled(now_s)
+        due_groups = self._find_due_groups(has_settled, now_s)
+        if not sealed_groups and not due_groups:
             return
         nodes = self._peers.nodes()
-        await self._tend_all(sealed, nodes, is_stuck=True)
-        mine = [group for group in due if self._is_mine_to_change(group, nodes)]
-        await self._tend_all(mine, nodes, is_stuck=False)
-        if has_settled and due:
+        await self._change_groups(sealed_groups, nodes, is_sealed_too_long=True)
+        to_change = [group for group in due_groups if self._should_change(group, nodes)]
+        await self._change_groups(to_change, nodes, is_sealed_too_long=False)
+        if has_settled and due_groups:
             self._checked_at_s = now_s
 
-    async def _tend_all(
-        self, groups: Sequence[int], nodes: tuple[LiveNode, ...], is_stuck: bool
+    async def _change_groups(
+        self, groups: Sequence[int], nodes: tuple[LiveNode, ...], is_sealed_too_long: bool
     ) -> None:
-        """Tend a few groups at a time; stops where the store does not answer.
+        """Change a few groups at a time; stop if the store does not answer.
 
-        The rest would wait for the store too; the next check tries them again.
+        The remaining groups would wait for the store too; the next check retries them.
         """
         is_store_up = True
 
-        async def tend(group: int) -> None:
+        async def change_group(group: int) -> None:
             nonlocal is_store_up
-            is_store_up = await self._tend(group, nodes, is_stuck) and is_store_up
+            is_store_up = (
+                await self._change_if_needed(group, nodes, is_sealed_too_long) and is_store_up
+            )
 
         for first in range(0, len(groups), CONCURRENT_CHANGES):
             async with anyio.create_task_group() as tasks:
                 for group in groups[first : first + CONCURRENT_CHANGES]:
-                    tasks.start_soon(tend, group)
+                    tasks.start_soon(change_group, group)
             if not is_store_up:
                 return
 
-    def _has_settled(self, now_s: float) -> bool:
-        """Whether membership has stood still for long enough."""
+    def _has_membership_settled(self, now_s: float) -> bool:
+        """Return whether membership has been unchanged for MEMBERSHIP_SETTLE_S."""
         version = self._membership.version()
-        if version != self._seen_version:
-            self._seen_version = version
-            self._version_since_s = now_s
-        return now_s - self._version_since_s >= SETTLE_S
+        if version != self._membership_version:
+            self._membership_version = version
+            self._membership_since_s = now_s
+        return now_s - self._membership_since_s >= MEMBERSHIP_SETTLE_S
 
-    def _groups_due(self, has_settled: bool, now_s: float) -> list[int]:
-        """Groups to look at: missing ones at once, all others when membership has settled."""
+    def _find_due_groups(self, has_settled: bool, now_s: float) -> list[int]:
+        """Return the groups to check: missing groups at once, all once membership has settled."""
         epochs = self._registry.epochs
         if not has_settled:
             if epochs.num_unknown() == 0:
                 return []
             return [group for group in range(NUM_GROUPS) if epochs.record(group) is None]
-        is_unchecked = self._checked_at_s < self._version_since_s + SETTLE_S
-        interval_s = LOST_CHECK_S if self._loss.has_lost_groups else FULL_CHECK_S
+        is_unchecked = self._checked_at_s < self._membership_since_s + MEMBERSHIP_SETTLE_S
+        interval_s = LOST_CHECK_S if self._loss_detector.has_lost_groups else FULL_CHECK_S
         is_due = is_unchecked or now_s - self._checked_at_s >= interval_s
         return list(range(NUM_GROUPS)) if is_due or epochs.num_unknown() else []
 
-    def _is_mine_to_change(self, group: int, nodes: tuple[LiveNode, ...]) -> bool:
-        """Whether this node plans the group, it needs a change, and one is possible."""
+    def _should_change(self, group: int, nodes: tuple[LiveNode, ...]) -> bool:
+        """Return whether the group needs a change, one is possible, and this node plans it."""
         if planner_of(group, nodes) != self._membership.self_id:
             return False
         record = self._registry.epochs.record(group)
         if not self._needs_change(group, record, nodes):
             return False
-        return self._loss.can_change(record, nodes, *self._zones_now())
+        return self._loss_detector.can_change(record, nodes, *self._zones_and_time())
 
     def _needs_change(
         self, group: int, record: GroupEpoch | None, nodes: tuple[LiveNode, ...]
@@ -241,8 +253,10 @@
         num_holders = claim_rules(self._configuration).num_holders
         return needs_change(group, record, nodes, num_holders)
 
-    async def _tend(self, group: int, nodes: tuple[LiveNode, ...], is_stuck: bool) -> bool:
-        """Read the group's record anew and carry it to its next epoch if that is still due.
+    async def _change_if_needed(
+        self, group: int, nodes: tuple[LiveNode, ...], is_sealed_too_long: bool
+    ) -> bool:
+        """Reread the group's record and move the group to its next epoch if that is still due.
 
         Returns:
             False if the store does not answer.
@@ -251,9 +265,9 @@
         if stored is None:
             return False
         if self._registry.epochs.adopt(stored.record):
-            is_stuck = False
-        is_due = is_stuck or self._needs_change(group, stored.record, nodes)
-        if is_due and self._loss.can_change(stored.record, nodes, *self._zones_now()):
+            is_sealed_too_long = False
+        is_due = is_sealed_too_long or self._needs_change(group, stored.record, nodes)
+        if is_due and self._loss_detector.can_change(stored.record, nodes, *self._zones_and_time()):
             await self._change(group, stored, nodes)
         return True
 
@@ -269,7 +283,7 @@
             group,
             epoch,
             choose_holders(group, stored.record, nodes, rules.num_holders),
-            self._attempt_name(),
+            self._next_attempt_id(),
         )
         change = EpochChange(
             self._peers,
@@ -277,40 +291,40 @@
             stored,
             record,
             rules.retention_s,
-            self._loss.may_follow_loss(stored.record, nodes, *self._zones_now()),
+            self._loss_detector.may_follow_loss(stored.record, nodes, *self._zones_and_time()),
             self._log,
             restarted_holders(stored.record, nodes) if stored.record is not None else frozenset(),
         )
         in_force = await change.run()
         self._registry.epochs.adopt(in_force)
-        self._tell(record, in_force)
+        self._log_change(record, in_force)
 
-    def _tell(self, wanted: GroupEpoch, in_force: GroupEpoch | None) -> None:
-        """Log what became of a change of epoch."""
-        is_ours = in_force is not None and in_force.attempt == wanted.attempt
+    def _log_change(self, planned: GroupEpoch, in_force: GroupEpoch | None) -> None:
+        """Log the outcome of an epoch change."""
+        is_ours = in_force is not None and in_force.attempt == planned.attempt
         self._events.event(
             "claim_epoch_changed" if is_ours else "claim_epoch_not_changed",
-            group=wanted.group,
-            epoch=wanted.epoch,
-            holders=",".join(holder.node.name for holder in wanted.holders),
+            group=planned.group,
+            epoch=planned.epoch,
+            holders=",".join(holder.node.name for holder in planned.holders),
             follows_loss=in_force.follows_loss if in_force is not None else False,
             reason="done"
             if is_ours
             else "another change won"
             if in_force
-            else "no quorum or store",
+            else "holders or store did not answer",
         )
 
-    def _zones_now(self) -> tuple[frozenset[ZoneName], float]:
+    def _zones_and_time(self) -> tuple[frozenset[ZoneName], float]:
         return declared_zones(self._configuration), anyio.current_time()
 
-    def _attempt_name(self) -> bytes:
+    def _next_attempt_id(self) -> bytes:
         digest = node_digest(self._membership.self_id)
         return digest.to_bytes(8, "big") + next(self._attempts).to_bytes(4, "big")
 
 
-def authority_check(
+def make_authority_check(
     authority: HolderAuthority, configuration: ConfigurationView
 ) -> Callable[[], bool]:
-    """A function that tells whether this node's holders may vote now."""
+    """Return a function that checks whether this node's holders may vote now."""
     return lambda: authority.may_answer(declared_zones(configuration), anyio.current_time())
--- a/src/weirscale/node/claims/ledger.py
+++ b/src/weirscale/node/claims/ledger.py
@@ -1,4 +1,4 @@
-"""The claim ledger of a node: coordinates claims with the holders of a key's group."""
+"""The claim ledger of a node: coordinates claims with the holders of each key's group."""
 
 import itertools
 from random import Random
@@ -31,15 +31,15 @@
 )
 from weirscale.node.claims.answers import (
     claim_unavailable,
-    service_response,
-    stored_answer,
+    to_service_response,
+    to_stored_answer,
 )
 from weirscale.node.claims.granted import GrantedClaim
 from weirscale.node.claims.group_calls import GroupCalls
 from weirscale.node.claims.keeper import (
     ClaimKeeper,
-    authority_check,
     claim_rules,
+    make_authority_check,
     node_digest,
 )
 from weirscale.node.claims.log import ClaimLog
@@ -56,22 +56,24 @@
 from weirscale.ports.key_value import KeyValuePort
 
 CLAIM_BUDGET_S = 3.0
-"""Longest time for a claim with all its rounds, within the caller's deadline."""
+"""Time limit of a claim with all its rounds; the caller's deadline may end it sooner."""
 LOG_BUDGET_S = 5.0
-"""Added where claims are logged: the service may be slow, and a batch may be under way."""
+"""Added to the limit where claims are logged: the service may be slow, or a batch in flight."""
 NEXT_WRITER_AFTER_S = 1.0
-"""Wait before another holder is asked to write a claim into the log, too."""
+"""Wait before another holder is also asked to write a claim to the log."""
 LOG_RETRY_AFTER_S = 5.0
-"""Advice to callers when the service does not answer: about half of a lease."""
-LOG_DETAIL = "the key-value service does not answer, and the group goes on without it in a moment"
+"""Retry-After when the key-value service does not answer: about half of a lease."""
+LOG_UNAVAILABLE_DETAIL = (
+    "the key-value service does not answer; the group will soon continue without it"
+)
 OFFER_TIMEOUT_S = 0.8
-"""For one offer: several round trips between the most distant regions."""
+"""Timeout of one offer: several round trips between the most distant regions."""
 HAND_OVER_POLL_S = 0.1
-"""How often a leaving node looks whether its groups are gone."""
+"""How often a leaving node checks whether other nodes hold its groups."""
 SPLIT_RETRY_S = 0.03
-"""Longest first wait after a split vote; doubles, and is drawn at random to part the callers."""
+"""Initial maximum backoff after a split vote; doubles. Waits are random to separate the callers."""
 RECORD_WAIT_S = 0.2
-"""Wait for a group's first record."""
+"""Interval between checks for a group's first or newer record."""
 
 FINAL_STATES = {
     RoundState.HELD: ClaimState.IN_PROGRESS,
@@ -81,7 +83,7 @@
 
 
 class _Attempt(msgspec.Struct, frozen=True):
-    """What is claimed, by whom."""
+    """One attempt to claim a key."""
 
     key: ClaimKey
     group: int
@@ -93,13 +95,13 @@
     """Implements `ClaimLedger` with holders on several nodes; `run` must be running.
 
     Args:
-        link: Calls between nodes, to this node itself too.
-        membership: Who is live.
+        link: Carries calls between nodes.
+        membership: The live nodes.
         configuration: Zones and claim rules.
-        store: Keeps the groups' epochs.
+        store: Stores the groups' epochs and the claim logs.
         zone: This node's zone.
-        random: Parts racing callers and spreads load.
-        events: Where changes of epoch are told.
+        random: Draws backoffs and the nodes to query.
+        events: Log of epoch changes.
     """
 
     def __init__(
@@ -117,7 +119,7 @@
         self.registry = HolderRegistry(
             membership.self_id,
             link,
-            authority_check(authority, configuration),
+            make_authority_check(authority, configuration),
             lambda: authority.record_store_read(anyio.current_time()),
             self._log.needs_log,
         )
@@ -137,28 +139,29 @@
         )
         self._configuration = configuration
         self._random = random
-        self._digest = node_digest(membership.self_id)
-        self._numbers = itertools.count(1)
+        self._node_digest = node_digest(membership.self_id)
+        self._attempt_numbers = itertools.count(1)
 
     async def run(self) -> None:
-        """Tend the groups and carry out what outlives a request, until cancelled."""
+        """Maintain the groups and run background calls until cancelled."""
         async with anyio.create_task_group() as tasks:
-            self._calls.run_in(tasks)
+            self._calls.use_task_group(tasks)
             tasks.start_soon(self._log.run)
             try:
                 await self._keeper.run()
             finally:
-                self._calls.run_in(None)
+                self._calls.use_task_group(None)
 
     def num_held_groups(self) -> int:
-        """Groups that this node holds."""
+        """Return the number of groups that this node holds."""
         return self.registry.num_holders()
 
     async def hand_over(self, timeout_s: float) -> bool:
-        """Wait until other nodes hold this node's groups; membership must show it as leaving.
+        """Wait until other nodes hold this node's groups; membership must list it as leaving.
 
         Returns:
-            False if it still holds some after the time, as the last node of a fleet does.
+            False if this node still holds groups after the timeout, as the last node of a fleet
+            does.
         """
         for _ in range(int(timeout_s / HAND_OVER_POLL_S)):
             if self.num_held_groups() == 0:
@@ -174,25 +177,32 @@
         fingerprint: bytes,
         deadline_s: float,
     ) -> Result[Claim, Refusal]:
-        """Claim a key; the refusal (CLAIM_UNAVAILABLE, NOT_RUN) means no quorum answered."""
+        """Claim a key.
+
+        A refusal (CLAIM_UNAVAILABLE, NOT_RUN) means that the claim could not be decided; the
+        request has not run.
+        """
         key = claim_key(tenant, idempotency_key)
         attempt = _Attempt(
             key, group_of(key), self._claimant(request_id), short_fingerprint(fingerprint)
         )
         rules = claim_rules(self._configuration)
-        longest_s = CLAIM_BUDGET_S + (LOG_BUDGET_S if rules.log_in_store else 0.0)
-        budget_s = min(longest_s, deadline_s - anyio.current_time())
+        max_budget_s = CLAIM_BUDGET_S + (LOG_BUDGET_S if rules.log_in_store else 0.0)
+        budget_s = min(max_budget_s, deadline_s - anyio.current_time())
         try:
             with anyio.move_on_after(max(0.0, budget_s)):
                 return await self._claim(attempt, request_id)
         except anyio.get_cancelled_exc_class():
-            self._calls.settle_later(attempt.group, self._withdrawal(attempt))
+            self._calls.settle_later(attempt.group, self._make_withdrawal(attempt))
             raise
-        self._calls.settle_later(attempt.group, self._withdrawal(attempt))
+        self._calls.settle_later(attempt.group, self._make_withdrawal(attempt))
         return Err(claim_unavailable("the holders did not agree in time"))
 
     async def complete(self, claim: Claim, answer: ServiceResponse | None) -> None:
-        """Record that the claim's request has run; waits for one try with a quorum at most."""
+        """Record that the claim's request has run.
+
+        Waits for one attempt at a quorum; further attempts run in the background.
+        """
         if not isinstance(claim, GrantedClaim) or claim.state is not ClaimState.GRANTED:
             return
         attempt = _attempt_of(claim)
@@ -202,18 +212,18 @@
             attempt.key,
             attempt.claimant,
             attempt.fingerprint,
-            stored_answer(answer),
+            to_stored_answer(answer),
         )
         if not await self._calls.settle_once(attempt.group, message):
             self._calls.settle_later(attempt.group, message)
 
     async def release(self, claim: Claim) -> None:
-        """Give a claim back after the request provably did not run."""
+        """Withdraw a claim whose request provably did not run."""
         if not isinstance(claim, GrantedClaim) or claim.state is not ClaimState.GRANTED:
             return
         attempt = _attempt_of(claim)
-        if not await self._calls.settle_once(attempt.group, self._withdrawal(attempt)):
-            self._calls.settle_later(attempt.group, self._withdrawal(attempt))
+        if not await self._calls.settle_once(attempt.group, self._make_withdrawal(attempt)):
+            self._calls.settle_later(attempt.group, self._make_withdrawal(attempt))
 
     async def _claim(self, attempt: _Attempt, request_id: RequestId) -> Result[Claim, Refusal]:
         split_wait_s = SPLIT_RETRY_S
@@ -222,24 +232,24 @@
             if record is None:
                 await anyio.sleep(RECORD_WAIT_S)
                 continue
-            outcome = await self._round(record, attempt)
+            outcome = await self._run_round(record, attempt)
             if outcome.state is RoundState.STALE:
-                await self._wait_for_newer(record)
+                await self._wait_for_newer_epoch(record)
                 continue
-            if outcome.needs_log and not await self._put_in_log(record, attempt):
+            if outcome.needs_log and not await self._write_to_log(record, attempt):
                 if self.registry.epochs.newer_than(record.group, record.epoch) is not None:
                     continue
-                self._calls.settle_later(attempt.group, self._withdrawal(attempt))
-                return Err(claim_unavailable(LOG_DETAIL, LOG_RETRY_AFTER_S))
+                self._calls.settle_later(attempt.group, self._make_withdrawal(attempt))
+                return Err(claim_unavailable(LOG_UNAVAILABLE_DETAIL, LOG_RETRY_AFTER_S))
             if outcome.state is not RoundState.GRANTED:
-                self._calls.settle_later(attempt.group, self._withdrawal(attempt))
+                self._calls.settle_later(attempt.group, self._make_withdrawal(attempt))
             if outcome.state is not RoundState.SPLIT:
-                return self._answer(attempt, outcome)
+                return self._to_result(attempt, outcome)
             await anyio.sleep(self._random.uniform(0.0, split_wait_s))
             split_wait_s *= 2
             attempt = msgspec.structs.replace(attempt, claimant=self._claimant(request_id))
 
-    def _answer(self, attempt: _Attempt, outcome: RoundOutcome) -> Result[Claim, Refusal]:
+    def _to_result(self, attempt: _Attempt, outcome: RoundOutcome) -> Result[Claim, Refusal]:
         match outcome.state:
             case RoundState.GRANTED:
                 state = ClaimState.GRANTED
@@ -253,7 +263,7 @@
             case _:
                 return Err(claim_unavailable("no quorum of holders answered"))
         owner = request_id_of(outcome.claimant or attempt.claimant)
-        answer = service_response(outcome.answer)
+        answer = to_service_response(outcome.answer)
         return Ok(
             GrantedClaim(
                 state,
@@ -266,8 +276,8 @@
             )
         )
 
-    async def _round(self, record: GroupEpoch, attempt: _Attempt) -> RoundOutcome:
-        """Offer the claim to all holders; ends with the first votes that decide it."""
+    async def _run_round(self, record: GroupEpoch, attempt: _Attempt) -> RoundOutcome:
+        """Offer the claim to all holders; return as soon as the votes decide it."""
         message = ClaimOffer(
             record.group, record.epoch, attempt.key, attempt.claimant, attempt.fingerprint
         )
@@ -282,14 +292,14 @@
                 return outcome
         return RoundOutcome(RoundState.UNAVAILABLE)
 
-    async def _put_in_log(self, record: GroupEpoch, attempt: _Attempt) -> bool:
-        """Have a holder of the epoch write the claim into the group's log."""
+    async def _write_to_log(self, record: GroupEpoch, attempt: _Attempt) -> bool:
+        """Ask holders of the epoch in turn to log the claim; return whether one did."""
         claim = LoggedClaim(attempt.key, attempt.claimant, attempt.fingerprint)
         message = ClaimLogAppend(record.group, record.epoch, claim)
         return await self._calls.ask_any(record, record.group, message, NEXT_WRITER_AFTER_S)
 
-    async def _wait_for_newer(self, record: GroupEpoch) -> None:
-        """A holder has moved on: learn the next epoch, or give its change a moment."""
+    async def _wait_for_newer_epoch(self, record: GroupEpoch) -> None:
+        """Look for a newer epoch after a holder answered for another one; wait briefly if none."""
         if self.registry.epochs.newer_than(record.group, record.epoch) is not None:
             return
         await self._keeper.refresh()
@@ -297,10 +307,10 @@
             await anyio.sleep(RECORD_WAIT_S)
 
     def _claimant(self, request_id: RequestId) -> bytes:
-        return make_claimant(self._digest, next(self._numbers), request_id)
+        return make_claimant(self._node_digest, next(self._attempt_numbers), request_id)
 
     @staticmethod
-    def _withdrawal(attempt: _Attempt) -> ClaimWithdraw:
+    def _make_withdrawal(attempt: _Attempt) -> ClaimWithdraw:
         return ClaimWithdraw(attempt.group, 0, attempt.key, attempt.claimant)
 
 
--- a/src/weirscale/node/claims/log.py
+++ b/src/weirscale/node/claims/log.py
@@ -1,4 +1,4 @@
-"""The claim log as a part of a node: its writer, the mark of the run, and the load after a loss."""
+"""The claim log of a node: its writer, the run's mark in the service, and the load after a loss."""
 
 from collections.abc import Callable, Iterable, Set
 
@@ -10,7 +10,7 @@
 from weirscale.domain.configuration.model import ClaimRules
 from weirscale.domain.identifiers import NodeId
 from weirscale.messages.claims import ClaimAck, ClaimLogAppend
-from weirscale.node.claims.log_mark import LogMark, read_marked
+from weirscale.node.claims.log_mark import LogMark, read_marked_runs
 from weirscale.node.claims.log_writer import ClaimLogWriter
 from weirscale.node.claims.registry import HolderRegistry
 from weirscale.node.peers.link import PeerLink
@@ -21,7 +21,7 @@
     """Writes and reads the logs of claim groups for one node; `run` must be running.
 
     Args:
-        self_id: This run.
+        self_id: This run of the node.
         store: The key-value service.
         rules: The claim rules in force.
     """
@@ -36,47 +36,47 @@
         self._mark = LogMark(self_id, store, rules, self._log_all, self._num_holders)
 
     def serve(self, link: PeerLink, registry: HolderRegistry) -> None:
-        """Answer calls to append, for the groups that the registry holds."""
+        """Answer append calls for the groups whose holders are in the registry."""
         self._registry = registry
-        registry.answer_also(link, ClaimLogAppend, self._append)
+        registry.register_call(link, ClaimLogAppend, self._append)
 
     async def run(self) -> None:
-        """Write logs and keep the mark until cancelled."""
+        """Write logs and renew the mark until cancelled."""
         async with anyio.create_task_group() as tasks:
-            self._writer.run_in(tasks)
+            self._writer.use_task_group(tasks)
             try:
                 await self._mark.run()
             finally:
-                self._writer.run_in(None)
+                self._writer.use_task_group(None)
 
     def needs_log(self) -> bool:
-        """Whether a vote given now counts only with the claim in the group's log."""
+        """Return whether a vote given now counts only once its claim is in the group's log."""
         return self._mark.needs_log()
 
-    async def carry_on(self, record: GroupEpoch, claims: Iterable[CopiedClaim]) -> bool:
-        """Whether every claim that an epoch to come begins with is in the log now."""
+    async def log_initial_claims(self, record: GroupEpoch, claims: Iterable[CopiedClaim]) -> bool:
+        """Log the claims that a new epoch starts with; return whether all of them are logged."""
         if not self._rules().log_in_store:
             return False
         return await self._writer.append_missing(record.group, record.epoch, logged_claims(claims))
 
     async def load_after_loss(
-        self, before: GroupEpoch, cannot_vote: Set[NodeId]
+        self, previous: GroupEpoch, cannot_vote: Set[NodeId]
     ) -> Result[tuple[CopiedClaim, ...] | None, KeyValueFailure]:
-        """All claims that an epoch that was lost may have granted; None when the log can't tell.
+        """Load all claims that a lost epoch may have granted; None if the log may be incomplete.
 
         Args:
-            before: The epoch that was lost.
-            cannot_vote: Its holders that are sealed, or whose run is known to be over.
+            previous: The epoch that lost its quorum.
+            cannot_vote: Its holders that are sealed or have restarted.
         """
         if not self._rules().log_in_store:
             return Ok(None)
-        marked = await read_marked(self._store)
+        marked = await read_marked_runs(self._store)
         if isinstance(marked, Err):
             return marked
-        if not is_log_complete(before, marked.ok_value & cannot_vote):
+        if not is_log_complete(previous, marked.ok_value & cannot_vote):
             return Ok(None)
-        claims = await self._writer.fence(before.group, before.epoch + 1)
-        return claims.map(lambda each: copied_claims(each) if each is not None else None)
+        claims = await self._writer.fence(previous.group, previous.epoch + 1)
+        return claims.map(lambda logged: copied_claims(logged) if logged is not None else None)
 
     async def _append(self, message: ClaimLogAppend) -> ClaimAck:
         registry = self._registry
@@ -88,7 +88,7 @@
         return ClaimAck(is_logged, registry.epochs.newer_than(message.group, message.epoch))
 
     async def _log_all(self) -> bool:
-        """Put all claims that this node holds into their logs."""
+        """Write all claims that this node holds to their logs; return whether all are logged."""
         if self._registry is None:
             return False
         for known, claims in tuple(self._registry.claims()):
--- a/src/weirscale/node/claims/log_store.py
+++ b/src/weirscale/node/claims/log_store.py
@@ -1,8 +1,8 @@
-"""The logs of claim groups as keys of the key-value service.
+"""Stores the logs of claim groups in the key-value service.
 
-One key holds the head of a group's log. A full head is written once more as a segment, under a key
-named by the revision of that head, and never changes: two writers that come to the same segment
-write the same bytes.
+One key holds the head of a group's log. A full head is copied to a segment, whose key contains the
+revision of that head. A segment never changes: two writers of the same segment write the same
+bytes.
 """
 
 from collections.abc import Mapping
@@ -12,7 +12,7 @@
 from result import Err, Ok, Result
 
 from weirscale.domain.claims.log import LoggedClaim, LogHead
-from weirscale.node.claims.store_reads import read_patiently
+from weirscale.node.claims.store_reads import read_with_retry
 from weirscale.ports.key_value import (
     KeyValue,
     KeyValueFailure,
@@ -24,21 +24,21 @@
 
 
 class StoredHead(msgspec.Struct, frozen=True):
-    """A head as read or swapped; revision 0 when the log has no key yet."""
+    """A head as read or swapped; revision 0 if the log does not exist yet."""
 
     head: LogHead
     mod_revision: int
 
 
 class StoredLog(msgspec.Struct, frozen=True):
-    """A whole log as read at one revision of the service; `claims` is None where it is damaged."""
+    """A whole log as read at one revision of the service; `claims` is None if it is damaged."""
 
     stored: StoredHead
     claims: tuple[LoggedClaim, ...] | None
 
 
 class HeadSwap(msgspec.Struct, frozen=True):
-    """Outcome of a swap of the head; `stored` is the head that stands now."""
+    """Outcome of a swap of the head; `stored` is the head after it."""
 
     succeeded: bool
     stored: StoredHead
@@ -48,7 +48,7 @@
 
 
 class ClaimLogStore:
-    """Reads and writes logs; every failure of the service is handed on.
+    """Reads and writes logs; returns every failure of the service to the caller.
 
     Args:
         store: The key-value service.
@@ -59,7 +59,7 @@
 
     async def read(self, group: int) -> Result[StoredLog, KeyValueFailure]:
         """Read the head and all its segments."""
-        answer = await read_patiently(self._store, _group_prefix(group))
+        answer = await read_with_retry(self._store, _group_prefix(group))
         if isinstance(answer, Err):
             return answer
         values = {value.key: value for value in answer.ok_value.values}
@@ -71,7 +71,7 @@
     async def swap(
         self, group: int, before: StoredHead, head: LogHead
     ) -> Result[HeadSwap, KeyValueFailure]:
-        """Put a head in the place of the one before."""
+        """Replace the previous head by compare-and-swap."""
         answer = await self._store.compare_and_swap(
             _head_key(group), before.mod_revision, _encode(head)
         )
@@ -84,19 +84,19 @@
         return stored if isinstance(stored, Err) else Ok(HeadSwap(False, stored.ok_value))
 
     async def write_segment(self, group: int, full: StoredHead) -> Result[None, KeyValueFailure]:
-        """Write the claims of a head as a segment named by its revision."""
+        """Write the claims of a full head to the segment named by its revision."""
         answer = await self._store.compare_and_swap(
             _segment_key(group, full.mod_revision), 0, _encode(full.head.claims)
         )
         return answer if isinstance(answer, Err) else Ok(None)
 
     async def delete_segment(self, group: int, name: int) -> None:
-        """Delete a segment that no head names any more; best effort."""
+        """Delete a segment that the head no longer lists; failures are ignored."""
         key = _segment_key(group, name)
-        found = await self._store.read(key)
-        if isinstance(found, Err) or not found.ok_value.values:
+        current = await self._store.read(key)
+        if isinstance(current, Err) or not current.ok_value.values:
             return
-        await self._store.compare_and_swap(key, found.ok_value.values[0].mod_revision, None)
+        await self._store.compare_and_swap(key, current.ok_value.values[0].mod_revision, None)
 
 
 def _group_prefix(group: int) -> str:
@@ -142,5 +142,5 @@
 
 
 def _unreadable(key: str) -> KeyValueFailure:
-    detail = f"{key} is no head of a claim log: delete the key, and its log begins anew"
+    detail = f"{key} is not a valid head of a claim log: delete the key to start a new log"
     return KeyValueFailure(KeyValueFailureKind.UNREACHABLE, detail)
--- a/src/weirscale/node/claims/log_writer.py
+++ b/src/weirscale/node/claims/log_writer.py
@@ -1,4 +1,4 @@
-"""Writes the logs of claim groups by group commit: what waits goes into one swap of the head."""
+"""Writes the logs of claim groups by group commit: one swap of the head for all pending claims."""
 
 from collections.abc import Callable, Sequence
 
@@ -20,13 +20,13 @@
 from weirscale.ports.key_value import KeyValueFailure, KeyValueFailureKind, KeyValuePort
 
 WRITE_ATTEMPTS = 6
-"""Tries of one batch: other writers' swaps and lost answers are met with another try."""
+"""Attempts at one batch; swaps of other writers and lost answers cause another attempt."""
 MAX_RETRY_AFTER_S = 1.0
-"""A batch waits so long at most when the service limits the rate, and then fails."""
+"""Maximum wait before a retry when the service limits the rate."""
 
 
-class _Waiting:
-    """Claims of one call on their way into the log."""
+class _PendingAppend:
+    """The claims of one `append` call until they are written."""
 
     def __init__(self, epoch: int, claims: tuple[LoggedClaim, ...]) -> None:
         self.epoch = epoch
@@ -36,7 +36,7 @@
 
 
 class ClaimLogWriter:
-    """This node's writer of logs; heads are remembered, and swaps tell when that is stale.
+    """Writes logs for this node; caches their heads, since a swap shows when a head is stale.
 
     Args:
         store: The key-value service.
@@ -48,38 +48,38 @@
         self._rules = rules
         self._tasks: TaskGroup | None = None
         self._heads: dict[int, StoredHead] = {}
-        self._waiting: dict[int, list[_Waiting]] = {}
+        self._pending: dict[int, list[_PendingAppend]] = {}
         self._writing: set[int] = set()
         self._next_write_at_s = float("-inf")
         self._segment_seen_at_s: dict[tuple[int, int], float] = {}
 
-    def run_in(self, tasks: TaskGroup | None) -> None:
-        """Give the task group that batches are written in; None when there is none any more."""
+    def use_task_group(self, tasks: TaskGroup | None) -> None:
+        """Set the task group that writes batches; None once it is closing."""
         self._tasks = tasks
 
     async def append(self, group: int, epoch: int, claims: Sequence[LoggedClaim]) -> bool:
-        """Put claims into the log with the next batch; False when they may not be there."""
+        """Write claims to the log with the next batch; return False if they may be missing."""
         if not claims:
             return True
         if self._tasks is None:
             return False
-        waiting = _Waiting(epoch, tuple(claims))
-        self._waiting.setdefault(group, []).append(waiting)
+        pending = _PendingAppend(epoch, tuple(claims))
+        self._pending.setdefault(group, []).append(pending)
         if group not in self._writing:
             self._writing.add(group)
             self._tasks.start_soon(self._write_batches, group)
-        await waiting.is_done.wait()
-        return waiting.is_logged
+        await pending.is_done.wait()
+        return pending.is_logged
 
     async def append_missing(self, group: int, epoch: int, claims: Sequence[LoggedClaim]) -> bool:
-        """Put those of the claims into the log that it lacks."""
+        """Write those claims to the log that it lacks; return False if any may be missing."""
         if not claims:
             return True
         log = await self._read(group)
         if log is None:
             return False
-        known = set(log.claims or ())
-        missing = [claim for claim in claims if claim not in known]
+        logged = set(log.claims or ())
+        missing = [claim for claim in claims if claim not in logged]
         for offset in range(0, len(missing), SEGMENT_CLAIMS):
             if not await self.append(group, epoch, missing[offset : offset + SEGMENT_CLAIMS]):
                 return False
@@ -88,9 +88,9 @@
     async def fence(
         self, group: int, epoch: int
     ) -> Result[tuple[LoggedClaim, ...] | None, KeyValueFailure]:
-        """End the log for lower epochs, then return all its claims; None where it is damaged."""
+        """Fence the log against lower epochs and return all its claims; None if it is damaged."""
         failure = KeyValueFailure(
-            KeyValueFailureKind.AMBIGUOUS, "the log was not fenced: try again"
+            KeyValueFailureKind.AMBIGUOUS, "the claim log could not be fenced; try again"
         )
         for _ in range(WRITE_ATTEMPTS):
             log = await self._read(group)
@@ -100,76 +100,76 @@
                 return Ok(log.claims)
             head = advance(log.stored.head, epoch)
             if head is None:
-                return Err(failure)  # another change has gone further
+                return Err(failure)  # a change to a higher epoch has fenced the log
             answer = await self._log.swap(group, log.stored, head)
-            if isinstance(answer, Err):  # the next read tells what became of it
-                await _wait_after(answer.err_value)
+            if isinstance(answer, Err):  # the next read shows whether the swap took effect
+                await _wait_retry_after(answer.err_value)
         return Err(failure)
 
     async def _read(self, group: int) -> StoredLog | None:
         answer = await self._log.read(group)
         if isinstance(answer, Err):
-            await _wait_after(answer.err_value)
+            await _wait_retry_after(answer.err_value)
             return None
         self._heads[group] = answer.ok_value.stored
         return answer.ok_value
 
     async def _write_batches(self, group: int) -> None:
-        """Write until nothing waits."""
-        batch: list[_Waiting] = []
+        """Write batches until no claims of the group are pending."""
+        batch: list[_PendingAppend] = []
         try:
-            while self._waiting.get(group):
-                await self._wait_turn()
-                batch = self._waiting.pop(group)
+            while self._pending.get(group):
+                await self._wait_for_write_slot()
+                batch = self._pending.pop(group)
                 await self._write(group, batch)
-                _answer(batch)
+                _finish(batch)
         finally:
             self._writing.discard(group)
-            _answer([*batch, *self._waiting.pop(group, [])])
+            _finish([*batch, *self._pending.pop(group, [])])
 
-    async def _wait_turn(self) -> None:
+    async def _wait_for_write_slot(self) -> None:
         now_s = anyio.current_time()
-        turn_at_s = max(now_s, self._next_write_at_s)
-        self._next_write_at_s = turn_at_s + self._rules().log_write_interval_s
-        await anyio.sleep(turn_at_s - now_s)
+        write_at_s = max(now_s, self._next_write_at_s)
+        self._next_write_at_s = write_at_s + self._rules().log_write_interval_s
+        await anyio.sleep(write_at_s - now_s)
 
-    async def _write(self, group: int, batch: list[_Waiting]) -> None:
-        """Try until the batch is in the log, is fenced off, or the service does not answer."""
+    async def _write(self, group: int, batch: list[_PendingAppend]) -> None:
+        """Write a batch; stop if it is fenced, the service is unreachable, or attempts run out."""
         for _ in range(WRITE_ATTEMPTS):
-            before = self._heads.get(group, EMPTY_HEAD)
-            newest = max(waiting.epoch for waiting in batch)
-            taken = [waiting for waiting in batch if waiting.epoch == newest]
-            claims = [claim for waiting in taken for claim in waiting.claims]
-            head = append(before.head, newest, claims)
+            previous = self._heads.get(group, EMPTY_HEAD)
+            newest_epoch = max(pending.epoch for pending in batch)
+            included = [pending for pending in batch if pending.epoch == newest_epoch]
+            claims = [claim for pending in included for claim in pending.claims]
+            head = append(previous.head, newest_epoch, claims)
             if head is None:
                 return
-            failure = await self._write_head(group, before, head, claims)
+            failure = await self._write_head(group, previous, head, claims)
             if failure is None:
                 if set(claims) <= set(self._heads[group].head.claims):
-                    for waiting in taken:
-                        waiting.is_logged = True
+                    for pending in included:
+                        pending.is_logged = True
                     return
                 continue
             if failure.kind is KeyValueFailureKind.UNREACHABLE:
                 return
-            await _wait_after(failure)
+            await _wait_retry_after(failure)
             if failure.kind is KeyValueFailureKind.AMBIGUOUS:
                 await self._read(group)
 
     async def _write_head(
-        self, group: int, before: StoredHead, head: LogHead, added: Sequence[LoggedClaim]
+        self, group: int, previous: StoredHead, head: LogHead, added: Sequence[LoggedClaim]
     ) -> KeyValueFailure | None:
-        """Swap the head once, after its claims went into a segment where they are many."""
+        """Swap the head once; if it would be too large, first copy the old head to a segment."""
         dropped: int | None = None
-        if before.head.claims and len(head.claims) > SEGMENT_CLAIMS:
-            written = await self._log.write_segment(group, before)
+        if previous.head.claims and len(head.claims) > SEGMENT_CLAIMS:
+            written = await self._log.write_segment(group, previous)
             if isinstance(written, Err):
                 return written.err_value
-            kept, dropped = self._kept_segments(group, before.head.segments)
+            kept, dropped = self._choose_segments(group, previous.head.segments)
             if len(kept) >= MAX_SEGMENTS:
                 return KeyValueFailure(KeyValueFailureKind.UNREACHABLE, "the claim log is full")
-            head = LogHead(head.epoch, (*kept, before.mod_revision), tuple(added))
-        answer = await self._log.swap(group, before, head)
+            head = LogHead(head.epoch, (*kept, previous.mod_revision), tuple(added))
+        answer = await self._log.swap(group, previous, head)
         if isinstance(answer, Err):
             return answer.err_value
         self._heads[group] = answer.ok_value.stored
@@ -178,10 +178,13 @@
             await self._log.delete_segment(group, dropped)
         return None
 
-    def _kept_segments(
+    def _choose_segments(
         self, group: int, names: tuple[int, ...]
     ) -> tuple[tuple[int, ...], int | None]:
-        """The segments without the oldest, where this node has seen that one for long enough."""
+        """Return the segments to keep, and the oldest segment if it can be dropped.
+
+        It can be dropped once this node has known it for longer than claims are kept.
+        """
         now_s = anyio.current_time()
         for name in names:
             self._segment_seen_at_s.setdefault((group, name), now_s)
@@ -193,10 +196,10 @@
         return names[1:], names[0]
 
 
-def _answer(batch: Sequence[_Waiting]) -> None:
-    for waiting in batch:
-        waiting.is_done.set()
+def _finish(batch: Sequence[_PendingAppend]) -> None:
+    for pending in batch:
+        pending.is_done.set()
 
 
-async def _wait_after(failure: KeyValueFailure) -> None:
+async def _wait_retry_after(failure: KeyValueFailure) -> None:
     await anyio.sleep(min(failure.retry_after_s or 0.0, MAX_RETRY_AFTER_S))
--- a/src/weirscale/node/claims/peers.py
+++ b/src/weirscale/node/claims/peers.py
@@ -1,4 +1,4 @@
-"""Calls to claim holders, on other nodes or on this one."""
+"""Calls to claim holders, on other nodes or on this node."""
 
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
@@ -19,8 +19,8 @@
 
     Args:
         link: Carries the calls to other nodes.
-        membership: Who is live.
-        answer_here: Answers a message on this node, as a call from elsewhere would be answered.
+        membership: The live nodes.
+        answer_here: Answers a call to this node itself, without the link.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         reply_type: type[ReplyT],
         timeout_s: float,
     ) -> ReplyT | None:
-        """Call a node and return its reply; None when none of the right type came in time."""
+        """Call a node and return its reply; None on failure, timeout or a reply of another type."""
         if holder.node == self._membership.self_id:
             reply = await self._answer_here(message)
             return reply if isinstance(reply, reply_type) else None
@@ -49,12 +49,12 @@
             return None
         return answer.ok_value
 
-    async def tell(self, holder: Holder, message: msgspec.Struct) -> None:
-        """Cast a message."""
+    async def send_cast(self, holder: Holder, message: msgspec.Struct) -> None:
+        """Send a message that is not answered and may be lost."""
         await self._link.cast(holder.address, message)
 
     def nodes(self) -> tuple[LiveNode, ...]:
-        """The nodes that membership sees."""
+        """Return all live nodes, this one included; leaving nodes may not become holders."""
         return tuple(
             LiveNode(
                 Holder(peer.node, peer.address, peer.zone),
@@ -64,7 +64,7 @@
         )
 
     def others(self) -> tuple[Holder, ...]:
-        """All other nodes."""
+        """Return all live nodes except this one."""
         own = self._membership.self_id
         return tuple(
             Holder(peer.node, peer.address, peer.zone)
--- a/src/weirscale/node/claims/registry.py
+++ b/src/weirscale/node/claims/registry.py
@@ -1,6 +1,6 @@
-"""The claim holders on this node: answers the calls of coordinators and planners.
+"""The claim holders on this node, which answer calls of coordinators and planners.
 
-Every handler runs without waiting, so each call sees and leaves a whole state.
+The handlers in this module never await, so each call sees and leaves a consistent state.
 """
 
 from collections.abc import Awaitable, Callable, Iterator
@@ -32,16 +32,16 @@
 from weirscale.node.peers.link import PeerLink
 
 COPY_PAGE_CLAIMS = 2000
-"""Claims in one page of a copy: some 150 kB, a few milliseconds to encode."""
-MAX_PREPARED = 2 * 64
-"""Epochs prepared and not yet in force that a node keeps at most; the oldest is dropped."""
+"""Claims per page of a copy: about 150 kB, a few milliseconds to encode."""
+MAX_PREPARED_EPOCHS = 2 * 64
+"""Maximum number of prepared epochs that are not yet in force; the oldest is dropped."""
 
 
 CallHandler = Callable[[Any], Awaitable[msgspec.Struct]]
 
 
-class _Prepared:
-    """Claims received so far for an epoch to come."""
+class _PreparedEpoch:
+    """The claims received so far for an epoch that is not yet in force."""
 
     def __init__(self, record: GroupEpoch) -> None:
         self.record = record
@@ -53,11 +53,11 @@
     """Owns this node's holders.
 
     Args:
-        self_id: This node's run.
-        link: Where calls come from.
-        may_vote: Whether this node's epochs have been confirmed lately.
-        note_activated: Told when an epoch that this node holds came into force.
-        needs_log: Whether a vote given now counts only with the claim in the group's log.
+        self_id: This run of the node.
+        link: Delivers the calls of other nodes.
+        may_vote: Whether this node's epochs have been confirmed recently.
+        on_activated: Called when an epoch that this node holds comes into force.
+        needs_log: Whether a vote given now counts only once its claim is in the group's log.
     """
 
     def __init__(
@@ -65,16 +65,16 @@
         self_id: NodeId,
         link: PeerLink,
         may_vote: Callable[[], bool],
-        note_activated: Callable[[], None],
+        on_activated: Callable[[], None],
         needs_log: Callable[[], bool] = lambda: False,
     ) -> None:
-        self.epochs = EpochDirectory(self._enter)
+        self.epochs = EpochDirectory(self._enter_epoch)
         self._self_id = self_id
         self._may_vote = may_vote
-        self._note_activated = note_activated
+        self._on_activated = on_activated
         self._needs_log = needs_log
         self._holders: dict[int, ClaimHolder] = {}
-        self._prepared: dict[tuple[int, bytes], _Prepared] = {}
+        self._prepared: dict[tuple[int, bytes], _PreparedEpoch] = {}
         self._sealed_at_s: dict[int, float] = {}
         self._handlers: dict[type[msgspec.Struct], CallHandler] = {
             ClaimOffer: self.offer,
@@ -89,46 +89,46 @@
         self._serve(link)
 
     async def answer(self, message: msgspec.Struct) -> msgspec.Struct:
-        """Answer any of the ledger's calls."""
+        """Answer any call of the ledger."""
         return await self._handlers[type(message)](message)
 
-    def answer_also(
+    def register_call(
         self, link: PeerLink, message_type: type[msgspec.Struct], handler: CallHandler
     ) -> None:
-        """Answer another call, from other nodes and from this one."""
+        """Register a handler for another call, from other nodes and from this one."""
         self._handlers[message_type] = handler
         link.on_call(message_type, handler)
 
     def _serve(self, link: PeerLink) -> None:
         for message_type, handler in self._handlers.items():
             link.on_call(message_type, handler)
-        link.on_cast(ClaimAnnounce, lambda _, message: self._announced(message))
+        link.on_cast(ClaimAnnounce, lambda _, message: self._handle_announcement(message))
 
     def num_holders(self) -> int:
-        """Groups that this node holds."""
+        """Return the number of groups that this node holds."""
         return len(self._holders)
 
-    def held(self) -> tuple[KnownEpoch, ...]:
-        """The epochs of the groups that this node holds."""
-        return tuple(KnownEpoch(group, held.epoch) for group, held in self._holders.items())
+    def held_epochs(self) -> tuple[KnownEpoch, ...]:
+        """Return the epochs of the groups that this node holds."""
+        return tuple(KnownEpoch(group, holder.epoch) for group, holder in self._holders.items())
 
     def is_active(self, group: int, epoch: int) -> bool:
-        """Whether this node answers for an epoch of a group."""
+        """Return whether this node is an active holder of an epoch of a group."""
         holder = self._holders.get(group)
         return holder is not None and holder.epoch == epoch and holder.phase is HolderPhase.ACTIVE
 
     def claims(self) -> Iterator[tuple[KnownEpoch, tuple[CopiedClaim, ...]]]:
-        """The claims that this node holds, by group."""
-        for known in self.held():
+        """Iterate over the groups that this node holds, with their claims."""
+        for known in self.held_epochs():
             copied = self._holders[known.group].export_claims(anyio.current_time())
             yield known, copied
 
     def groups_sealed_before(self, time_s: float) -> tuple[int, ...]:
-        """Groups sealed here before a time whose next epoch has not come."""
+        """Return the groups that were sealed here before a time and have no new epoch yet."""
         return tuple(group for group, at_s in self._sealed_at_s.items() if at_s < time_s)
 
     async def offer(self, message: ClaimOffer) -> ClaimOfferReply:
-        """Vote."""
+        """Vote on a claim."""
         newer = self.epochs.newer_than(message.group, message.epoch)
         holder = self._holders.get(message.group)
         if holder is None:
@@ -147,7 +147,7 @@
         return ClaimOfferReply(vote, newer)
 
     async def withdraw(self, message: ClaimWithdraw) -> ClaimAck:
-        """Take a vote back."""
+        """Withdraw the vote for a claim."""
         holder = self._holders.get(message.group)
         is_done = holder is not None and holder.withdraw(
             message.epoch, message.key, message.claimant
@@ -155,7 +155,7 @@
         return ClaimAck(is_done, self.epochs.newer_than(message.group, message.epoch))
 
     async def complete(self, message: ClaimComplete) -> ClaimAck:
-        """Record that a request has run."""
+        """Record that a claim's request has run."""
         holder = self._holders.get(message.group)
         is_done = holder is not None and holder.complete(
             message.epoch,
@@ -168,7 +168,7 @@
         return ClaimAck(is_done, self.epochs.newer_than(message.group, message.epoch))
 
     async def seal(self, message: ClaimSeal) -> ClaimSealed:
-        """Stop answering in an epoch."""
+        """Stop answering for an epoch."""
         holder = self._holders.get(message.group)
         if holder is None or not holder.seal(message.epoch):
             return ClaimSealed(False, 0, 0.0)
@@ -178,7 +178,7 @@
         return ClaimSealed(True, holder.num_entries, wait_s)
 
     async def copy(self, message: ClaimCopy) -> ClaimCopied:
-        """Give a page of a sealed holder's claims."""
+        """Return a page of a sealed holder's claims."""
         holder = self._holders.get(message.group)
         if holder is None or holder.epoch != message.epoch:
             return ClaimCopied(False, ())
@@ -189,7 +189,7 @@
         )
 
     async def prepare(self, message: ClaimPrepare) -> ClaimAck:
-        """Keep a page of claims for an epoch to come."""
+        """Store a page of claims for an epoch that is not yet in force."""
         record = message.record
         if not record.has_member(self._self_id):
             return ClaimAck(False)
@@ -206,26 +206,26 @@
         return ClaimAck(True)
 
     async def announce(self, message: ClaimAnnounce) -> ClaimAck:
-        """Learn that an epoch is in force."""
-        self._announced(message)
+        """Adopt an epoch that is in force."""
+        self._handle_announcement(message)
         return ClaimAck(True)
 
     async def newer_epochs(self, message: ClaimEpochsQuery) -> ClaimEpochsReply:
-        """Tell which groups have newer epochs than the asking node knows."""
+        """Return the epochs that are newer than those the calling node knows."""
         newer = (self.epochs.newer_than(known.group, known.epoch) for known in message.known)
         return ClaimEpochsReply(tuple(record for record in newer if record is not None))
 
-    def _announced(self, message: object) -> None:
+    def _handle_announcement(self, message: object) -> None:
         if isinstance(message, ClaimAnnounce):
             self.epochs.adopt(message.record)
 
-    def _prepared_for(self, message: ClaimPrepare) -> _Prepared:
+    def _prepared_for(self, message: ClaimPrepare) -> _PreparedEpoch:
         name = (message.record.group, message.record.attempt)
         prepared = self._prepared.get(name)
         if prepared is None:
-            prepared = _Prepared(message.record)
+            prepared = _PreparedEpoch(message.record)
             self._prepared[name] = prepared
-            if len(self._prepared) > MAX_PREPARED:
+            if len(self._prepared) > MAX_PREPARED_EPOCHS:
                 del self._prepared[next(iter(self._prepared))]
         return prepared
 
@@ -240,8 +240,8 @@
         holder.import_claims(claims, now_s)
         return holder
 
-    def _enter(self, record: GroupEpoch) -> None:
-        """An epoch is in force: take part if this run was prepared for it, else stop for good."""
+    def _enter_epoch(self, record: GroupEpoch) -> None:
+        """Put an epoch in force: become a holder if prepared for it, else stop for good."""
         self._holders.pop(record.group, None)
         self._sealed_at_s.pop(record.group, None)
         prepared = self._prepared.pop((record.group, record.attempt), None)
@@ -252,4 +252,4 @@
             return
         prepared.holder.activate(record.epoch)
         self._holders[record.group] = prepared.holder
-        self._note_activated()
+        self._on_activated()
--- a/src/weirscale/node/claims/store_reads.py
+++ b/src/weirscale/node/claims/store_reads.py
@@ -1,4 +1,4 @@
-"""Reads of the key-value service that wait out its rate limit for a moment."""
+"""Reads of the key-value service with retries while it limits the rate."""
 
 import anyio
 from result import Err, Result
@@ -11,13 +11,13 @@
 )
 
 READ_ATTEMPTS = 5
-"""Tries of a read that the service refuses for rate: herds come within seconds."""
+"""Attempts at a rate-limited read; bursts of simultaneous reads last only seconds."""
 MIN_WAIT_S = 0.1
 MAX_WAIT_S = 1.0
 
 
-async def read_patiently(store: KeyValuePort, prefix: str) -> Result[ReadAnswer, KeyValueFailure]:
-    """Read a prefix, again after a wait where the service refuses for rate."""
+async def read_with_retry(store: KeyValuePort, prefix: str) -> Result[ReadAnswer, KeyValueFailure]:
+    """Read a prefix; retry after a wait while the service limits the rate."""
     answer = await store.read(prefix)
     for _ in range(READ_ATTEMPTS - 1):
         if not isinstance(answer, Err):
