--- a/features/steps/configuration_spread_steps.py
+++ b/features/steps/configuration_spread_steps.py
@@ -328,9 +328,9 @@
 def step_bad_replies(context):
     ahead, behind = ConfigurationHolder(), ConfigurationHolder()
     for revision in range(1, MAX_KEPT_REVISIONS + 5):
-        ahead.take(revision, canonical(small_deployment(f"change-{revision}")))
+        ahead.apply(revision, canonical(small_deployment(f"change-{revision}")))
         if revision == MAX_KEPT_REVISIONS:
-            behind.take(revision, canonical(small_deployment(f"change-{revision}")))
+            behind.apply(revision, canonical(small_deployment(f"change-{revision}")))
     good = ahead.reply_to(behind.revision)
     assert good.base_revision == behind.revision and ahead.reply_to(1).base_revision == 0
     assert behind.read_reply(good).name == f"change-{ahead.revision}"
@@ -351,7 +351,7 @@
     assert all(isinstance(refusal, str) and refusal for refusal in context.refusals)
     ahead, behind = context.holders
     assert behind.revision == MAX_KEPT_REVISIONS
-    assert not ahead.take(behind.revision, behind.current().deployment)
+    assert not ahead.apply(behind.revision, behind.current().deployment)
     assert ahead.revision == MAX_KEPT_REVISIONS + 4
 
 
--- a/src/weirscale/node/configuration/__init__.py
+++ b/src/weirscale/node/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration on a node: applying a file, reading the store, spreading it between nodes."""
+"""Configuration on a node: applying a file, reading the store, distribution between nodes."""
--- a/src/weirscale/node/configuration/holder.py
+++ b/src/weirscale/node/configuration/holder.py
@@ -1,7 +1,7 @@
-"""The configuration that a node holds, with enough of its past to answer peers with deltas.
+"""The configuration of a node, with recent revisions to answer peers with deltas.
 
-Only `ConfigurationTask` offers revisions; all others read. A revision is taken only when it is
-higher than the one in force, so what a node acts on never goes back.
+Only `ConfigurationTask` applies revisions; all others read them. A revision is applied only if it
+is higher than the one in force, so a node never returns to an older configuration.
 """
 
 from collections import OrderedDict
@@ -21,14 +21,14 @@
 from weirscale.node.interfaces import ConfigurationInForce
 
 MAX_KEPT_REVISIONS = 32
-"""Past revisions from which a delta can be made; they share the items that did not change."""
+"""Number of revisions that a delta can start from; they share unchanged items in memory."""
 
 
 class ConfigurationHolder:
     """Implements `ConfigurationView`.
 
     Attributes:
-        highest_known: Highest revision that a peer or the store has told of.
+        highest_known: Highest revision reported by a peer or the store.
     """
 
     def __init__(self) -> None:
@@ -41,30 +41,30 @@
 
     @property
     def revision(self) -> ConfigurationRevision:
-        """The revision in force, 0 for none."""
+        """The revision in force; 0 if there is none."""
         return self._current.revision if self._current is not None else NO_BASE_REVISION
 
     def current(self) -> ConfigurationInForce | None:
-        """The configuration in force, or None before the first one arrives."""
+        """Return the configuration in force, or None before the first one arrives."""
         return self._current
 
     async def changed_after(self, revision: ConfigurationRevision) -> ConfigurationInForce:
-        """Wait for a revision higher than the given one (0 for any)."""
+        """Wait until a revision higher than the given one (0 for any) is in force; return it."""
         while self._current is None or self._current.revision <= revision:
             await self._changed.wait()
         return self._current
 
-    def hear_of(self, revision: ConfigurationRevision) -> bool:
-        """Note that a revision exists; True if it is higher than the one in force."""
+    def record_revision(self, revision: ConfigurationRevision) -> bool:
+        """Record that a revision exists; return whether it is higher than the one in force."""
         self.highest_known = max(self.highest_known, revision)
         return revision > self.revision
 
-    def take(self, revision: ConfigurationRevision, deployment: Deployment) -> bool:
-        """Put a canonical deployment in force if its revision is higher; False otherwise."""
-        if not self.hear_of(revision):
+    def apply(self, revision: ConfigurationRevision, deployment: Deployment) -> bool:
+        """Put a canonical deployment in force if its revision is higher; return whether it was."""
+        if not self.record_revision(revision):
             return False
         if self._current is not None:
-            # Reuses the unchanged items, so that kept revisions cost a fraction of a whole one.
+            # Reuse unchanged items, so that a kept revision takes a fraction of its full size.
             before = self._current.deployment
             deployment = apply_delta(before, delta_between(before, deployment))
         self._current = ConfigurationInForce(revision, deployment)
@@ -78,7 +78,10 @@
         return True
 
     def reply_to(self, have_revision: ConfigurationRevision) -> ConfigurationReply:
-        """Answer a peer's fetch: nothing, a delta, or the whole; kept until the next change."""
+        """Return the reply to a peer's fetch: empty, a delta or the full configuration.
+
+        Replies are cached until the next revision.
+        """
         if self._current is None or have_revision >= self.revision:
             return ConfigurationReply(self.revision, NO_BASE_REVISION, self._digest, b"")
         base = have_revision if have_revision in self._kept else NO_BASE_REVISION
@@ -87,7 +90,7 @@
         return self._replies[base]
 
     def read_reply(self, reply: ConfigurationReply) -> Deployment | str:
-        """Make the deployment that a peer's reply carries, or tell why it cannot be made."""
+        """Decode the deployment in a peer's reply; return a text with the reason on failure."""
         if reply.base_revision == NO_BASE_REVISION:
             whole = decode_deployment(reply.payload)
             if whole.is_err():
@@ -96,13 +99,13 @@
         else:
             base = self._kept.get(reply.base_revision)
             if base is None:
-                return f"revision {reply.base_revision} is no longer kept; fetch the whole"
+                return f"revision {reply.base_revision} is no longer kept; fetch it in full"
             delta = decode_delta(reply.payload)
             if delta.is_err():
                 return delta.unwrap_err().detail
             deployment = apply_delta(base, delta.unwrap())
         if digest(deployment) != reply.digest:
-            return "the result does not have the digest sent with it; fetch the whole"
+            return "the result does not match the digest in the reply; fetch it in full"
         return deployment
 
     def _make_reply(
--- a/src/weirscale/node/configuration/outcome.py
+++ b/src/weirscale/node/configuration/outcome.py
@@ -1,4 +1,4 @@
-"""What an `apply` answers: accepted, refused or unknown, always truthfully."""
+"""The outcomes of an `apply`: accepted, refused or unknown."""
 
 import msgspec
 
@@ -6,11 +6,11 @@
 
 
 class Accepted(msgspec.Struct, frozen=True):
-    """The file is the declared state.
+    """The file is the declared configuration.
 
     Attributes:
-        revision: Revision at which it is (or was, if another followed at once).
-        was_in_place: Whether the store held the same content already.
+        revision: Revision of the file's content; a later one may already have replaced it.
+        was_in_place: Whether the store already held the same content.
     """
 
     revision: int
@@ -18,13 +18,13 @@
 
 
 class Refused(msgspec.Struct, frozen=True):
-    """The file was not applied, and will not be by this attempt.
+    """The file was not applied, and this `apply` will not take effect later.
 
     Attributes:
-        message: Why.
-        remedy: How to go on.
-        current_revision: The store's revision of the configuration, None if it was not read.
-        changes_since: What others have applied since the revision that the file was made from.
+        message: The reason.
+        remedy: What the operator can do.
+        current_revision: The store's revision of the configuration; None if it was not read.
+        changes_since: Changes applied since the revision that the file was made from.
     """
 
     message: str
@@ -34,7 +34,12 @@
 
 
 class Unknown(msgspec.Struct, frozen=True):
-    """The file may have been applied; running the same command again finds out."""
+    """The file may have been applied; running the same command again resolves it.
+
+    Attributes:
+        message: The reason.
+        remedy: What the operator can do.
+    """
 
     message: str
     remedy: str
--- a/src/weirscale/node/configuration/reader.py
+++ b/src/weirscale/node/configuration/reader.py
@@ -1,4 +1,4 @@
-"""Reads the key-value service for a zone: a few nodes of each zone watch, the others do not."""
+"""Reads the configuration from the key-value service; only a few nodes of each zone watch it."""
 
 from collections.abc import Awaitable, Callable, Iterable
 from random import Random
@@ -22,23 +22,23 @@
 )
 
 NUM_READERS_PER_ZONE = 2
-"""One may be lost or paused without a gap; more would only load the store."""
+"""One reader may fail or be paused without a gap; more readers would only load the store."""
 FIRST_BACKOFF_S = 0.25
 MAX_BACKOFF_S = 8.0
-"""Full jitter over this: 36 readers make about 8 calls a second on a store that is down, and the
-first of them finds it again well within a second."""
+"""Maximum backoff, with full jitter: 36 readers make about 8 calls a second to a store that is
+down, so the first of them detects its return well within a second."""
 REREAD_AFTER_S = 60.0
-"""A watch can go silent without an error, so the key is read again this often."""
-DUTY_CHECK_S = 0.5
+"""The key is read again this often, since a watch can stop delivering without an error."""
+ROLE_CHECK_S = 0.5
 MIN_START_WAIT_S = 0.5
 MAX_START_WAIT_S = 1.0
-"""A node that starts knows no other yet and would take itself for a reader. It first waits this
-long to join, so that a herd of starts does not meet the store."""
+"""A starting node knows no other nodes yet and would consider itself a reader. It first waits this
+long to join, so that many simultaneous starts do not all read the store."""
 READER_KEY = rendezvous_key("configuration reader")
-"""Keeps this duty's choice of nodes apart from that of other duties."""
+"""Makes the choice of readers independent of the choice of nodes for other duties."""
 
 Offer = Callable[[ConfigurationRevision, Deployment, str], Awaitable[None]]
-"""Hands a revision to the owner: revision, content, where it came from."""
+"""Passes a revision to `ConfigurationTask`: revision, content, source."""
 Sleep = Callable[[float], Awaitable[None]]
 
 
@@ -55,8 +55,8 @@
     """Watches the configuration key while this node is a reader of its zone.
 
     Attributes:
-        is_reader: Whether it is one now.
-        last_problem: Why the store could not be read; empty when it could.
+        is_reader: Whether this node is a reader of its zone now.
+        last_problem: Why the last read failed; empty if it succeeded.
     """
 
     def __init__(
@@ -81,67 +81,67 @@
         self._backoff = Backoff(random, FIRST_BACKOFF_S, MAX_BACKOFF_S)
 
     async def run(self) -> None:
-        """Read while on duty, until cancelled."""
+        """Read and watch while this node is a reader of its zone, until cancelled."""
         await self._sleep(self._random.uniform(MIN_START_WAIT_S, MAX_START_WAIT_S))
         while True:
-            self.is_reader = self._is_on_duty()
+            self.is_reader = self._is_zone_reader()
             if not self.is_reader:
                 self.last_problem = ""
-                await self._sleep(DUTY_CHECK_S)
+                await self._sleep(ROLE_CHECK_S)
                 continue
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._cancel_off_duty, tasks.cancel_scope)
+                tasks.start_soon(self._cancel_when_not_reader, tasks.cancel_scope)
                 await self._read_and_watch()
                 tasks.cancel_scope.cancel()
 
-    def _is_on_duty(self) -> bool:
+    def _is_zone_reader(self) -> bool:
         readers = zone_readers(self._membership.peers(), self._zone)
         return self._membership.self_id in readers
 
-    async def _cancel_off_duty(self, scope: anyio.CancelScope) -> None:
+    async def _cancel_when_not_reader(self, scope: anyio.CancelScope) -> None:
         version = self._membership.version()
         while True:
-            await self._sleep(DUTY_CHECK_S)
+            await self._sleep(ROLE_CHECK_S)
             if self._membership.version() == version:
                 continue
             version = self._membership.version()
-            if not self._is_on_duty():
+            if not self._is_zone_reader():
                 scope.cancel()
 
     async def _read_and_watch(self) -> None:
-        """Read once, then watch from there until the watch ends or a new read is due."""
+        """Read the key, then watch it until the watch ends or the next read is due."""
         answer = await self._port.read(CONFIGURATION_KEY)
         if isinstance(answer, Err):
             await self._wait(answer.err_value)
             return
         self._backoff.reset()
         self.last_problem = ""
-        found = find_configuration(answer.ok_value.values)
-        if found is not None:
-            await self._take(found)
+        entry = find_configuration(answer.ok_value.values)
+        if entry is not None:
+            await self._offer_value(entry)
         with anyio.move_on_after(REREAD_AFTER_S):
             failure = await self._follow(answer.ok_value.revision + 1)
             if failure.kind is not KeyValueFailureKind.COMPACTED:
                 await self._wait(failure)
 
     async def _follow(self, start_revision: int) -> KeyValueFailure:
-        """Take what the watch delivers; returns why it ended."""
+        """Offer the revisions that a watch delivers; return why it ended."""
         async with self._port.watch(CONFIGURATION_KEY, start_revision) as events:
             async for event in events:
                 if isinstance(event, Err):
                     return event.err_value
                 value = event.ok_value.value
                 if value is not None and value.key == CONFIGURATION_KEY:
-                    await self._take(value)
+                    await self._offer_value(value)
         return KeyValueFailure(KeyValueFailureKind.UNREACHABLE, "the watch ended")
 
-    async def _take(self, found: KeyValue) -> None:
-        stored = decode_stored(found.value)
+    async def _offer_value(self, entry: KeyValue) -> None:
+        stored = decode_stored(entry.value)
         if isinstance(stored, Err):
-            self.last_problem = f"revision {found.mod_revision}: {stored.err_value.detail}"
+            self.last_problem = f"revision {entry.mod_revision}: {stored.err_value.detail}"
             self._log.event("configuration_unreadable", problem=self.last_problem)
             return
-        revision = ConfigurationRevision(found.mod_revision)
+        revision = ConfigurationRevision(entry.mod_revision)
         await self._offer(revision, stored.ok_value.deployment, "store")
 
     async def _wait(self, failure: KeyValueFailure) -> None:
--- a/src/weirscale/node/configuration/spread.py
+++ b/src/weirscale/node/configuration/spread.py
@@ -1,8 +1,9 @@
-"""Spreads the configuration between nodes: casts name a revision, calls fetch what is missing.
+"""Distributes the configuration between nodes: casts announce a revision, calls fetch it.
 
-A node that takes a revision announces it to a few others, which fetch the difference from it and
-announce it in turn. A slow exchange of revisions with random peers closes the gaps that lost
-casts leave. A node without any configuration asks several peers and takes the highest.
+A node that applies a revision announces it to a few peers, which fetch the delta from it and
+announce the revision in turn. Nodes also announce their revisions to random peers at a slow rate,
+which makes up for lost casts. A node without a configuration asks several peers and fetches the
+highest revision.
 """
 
 from collections.abc import Sequence
@@ -29,40 +30,40 @@
 from weirscale.node.peers.link import PeerLink
 
 ANNOUNCE_FANOUT = 6
-"""Announcements of a new revision from each node; about e^-6 of the nodes hear none of them."""
+"""Peers that each node announces a new revision to; about e^-6 of all nodes are missed."""
 EXCHANGE_PERIOD_S = 2.0
-"""Mean time between exchanges with a random peer: about 120 bytes a second, envelopes included."""
+"""Mean interval of announcements to a random peer: about 120 bytes a second with envelopes."""
 NUM_FETCHERS = 3
-"""Fetches at once, so that one dead peer holds up no revision."""
+"""Concurrent fetches, so that one dead peer does not delay a revision."""
 HEDGE_FETCH_AFTER_S = 0.3
-"""A second fetch starts only if the first has not brought the revision after this time."""
+"""A second fetch starts only if the first has not delivered the revision within this time."""
 FETCH_TIMEOUT_S = 1.5
 NUM_BOOTSTRAP_PEERS = 3
 BOOTSTRAP_ANSWER_WAIT_S = 0.3
-"""How long the first answer waits for the others."""
+"""How long to wait for further answers after the first one."""
 BOOTSTRAP_TIMEOUT_S = 0.5
 FIRST_BOOTSTRAP_RETRY_S = 0.3
 MAX_BOOTSTRAP_RETRY_S = 0.4
-"""A node without a configuration serves nobody, so it asks a few peers about twice a second."""
+"""A node without a configuration cannot serve requests, so it asks peers about twice a second."""
 JOIN_POLL_S = 0.02
 JOIN_WAIT_S = 0.3
-"""A node that has just started joins within a few round trips: it looks so often, for so long,
-whether membership knows another node yet."""
+"""A starting node joins within a few round trips. It checks for other nodes every JOIN_POLL_S, for
+at most JOIN_WAIT_S."""
 MAX_QUEUED_ANNOUNCEMENTS = 256
 
 
-class HeardAnnouncement(msgspec.Struct, frozen=True):
-    """A peer's revision, with where to fetch it."""
+class ReceivedAnnouncement(msgspec.Struct, frozen=True):
+    """A revision that a peer announced, and the address to fetch it from."""
 
     source: NodeAddress
     revision: ConfigurationRevision
 
 
 class ConfigurationSpread:
-    """Announces, fetches and answers fetches.
+    """Announces and fetches revisions, and answers the fetches of peers.
 
     Attributes:
-        last_problem: Why the last fetch failed; empty when it did not.
+        last_problem: Why the last fetch failed; empty if it succeeded.
     """
 
     def __init__(
@@ -84,28 +85,28 @@
         self._offer = offer
         self._random = random
         self._sleep = sleep
-        self._heard: Mailbox[HeardAnnouncement] = Mailbox(MAX_QUEUED_ANNOUNCEMENTS)
-        self._behind: Mailbox[NodeAddress] = Mailbox(MAX_QUEUED_ANNOUNCEMENTS)
-        link.on_cast(ConfigurationAnnounce, self._hear)
+        self._announced: Mailbox[ReceivedAnnouncement] = Mailbox(MAX_QUEUED_ANNOUNCEMENTS)
+        self._outdated_peers: Mailbox[NodeAddress] = Mailbox(MAX_QUEUED_ANNOUNCEMENTS)
+        link.on_cast(ConfigurationAnnounce, self._on_announcement)
         link.on_call(ConfigurationFetch, self._answer_fetch)
 
     async def run(self) -> None:
-        """Take part until cancelled."""
+        """Announce and fetch revisions until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._bootstrap)
-            tasks.start_soon(self._exchange)
-            tasks.start_soon(self._tell_peers_behind)
+            tasks.start_soon(self._announce_periodically)
+            tasks.start_soon(self._answer_outdated_peers)
             for _ in range(NUM_FETCHERS):
                 tasks.start_soon(self._fetch_announced)
 
     async def announce(self) -> None:
-        """Tell a few peers of the revision in force: half of them in this zone, where possible."""
+        """Announce the revision in force to a few peers, half of them in this zone if possible."""
         others = self._others()
-        near = [peer for peer in others if peer.zone == self._zone]
-        num_near = min(len(near), ANNOUNCE_FANOUT // 2)
-        chosen = self._random.sample(near, num_near)
-        far = [peer for peer in others if peer not in chosen]
-        chosen += self._random.sample(far, min(len(far), ANNOUNCE_FANOUT - num_near))
+        in_zone = [peer for peer in others if peer.zone == self._zone]
+        num_in_zone = min(len(in_zone), ANNOUNCE_FANOUT // 2)
+        chosen = self._random.sample(in_zone, num_in_zone)
+        remaining = [peer for peer in others if peer not in chosen]
+        chosen += self._random.sample(remaining, min(len(remaining), ANNOUNCE_FANOUT - num_in_zone))
         message = ConfigurationAnnounce(self._holder.revision)
         for peer in chosen:
             await self._link.cast(peer.address, message)
@@ -114,24 +115,24 @@
         own = self._membership.self_id
         return [peer for peer in self._membership.peers() if peer.node != own]
 
-    def _hear(self, source: NodeAddress, message: msgspec.Struct) -> None:
-        """Handle a cast: queue a fetch, or an answer to a peer that is behind."""
+    def _on_announcement(self, source: NodeAddress, message: msgspec.Struct) -> None:
+        """Queue a fetch if the announced revision is newer, or an answer if it is outdated."""
         assert isinstance(message, ConfigurationAnnounce)
-        if self._holder.hear_of(message.revision):
-            self._heard.post(HeardAnnouncement(source, message.revision))
+        if self._holder.record_revision(message.revision):
+            self._announced.post(ReceivedAnnouncement(source, message.revision))
         elif message.revision < self._holder.revision:
-            self._behind.post(source)
+            self._outdated_peers.post(source)
 
     async def _answer_fetch(self, message: msgspec.Struct) -> ConfigurationReply:
         assert isinstance(message, ConfigurationFetch)
         return self._holder.reply_to(message.have_revision)
 
-    async def _tell_peers_behind(self) -> None:
+    async def _answer_outdated_peers(self) -> None:
         while True:
-            destination = await self._behind.receive()
+            destination = await self._outdated_peers.receive()
             await self._link.cast(destination, ConfigurationAnnounce(self._holder.revision))
 
-    async def _exchange(self) -> None:
+    async def _announce_periodically(self) -> None:
         while True:
             await self._sleep(EXCHANGE_PERIOD_S * (0.5 + self._random.random()))
             others = self._others()
@@ -141,15 +142,15 @@
 
     async def _fetch_announced(self) -> None:
         while True:
-            heard = await self._heard.receive()
+            announced = await self._announced.receive()
             if self._num_fetching:
                 with anyio.move_on_after(HEDGE_FETCH_AFTER_S):
-                    await self._holder.changed_after(ConfigurationRevision(heard.revision - 1))
-            if heard.revision > self._holder.revision:
-                await self._fetch(heard.source)
+                    await self._holder.changed_after(ConfigurationRevision(announced.revision - 1))
+            if announced.revision > self._holder.revision:
+                await self._fetch(announced.source)
 
     async def _fetch(self, source: NodeAddress) -> None:
-        """Fetch from one peer, the whole if its delta does not fit."""
+        """Fetch from one peer; fetch the full configuration if the delta fails."""
         self._num_fetching += 1
         problem = await self._fetch_from(source, self._holder.revision)
         if problem and self._holder.revision != NO_BASE_REVISION:
@@ -158,14 +159,14 @@
         self._num_fetching -= 1
 
     async def _fetch_from(self, source: NodeAddress, have_revision: ConfigurationRevision) -> str:
-        """Make one fetch; answers what went wrong, or an empty text."""
+        """Make one fetch; return the reason of a failure, or an empty text."""
         message = ConfigurationFetch(have_revision)
         answer = await self._link.call(source, message, FETCH_TIMEOUT_S)
         if isinstance(answer, Err):
             return f"fetch from {source.host}:{source.port}: {answer.err_value.detail}"
         reply = answer.ok_value
         if not isinstance(reply, ConfigurationReply):
-            return "a peer answered with another message; run one version on all nodes"
+            return "a peer replied with an unexpected message; run one version on all nodes"
         if reply.revision <= self._holder.revision:
             return ""
         deployment = self._holder.read_reply(reply)
@@ -175,32 +176,32 @@
         return ""
 
     async def _bootstrap(self) -> None:
-        """Until a configuration is in force, ask several peers and fetch the highest."""
+        """Until a configuration is in force, fetch the highest revision that some peers have."""
         backoff = Backoff(self._random, FIRST_BOOTSTRAP_RETRY_S, MAX_BOOTSTRAP_RETRY_S)
         while self._holder.current() is None:
             others = await self._others_after_join()
             chosen = self._random.sample(others, min(len(others), NUM_BOOTSTRAP_PEERS))
-            best = await self._highest_of(chosen)
-            if best is not None:
-                await self._fetch(best)
+            source = await self._find_highest(chosen)
+            if source is not None:
+                await self._fetch(source)
             if self._holder.current() is None:
                 await self._sleep(backoff.next_s())
 
     async def _others_after_join(self) -> list[Peer]:
-        """Return the other nodes, after a short wait where none is known yet."""
+        """Return the other nodes; wait briefly if none is known yet."""
         with anyio.move_on_after(JOIN_WAIT_S):
             while not self._others():
                 await self._sleep(JOIN_POLL_S)
         return self._others()
 
-    async def _highest_of(self, peers: Sequence[Peer]) -> NodeAddress | None:
-        """Ask peers for their revisions and return where the highest is."""
+    async def _find_highest(self, peers: Sequence[Peer]) -> NodeAddress | None:
+        """Ask peers for their revisions; return the address of the highest, None without any."""
         answers: dict[NodeAddress, ConfigurationRevision] = {}
         async with anyio.create_task_group() as tasks:
             for peer in peers:
                 tasks.start_soon(self._ask_revision, peer.address, answers, tasks.cancel_scope)
-        best = max(answers, key=lambda address: answers[address], default=None)
-        return best if best is not None and answers[best] > NO_BASE_REVISION else None
+        source = max(answers, key=lambda address: answers[address], default=None)
+        return source if source is not None and answers[source] > NO_BASE_REVISION else None
 
     async def _ask_revision(
         self,
@@ -208,7 +209,7 @@
         answers: dict[NodeAddress, ConfigurationRevision],
         scope: anyio.CancelScope,
     ) -> None:
-        """Ask one peer; its answer leaves the slower ones a little longer and no more."""
+        """Ask one peer for its revision; an answer limits the wait for the slower peers."""
         answer = await self._link.call(address, ConfigurationStatusQuery(), BOOTSTRAP_TIMEOUT_S)
         if isinstance(answer, Err) or not isinstance(answer.ok_value, ConfigurationStatusReply):
             return
--- a/src/weirscale/node/configuration/status.py
+++ b/src/weirscale/node/configuration/status.py
@@ -1,4 +1,4 @@
-"""Tells how far the configuration has come: which nodes have it in force, which lag and why."""
+"""Reports which nodes have the configuration in force, and which lag and why."""
 
 import anyio
 import msgspec
@@ -17,19 +17,19 @@
 from weirscale.node.peers.link import PeerLink
 
 STATUS_PATH = "/operator/configuration"
-"""Path on a node's operator port that answers with a `FleetConfigurationStatus` as JSON."""
-NUM_QUERIES_AT_ONCE = 32
+"""Path on a node's operator port that returns a `FleetConfigurationStatus` as JSON."""
+MAX_CONCURRENT_QUERIES = 32
 QUERY_TIMEOUT_S = 2.0
 
 
 class NodeConfigurationStatus(msgspec.Struct, frozen=True):
-    """One node's state.
+    """The configuration status of one node.
 
     Attributes:
-        node: Its name.
-        zone: Its zone.
-        revision: In force there; None when it did not answer.
-        lag_reason: Why it is behind; empty when it is not.
+        node: Name of the node.
+        zone: Zone of the node.
+        revision: Revision in force on the node; None if the node did not answer.
+        lag_reason: Why the node lags; empty if it does not.
     """
 
     node: str
@@ -39,12 +39,13 @@
 
 
 class FleetConfigurationStatus(msgspec.Struct, frozen=True):
-    """State of all nodes that membership knows, as one of them sees it.
+    """The configuration status of all live nodes, as collected by one node.
 
     Attributes:
-        revision: The highest revision that any node has heard of.
-        nodes: Each node, sorted by name.
-        store_problem: Why this node cannot read the store; empty when it can or does not try.
+        revision: The highest revision that any node knows of.
+        nodes: The status of each node, sorted by name.
+        store_problem: Why the collecting node cannot read the store; empty if it can, or does not
+            read it.
     """
 
     revision: ConfigurationRevision
@@ -52,12 +53,16 @@
     store_problem: str
 
     def lagging(self, revision: ConfigurationRevision) -> tuple[NodeConfigurationStatus, ...]:
-        """Return the nodes that do not have a revision, or a higher one, in force."""
-        return tuple(n for n in self.nodes if n.revision is None or n.revision < revision)
+        """Return the nodes that have neither the given nor a higher revision in force."""
+        return tuple(
+            node_status
+            for node_status in self.nodes
+            if node_status.revision is None or node_status.revision < revision
+        )
 
 
 class ConfigurationStatusTask:
-    """Answers status queries of peers and asks all of them for an operator."""
+    """Answers status queries of peers, and queries all nodes for an operator."""
 
     def __init__(
         self,
@@ -77,9 +82,9 @@
         link.on_call(ConfigurationStatusQuery, self._answer)
 
     async def fleet_status(self) -> FleetConfigurationStatus:
-        """Ask every node; takes at most a few query timeouts."""
+        """Query every node; this takes at most a few query timeouts."""
         replies: dict[Peer, ConfigurationStatusReply | str] = {}
-        limiter = anyio.CapacityLimiter(NUM_QUERIES_AT_ONCE)
+        limiter = anyio.CapacityLimiter(MAX_CONCURRENT_QUERIES)
         async with anyio.create_task_group() as tasks:
             for peer in self._membership.peers():
                 tasks.start_soon(self._ask, peer, replies, limiter)
@@ -106,7 +111,7 @@
         elif isinstance(answer.ok_value, ConfigurationStatusReply):
             replies[peer] = answer.ok_value
         else:
-            replies[peer] = "answered with another message: run one version on all nodes"
+            replies[peer] = "replied with an unexpected message: run one version on all nodes"
 
     async def _answer(self, _query: msgspec.Struct) -> ConfigurationStatusReply:
         return ConfigurationStatusReply(
@@ -131,7 +136,7 @@
     if reply.highest_known < highest:
         reason = f"has not heard of revision {highest}"
     else:
-        reason = f"has heard of revision {highest} and not fetched it"
+        reason = f"has heard of revision {highest} but has not fetched it"
     if reply.last_problem:
         reason += f" ({reply.last_problem})"
     return NodeConfigurationStatus(name, zone, reply.revision, reason)
--- a/src/weirscale/node/configuration/task.py
+++ b/src/weirscale/node/configuration/task.py
@@ -19,7 +19,7 @@
 from weirscale.ports.key_value import KeyValuePort
 
 MAILBOX_SIZE = 16
-"""Revisions waiting to be taken; each may be a whole deployment, and senders wait for room."""
+"""Maximum number of queued revisions, each possibly a full deployment; senders wait for room."""
 
 
 class OfferedRevision(msgspec.Struct, frozen=True):
@@ -31,16 +31,16 @@
 
 
 class ConfigurationTask:
-    """Implements `ConfigurationView`; handlers are registered with the link when it is made.
+    """Implements `ConfigurationView`; the constructor registers the message handlers.
 
     Args:
         port: The key-value service.
-        link: Reaches the other nodes.
+        link: Carries messages between nodes.
         membership: The live nodes.
         zone: This node's zone.
-        random: Chooses peers and jitters waits.
-        log: Where events go.
-        sleep: Waits; replaced in tests of paused processes.
+        random: Draws peers and jitter.
+        log: The event log.
+        sleep: Sleep function; replaced in tests of paused processes.
     """
 
     def __init__(
@@ -65,32 +65,32 @@
         )
 
     def current(self) -> ConfigurationInForce | None:
-        """The configuration in force, or None before the first one arrives."""
+        """Return the configuration in force, or None before the first one arrives."""
         return self._holder.current()
 
     async def changed_after(self, revision: ConfigurationRevision) -> ConfigurationInForce:
-        """Wait for a revision higher than the given one (0 for any)."""
+        """Wait until a revision higher than the given one (0 for any) is in force; return it."""
         return await self._holder.changed_after(revision)
 
     async def fleet_status(self) -> FleetConfigurationStatus:
-        """Ask all nodes how far they are."""
+        """Return the configuration status of all nodes."""
         return await self._status.fleet_status()
 
     async def run(self) -> None:
-        """Read, spread and take revisions until cancelled."""
+        """Read, distribute and apply revisions until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._reader.run)
             tasks.start_soon(self._spread.run)
             while True:
-                await self._take(await self._offers.receive())
+                await self._apply(await self._offers.receive())
 
     async def _offer(
         self, revision: ConfigurationRevision, deployment: Deployment, source: str
     ) -> None:
         await self._offers.put(OfferedRevision(revision, deployment, source))
 
-    async def _take(self, offered: OfferedRevision) -> None:
-        if not self._holder.take(offered.revision, canonical(offered.deployment)):
+    async def _apply(self, offered: OfferedRevision) -> None:
+        if not self._holder.apply(offered.revision, canonical(offered.deployment)):
             return
         self._log.event("configuration_in_force", revision=offered.revision, source=offered.source)
         await self._spread.announce()
