--- a/src/weirscale/node/claims/registry.py
+++ b/src/weirscale/node/claims/registry.py
@@ -241,7 +241,7 @@
         return holder
 
     def _enter_epoch(self, record: GroupEpoch) -> None:
-        """Put an epoch in force: become a holder if prepared for it, else stop for good."""
+        """Put an epoch in force: become a holder if prepared for it, else stop being one."""
         self._holders.pop(record.group, None)
         self._sealed_at_s.pop(record.group, None)
         prepared = self._prepared.pop((record.group, record.attempt), None)
--- a/src/weirscale/node/duties/__init__.py
+++ b/src/weirscale/node/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duties of this node by the view that it has of the others."""
+"""Assignment of duties to nodes, as seen by this node."""
--- a/src/weirscale/node/duties/view.py
+++ b/src/weirscale/node/duties/view.py
@@ -1,4 +1,4 @@
-"""Duties as they follow from a node's current membership."""
+"""Duties as they follow from this node's current view of membership."""
 
 from weirscale.domain.duties.assignment import (
     Duty,
@@ -11,7 +11,7 @@
 
 
 class DutyView:
-    """Answers who holds a duty; candidates are worked out once for each membership version."""
+    """Determines the holders of duties; caches the candidates for each membership version."""
 
     def __init__(self, membership: MembershipView) -> None:
         self._membership = membership
@@ -19,7 +19,7 @@
         self._candidates: tuple[DutyCandidate, ...] = ()
 
     def candidates(self) -> tuple[DutyCandidate, ...]:
-        """Return all live nodes."""
+        """Return all live nodes as candidates."""
         version = self._membership.version()
         if version != self._version:
             self._candidates = tuple(
@@ -30,9 +30,15 @@
         return self._candidates
 
     def engine_home(self, engine: EngineName, zone: ZoneName) -> NodeId | None:
-        """Return the home node of an engine."""
+        """Return the home node of an engine, or None if there is none."""
         return engine_home(engine, zone, self.candidates())
 
     def is_own(self, duty: Duty, count: int, zone: ZoneName | None = None) -> bool:
-        """Whether this node is among the best for a duty."""
+        """Return whether this node is among the `count` highest ranked candidates for a duty.
+
+        Args:
+            duty: The duty.
+            count: Number of nodes that hold the duty.
+            zone: Only candidates of this zone, or None for all.
+        """
         return self._membership.self_id in holders(duty, self.candidates(), count, zone)
--- a/src/weirscale/node/limits/__init__.py
+++ b/src/weirscale/node/limits/__init__.py
@@ -1,1 +1,1 @@
-"""The task that admits requests: tenant limits over the fleet, fair queue, shedding."""
+"""The task that admits requests: fleet-wide tenant limits, fair queue, load shedding."""
--- a/src/weirscale/node/limits/task.py
+++ b/src/weirscale/node/limits/task.py
@@ -1,4 +1,4 @@
-"""The admission task: owns the node's admission queue and answers by messages."""
+"""The admission task, which owns the node's admission queue and is called through its mailbox."""
 
 import itertools
 import math
@@ -21,19 +21,20 @@
 from weirscale.node.mailbox import Mailbox, Reply
 
 WAITING_POLL_S = 0.02
-"""How often waiting requests are looked at again for tokens that have come since."""
+"""How often waiting requests are checked for tokens that have become available."""
 IDLE_POLL_S = 3600.0
-"""With nothing waiting the task sleeps until a message comes."""
+"""Wait without waiting requests: in effect, the task sleeps until a message arrives."""
 MIN_RUNNING = 64
-"""Permits that any node may give, however large the fleet."""
+"""Minimum number of concurrent permits of a node, however large the fleet."""
 IMBALANCE_FACTOR = 2.0
-"""How far above its equal share of the fleet's capacity one node may go: callers are uneven."""
+"""Concurrent permits of a node relative to an equal share of the fleet's capacity, since callers do
+not spread evenly over nodes."""
 REQUESTS_PER_SERVICE_BACKEND = 64
-"""Requests counted for one service back end, which declares no concurrency of its own."""
+"""Concurrent requests assumed for a service back end, which declares no limit of its own."""
 
 
 class NodePermit(Permit, frozen=True):
-    """A permit with the number that names it on this node."""
+    """A permit with its number, which is unique on this node."""
 
     ticket: int
 
@@ -56,7 +57,7 @@
 
 
 def node_capacity(deployment: Deployment, num_nodes: int) -> int:
-    """Permits that one of `num_nodes` nodes may give at once."""
+    """Return how many concurrent permits each of `num_nodes` nodes may grant."""
     num_engine_requests = sum(engine.max_concurrent_requests for engine in deployment.engines)
     num_backends = sum(len(service.backends) for service in deployment.services)
     fleet_capacity = num_engine_requests + num_backends * REQUESTS_PER_SERVICE_BACKEND
@@ -68,14 +69,14 @@
     """Implements `Admission`; `run` is the task that owns the queue.
 
     Args:
-        max_running: Permits out at once.
-        allowance_of: Gives the node's allowance for a tenant.
+        max_running: Maximum number of concurrent permits.
+        allowance_of: Returns the node's allowance for a tenant.
     """
 
     def __init__(self, max_running: int, allowance_of: AllowanceSource) -> None:
         self.mailbox: Mailbox[msgspec.Struct] = Mailbox()
         self.queue = AdmissionQueue(max_running, allowance_of)
-        self._replies: dict[int, _Admit] = {}
+        self._pending: dict[int, _Admit] = {}
         self._tickets = itertools.count(1)
 
     async def admit(
@@ -86,7 +87,7 @@
         priority: int,
         deadline_s: float,
     ) -> Decision:
-        """Wait for a permit; refused at once when the wait would miss the deadline."""
+        """Wait for a permit; refuse at once if the wait would exceed the deadline."""
         ticket = next(self._tickets)
         now_s = anyio.current_time()
         request = WaitingRequest(ticket, tenant, num_prompt_tokens, priority, deadline_s, now_s)
@@ -100,12 +101,12 @@
             raise
 
     def release(self, permit: Permit) -> None:
-        """Give the permit back."""
+        """Return the permit to the queue."""
         if isinstance(permit, NodePermit):
             self.mailbox.post(_Release(permit.ticket))
 
     async def run(self) -> None:
-        """Serve until cancelled."""
+        """Process messages until cancelled."""
         while True:
             message = await self._next_message()
             if message is not None:
@@ -114,7 +115,7 @@
             self._answer(anyio.current_time())
 
     async def exchange_shares(self) -> None:
-        """Talk to other nodes about the tenants' shares; a process that stands alone does not."""
+        """Exchange tenant shares with other nodes; does nothing without a fleet."""
 
     async def _next_message(self) -> msgspec.Struct | None:
         with anyio.move_on_after(self.poll_s()):
@@ -122,14 +123,14 @@
         return None
 
     def poll_s(self) -> float:
-        """How long to wait for a message before looking at the queue again."""
+        """Return how long to wait for a message before the next check of the queue, in seconds."""
         deadline_s = self.queue.next_deadline_s()
         if deadline_s is None:
             return IDLE_POLL_S
         return max(0.0, min(WAITING_POLL_S, deadline_s - anyio.current_time()))
 
     def handle(self, message: msgspec.Struct) -> None:
-        """Carry out one message."""
+        """Process one message from the mailbox."""
         now_s = anyio.current_time()
         match message:
             case _Admit(request=request):
@@ -140,7 +141,7 @@
                 self._withdraw(ticket, now_s)
 
     def record_arrival(self, request: WaitingRequest, now_s: float) -> None:
-        """Learn that a request came; a process that stands alone has no use for it."""
+        """Record the arrival of a request; does nothing without a fleet."""
 
     def _offer(self, message: _Admit, request: WaitingRequest, now_s: float) -> None:
         self.record_arrival(request, now_s)
@@ -148,19 +149,19 @@
         if refusal is not None:
             message.reply.set(Err(refusal))
             return
-        self._replies[request.ticket] = message
+        self._pending[request.ticket] = message
 
     def _withdraw(self, ticket: int, now_s: float) -> None:
-        """The caller has left: it may wait, or its permit may have crossed its leaving."""
-        self._replies.pop(ticket, None)
+        """Remove the request of a caller that left, or free the permit granted in the meantime."""
+        self._pending.pop(ticket, None)
         if not self.queue.withdraw(ticket):
             self.queue.finish(ticket, now_s)
 
     def _answer(self, now_s: float) -> None:
         for request, refusal in self.queue.remove_expired(now_s):
-            self._replies.pop(request.ticket).reply.set(Err(refusal))
+            self._pending.pop(request.ticket).reply.set(Err(refusal))
         for request in self.queue.start_ready(now_s):
-            admitted = self._replies.pop(request.ticket)
+            admitted = self._pending.pop(request.ticket)
             permit = NodePermit(
                 request.tenant.name,
                 admitted.request_id,
--- a/src/weirscale/node/membership/task.py
+++ b/src/weirscale/node/membership/task.py
@@ -30,7 +30,7 @@
 
 SYNC_TIMEOUT_S = 3.0
 MACHINE_LIST_INTERVAL_S = 5.0
-"""The list itself lags by seconds; asking more often tells nothing new."""
+"""The list itself lags by seconds, so reading it more often gives no newer data."""
 
 MAX_CONCURRENT_SYNCS = 4
 SUPERSEDED_POLL_S = 1.0
@@ -43,18 +43,18 @@
 
 
 class MembershipTask:
-    """One node's membership. `run` must be running; the link's `run` as well.
+    """Membership of one node; its `run` and the link's `run` must be running.
 
     Args:
         link: Carries the protocol's messages.
-        own_id: This run of this node.
-        address: Where the others reach it.
-        zone: Its zone.
-        seeds: Peer addresses of nodes to join by; own address among them is ignored.
-        random: Choices of targets.
+        own_id: This run of the node.
+        address: Address at which other nodes reach this node.
+        zone: This node's zone.
+        seeds: Addresses of nodes through which to join; this node's own address is ignored.
+        random: Draws the targets of messages.
         rules: Intervals and limits.
         machines: The platform's machine list, or None.
-        sleep: Replaced by experiments that freeze nodes.
+        sleep: Sleep function; replaced by experiments that freeze nodes.
     """
 
     def __init__(
@@ -89,16 +89,16 @@
 
     @property
     def self_id(self) -> NodeId:
-        """This node's own identity."""
+        """Name and incarnation of this run of the node."""
         return self._own_id
 
     @property
     def is_superseded(self) -> bool:
-        """Whether a later run with this node's name is a member; this run should stop."""
+        """Whether a later run with this node's name is a member, so that this run should stop."""
         return self.protocol.state.is_superseded
 
     def peers(self) -> tuple[Peer, ...]:
-        """All nodes believed alive, suspect or leaving, this one included, sorted by id."""
+        """Return all alive, suspect and leaving nodes, this one included, sorted by id."""
         version = self.version()
         if version != self._cached_version:
             live = self.protocol.state.table.live()
@@ -107,7 +107,7 @@
         return self._cached_peers
 
     def version(self) -> int:
-        """Grows with each change of `peers`."""
+        """Return a number that grows with each change of `peers`."""
         return self.protocol.state.table.version + self._hints.version
 
     async def run(self) -> None:
@@ -118,11 +118,11 @@
             if self._machines is not None:
                 tasks.start_soon(self._follow_machine_list, self._machines)
             while True:
-                self._carry_out(self.protocol.tick(anyio.current_time()))
+                self._execute(self.protocol.tick(anyio.current_time()))
                 await self._sleep(self._rules.tick_s)
 
     async def wait_joined(self) -> None:
-        """Wait until a seed has answered; at once for a node without seeds."""
+        """Wait until a seed has answered; return at once if there are no seeds."""
         while not self.protocol.has_joined:
             await self._sleep(self._rules.tick_s)
 
@@ -132,7 +132,7 @@
             await self._sleep(SUPERSEDED_POLL_S)
 
     def leave(self) -> None:
-        """Announce that this node is about to stop; call it when draining begins."""
+        """Announce that this node is leaving; call it when draining begins."""
         self.protocol.leave(anyio.current_time())
 
     async def depart(self) -> None:
@@ -152,29 +152,29 @@
 
     def _on_ping(self, source: NodeAddress, message: msgspec.Struct) -> None:
         assert isinstance(message, Ping)
-        self._carry_out(self.protocol.handle_ping(source, message, anyio.current_time()))
+        self._execute(self.protocol.handle_ping(source, message, anyio.current_time()))
 
     def _on_ack(self, source: NodeAddress, message: msgspec.Struct) -> None:
         assert isinstance(message, Ack)
-        self._carry_out(self.protocol.handle_ack(source, message, anyio.current_time()))
+        self._execute(self.protocol.handle_ack(source, message, anyio.current_time()))
 
     def _on_ping_request(self, source: NodeAddress, message: msgspec.Struct) -> None:
         assert isinstance(message, PingRequest)
         now_s = anyio.current_time()
-        self._carry_out(self.protocol.handle_ping_request(source, message, now_s))
+        self._execute(self.protocol.handle_ping_request(source, message, now_s))
 
     def _on_gossip(self, _: NodeAddress, message: msgspec.Struct) -> None:
         assert isinstance(message, Gossip)
-        self._carry_out(self.protocol.handle_gossip(message, anyio.current_time()))
+        self._execute(self.protocol.handle_gossip(message, anyio.current_time()))
 
     async def _on_sync(self, message: msgspec.Struct) -> SyncReply:
         assert isinstance(message, SyncRequest)
         return self.protocol.answer_sync(message, anyio.current_time())
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SendCast):
-                # A full outbox loses the cast, as the network may.
+                # A full outbox drops the cast; casts may be lost on the network as well.
                 self._outbox.post(action)
             elif self._tasks is not None and self._num_syncs < MAX_CONCURRENT_SYNCS:
                 self._num_syncs += 1
@@ -188,18 +188,18 @@
     async def _sync(self, destination: NodeAddress) -> None:
         try:
             request = self.protocol.sync_request()
-            answered = await self._link.call(destination, request, SYNC_TIMEOUT_S)
+            answer = await self._link.call(destination, request, SYNC_TIMEOUT_S)
         finally:
             self._num_syncs -= 1
-        if isinstance(answered, Ok) and isinstance(answered.ok_value, SyncReply):
+        if isinstance(answer, Ok) and isinstance(answer.ok_value, SyncReply):
             now_s = anyio.current_time()
-            self._carry_out(self.protocol.handle_sync_reply(destination, answered.ok_value, now_s))
+            self._execute(self.protocol.handle_sync_reply(destination, answer.ok_value, now_s))
 
     async def _follow_machine_list(self, machines: MachineListPort) -> None:
         while True:
-            read = await machines.machines()
-            if isinstance(read, Ok):
-                is_leaving_by_host = {entry.host: entry.is_leaving for entry in read.ok_value}
+            answer = await machines.machines()
+            if isinstance(answer, Ok):
+                is_leaving_by_host = {entry.host: entry.is_leaving for entry in answer.ok_value}
                 live = self.protocol.state.table.live()
                 for name in self._hints.update_list(is_leaving_by_host, live):
                     self.protocol.probe_soon(name)
--- a/src/weirscale/node/peers/__init__.py
+++ b/src/weirscale/node/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Authenticated typed messages between nodes."""
+"""Authenticated, typed messages between nodes."""
