--- a/features/steps/backends_directory_steps.py
+++ b/features/steps/backends_directory_steps.py
@@ -96,7 +96,7 @@
 
 def report_by_home(fleet, traffic):
     report = fleet.engines[ENGINE].model.load_report(anyio.current_time())
-    fleet.directory.note_load_report(msgspec.structs.replace(report, is_leaving=True), 0.0)
+    fleet.directory.record_load_report(msgspec.structs.replace(report, is_leaving=True), 0.0)
 
 
 def fail_with(kind):
@@ -295,7 +295,7 @@
         async with fleet.running():
             await anyio.sleep(5.0)
             report = LoadReport(ENGINE, run, "qalam", version, (), 0, 0, 0, 0, 4096, False, 0)
-            fleet.directory.note_load_report(report, age)
+            fleet.directory.record_load_report(report, age)
             await anyio.sleep(0.01)
             return fleet.directory.snapshot().engines[ENGINE].report
 
@@ -332,7 +332,7 @@
         await anyio.sleep(10.0)
         while anyio.current_time() <= end_s + 0.5:
             load = fleet.engines[ENGINE].model.load_report(anyio.current_time())
-            fleet.directory.note_load_report(load, 0.5)
+            fleet.directory.record_load_report(load, 0.5)
             await anyio.sleep(interval_s)
         await anyio.sleep_until(end_s + 34.0)
 
--- a/features/steps/home_notes_steps.py
+++ b/features/steps/home_notes_steps.py
@@ -17,7 +17,7 @@
 @given("{count:d} nodes that tell one another of sends with {budget:d} bytes a second")
 def step_nodes(context, count, budget):
     context.num_nodes = count
-    context.rules = HomeRules(note_bytes_per_s=float(budget), min_noted_tokens=512)
+    context.rules = HomeRules(note_bytes_per_s=float(budget), min_announced_tokens=512)
 
 
 @when("one sends {count:d} prompts of {blocks:d} blocks that miss {missing:d} tokens")
@@ -38,7 +38,7 @@
             for notes in tasks_of:
                 tasks.start_soon(notes.run)
             for request in context.requests:
-                tasks_of[0].tell(request, ENGINE, missing)
+                tasks_of[0].announce_send(request, ENGINE, missing)
             await anyio.sleep(0.1)
             context.now_s = anyio.current_time()
             tasks.cancel_scope.cancel()
@@ -48,7 +48,7 @@
 
 
 def matched(notes, request, now_s):
-    match = notes.noted.match(request.block_hashes, now_s).get(ENGINE)
+    match = notes.peer_sends.match(request.block_hashes, now_s).get(ENGINE)
     return match.num_blocks if match else 0
 
 
@@ -80,7 +80,7 @@
 def step_tokens(context, tokens, later, seconds):
     for notes in context.others:
 
-        def waiting(since_s, now_s, noted=notes.noted):
+        def waiting(since_s, now_s, noted=notes.peer_sends):
             return noted.num_waiting_tokens(ENGINE, since_s, 8000.0, now_s)
 
         noted_at_s = context.now_s - 0.1
--- a/features/steps/placement_states_steps.py
+++ b/features/steps/placement_states_steps.py
@@ -11,7 +11,7 @@
 from weirscale.messages.cache import LoadReport
 from weirscale.messages.engine_states import EngineState
 from weirscale.node.backends.facts import EMPTY_SNAPSHOT, EngineFacts
-from weirscale.node.placement.fleet_states import HeardState
+from weirscale.node.placement.fleet_states import ObservedState
 from weirscale.node.placement.observing import observe_engines
 from weirscale.ports.engine import LoadModel
 
@@ -182,10 +182,10 @@
         context.before = counts(fleet)
         await anyio.sleep(50.0)
         context.after = counts(fleet)
-        context.num_heard = len(planner.states.heard())
+        context.num_heard = len(planner.states.observed_states())
         planner.held = False
         await anyio.sleep(2.0)
-        context.num_heard_after = len(planner.states.heard())
+        context.num_heard_after = len(planner.states.observed_states())
 
     context.fleet = run_fleet(context, 55.0, script)
 
@@ -238,10 +238,12 @@
 @given("another node told run {run:d} with version {version} {age:d} s ago")
 def step_told(context, run, version, age):
     state = EngineState.of(report(run, version), is_leaving=False, is_up=True)
-    context.heard = {"qalam-1": HeardState(state, NOW_S - age)}
+    context.observed_states = {"qalam-1": ObservedState(state, NOW_S - age)}
 
 
 @then("the planner sees version {version} and the engine is {state}")
 def step_seen(context, version, state):
-    seen = observe_engines(context.snapshot, context.heard, PlacementRules(), NOW_S)["qalam-1"]
+    seen = observe_engines(context.snapshot, context.observed_states, PlacementRules(), NOW_S)[
+        "qalam-1"
+    ]
     assert (seen.weight_version, seen.is_up) == (version, state == "up"), seen
--- a/features/steps/routing_choice_steps.py
+++ b/features/steps/routing_choice_steps.py
@@ -175,7 +175,7 @@
 def step_estimate(context, speed, requests, tokens, at):
     context.speed = speed
     context.estimate = LoadEstimate()
-    context.estimate.note_report(1, at, requests, tokens, speed)
+    context.estimate.record_report(1, at, requests, tokens, speed)
 
 
 @when("nothing is sent")
@@ -189,11 +189,11 @@
     for event in f"a of {events}".split(", "):
         words = event.split()
         if words[0] == "report":
-            estimate.note_report(2, float(words[6]), int(words[2]), int(words[4]), context.speed)
+            estimate.record_report(2, float(words[6]), int(words[2]), int(words[4]), context.speed)
         elif words[1] == "ends":
-            estimate.note_ended((words[0], 0), 1.0)
+            estimate.record_end((words[0], 0), 1.0)
         else:
-            estimate.note_sent((words[0], 0), int(words[2]), float(words[5]), context.speed)
+            estimate.record_send((words[0], 0), int(words[2]), float(words[5]), context.speed)
 
 
 @then("it says {requests:d} requests and {tokens:d} tokens at {at:g} s")
--- a/features/support/home_fleet.py
+++ b/features/support/home_fleet.py
@@ -147,10 +147,10 @@
     def __init__(self):
         self.reports, self.unreachable = [], []
 
-    def note_load_report(self, report, age_s):
+    def record_load_report(self, report, age_s):
         self.reports.append(report)
 
-    def note_unreachable(self, engine, detail):
+    def record_unreachable(self, engine, detail):
         self.unreachable.append(engine)
 
 
@@ -167,7 +167,7 @@
         rules = HomeRules()
         self.views = CacheViewTask(self.link, self.observations, rules)
         self.homes = HomeTask(
-            self, fleet, fleet, self.observations, self.link, self.views.take_own,
+            self, fleet, fleet, self.observations, self.link, self.views.apply_own_digest,
             fleet.epoch_ms, rules, Random(number),
         )  # fmt: skip
         self.scope = anyio.CancelScope()
--- a/features/support/rollout_fleet.py
+++ b/features/support/rollout_fleet.py
@@ -38,7 +38,7 @@
 class NoStates:
     """What other nodes tell of engines where the planner's own node hears of every engine."""
 
-    def heard(self):
+    def observed_states(self):
         return {}
 
     def watch(self, engines):
@@ -244,9 +244,9 @@
             for name, engine in self.engines.items():
                 if engine.is_reachable:
                     report = engine.model.load_report(anyio.current_time())
-                    self.directory.note_load_report(report, 0.0)
+                    self.directory.record_load_report(report, 0.0)
                 else:
-                    self.directory.note_unreachable(name, "connection refused")
+                    self.directory.record_unreachable(name, "connection refused")
             await anyio.sleep(REPORT_INTERVAL_S)
 
     def declare_version(self, version, **fields):
--- a/src/weirscale/node/assembly.py
+++ b/src/weirscale/node/assembly.py
@@ -158,7 +158,7 @@
             self.directory,
             self.directory,
             self.link,
-            self.cache_view.take_own,
+            self.cache_view.apply_own_digest,
             ports.epoch_ms,
             rules,
             random,
@@ -176,8 +176,8 @@
         self._policy = PrefixAware(
             self.cache_view.view,
             RoutingObjective(),
-            self.notes.noted,
-            self.notes.tell,
+            self.notes.peer_sends,
+            self.notes.announce_send,
             self._kept_kv,
         )
         self.engine_router = EngineRouter(
--- a/src/weirscale/node/backends/directory.py
+++ b/src/weirscale/node/backends/directory.py
@@ -96,12 +96,12 @@
         if not self._mailbox.post(observation):
             self.num_dropped_observations += 1
 
-    def note_load_report(self, report: LoadReport, age_s: float) -> None:
+    def record_load_report(self, report: LoadReport, age_s: float) -> None:
         """A load report arrived, from the engine or from its home node."""
         reported_at_s = anyio.current_time() - age_s
         self.post(ReportArrived(report, reported_at_s, is_own_probe=False))
 
-    def note_unreachable(self, engine: EngineName, detail: str) -> None:
+    def record_unreachable(self, engine: EngineName, detail: str) -> None:
         """A probe of the engine got no answer."""
         self.post(ProbeFailed(engine, detail))
 
--- a/src/weirscale/node/home/engine_home.py
+++ b/src/weirscale/node/home/engine_home.py
@@ -52,7 +52,7 @@
         max_digest_keys: Keys of this engine that receivers are made to remember at most.
         load_bytes_per_s: Budget for this engine's load reports, over all receivers.
         receivers: The other nodes that hear of the engine.
-        take_own: Gives digests to this node's own view.
+        apply_own_digest: Gives digests to this node's own view.
         link: Sends to other nodes.
         observations: Learns of loads.
         dumps: Limits dumps over all engines of this node.
@@ -69,7 +69,7 @@
         max_digest_keys: int,
         load_bytes_per_s: float,
         receivers: GetReceivers,
-        take_own: TakeOwnDigest,
+        apply_own_digest: TakeOwnDigest,
         link: PeerLink,
         observations: BackendDirectory,
         dumps: RateGate,
@@ -81,7 +81,7 @@
         self._load_bytes_per_s = load_bytes_per_s
         self._load_spread_at_s = -math.inf
         self._receivers = receivers
-        self._take_own = take_own
+        self._take_own = apply_own_digest
         self._link = link
         self._observations = observations
         self._dumps = dumps
@@ -194,17 +194,17 @@
         with anyio.move_on_after(self._rules.load_timeout_s) as timeout:
             answer = await self._port.load()
         if timeout.cancelled_caught:
-            self._observations.note_unreachable(self._engine.name, "load report timed out")
+            self._observations.record_unreachable(self._engine.name, "load report timed out")
             return
         if isinstance(answer, Err):
-            self._observations.note_unreachable(self._engine.name, answer.err_value.detail)
+            self._observations.record_unreachable(self._engine.name, answer.err_value.detail)
             return
         await self._spread_load(answer.ok_value, anyio.current_time() - asked_at_s)
 
     async def _spread_load(self, report: LoadReport, age_s: float) -> None:
         if report.weight_version is not None:
             self.index.record_run(report.incarnation, report.weight_version)
-        self._observations.note_load_report(report, age_s)
+        self._observations.record_load_report(report, age_s)
         receivers = self._receivers()
         now_s = anyio.current_time()
         # With many receivers reports are spread less often than they are read.
--- a/src/weirscale/node/home/home_task.py
+++ b/src/weirscale/node/home/home_task.py
@@ -41,7 +41,7 @@
         directory: Declared engines and their ports.
         observations: Learns of loads.
         link: Sends to other nodes and answers their requests.
-        take_own: Gives digests to this node's own view.
+        apply_own_digest: Gives digests to this node's own view.
         epoch_ms: Milliseconds since the epoch; names digest streams, later ones higher.
         rules: Intervals and limits.
         random: Spreads dumps and digests.
@@ -56,7 +56,7 @@
         directory: BackendDirectory,
         observations: BackendDirectory,
         link: PeerLink,
-        take_own: Callable[[CacheDigest], None],
+        apply_own_digest: Callable[[CacheDigest], None],
         epoch_ms: Callable[[], int],
         rules: HomeRules,
         random: Random,
@@ -68,7 +68,7 @@
         self._directory = directory
         self._observations = observations
         self._link = link
-        self._take_own = take_own
+        self._take_own = apply_own_digest
         self._epoch_ms = epoch_ms
         self._rules = rules
         self._random = random
@@ -152,7 +152,7 @@
             load_bytes_per_s=self._rules.load_bytes_per_s / num_engines,
             max_digest_keys=self._max_digest_keys(facts),
             receivers=lambda: self._receivers(facts),
-            take_own=self._take_own,
+            apply_own_digest=self._take_own,
             link=self._link,
             observations=self._observations,
             dumps=self._dumps,
--- a/src/weirscale/node/home/notes_task.py
+++ b/src/weirscale/node/home/notes_task.py
@@ -25,7 +25,7 @@
 
 
 class SendNotesTask:
-    """Owns `noted`, which the policy of the same event loop reads.
+    """Owns `peer_sends`, which the policy of the same event loop reads.
 
     Args:
         link: Carries notes.
@@ -39,7 +39,7 @@
         receivers: Callable[[], Sequence[NodeAddress]],
         rules: HomeRules,
     ) -> None:
-        self.noted = PeerSends()
+        self.peer_sends = PeerSends()
         self.num_unsent = 0
         self._link = link
         self._receivers = receivers
@@ -48,9 +48,11 @@
         self._mailbox: Mailbox[SendNote | _Arrived] = Mailbox()
         link.on_cast(SendNote, self._note_arrived)
 
-    def tell(self, request: ChoiceRequest, engine: EngineName, num_missing_tokens: int) -> None:
+    def announce_send(
+        self, request: ChoiceRequest, engine: EngineName, num_missing_tokens: int
+    ) -> None:
         """Tell the others of a send, if it is worth it; never waits."""
-        if num_missing_tokens < self._rules.min_noted_tokens:
+        if num_missing_tokens < self._rules.min_announced_tokens:
             return
         depths = ladder_depths(len(request.block_hashes))[:MAX_NOTE_KEYS]
         keys = keys_at(request.block_hashes, depths)
@@ -64,7 +66,7 @@
             if isinstance(message, _Arrived):
                 note = message.note
                 keys = unpack_keys(note.keys)
-                self.noted.record(note.engine, keys, note.num_missing_tokens, now_s)
+                self.peer_sends.record(note.engine, keys, note.num_missing_tokens, now_s)
             else:
                 await self._send(message, now_s)
 
--- a/src/weirscale/node/home/rules.py
+++ b/src/weirscale/node/home/rules.py
@@ -19,7 +19,7 @@
         max_view_keys: Keys of one zone's engines in a receiver's view; at some 118 bytes each.
         load_bytes_per_s: Budget for load reports of all engines of a home to other nodes.
         note_bytes_per_s: Budget for notes of sends, to all receivers together.
-        min_noted_tokens: Sends that make an engine compute less are not told.
+        min_announced_tokens: Sends that make an engine compute less are not told.
         dumps_per_s: Dumps that a node asks for at most, over all its engines.
         burst_dumps: Dumps that it may ask for at once.
         dump_jitter_s: A dump waits at random up to this, so that a herd of restarted nodes does
@@ -43,7 +43,7 @@
     max_view_keys: int = 100_000
     load_bytes_per_s: float = 2000.0
     note_bytes_per_s: float = 3000.0
-    min_noted_tokens: int = 0
+    min_announced_tokens: int = 0
     dumps_per_s: float = 1.0
     burst_dumps: int = 2
     dump_jitter_s: float = 1.0
--- a/src/weirscale/node/home/view_task.py
+++ b/src/weirscale/node/home/view_task.py
@@ -70,7 +70,7 @@
         link.on_cast(CacheDigest, self._note_cache_digest)
         link.on_cast(LoadDigest, self._note_load_digest)
 
-    def take_own(self, digest: CacheDigest) -> None:
+    def apply_own_digest(self, digest: CacheDigest) -> None:
         """Take in a digest of an engine that this node itself is home of."""
         self._post(_Arrived(None, digest))
 
@@ -91,7 +91,7 @@
         report = message.load.report(
             message.engine, message.incarnation, message.model, message.weight_version
         )
-        self._observations.note_load_report(report, message.load.age_s)
+        self._observations.record_load_report(report, message.load.age_s)
 
     def _post(self, message: _Message) -> None:
         if not self._mailbox.post(message):
--- a/src/weirscale/node/placement/fleet_states.py
+++ b/src/weirscale/node/placement/fleet_states.py
@@ -48,7 +48,7 @@
     check_interval_s: float = 1.0
 
 
-class HeardState(msgspec.Struct, frozen=True):
+class ObservedState(msgspec.Struct, frozen=True):
     """A state and when the engine was in it, on this node's clock."""
 
     state: EngineState
@@ -88,12 +88,12 @@
         self._link = link
         self._duty = duty
         self._rules = rules or StatesRules()
-        self._heard: dict[EngineName, HeardState] = {}
+        self._heard: dict[EngineName, ObservedState] = {}
         self._zones: dict[ZoneName, _Asked] = {}
         self._watched: frozenset[EngineName] = frozenset()
         link.register(EngineStatesReply)
 
-    def heard(self) -> Mapping[EngineName, HeardState]:
+    def observed_states(self) -> Mapping[EngineName, ObservedState]:
         """Return the states heard, by engine."""
         return self._heard
 
@@ -189,7 +189,7 @@
             before = (known.state.incarnation, known.observed_at_s)
             if before >= (state.incarnation, observed_at_s):
                 return
-        self._heard[state.engine] = HeardState(state, observed_at_s)
+        self._heard[state.engine] = ObservedState(state, observed_at_s)
 
     def _observed_at_s(self, facts: EngineFacts) -> float:
         known = self._heard.get(facts.engine.name)
--- a/src/weirscale/node/placement/observing.py
+++ b/src/weirscale/node/placement/observing.py
@@ -6,7 +6,7 @@
 from weirscale.domain.identifiers import EngineName
 from weirscale.domain.placement.model import EngineObservation, PlacementRules
 from weirscale.node.backends.facts import DirectorySnapshot, EngineFacts
-from weirscale.node.placement.fleet_states import HeardState
+from weirscale.node.placement.fleet_states import ObservedState
 from weirscale.node.placement.states_server import state_of
 
 _ROLES: Mapping[str, EngineRole] = {role.value: role for role in EngineRole}
@@ -14,7 +14,7 @@
 
 def observe_engines(
     snapshot: DirectorySnapshot,
-    heard: Mapping[EngineName, HeardState],
+    heard: Mapping[EngineName, ObservedState],
     rules: PlacementRules,
     now_s: float,
 ) -> Mapping[EngineName, EngineObservation]:
@@ -33,7 +33,7 @@
 
 
 def _observe(
-    facts: EngineFacts, heard: HeardState | None, rules: PlacementRules, now_s: float
+    facts: EngineFacts, heard: ObservedState | None, rules: PlacementRules, now_s: float
 ) -> EngineObservation:
     latest = _latest(facts, heard, now_s)
     is_leaving = facts.leaving.is_leaving_at(now_s)
@@ -67,11 +67,11 @@
     )
 
 
-def _latest(facts: EngineFacts, heard: HeardState | None, now_s: float) -> HeardState | None:
+def _latest(facts: EngineFacts, heard: ObservedState | None, now_s: float) -> ObservedState | None:
     """Return the later of what this node and others know: the higher run, then the later time."""
     if facts.report is None:
         return heard
-    own = HeardState(state_of(facts, now_s), facts.reported_at_s)
+    own = ObservedState(state_of(facts, now_s), facts.reported_at_s)
     if heard is None:
         return own
     return max(own, heard, key=lambda each: (each.state.incarnation, each.observed_at_s))
--- a/src/weirscale/node/placement/task.py
+++ b/src/weirscale/node/placement/task.py
@@ -148,7 +148,7 @@
         now_s = anyio.current_time()
         models = declared_models(deployment)
         desired = desired_engines(deployment)
-        heard = self._states.heard()
+        heard = self._states.observed_states()
         seen = observe_engines(self._directory.snapshot(), heard, self._rules, now_s)
         paused_since_s = now_s - self._rules.order_pause_s
         observations = self._without_unreached(seen, paused_since_s)
--- a/src/weirscale/node/routing/candidates.py
+++ b/src/weirscale/node/routing/candidates.py
@@ -71,7 +71,7 @@
         if estimate is None:
             estimate = self._estimates[name] = LoadEstimate()
         if facts.report is not None and estimate.num_reports != facts.num_reports:
-            estimate.note_report(
+            estimate.record_report(
                 facts.num_reports,
                 facts.reported_at_s,
                 facts.report.num_running + facts.report.num_waiting,
--- a/src/weirscale/node/routing/engine_router.py
+++ b/src/weirscale/node/routing/engine_router.py
@@ -265,7 +265,7 @@
         self._running[key] = _Running(
             choice_request, engine.name, engine.address, request.deadline_s
         )
-        self._estimates.of(facts).note_sent(
+        self._estimates.of(facts).record_send(
             key, choice_request.num_prompt_tokens - num_cached, now_s, engine.prefill_tokens_per_s
         )
         self._policy.record_send(choice_request, engine.name, now_s)
@@ -323,7 +323,7 @@
             return None
         estimate = self._estimates.find(running.engine)
         if estimate is not None:
-            estimate.note_ended(key, duration_s)
+            estimate.record_end(key, duration_s)
         return running
 
     def _sweep(self, now_s: float) -> None:
--- a/src/weirscale/node/routing/load_estimate.py
+++ b/src/weirscale/node/routing/load_estimate.py
@@ -67,7 +67,7 @@
         drained = (now_s - self._backlog_at_s) * tokens_per_s
         return max(0, int(self._backlog_tokens - drained))
 
-    def note_report(
+    def record_report(
         self,
         num_reports: int,
         reported_at_s: float,
@@ -88,7 +88,7 @@
                 self._num_unreported += 1
                 self._add_backlog(sent, tokens_per_s)
 
-    def note_sent(
+    def record_send(
         self, attempt: AttemptKey, num_prefill_tokens: int, now_s: float, tokens_per_s: float
     ) -> None:
         """Count an attempt that this node sends."""
@@ -97,7 +97,7 @@
         self._num_unreported += 1
         self._add_backlog(sent, tokens_per_s)
 
-    def note_ended(self, attempt: AttemptKey, duration_s: float | None) -> None:
+    def record_end(self, attempt: AttemptKey, duration_s: float | None) -> None:
         """Forget an attempt that has ended; the duration is None where it tells nothing."""
         sent = self._sent.pop(attempt, None)
         if sent is None:
