--- a/src/weirscale/node/routing/__init__.py
+++ b/src/weirscale/node/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The tasks that choose a back end for each attempt, and what they keep to explain it."""
+"""Tasks that choose a back end for each attempt, and the decision records for `explain`."""
--- a/src/weirscale/node/routing/attempt_records.py
+++ b/src/weirscale/node/routing/attempt_records.py
@@ -1,4 +1,4 @@
-"""Makes the records of decisions that the routing task remembers."""
+"""Build the attempt records that the routing task keeps in its decision log."""
 
 from weirscale.domain.choice.policy import Choice
 from weirscale.domain.identifiers import Incarnation, WeightVersion
@@ -8,9 +8,9 @@
 from weirscale.node.routing.candidates import CandidateSet
 
 
-def record_of_choice(
+def choice_record(
     attempt: int,
-    found: CandidateSet,
+    candidate_set: CandidateSet,
     choice: Choice,
     address: str,
     incarnation: Incarnation,
@@ -26,22 +26,22 @@
         address=address,
         incarnation=incarnation,
         weight_version=weight_version,
-        num_candidates=found.num_candidates,
-        num_held_out=found.num_held_out,
+        num_candidates=candidate_set.num_candidates,
+        num_held_out=candidate_set.num_held_out,
         estimates=choice.estimates,
         num_predicted_cached_tokens=num_predicted_cached_tokens,
         estimated_ttft_s=choice.estimated_ttft_s,
     )
 
 
-def record_of_refusal(
+def refusal_record(
     attempt: int,
-    found: CandidateSet,
+    candidate_set: CandidateSet,
     required_version: WeightVersion | None,
     refusal: Refusal,
     now_s: float,
 ) -> AttemptRecord:
-    """Return the record of an attempt that found no engine."""
+    """Return the record of an attempt that was refused because no engine could take it."""
     return AttemptRecord(
         attempt=attempt,
         decided_at_s=now_s,
@@ -49,8 +49,8 @@
         address="",
         incarnation=None,
         weight_version=required_version,
-        num_candidates=found.num_candidates,
-        num_held_out=found.num_held_out,
+        num_candidates=candidate_set.num_candidates,
+        num_held_out=candidate_set.num_held_out,
         estimates=(),
         num_predicted_cached_tokens=0,
         estimated_ttft_s=0.0,
@@ -58,8 +58,8 @@
     )
 
 
-def result_of(outcome: AttemptOutcome) -> AttemptResult:
-    """Return what became of an attempt."""
+def attempt_result(outcome: AttemptOutcome) -> AttemptResult:
+    """Return the result of an attempt for its record."""
     failure = outcome.failure
     return AttemptResult(
         failure=failure.kind.value if failure is not None else None,
--- a/src/weirscale/node/routing/candidates.py
+++ b/src/weirscale/node/routing/candidates.py
@@ -1,4 +1,4 @@
-"""Which engines may take an attempt: facts of the directory joined with this node's own sends."""
+"""Find the engines that may take an attempt, from the directory and this node's own sends."""
 
 from collections.abc import Callable, Mapping
 from random import Random
@@ -17,11 +17,14 @@
 from weirscale.node.routing.load_estimate import LoadEstimate
 
 FULL_WEIGHT = 1.0
-"""Admission weight of an engine that is held back in no way."""
+"""Admission weight of an engine that is considered for every attempt."""
 
 
 class GroupKey(NamedTuple):
-    """Engines of one group see a prompt as the same block hashes; a tuple, since it is a key."""
+    """Identity of block hashes: engines with equal keys hash a prompt to the same blocks.
+
+    A tuple, because it is used as a dictionary key.
+    """
 
     weight_version: WeightVersion
     block_size_bytes: int
@@ -33,8 +36,9 @@
     Attributes:
         groups: Candidates by the identity of their block hashes.
         num_held_out: Engines of the model that are not candidates.
-        num_full: Those of them that are up but full.
-        retry_after_s: When a full one is expected to have room or a held out one to be tried.
+        num_full: Engines among `num_held_out` that are up, but full or busy.
+        retry_after_s: Shortest expected time until a full engine has room or the circuit of a
+            held out engine allows a trial.
     """
 
     groups: dict[GroupKey, list[EngineCandidate]]
@@ -44,7 +48,7 @@
 
     @property
     def num_candidates(self) -> int:
-        """Candidates of all groups."""
+        """Number of candidates in all groups."""
         return sum(len(group) for group in self.groups.values())
 
     def add(self, block_size_bytes: int, candidate: EngineCandidate) -> None:
@@ -52,20 +56,20 @@
         key = GroupKey(candidate.weight_version, block_size_bytes)
         self.groups.setdefault(key, []).append(candidate)
 
-    def expect_room_after(self, delay_s: float) -> None:
-        """Take note of a time after which an engine may take work; the earliest counts."""
+    def record_retry_after(self, delay_s: float) -> None:
+        """Record a delay after which an engine may take work; the shortest is kept."""
         if self.retry_after_s is None or delay_s < self.retry_after_s:
             self.retry_after_s = delay_s
 
 
 class LoadEstimates:
-    """Load estimates of the engines that this node knows; owned by the routing task."""
+    """Load estimates by engine; owned by the routing task."""
 
     def __init__(self) -> None:
         self._estimates: dict[EngineName, LoadEstimate] = {}
 
     def of(self, facts: EngineFacts) -> LoadEstimate:
-        """Return the estimate of an engine, with its latest report taken in."""
+        """Return the estimate of an engine, updated from its latest report."""
         name = facts.engine.name
         estimate = self._estimates.get(name)
         if estimate is None:
@@ -81,10 +85,10 @@
         return estimate
 
     def find(self, engine: EngineName) -> LoadEstimate | None:
-        """Return the estimate of an engine that has one."""
+        """Return the estimate of an engine, or None if it has none."""
         return self._estimates.get(engine)
 
-    def forget_all_but(self, engines: Mapping[EngineName, EngineFacts]) -> None:
+    def retain_only(self, engines: Mapping[EngineName, EngineFacts]) -> None:
         """Drop the estimates of engines that are no longer declared."""
         for name in self._estimates.keys() - engines.keys():
             del self._estimates[name]
@@ -97,7 +101,7 @@
         estimates: This node's load estimates.
         link_delay_s: One-way delay from this node to a zone.
         health_rules: Thresholds of circuits.
-        random: Decides which attempts an engine that returns slowly is weighed for.
+        random: Decides for which attempts an engine of reduced admission weight is considered.
     """
 
     def __init__(
@@ -122,42 +126,44 @@
     ) -> CandidateSet:
         """Return the engines that may take an attempt.
 
-        Engines that return after failures are weighed only for a share of the attempts, so every
-        policy brings them back slowly; where nothing else is left they are weighed always. A trial
-        is the only candidate of its attempt, else a policy that prefers others would never end it;
-        it is made with requests that may be repeated.
+        Engines that recover from failures are considered only for a share of the attempts, so they
+        return to load slowly under every policy; they are always considered if no other engine can
+        take the attempt. An engine on trial (half-open circuit) is the only candidate of its
+        attempt: a policy that prefers others would otherwise never complete the trial. Trials use
+        only requests that may be repeated.
         """
         names = snapshot.engines_of.get(request.model, ())
         members = [snapshot.engines[name] for name in names]
         weights = admission_weights(members, self._health_rules, now_s)
-        found = CandidateSet({})
+        candidate_set = CandidateSet({})
         held_back: list[tuple[int, EngineCandidate]] = []
         for facts, weight in zip(members, weights, strict=True):
-            if not _is_fit(facts, request, excluded, required_version):
-                found.num_held_out += 1
+            if not _can_serve(facts, request, excluded, required_version):
+                candidate_set.num_held_out += 1
                 continue
             estimate = self._estimates.of(facts)
-            candidate = self._candidate(facts, estimate, weight, now_s, found)
+            candidate = self._candidate(facts, estimate, weight, now_s, candidate_set)
             if candidate is None:
-                found.num_held_out += 1
+                candidate_set.num_held_out += 1
             elif weight >= FULL_WEIGHT:
-                found.add(facts.engine.block_size_bytes, candidate)
-            elif self._is_drawn(facts, estimate, weight, now_s):
+                candidate_set.add(facts.engine.block_size_bytes, candidate)
+            elif self._is_admitted(facts, estimate, weight, now_s):
                 if request.repeatable and _is_on_trial(facts, now_s):
-                    return _only(facts, candidate, len(members))
-                found.add(facts.engine.block_size_bytes, candidate)
+                    return _single_candidate_set(facts, candidate, len(members))
+                candidate_set.add(facts.engine.block_size_bytes, candidate)
             else:
                 held_back.append((facts.engine.block_size_bytes, candidate))
-        if found.groups:
-            found.num_held_out += len(held_back)
+        if candidate_set.groups:
+            candidate_set.num_held_out += len(held_back)
         else:
             for block_size_bytes, candidate in held_back:
-                found.add(block_size_bytes, candidate)
-        return found
+                candidate_set.add(block_size_bytes, candidate)
+        return candidate_set
 
-    def _is_drawn(
+    def _is_admitted(
         self, facts: EngineFacts, estimate: LoadEstimate, weight: float, now_s: float
     ) -> bool:
+        """Return whether an engine of reduced weight is considered; one trial at a time."""
         if _is_on_trial(facts, now_s) and estimate.num_own_outstanding > 0:
             return False
         return self._random.random() < weight
@@ -168,17 +174,17 @@
         estimate: LoadEstimate,
         weight: float,
         now_s: float,
-        found: CandidateSet,
+        candidate_set: CandidateSet,
     ) -> EngineCandidate | None:
-        """Return a candidate, None for an engine that is held out or full."""
+        """Return a candidate, or None for an engine that is held out or full."""
         report = facts.report
         if report is None or report.weight_version is None:
             return None
         if weight == 0.0:
-            _expect_trial(facts, now_s, found)
+            _record_trial_delay(facts, now_s, candidate_set)
             return None
         num_outstanding = estimate.num_outstanding()
-        if not _has_room(facts, estimate, num_outstanding, now_s, found):
+        if not _has_room(facts, estimate, num_outstanding, now_s, candidate_set):
             return None
         engine = facts.engine
         tokens_per_s = engine.prefill_tokens_per_s
@@ -204,26 +210,28 @@
     return state_at(facts.circuit, now_s) is CircuitState.HALF_OPEN
 
 
-def _only(facts: EngineFacts, candidate: EngineCandidate, num_members: int) -> CandidateSet:
-    """Return a set with one candidate, for a trial."""
-    found = CandidateSet({}, num_held_out=num_members - 1)
-    found.add(facts.engine.block_size_bytes, candidate)
-    return found
+def _single_candidate_set(
+    facts: EngineFacts, candidate: EngineCandidate, num_members: int
+) -> CandidateSet:
+    """Return a set with the engine on trial as its only candidate."""
+    candidate_set = CandidateSet({}, num_held_out=num_members - 1)
+    candidate_set.add(facts.engine.block_size_bytes, candidate)
+    return candidate_set
 
 
-def _expect_trial(facts: EngineFacts, now_s: float, found: CandidateSet) -> None:
-    """Take note of when an engine that is held out will be tried."""
+def _record_trial_delay(facts: EngineFacts, now_s: float, candidate_set: CandidateSet) -> None:
+    """Record when the circuit of an engine that is held out allows a trial."""
     if facts.circuit.is_open and not facts.leaving.is_leaving_at(now_s):
-        found.expect_room_after(facts.circuit.open_until_s - now_s)
+        candidate_set.record_retry_after(facts.circuit.open_until_s - now_s)
 
 
-def _is_fit(
+def _can_serve(
     facts: EngineFacts,
     request: GenerationRequest,
     excluded: frozenset[EngineName],
     required_version: WeightVersion | None,
 ) -> bool:
-    """Whether an engine could serve the request at all."""
+    """Return whether an engine could serve the request, regardless of its health and load."""
     report = facts.report
     if report is None or facts.engine.name in excluded or facts.void_since_s is not None:
         return False
@@ -239,16 +247,16 @@
     estimate: LoadEstimate,
     num_outstanding: int,
     now_s: float,
-    found: CandidateSet,
+    candidate_set: CandidateSet,
 ) -> bool:
-    """Whether an engine is below its concurrency; takes note of when it may be, if not."""
+    """Return whether an engine has room; if not, record when it is expected to have some."""
     if now_s < facts.busy_until_s:
-        found.num_full += 1
-        found.expect_room_after(facts.busy_until_s - now_s)
+        candidate_set.num_full += 1
+        candidate_set.record_retry_after(facts.busy_until_s - now_s)
         return False
     if num_outstanding < facts.engine.max_concurrent_requests:
         return True
-    found.num_full += 1
+    candidate_set.num_full += 1
     if estimate.mean_duration_s > 0.0:
-        found.expect_room_after(estimate.mean_duration_s / num_outstanding)
+        candidate_set.record_retry_after(estimate.mean_duration_s / num_outstanding)
     return False
--- a/src/weirscale/node/routing/decisions.py
+++ b/src/weirscale/node/routing/decisions.py
@@ -1,4 +1,4 @@
-"""Ring of recent routing decisions, bounded by number, for `explain`."""
+"""Log of the most recent routing decisions in memory, for `explain`."""
 
 from collections import OrderedDict
 
@@ -9,17 +9,17 @@
 from weirscale.messages.explain import AttemptRecord, AttemptResult, DecisionRecord
 
 DEFAULT_NUM_RECORDS = 512
-"""Requests remembered; about a minute of a node's share at the size designed for."""
+"""Requests kept; about one minute of a node's load at the design size."""
 
 MAX_ATTEMPTS_KEPT = 8
-"""Attempts remembered of one request; more than the retry rules allow by default."""
+"""Attempts kept for one request; more than the retry rules allow by default."""
 
 MAX_ESTIMATES_KEPT = 8
-"""Best candidates kept of each decision; the rest would only have lost by more."""
+"""Best candidates kept for each decision; all others have higher costs."""
 
 
 class DecisionLog:
-    """The ring; the request seen longest ago goes first."""
+    """Decision records by request; when full, the least recently decided request is dropped."""
 
     def __init__(self, node: NodeName, num_records: int = DEFAULT_NUM_RECORDS) -> None:
         self._node = node
@@ -30,18 +30,18 @@
         return len(self._records)
 
     def find(self, request_id: RequestId) -> DecisionRecord | None:
-        """Return what is remembered of a request."""
+        """Return the record of a request, or None if there is none."""
         return self._records.get(request_id)
 
-    def note_decision(self, request: GenerationRequest, attempt: AttemptRecord) -> None:
-        """Remember a decision."""
+    def record_decision(self, request: GenerationRequest, attempt: AttemptRecord) -> None:
+        """Add an attempt's decision to the record of its request."""
         best = attempt.estimates[:MAX_ESTIMATES_KEPT]
         attempt = msgspec.structs.replace(attempt, estimates=best)
-        known = self._records.pop(request.request_id, None)
-        # An attempt that was refused while the node started is decided again; the last one counts.
+        previous = self._records.pop(request.request_id, None)
+        # An attempt that is refused while the node starts is decided again; keep the last one.
         attempts = tuple(
             earlier
-            for earlier in (known.attempts if known is not None else ())
+            for earlier in (previous.attempts if previous is not None else ())
             if earlier.attempt != attempt.attempt
         )
         self._records[request.request_id] = DecisionRecord(
@@ -54,15 +54,15 @@
         if len(self._records) > self._num_records:
             self._records.popitem(last=False)
 
-    def note_result(self, request_id: RequestId, attempt: int, result: AttemptResult) -> None:
-        """Remember what became of an attempt, if its decision is still remembered."""
-        known = self._records.get(request_id)
-        if known is None:
+    def record_result(self, request_id: RequestId, attempt: int, result: AttemptResult) -> None:
+        """Add the result of an attempt to its record, if the record is still kept."""
+        previous = self._records.get(request_id)
+        if previous is None:
             return
         attempts = tuple(
             msgspec.structs.replace(record, result=result)
             if record.attempt == attempt and record.engine is not None
             else record
-            for record in known.attempts
+            for record in previous.attempts
         )
-        self._records[request_id] = msgspec.structs.replace(known, attempts=attempts)
+        self._records[request_id] = msgspec.structs.replace(previous, attempts=attempts)
--- a/src/weirscale/node/routing/engine_router.py
+++ b/src/weirscale/node/routing/engine_router.py
@@ -1,4 +1,4 @@
-"""The task that chooses engines: it owns the policy, the load estimates and the decisions."""
+"""Task that chooses engines; it owns the policy, the load estimates and the decision log."""
 
 from collections.abc import Callable, Sequence
 from random import Random
@@ -26,9 +26,9 @@
 from weirscale.node.interfaces import AttemptOutcome, ChosenEngine
 from weirscale.node.mailbox import Mailbox, Reply
 from weirscale.node.routing.attempt_records import (
-    record_of_choice,
-    record_of_refusal,
-    result_of,
+    attempt_result,
+    choice_record,
+    refusal_record,
 )
 from weirscale.node.routing.candidates import (
     CandidateFinder,
@@ -47,13 +47,13 @@
 """Longest wait of a request for the first configuration and reports after a node's start."""
 
 SWEEP_INTERVAL_S = 30.0
-"""How often attempts are looked for whose outcome never came."""
+"""Time between two searches for attempts whose outcome was never reported."""
 
 SWEEP_MARGIN_S = 60.0
-"""An attempt this long past its caller's deadline has ended, reported or not."""
+"""An attempt is taken as ended this long after its caller's deadline, even without a report."""
 
 HashPrompt = Callable[[BlockHash, bytes, int], Sequence[BlockHash]]
-"""Hashes a prompt: seed, prompt, block size in bytes."""
+"""Returns the block hashes of a prompt; arguments are seed, prompt and block size in bytes."""
 
 ChooseResult = Result[ChosenEngine, Refusal]
 
@@ -67,7 +67,7 @@
 
 
 class _Withdraw(msgspec.Struct, frozen=True):
-    """The caller went away before it got the choice."""
+    """The caller was cancelled before it received the choice."""
 
     request_id: RequestId
     attempt: int
@@ -80,8 +80,8 @@
 _Message = _Choose | AttemptOutcome | _Withdraw | _Sweep
 
 
-class _Running(msgspec.Struct, frozen=True):
-    """An attempt whose outcome has not come."""
+class _RunningAttempt(msgspec.Struct, frozen=True):
+    """An attempt whose outcome has not been reported yet."""
 
     choice_request: ChoiceRequest
     engine: EngineName
@@ -95,10 +95,10 @@
     Args:
         directory: The directory of back ends.
         policy: Chooses among candidates; used by this task alone.
-        decisions: Where decisions are remembered.
+        decisions: Log of decisions.
         link_delay_s: One-way delay from this node to a zone.
-        random: For the policy and for slow returns.
-        hash_prompt: Hashes prompts.
+        random: For the policy and for engines of reduced admission weight.
+        hash_prompt: Returns the block hashes of a prompt.
     """
 
     def __init__(
@@ -120,7 +120,7 @@
         self._finder = CandidateFinder(
             self._estimates, link_delay_s, directory.health_rules, random
         )
-        self._running: dict[tuple[RequestId, int], _Running] = {}
+        self._running: dict[tuple[RequestId, int], _RunningAttempt] = {}
         self.num_lost_reports = 0
 
     async def choose(
@@ -130,30 +130,33 @@
         excluded: frozenset[EngineName],
         required_version: WeightVersion | None,
     ) -> ChooseResult:
-        """Choose an engine for an attempt; waits only for a node's very first reports."""
-        give_up_s = min(anyio.current_time() + FIRST_REPORT_WAIT_S, request.deadline_s)
+        """Choose an engine for an attempt.
+
+        Waits up to `FIRST_REPORT_WAIT_S` for the first reports if the node has just started.
+        """
+        wait_until_s = min(anyio.current_time() + FIRST_REPORT_WAIT_S, request.deadline_s)
         while True:
-            result = await self._ask(request, attempt, excluded, required_version)
+            result = await self._request_choice(request, attempt, excluded, required_version)
             if result.is_ok() or not self._is_starting(request):
                 return result
-            with anyio.move_on_at(give_up_s) as deadline:
+            with anyio.move_on_at(wait_until_s) as deadline:
                 await self._directory.wait_for_change()
             if deadline.cancelled_caught:
                 return result
 
     def report(self, outcome: AttemptOutcome) -> None:
-        """Tell what became of an attempt."""
+        """Report the outcome of an attempt; dropped and counted if the mailbox is full."""
         if not self._mailbox.post(outcome):
             self.num_lost_reports += 1
 
     async def run(self) -> None:
-        """Own the choice until cancelled."""
+        """Choose engines and record outcomes until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._sweep_at_intervals)
             while True:
                 self._handle(await self._mailbox.receive())
 
-    async def _ask(
+    async def _request_choice(
         self,
         request: GenerationRequest,
         attempt: int,
@@ -174,7 +177,7 @@
         return result
 
     def _is_starting(self, request: GenerationRequest) -> bool:
-        """Whether none of the engines declared for the model has ever been heard of."""
+        """Return whether no engine declared for the model has reported yet."""
         snapshot = self._directory.snapshot()
         if not snapshot.revision:
             return True
@@ -193,9 +196,9 @@
             case _Choose():
                 message.reply.set(self._choose(message, anyio.current_time()))
             case AttemptOutcome():
-                self._learn(message)
+                self._record_outcome(message)
             case _Withdraw():
-                self._forget(message.request_id, message.attempt)
+                self._remove_attempt(message.request_id, message.attempt)
             case _Sweep():
                 self._sweep(anyio.current_time())
 
@@ -206,22 +209,22 @@
             return Err(not_configured())
         if request.model not in snapshot.declared_models:
             return Err(unknown_model(request.model))
-        found = self._finder.find(
+        candidate_set = self._finder.find(
             snapshot, request, message.excluded, message.required_version, now_s
         )
-        chosen = self._choose_from(found, message, now_s)
+        chosen = self._choose_from(candidate_set, message, now_s)
         if chosen is None:
-            return Err(self._refuse(found, message, now_s))
+            return Err(self._refuse(candidate_set, message, now_s))
         choice_request, choice = chosen
-        return Ok(self._send(snapshot, found, message, choice_request, choice, now_s))
+        return Ok(self._send(snapshot, candidate_set, message, choice_request, choice, now_s))
 
     def _choose_from(
-        self, found: CandidateSet, message: _Choose, now_s: float
+        self, candidate_set: CandidateSet, message: _Choose, now_s: float
     ) -> tuple[ChoiceRequest, Choice] | None:
-        """Let the policy choose in each group and take the cheapest of its choices."""
+        """Let the policy choose in each group, and return the choice with the lowest cost."""
         best: tuple[ChoiceRequest, Choice] | None = None
         best_cost = float("inf")
-        for key, candidates in found.groups.items():
+        for key, candidates in candidate_set.groups.items():
             choice_request = self._choice_request(message, key)
             choice = self._policy.choose(choice_request, candidates, now_s, self._random)
             if choice is None:
@@ -246,7 +249,7 @@
     def _send(
         self,
         snapshot: DirectorySnapshot,
-        found: CandidateSet,
+        candidate_set: CandidateSet,
         message: _Choose,
         choice_request: ChoiceRequest,
         choice: Choice,
@@ -262,7 +265,7 @@
             int(choice.num_matched_blocks * choice_request.tokens_per_block),
         )
         key = (request.request_id, message.attempt)
-        self._running[key] = _Running(
+        self._running[key] = _RunningAttempt(
             choice_request, engine.name, engine.address, request.deadline_s
         )
         self._estimates.of(facts).record_send(
@@ -270,9 +273,9 @@
         )
         self._policy.record_send(choice_request, engine.name, now_s)
         self._directory.post(EngineAttemptStarted(engine.name, engine.address))
-        record = record_of_choice(
+        record = choice_record(
             message.attempt,
-            found,
+            candidate_set,
             choice,
             engine.address,
             report.incarnation,
@@ -280,26 +283,28 @@
             num_cached,
             now_s,
         )
-        self._decisions.note_decision(request, record)
+        self._decisions.record_decision(request, record)
         return ChosenEngine(
             choice, facts.port, report.incarnation, report.weight_version, engine.address
         )
 
-    def _refuse(self, found: CandidateSet, message: _Choose, now_s: float) -> Refusal:
-        what = f"model {message.request.model!r}"
+    def _refuse(self, candidate_set: CandidateSet, message: _Choose, now_s: float) -> Refusal:
+        target = f"model {message.request.model!r}"
         refusal = (
-            all_full(what, found.retry_after_s)
-            if found.num_full
-            else no_backend(what, found.retry_after_s)
+            all_full(target, candidate_set.retry_after_s)
+            if candidate_set.num_full
+            else no_backend(target, candidate_set.retry_after_s)
+        )
+        record = refusal_record(
+            message.attempt, candidate_set, message.required_version, refusal, now_s
         )
-        record = record_of_refusal(message.attempt, found, message.required_version, refusal, now_s)
-        self._decisions.note_decision(message.request, record)
+        self._decisions.record_decision(message.request, record)
         return refusal
 
-    def _learn(self, outcome: AttemptOutcome) -> None:
+    def _record_outcome(self, outcome: AttemptOutcome) -> None:
         request_id = outcome.request.request_id
         duration_s = outcome.duration_s if outcome.failure is None else None
-        running = self._forget(request_id, outcome.attempt, duration_s)
+        running = self._remove_attempt(request_id, outcome.attempt, duration_s)
         if running is None:
             return
         now_s = anyio.current_time()
@@ -312,11 +317,11 @@
                 outcome.engine, running.address, outcome.incarnation, outcome.failure
             )
         )
-        self._decisions.note_result(request_id, outcome.attempt, result_of(outcome))
+        self._decisions.record_result(request_id, outcome.attempt, attempt_result(outcome))
 
-    def _forget(
+    def _remove_attempt(
         self, request_id: RequestId, attempt: int, duration_s: float | None = None
-    ) -> _Running | None:
+    ) -> _RunningAttempt | None:
         key = (request_id, attempt)
         running = self._running.pop(key, None)
         if running is None:
@@ -327,12 +332,12 @@
         return running
 
     def _sweep(self, now_s: float) -> None:
-        """Forget attempts whose outcome never came and engines that are gone."""
+        """Drop attempts whose outcome was never reported, and estimates of removed engines."""
         overdue = [
             key
             for key, running in self._running.items()
             if now_s > running.deadline_s + SWEEP_MARGIN_S
         ]
         for request_id, attempt in overdue:
-            self._forget(request_id, attempt)
-        self._estimates.forget_all_but(self._directory.snapshot().engines)
+            self._remove_attempt(request_id, attempt)
+        self._estimates.retain_only(self._directory.snapshot().engines)
--- a/src/weirscale/node/routing/explain_text.py
+++ b/src/weirscale/node/routing/explain_text.py
@@ -1,4 +1,4 @@
-"""Renders a decision record for people (text) and for programs (JSON)."""
+"""Render a decision record as text or as JSON."""
 
 import msgspec
 
@@ -23,12 +23,12 @@
 
 
 def _attempt_lines(attempt: AttemptRecord) -> list[str]:
-    weighed = f"{attempt.num_candidates} candidates, {attempt.num_held_out} held out"
+    candidates = f"{attempt.num_candidates} candidates, {attempt.num_held_out} held out"
     if attempt.engine is None:
-        return [f"attempt {attempt.attempt}: refused with {attempt.refusal} ({weighed})"]
+        return [f"attempt {attempt.attempt}: refused with {attempt.refusal} ({candidates})"]
     lines = [
         f"attempt {attempt.attempt}: {attempt.engine} at {attempt.address}, "
-        f"run {attempt.incarnation}, version {attempt.weight_version} ({weighed})",
+        f"run {attempt.incarnation}, version {attempt.weight_version} ({candidates})",
         f"  expected: {attempt.num_predicted_cached_tokens} prompt tokens cached, "
         f"first token after {attempt.estimated_ttft_s:.3f} s",
         f"  outcome: {_outcome(attempt)}",
@@ -41,11 +41,13 @@
     result = attempt.result
     if result is None:
         return "still running, or its end was never reported"
-    first = "none" if result.ttft_s is None else f"{result.ttft_s:.3f} s"
-    what = "answered" if result.failure is None else f"failed: {result.failure} ({result.detail})"
+    first_token = "none" if result.ttft_s is None else f"{result.ttft_s:.3f} s"
+    outcome = (
+        "answered" if result.failure is None else f"failed: {result.failure} ({result.detail})"
+    )
     return (
-        f"{what}; {result.num_cached_tokens} of {result.num_prompt_tokens} prompt tokens cached, "
-        f"first token {first}, end after {result.duration_s:.3f} s"
+        f"{outcome}; {result.num_cached_tokens} of {result.num_prompt_tokens} "
+        f"prompt tokens cached, first token {first_token}, end after {result.duration_s:.3f} s"
     )
 
 
@@ -54,5 +56,6 @@
         f"  {estimate.engine}: cost {estimate.cost:.4f} = queue {estimate.queue_s:.4f} s, "
         f"prefill {estimate.prefill_s:.4f} s, link {estimate.link_s:.4f} s, "
         f"import {estimate.import_s:.4f} s, waste {estimate.waste_s:.4f} s; "
-        f"{estimate.num_matched_blocks} blocks matched, belief {estimate.belief_age_s:.2f} s old"
+        f"{estimate.num_matched_blocks} blocks matched, "
+        f"cache state {estimate.belief_age_s:.2f} s old"
     )
--- a/src/weirscale/node/routing/load_estimate.py
+++ b/src/weirscale/node/routing/load_estimate.py
@@ -1,7 +1,8 @@
-"""The load of one engine: its last report, corrected by what this node has sent since.
+"""Load estimate of one engine: its last report, corrected by this node's own sends since then.
 
-Reports lag by up to seconds; without the correction every request of that time would go to the
-engine that looked idle. Requests of other nodes since the report stay unknown.
+Reports lag by up to seconds. Without the correction, all requests in that time would go to the
+engine that last reported being idle. Requests that other nodes sent since the report are not
+counted.
 """
 
 import msgspec
@@ -9,10 +10,10 @@
 from weirscale.domain.identifiers import RequestId
 
 AttemptKey = tuple[RequestId, int]
-"""A request and the number of its attempt."""
+"""A request id and the number of the attempt."""
 
 
-class _Sent(msgspec.Struct, frozen=True):
+class _SentAttempt(msgspec.Struct, frozen=True):
     sent_at_s: float
     num_prefill_tokens: int
 
@@ -21,7 +22,7 @@
     """Estimate of one engine's load; owned by the routing task.
 
     Attributes:
-        num_reports: The report taken in last, as the directory counts them.
+        num_reports: Number of the last report used, as counted by the directory.
     """
 
     __slots__ = (
@@ -45,25 +46,25 @@
         self._backlog_tokens = 0.0
         self._backlog_at_s = 0.0
         self._mean_duration_s = 0.0
-        self._sent: dict[AttemptKey, _Sent] = {}
+        self._sent: dict[AttemptKey, _SentAttempt] = {}
 
     @property
     def num_own_outstanding(self) -> int:
-        """Attempts of this node that have not ended."""
+        """Number of this node's attempts that have not ended."""
         return len(self._sent)
 
     @property
     def mean_duration_s(self) -> float:
-        """Smoothed time that an attempt takes, 0 before the first has ended."""
+        """Smoothed duration of an attempt; 0 until the first has ended."""
         return self._mean_duration_s
 
     def num_outstanding(self) -> int:
-        """Return the requests on the engine, by all nodes as far as known."""
+        """Return the estimated number of requests at the engine, from all nodes."""
         corrected = self._num_reported + self._num_unreported - self._num_ended_since
         return max(corrected, len(self._sent))
 
     def num_waiting_prefill_tokens(self, now_s: float, tokens_per_s: float) -> int:
-        """Return the prompt tokens to compute before a new request's."""
+        """Return the estimated prompt tokens that the engine computes before a new request's."""
         drained = (now_s - self._backlog_at_s) * tokens_per_s
         return max(0, int(self._backlog_tokens - drained))
 
@@ -75,7 +76,7 @@
         num_prefill_tokens: int,
         tokens_per_s: float,
     ) -> None:
-        """Start again from a report, adding what was sent after it was made."""
+        """Reset the estimate to a report, and add this node's sends since the report was made."""
         self.num_reports = num_reports
         self._reported_at_s = reported_at_s
         self._num_reported = num_requests
@@ -92,13 +93,13 @@
         self, attempt: AttemptKey, num_prefill_tokens: int, now_s: float, tokens_per_s: float
     ) -> None:
         """Count an attempt that this node sends."""
-        sent = _Sent(now_s, num_prefill_tokens)
+        sent = _SentAttempt(now_s, num_prefill_tokens)
         self._sent[attempt] = sent
         self._num_unreported += 1
         self._add_backlog(sent, tokens_per_s)
 
     def record_end(self, attempt: AttemptKey, duration_s: float | None) -> None:
-        """Forget an attempt that has ended; the duration is None where it tells nothing."""
+        """Remove an attempt that has ended; `duration_s` is None if it must not be averaged."""
         sent = self._sent.pop(attempt, None)
         if sent is None:
             return
@@ -109,10 +110,10 @@
         if duration_s is not None:
             self._smooth_duration(duration_s)
 
-    def _add_backlog(self, sent: _Sent, tokens_per_s: float) -> None:
+    def _add_backlog(self, sent: _SentAttempt, tokens_per_s: float) -> None:
         drained = max(0.0, sent.sent_at_s - self._backlog_at_s) * tokens_per_s
-        left = max(0.0, self._backlog_tokens - drained)
-        self._backlog_tokens = left + sent.num_prefill_tokens
+        remaining = max(0.0, self._backlog_tokens - drained)
+        self._backlog_tokens = remaining + sent.num_prefill_tokens
         self._backlog_at_s = max(self._backlog_at_s, sent.sent_at_s)
 
     def _smooth_duration(self, duration_s: float) -> None:
@@ -123,4 +124,4 @@
 
 
 SMOOTHING = 0.1
-"""Share of the newest duration in the smoothed one; about the last ten count."""
+"""Weight of a new duration in the smoothed one; averages over about the last ten."""
--- a/src/weirscale/node/routing/service_router.py
+++ b/src/weirscale/node/routing/service_router.py
@@ -1,4 +1,4 @@
-"""The task that chooses service back ends: least outstanding of two drawn at random."""
+"""Task that chooses service back ends by least outstanding requests of two random choices."""
 
 from collections.abc import Sequence
 from random import Random
@@ -27,11 +27,11 @@
 """Longest wait of a request for the first configuration after a node's start."""
 
 SPILL_OUTSTANDING = 2
-"""A back end of another zone is taken when it has this many requests fewer: a request in the
-queue costs more than a link within the region."""
+"""A back end of another zone is chosen if it has at least this many fewer outstanding requests: a
+queued request costs more than a link within the region."""
 
 FULL_WEIGHT = 1.0
-"""Admission weight of a back end that is held back in no way."""
+"""Admission weight of a back end that is considered for every attempt."""
 
 ChooseResult = Result[ChosenBackend, Refusal]
 
@@ -43,7 +43,7 @@
 
 
 class _Withdraw(msgspec.Struct, frozen=True):
-    """The caller went away before it got the choice, which the reply tells."""
+    """The caller was cancelled before it received the choice, which is in the reply."""
 
     service: ServiceName
     reply: Reply[ChooseResult]
@@ -57,8 +57,8 @@
 
     Args:
         directory: The directory of back ends.
-        zone: This node's zone, preferred.
-        random: For the draws.
+        zone: This node's zone; its back ends are preferred.
+        random: For sampling back ends.
     """
 
     def __init__(self, directory: BackendDirectory, zone: ZoneName, random: Random) -> None:
@@ -70,7 +70,10 @@
         self.num_lost_reports = 0
 
     async def choose(self, service: ServiceName, excluded: frozenset[BackendName]) -> ChooseResult:
-        """Choose a back end for an attempt; waits only for a node's first configuration."""
+        """Choose a back end for an attempt.
+
+        Waits up to `FIRST_CONFIGURATION_WAIT_S` if the node has no configuration yet.
+        """
         if not self._directory.snapshot().revision:
             with anyio.move_on_after(FIRST_CONFIGURATION_WAIT_S):
                 await self._directory.wait_for_change()
@@ -94,12 +97,12 @@
         http_status: int | None,
         duration_s: float,
     ) -> None:
-        """Tell what became of an attempt."""
+        """Report the outcome of an attempt; dropped and counted if the mailbox is full."""
         if not self._mailbox.post(ServiceAttemptEnded(service, backend, failure, http_status)):
             self.num_lost_reports += 1
 
     async def run(self) -> None:
-        """Own the choice until cancelled."""
+        """Choose back ends and record outcomes until cancelled."""
         while True:
             self._handle(await self._mailbox.receive())
 
@@ -110,9 +113,9 @@
             case _Withdraw():
                 result = message.reply.value()
                 if isinstance(result, Ok):
-                    self._note_ended(message.service, result.ok_value.backend)
+                    self._record_end(message.service, result.ok_value.backend)
             case ServiceAttemptEnded():
-                self._note_ended(message.service, message.backend)
+                self._record_end(message.service, message.backend)
                 self._directory.post(message)
 
     def _choose(self, message: _Choose, now_s: float) -> ChooseResult:
@@ -121,21 +124,24 @@
             return Err(not_configured())
         if message.service not in snapshot.services:
             return Err(unknown_service(message.service))
-        able, retry_after_s = self._able(snapshot, message, now_s)
-        if not able:
+        available, retry_after_s = self._available_backends(snapshot, message, now_s)
+        if not available:
             return Err(no_backend(f"service {message.service!r}", retry_after_s))
-        chosen = self._least_outstanding(message.service, able)
+        chosen = self._least_outstanding(message.service, available)
         key = (message.service, chosen.backend.name)
         self._num_outstanding[key] = self._num_outstanding.get(key, 0) + 1
         return Ok(ChosenBackend(chosen.backend.name, chosen.port, chosen.backend.address))
 
-    def _able(
+    def _available_backends(
         self, snapshot: DirectorySnapshot, message: _Choose, now_s: float
     ) -> tuple[list[ServiceBackendFacts], float | None]:
-        """Return the back ends that may take it, and when a held out one will be tried."""
+        """Return the back ends that may take the attempt, and the delay until the next trial.
+
+        The delay is that of the held out back end whose circuit allows a trial first, or None.
+        """
         members = list(snapshot.services[message.service].values())
         weights = admission_weights(members, self._directory.health_rules, now_s)
-        able: list[ServiceBackendFacts] = []
+        available: list[ServiceBackendFacts] = []
         held_back: list[ServiceBackendFacts] = []
         retry_after_s: float | None = None
         for facts, weight in zip(members, weights, strict=True):
@@ -146,46 +152,48 @@
                     delay_s = facts.circuit.open_until_s - now_s
                     retry_after_s = min(delay_s, retry_after_s or delay_s)
                 continue
-            is_drawn = weight >= FULL_WEIGHT or self._is_drawn(
+            is_admitted = weight >= FULL_WEIGHT or self._is_admitted(
                 message.service, facts, weight, now_s
             )
-            (able if is_drawn else held_back).append(facts)
-        return able or held_back, retry_after_s
+            (available if is_admitted else held_back).append(facts)
+        return available or held_back, retry_after_s
 
-    def _is_drawn(
+    def _is_admitted(
         self, service: ServiceName, facts: ServiceBackendFacts, weight: float, now_s: float
     ) -> bool:
-        """Whether a back end that returns is weighed for this attempt; one trial at a time."""
+        """Return whether a back end of reduced weight is considered; one trial at a time."""
         is_trial = state_at(facts.circuit, now_s) is CircuitState.HALF_OPEN
         if is_trial and self._num_outstanding.get((service, facts.backend.name), 0) > 0:
             return False
         return self._random.random() < weight
 
     def _least_outstanding(
-        self, service: ServiceName, able: Sequence[ServiceBackendFacts]
+        self, service: ServiceName, available: Sequence[ServiceBackendFacts]
     ) -> ServiceBackendFacts:
-        near = [facts for facts in able if facts.backend.zone == self._zone]
-        far = [facts for facts in able if facts.backend.zone != self._zone]
-        if not near or not far:
-            return self._better_of_two(service, near or far)
-        nearest = self._better_of_two(service, near)
-        other = self._better_of_two(service, far)
-        surplus = self._outstanding(service, nearest) - self._outstanding(service, other)
-        return other if surplus >= SPILL_OUTSTANDING else nearest
+        local = [facts for facts in available if facts.backend.zone == self._zone]
+        remote = [facts for facts in available if facts.backend.zone != self._zone]
+        if not local or not remote:
+            return self._better_of_two(service, local or remote)
+        local_choice = self._better_of_two(service, local)
+        remote_choice = self._better_of_two(service, remote)
+        load_difference = self._outstanding(service, local_choice) - self._outstanding(
+            service, remote_choice
+        )
+        return remote_choice if load_difference >= SPILL_OUTSTANDING else local_choice
 
     def _better_of_two(
-        self, service: ServiceName, able: Sequence[ServiceBackendFacts]
+        self, service: ServiceName, available: Sequence[ServiceBackendFacts]
     ) -> ServiceBackendFacts:
-        drawn = self._random.sample(able, min(2, len(able)))
-        return min(drawn, key=lambda facts: self._outstanding(service, facts))
+        sampled = self._random.sample(available, min(2, len(available)))
+        return min(sampled, key=lambda facts: self._outstanding(service, facts))
 
     def _outstanding(self, service: ServiceName, facts: ServiceBackendFacts) -> int:
         return self._num_outstanding.get((service, facts.backend.name), 0)
 
-    def _note_ended(self, service: ServiceName, backend: BackendName) -> None:
+    def _record_end(self, service: ServiceName, backend: BackendName) -> None:
         key = (service, backend)
-        num_left = self._num_outstanding.get(key, 0) - 1
-        if num_left > 0:
-            self._num_outstanding[key] = num_left
+        num_remaining = self._num_outstanding.get(key, 0) - 1
+        if num_remaining > 0:
+            self._num_outstanding[key] = num_remaining
         else:
             self._num_outstanding.pop(key, None)
