--- a/src/weirscale/node/home/home_task.py
+++ b/src/weirscale/node/home/home_task.py
@@ -1,4 +1,4 @@
-"""The task that acts as home of the engines that membership assigns to this node."""
+"""Task that acts as home of the engines assigned to this node by the membership."""
 
 from collections.abc import Awaitable, Callable, Sequence
 from random import Random
@@ -13,7 +13,7 @@
 from weirscale.node.backends.facts import EngineFacts
 from weirscale.node.home.engine_home import EngineHome
 from weirscale.node.home.homes import home_of, receivers_in_scope
-from weirscale.node.home.rate import RateGate
+from weirscale.node.home.rate import RateLimiter
 from weirscale.node.home.rules import HomeRules
 from weirscale.node.interfaces import (
     ConfigurationView,
@@ -24,8 +24,8 @@
 from weirscale.node.peers.link import PeerLink
 
 
-class _Running(msgspec.Struct):
-    """One engine that this node is home of."""
+class _RunningHome(msgspec.Struct):
+    """One engine that this node is the home of."""
 
     home: EngineHome
     scope: anyio.CancelScope
@@ -33,20 +33,21 @@
 
 
 class HomeTask:
-    """Starts and stops homes as nodes come and go and engines are declared.
+    """Starts and stops homes as nodes join and leave and engines are declared or removed.
 
     Args:
         membership: The live nodes.
         configuration: Regions and zones.
         directory: Declared engines and their ports.
-        observations: Learns of loads.
+        observations: Receives load reports and failed load requests.
         link: Sends to other nodes and answers their requests.
-        apply_own_digest: Gives digests to this node's own view.
-        epoch_ms: Milliseconds since the epoch; names digest streams, later ones higher.
+        apply_own_digest: Applies digests to this node's own view.
+        epoch_ms: Returns milliseconds since the epoch; used as numbers of digest streams, so that
+            later streams have higher numbers.
         rules: Intervals and limits.
-        random: Spreads dumps and digests.
-        wait_joined: Waits until this node knows other nodes; until then it would take over engines
-            that have homes already.
+        random: For jitter of dumps and digests.
+        wait_joined: Waits until this node knows other nodes. Before that, it would take over
+            engines that already have homes.
     """
 
     def __init__(
@@ -68,18 +69,18 @@
         self._directory = directory
         self._observations = observations
         self._link = link
-        self._take_own = apply_own_digest
+        self._apply_own_digest = apply_own_digest
         self._epoch_ms = epoch_ms
         self._rules = rules
         self._random = random
-        self._dumps = RateGate(rules.dumps_per_s, rules.burst_dumps)
-        self._running: dict[EngineName, _Running] = {}
+        self._dump_limiter = RateLimiter(rules.dumps_per_s, rules.burst_dumps)
+        self._running: dict[EngineName, _RunningHome] = {}
         self._adjusted_for: tuple[tuple[Peer, ...], ConfigurationRevision] | None = None
         link.on_call(DigestRequest, self._answer)
 
     @property
     def engines(self) -> frozenset[EngineName]:
-        """The engines that this node is home of."""
+        """Engines that this node is the home of."""
         return frozenset(self._running)
 
     async def run(self) -> None:
@@ -89,7 +90,7 @@
                 await self._wait_joined()
         async with anyio.create_task_group() as tasks:
             while True:
-                self._adjust(tasks)
+                self._adjust_homes(tasks)
                 await anyio.sleep(self._rules.check_interval_s)
 
     async def _answer(self, message: msgspec.Struct) -> DigestReply:
@@ -97,51 +98,53 @@
         running = self._running.get(message.engine)
         return running.home.answer(message) if running else DigestReply(is_home=False)
 
-    def _adjust(self, tasks: TaskGroup) -> None:
-        """Start homes that are due and stop those that are not, if anything has changed.
+    def _adjust_homes(self, tasks: TaskGroup) -> None:
+        """Start homes of newly assigned engines and stop those of engines no longer assigned.
 
-        Homes depend on the live nodes and on the declared engines alone; a port changes only with
-        the configuration.
+        The assignment depends only on the live nodes and the declared engines, and a port changes
+        only with the configuration; so nothing is done if neither nodes nor revision have changed.
         """
-        known = (self._membership.peers(), self._directory.snapshot().revision)
-        if known == self._adjusted_for:
+        current = (self._membership.peers(), self._directory.snapshot().revision)
+        if current == self._adjusted_for:
             return
-        self._adjusted_for = known
-        due = self._due()
+        self._adjusted_for = current
+        assigned = self._assigned_engines()
         for engine, running in list(self._running.items()):
-            facts = due.get(engine)
+            facts = assigned.get(engine)
             is_same = facts is not None and facts.port is running.facts.port
             if not is_same:
                 running.scope.cancel()
                 del self._running[engine]
-        for engine, facts in due.items():
+        for engine, facts in assigned.items():
             if engine not in self._running:
-                self._start(tasks, facts, len(due))
+                self._start(tasks, facts, len(assigned))
         for running in self._running.values():
             running.home.set_budgets(
-                self._rules.digest_bytes_per_s / len(due), self._rules.load_bytes_per_s / len(due)
+                self._rules.digest_bytes_per_s / len(assigned),
+                self._rules.load_bytes_per_s / len(assigned),
             )
 
-    def _due(self) -> dict[EngineName, EngineFacts]:
+    def _assigned_engines(self) -> dict[EngineName, EngineFacts]:
+        """Return the engines that this node must be the home of."""
         peers = self._membership.peers()
         self_id = self._membership.self_id
-        staffed = {peer.zone for peer in peers if peer.state is not PeerState.LEAVING}
+        zones_with_nodes = {peer.zone for peer in peers if peer.state is not PeerState.LEAVING}
         own_zones = {peer.zone for peer in peers if peer.node == self_id}
-        other_zones = staffed - own_zones
-        due: dict[EngineName, EngineFacts] = {}
-        num_far = 0
+        other_zones = zones_with_nodes - own_zones
+        assigned: dict[EngineName, EngineFacts] = {}
+        num_remote = 0
         for name, facts in self._directory.snapshot().engines.items():
             if facts.engine.zone in other_zones:
                 continue
             home = home_of(facts.engine, peers)
             if home is None or home.node != self_id:
                 continue
-            is_far = facts.engine.zone not in own_zones
-            if is_far and num_far == self._rules.max_far_homes:
+            is_remote = facts.engine.zone not in own_zones
+            if is_remote and num_remote == self._rules.max_remote_homes:
                 continue
-            num_far += is_far
-            due[name] = facts
-        return due
+            num_remote += is_remote
+            assigned[name] = facts
+        return assigned
 
     def _start(self, tasks: TaskGroup, facts: EngineFacts, num_engines: int) -> None:
         home = EngineHome(
@@ -152,23 +155,23 @@
             load_bytes_per_s=self._rules.load_bytes_per_s / num_engines,
             max_digest_keys=self._max_digest_keys(facts),
             receivers=lambda: self._receivers(facts),
-            apply_own_digest=self._take_own,
+            apply_own_digest=self._apply_own_digest,
             link=self._link,
             observations=self._observations,
-            dumps=self._dumps,
+            dump_limiter=self._dump_limiter,
             rules=self._rules,
             random=self._random,
         )
         scope = anyio.CancelScope()
-        self._running[facts.engine.name] = _Running(home, scope, facts)
+        self._running[facts.engine.name] = _RunningHome(home, scope, facts)
         tasks.start_soon(self._run_home, home, scope)
 
     def _max_digest_keys(self, facts: EngineFacts) -> int:
-        """Share the receivers' memory among the engines that they hear of."""
+        """Return the engine's share of the keys that a receiver stores for the zone's engines."""
         zone = facts.engine.zone
         engines = self._directory.snapshot().engines.values()
-        num_near = sum(1 for each in engines if each.engine.zone == zone)
-        return max(self._rules.max_view_keys // max(num_near, 1), 1)
+        num_in_zone = sum(1 for engine_facts in engines if engine_facts.engine.zone == zone)
+        return max(self._rules.max_view_keys // max(num_in_zone, 1), 1)
 
     async def _run_home(self, home: EngineHome, scope: anyio.CancelScope) -> None:
         with scope:
--- a/src/weirscale/node/home/homes.py
+++ b/src/weirscale/node/home/homes.py
@@ -1,4 +1,4 @@
-"""Which node is home of which engine: rendezvous hashing over live nodes, engine's zone first."""
+"""Assign each engine a home node by rendezvous hashing, preferring nodes of its zone."""
 
 from collections.abc import Sequence
 
@@ -8,21 +8,22 @@
 from weirscale.node.interfaces import ConfigurationView, MembershipView, Peer, PeerState
 
 MAX_SCOPE_NODES = 32
-"""With more nodes in a region, digests go to the engine's zone only: their bytes grow with the
-receivers."""
+"""In a region with more nodes, digests are sent only to the engine's zone, because the bytes sent
+grow with the number of receivers."""
 
 
 def home_of(engine: Engine, peers: Sequence[Peer]) -> Peer | None:
-    """Return the node that is home of an engine.
+    """Return the node that is the home of an engine, or None without any staying node.
 
-    Suspect nodes stay homes until they are declared dead, so that a short suspicion moves nothing;
-    leaving ones hand over at once. Without a node in the engine's zone all zones take part.
+    Suspect nodes remain homes until they are declared dead, so that a short suspicion moves no
+    engine. Leaving nodes hand over at once. If the engine's zone has no node, nodes of all zones
+    are considered.
     """
     staying = [peer for peer in peers if peer.state is not PeerState.LEAVING]
-    near = [peer for peer in staying if peer.zone == engine.zone]
+    local = [peer for peer in staying if peer.zone == engine.zone]
     key = rendezvous_key(engine.name)
     return max(
-        near or staying,
+        local or staying,
         key=lambda peer: rendezvous_weight(peer.node.name, key),
         default=None,
     )
@@ -31,9 +32,10 @@
 def receivers_in_scope(
     zone: ZoneName, membership: MembershipView, configuration: ConfigurationView
 ) -> list[NodeAddress]:
-    """Return the other nodes that choose among a zone's engines.
+    """Return the addresses of the other nodes that choose among a zone's engines.
 
-    They are the nodes of the zone's region, or of the zone alone in a large region.
+    These are the nodes of the zone's region, or only those of the zone if the region has more than
+    `MAX_SCOPE_NODES` nodes.
     """
     in_force = configuration.current()
     if in_force is None:
--- a/src/weirscale/node/home/notes_task.py
+++ b/src/weirscale/node/home/notes_task.py
@@ -1,4 +1,4 @@
-"""The task that tells other nodes of this node's sends, and takes in what they tell."""
+"""Task that announces this node's sends to other nodes and records the sends they announce."""
 
 from collections.abc import Callable, Sequence
 
@@ -16,21 +16,21 @@
 from weirscale.node.peers.link import PeerLink
 
 MAX_NOTE_KEYS = 180
-"""Deeper steps of the ladder are left out, so that a note fits one cast; reached by no prompt
-below 10^13 blocks."""
+"""Limit on the prefix keys in a send notice, so that it fits one cast; deeper prefixes are omitted.
+Only prompts of more than 10^13 blocks reach this limit."""
 
 
-class _Arrived(msgspec.Struct, frozen=True):
+class _NoteArrived(msgspec.Struct, frozen=True):
     note: SendNote
 
 
 class SendNotesTask:
-    """Owns `peer_sends`, which the policy of the same event loop reads.
+    """Owns `peer_sends`, which the policy reads on the same event loop.
 
     Args:
-        link: Carries notes.
-        receivers: The other nodes that choose among the same engines.
-        rules: Budget for notes.
+        link: Sends and receives send notices.
+        receivers: Returns the other nodes that choose among the same engines.
+        rules: Budget for send notices.
     """
 
     def __init__(
@@ -45,13 +45,13 @@
         self._receivers = receivers
         self._rules = rules
         self._budget = NoteBudget(rules.note_bytes_per_s)
-        self._mailbox: Mailbox[SendNote | _Arrived] = Mailbox()
-        link.on_cast(SendNote, self._note_arrived)
+        self._mailbox: Mailbox[SendNote | _NoteArrived] = Mailbox()
+        link.on_cast(SendNote, self._receive_note)
 
     def announce_send(
         self, request: ChoiceRequest, engine: EngineName, num_missing_tokens: int
     ) -> None:
-        """Tell the others of a send, if it is worth it; never waits."""
+        """Announce a send to other nodes if it misses enough tokens in the cache; never waits."""
         if num_missing_tokens < self._rules.min_announced_tokens:
             return
         depths = ladder_depths(len(request.block_hashes))[:MAX_NOTE_KEYS]
@@ -59,11 +59,11 @@
         self._post(SendNote(engine, num_missing_tokens, pack_keys(keys)))
 
     async def run(self) -> None:
-        """Send and take in notes until cancelled."""
+        """Send notices, and record those of other nodes, until cancelled."""
         while True:
             message = await self._mailbox.receive()
             now_s = anyio.current_time()
-            if isinstance(message, _Arrived):
+            if isinstance(message, _NoteArrived):
                 note = message.note
                 keys = unpack_keys(note.keys)
                 self.peer_sends.record(note.engine, keys, note.num_missing_tokens, now_s)
@@ -78,11 +78,11 @@
         for address in receivers:
             await self._link.cast(address, note)
 
-    def _note_arrived(self, source: NodeAddress, message: msgspec.Struct) -> None:
+    def _receive_note(self, source: NodeAddress, message: msgspec.Struct) -> None:
         assert isinstance(message, SendNote)
-        self._post(_Arrived(message))
+        self._post(_NoteArrived(message))
 
-    def _post(self, message: SendNote | _Arrived) -> None:
+    def _post(self, message: SendNote | _NoteArrived) -> None:
         if not self._mailbox.post(message):
-            # A hint only: without it another node may compute the prefix again.
+            # Only a hint: without it, another node may have the prefix computed again.
             self.num_unsent += 1
--- a/src/weirscale/node/home/rate.py
+++ b/src/weirscale/node/home/rate.py
@@ -1,16 +1,16 @@
-"""A rate limit whose users wait their turn."""
+"""Rate limiter whose callers wait in order."""
 
 import anyio
 
 
-class RateGate:
-    """Lets at most a rate of passages through, with a burst; waiting ones are served in order.
+class RateLimiter:
+    """Limits the rate of operations, with a burst; waiting callers are served in order.
 
-    Owned by one node; its users are tasks of one event loop, so no lock is needed.
+    It is used only by tasks of one event loop, so it needs no lock.
 
     Args:
-        rate_per_s: Passages a second.
-        burst: Passages at once after a quiet time.
+        rate_per_s: Operations per second.
+        burst: Operations allowed at once after an idle time.
     """
 
     def __init__(self, rate_per_s: float, burst: int) -> None:
@@ -18,9 +18,9 @@
         self._burst_s = self._interval_s * (burst - 1)
         self._next_at_s = 0.0
 
-    async def pass_through(self) -> None:
-        """Wait for the next passage."""
+    async def acquire(self) -> None:
+        """Wait until the next operation is allowed."""
         now_s = anyio.current_time()
-        turn_at_s = max(self._next_at_s, now_s - self._burst_s)
-        self._next_at_s = turn_at_s + self._interval_s
-        await anyio.sleep(max(turn_at_s - now_s, 0.0))
+        slot_at_s = max(self._next_at_s, now_s - self._burst_s)
+        self._next_at_s = slot_at_s + self._interval_s
+        await anyio.sleep(max(slot_at_s - now_s, 0.0))
--- a/src/weirscale/node/home/view_task.py
+++ b/src/weirscale/node/home/view_task.py
@@ -1,4 +1,4 @@
-"""The task that receives digests and owns this node's view of the engines' caches."""
+"""Task that receives digests and owns this node's view of the engines' caches."""
 
 from collections.abc import Callable, Coroutine, Iterator
 from typing import Any
@@ -16,7 +16,7 @@
     LoadDigest,
 )
 from weirscale.node.backends.directory import BackendDirectory
-from weirscale.node.home.rate import RateGate
+from weirscale.node.home.rate import RateLimiter
 from weirscale.node.home.rules import HomeRules
 from weirscale.node.mailbox import Mailbox
 from weirscale.node.peers.link import PeerLink
@@ -26,14 +26,14 @@
 
 
 class _Arrived(msgspec.Struct, frozen=True):
-    """A digest from another node, or from this node's own homes (no source)."""
+    """A digest from another node, or from one of this node's own homes (without a source)."""
 
     source: NodeAddress | None
     digest: CacheDigest
 
 
 class _Answered(msgspec.Struct, frozen=True):
-    """A home's answer to a request for missed digests."""
+    """A home node's reply to a request for missed digests; None if the request failed."""
 
     engine: EngineName
     reply: DigestReply | None
@@ -47,14 +47,14 @@
 
 
 class CacheViewTask:
-    """Receives digests; `view` is read by the routing task of the same event loop.
+    """Receives digests; the routing task reads `view` on the same event loop.
 
-    The view changes only between two awaits of this task, and a match awaits nothing, so a reader
-    never sees half a change.
+    Neither an update of the view nor a match awaits anything, so a reader never sees a partial
+    update.
 
     Args:
-        link: Receives digests and asks for missed ones.
-        observations: Learns of the loads that homes report.
+        link: Receives digests and requests missed ones.
+        observations: Receives the loads that home nodes report.
         rules: Intervals and limits.
     """
 
@@ -64,29 +64,29 @@
         self._observations = observations
         self._rules = rules
         self._mailbox: Mailbox[_Message] = Mailbox()
-        self._asking: set[EngineName] = set()
-        self._requests = RateGate(rules.requests_per_s, BURST_REQUESTS)
+        self._pending_requests: set[EngineName] = set()
+        self._request_limiter = RateLimiter(rules.requests_per_s, BURST_REQUESTS)
         self.num_dropped = 0
-        link.on_cast(CacheDigest, self._note_cache_digest)
-        link.on_cast(LoadDigest, self._note_load_digest)
+        link.on_cast(CacheDigest, self._receive_cache_digest)
+        link.on_cast(LoadDigest, self._receive_load_digest)
 
     def apply_own_digest(self, digest: CacheDigest) -> None:
-        """Take in a digest of an engine that this node itself is home of."""
+        """Queue a digest of an engine that this node itself is the home of."""
         self._post(_Arrived(None, digest))
 
     async def run(self) -> None:
-        """Own the view until cancelled."""
+        """Maintain the view until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._expire_at_intervals)
             while True:
-                for ask in self._handle(await self._mailbox.receive()):
-                    tasks.start_soon(ask)
+                for request in self._handle(await self._mailbox.receive()):
+                    tasks.start_soon(request)
 
-    def _note_cache_digest(self, source: NodeAddress, message: msgspec.Struct) -> None:
+    def _receive_cache_digest(self, source: NodeAddress, message: msgspec.Struct) -> None:
         assert isinstance(message, CacheDigest)
         self._post(_Arrived(source, message))
 
-    def _note_load_digest(self, source: NodeAddress, message: msgspec.Struct) -> None:
+    def _receive_load_digest(self, source: NodeAddress, message: msgspec.Struct) -> None:
         assert isinstance(message, LoadDigest)
         report = message.load.report(
             message.engine, message.incarnation, message.model, message.weight_version
@@ -95,34 +95,34 @@
 
     def _post(self, message: _Message) -> None:
         if not self._mailbox.post(message):
-            # The next digest shows the gap, and the missed ones are asked for.
+            # The next digest reveals the gap, and the missed digests are requested then.
             self.num_dropped += 1
 
     def _handle(self, message: _Message) -> Iterator[Callable[[], Coroutine[Any, Any, None]]]:
-        """Act on a message; yields requests to start."""
+        """Handle a message; yield requests to start."""
         now_s = anyio.current_time()
         match message:
             case _Arrived(source, digest):
                 outcome = self.view.receive(digest, now_s)
                 if outcome is ViewOutcome.GAP and source is not None:
-                    yield from self._request(digest.engine, source)
+                    yield from self._request_missed(digest.engine, source)
             case _Answered(engine, reply):
-                self._asking.discard(engine)
-                self._take_reply(reply, now_s)
+                self._pending_requests.discard(engine)
+                self._apply_reply(reply, now_s)
             case _Expire():
                 self.view.expire(now_s)
 
-    def _request(
+    def _request_missed(
         self, engine: EngineName, home: NodeAddress
     ) -> Iterator[Callable[[], Coroutine[Any, Any, None]]]:
-        """Yield a request for what was missed, unless one is on its way."""
-        if engine in self._asking:
+        """Yield a request for the missed digests, unless one is in flight for the engine."""
+        if engine in self._pending_requests:
             return
-        self._asking.add(engine)
-        yield lambda: self._ask(engine, home)
+        self._pending_requests.add(engine)
+        yield lambda: self._fetch_missed(engine, home)
 
-    async def _ask(self, engine: EngineName, home: NodeAddress) -> None:
-        await self._requests.pass_through()
+    async def _fetch_missed(self, engine: EngineName, home: NodeAddress) -> None:
+        await self._request_limiter.acquire()
         stream, sequence = self.view.position(engine)
         request = DigestRequest(engine, stream, sequence)
         answer = await self._link.call(home, request, self._rules.request_timeout_s)
@@ -131,7 +131,7 @@
             _Answered(engine, reply if isinstance(reply, DigestReply) else None)
         )
 
-    def _take_reply(self, reply: DigestReply | None, now_s: float) -> None:
+    def _apply_reply(self, reply: DigestReply | None, now_s: float) -> None:
         if reply is None or not reply.is_home:
             return
         for digest in reply.digests:
