--- a/src/weirscale/node/placement/__init__.py
+++ b/src/weirscale/node/placement/__init__.py
@@ -1,1 +1,1 @@
-"""The task that brings engines to what the configuration declares."""
+"""Placement: bring engines to the declared models, adapters and roles."""
--- a/src/weirscale/node/placement/observing.py
+++ b/src/weirscale/node/placement/observing.py
@@ -1,4 +1,4 @@
-"""What the planner sees of engines: its own directory, and what other nodes told."""
+"""Observations of engines for the planner, from its own directory and from other nodes."""
 
 from collections.abc import Mapping
 
@@ -14,28 +14,28 @@
 
 def observe_engines(
     snapshot: DirectorySnapshot,
-    heard: Mapping[EngineName, ObservedState],
+    other_states: Mapping[EngineName, ObservedState],
     rules: PlacementRules,
     now_s: float,
 ) -> Mapping[EngineName, EngineObservation]:
     """Return an observation of each declared engine.
 
     Args:
-        snapshot: What this node hears itself.
-        heard: What other nodes told of engines.
-        rules: Tells how old a state may be.
-        now_s: Time.
+        snapshot: This node's own directory.
+        other_states: States from `FleetStates`, by engine.
+        rules: Limit on the age of a state.
+        now_s: Current time.
     """
     return {
-        name: _observe(facts, heard.get(name), rules, now_s)
+        name: _observe(facts, other_states.get(name), rules, now_s)
         for name, facts in snapshot.engines.items()
     }
 
 
 def _observe(
-    facts: EngineFacts, heard: ObservedState | None, rules: PlacementRules, now_s: float
+    facts: EngineFacts, other_state: ObservedState | None, rules: PlacementRules, now_s: float
 ) -> EngineObservation:
-    latest = _latest(facts, heard, now_s)
+    latest = _latest(facts, other_state, now_s)
     is_leaving = facts.leaving.is_leaving_at(now_s)
     if latest is None:
         return EngineObservation(
@@ -61,22 +61,26 @@
         order_token=state.order_token,
         is_up=is_fresh and state.is_up,
         is_leaving=is_leaving or state.is_leaving,
-        role=known_role(state.role),
+        role=parse_role(state.role),
         loading_token=state.loading_token,
         failed_load_token=state.failed_load_token,
     )
 
 
-def _latest(facts: EngineFacts, heard: ObservedState | None, now_s: float) -> ObservedState | None:
-    """Return the later of what this node and others know: the higher run, then the later time."""
+def _latest(
+    facts: EngineFacts, other_state: ObservedState | None, now_s: float
+) -> ObservedState | None:
+    """Return the later of the own and the other state, by run and then by time."""
     if facts.report is None:
-        return heard
+        return other_state
     own = ObservedState(state_of(facts, now_s), facts.reported_at_s)
-    if heard is None:
+    if other_state is None:
         return own
-    return max(own, heard, key=lambda each: (each.state.incarnation, each.observed_at_s))
+    return max(
+        own, other_state, key=lambda observed: (observed.state.incarnation, observed.observed_at_s)
+    )
 
 
-def known_role(name: str | None) -> EngineRole | None:
-    """Return the role that an engine names; None if it names none or one not known here."""
+def parse_role(name: str | None) -> EngineRole | None:
+    """Return the role with a name; None without a name or for an unknown role."""
     return _ROLES.get(name) if name is not None else None
--- a/src/weirscale/node/placement/orders.py
+++ b/src/weirscale/node/placement/orders.py
@@ -1,4 +1,7 @@
-"""Giving fenced orders to engines, and what their answers mean."""
+"""Send fenced orders to engines and interpret their answers.
+
+Orders carry a fencing token, so an engine rejects orders that are older than one it has seen.
+"""
 
 import enum
 
@@ -22,19 +25,19 @@
 )
 
 ORDER_TIMEOUT_S = 5.0
-"""Longest wait for an engine to accept an order; accepting needs no loading."""
+"""Longest wait for an engine to accept an order; it accepts before it loads anything."""
 
 
 class OrderAnswer(enum.Enum):
-    """What became of an order."""
+    """Result of sending an order."""
 
     ACCEPTED = "accepted"
-    NOT_GIVEN = "not_given"
-    """Certainly not carried out: it may be dropped."""
+    NOT_EXECUTED = "not_given"
+    """Certainly not executed: the order may be dropped."""
     STALE = "stale"
     """The engine has seen a higher token."""
     UNKNOWN = "unknown"
-    """It may have been accepted: give it again, with the same token."""
+    """The engine may have accepted it: send it again with the same token."""
 
 
 class FencedOrder(msgspec.Struct, frozen=True):
@@ -44,16 +47,16 @@
     order: EngineOrder
 
 
-def order_of_load(load: LoadInProgress) -> FencedOrder:
-    """Return the order that starts a load; always the same for the same load."""
+def make_load_order(load: LoadInProgress) -> FencedOrder:
+    """Return the order that starts a load; equal loads give equal orders."""
     action = LoadModel(load.model, load.weight_version)
     return FencedOrder(load.engine, EngineOrder(load.token, action, load.incarnation))
 
 
-def order_of_change(
+def make_change_order(
     change: SmallChange, token: int, incarnation: Incarnation | None
 ) -> FencedOrder:
-    """Return the order of an adapter or role change for one run of the engine."""
+    """Return the order for an adapter or role change, valid for one run of the engine."""
     action: OrderAction
     if isinstance(change, AdapterChange):
         action = LoadAdapter(change.adapter) if change.is_load else UnloadAdapter(change.adapter)
@@ -62,8 +65,8 @@
     return FencedOrder(change.engine, EngineOrder(token, action, incarnation))
 
 
-async def give_order(port: EnginePort, order: EngineOrder) -> OrderAnswer:
-    """Give an order once."""
+async def send_order(port: EnginePort, order: EngineOrder) -> OrderAnswer:
+    """Send an order once."""
     answer: Result[None, EngineFailure] | None = None
     with anyio.move_on_after(ORDER_TIMEOUT_S):
         answer = await port.order(order)
@@ -74,4 +77,4 @@
     failure = answer.err_value
     if failure.kind is EngineFailureKind.REFUSED_STALE_ORDER:
         return OrderAnswer.STALE
-    return OrderAnswer.NOT_GIVEN if failure.provably_not_run else OrderAnswer.UNKNOWN
+    return OrderAnswer.NOT_EXECUTED if failure.provably_not_run else OrderAnswer.UNKNOWN
--- a/src/weirscale/node/placement/record_store.py
+++ b/src/weirscale/node/placement/record_store.py
@@ -1,4 +1,4 @@
-"""The placement record in the key-value service: read, and written by compare-and-swap."""
+"""The placement record in the key-value store, written by compare-and-swap."""
 
 import cbor2
 import msgspec
@@ -8,15 +8,15 @@
 from weirscale.ports.key_value import KeyValueFailure, KeyValueFailureKind, KeyValuePort
 
 PLACEMENT_KEY = "weirscale/placement"
-"""Key of the record; one for the deployment, so two planners cannot both write."""
+"""Key of the record; the deployment has a single record, so two planners cannot both write."""
 
 
 class StoredRecord(msgspec.Struct, frozen=True):
-    """The record as read.
+    """The record with its revision in the store.
 
     Attributes:
-        record: Its value; an empty one if the key does not exist.
-        mod_revision: The revision that the next write must expect; 0 if the key does not exist.
+        record: The placement record; empty if the key does not exist.
+        mod_revision: Expected revision for the next write; 0 if the key does not exist.
     """
 
     record: PlacementRecord
@@ -24,7 +24,7 @@
 
 
 class RecordConflict(msgspec.Struct, frozen=True):
-    """Another planner has written since the record was read: read it again."""
+    """Another planner has written the record since it was read; it must be read again."""
 
 
 class RecordStore:
@@ -38,18 +38,18 @@
         answer = await self._key_value.read(PLACEMENT_KEY)
         if isinstance(answer, Err):
             return answer
-        found = [value for value in answer.ok_value.values if value.key == PLACEMENT_KEY]
-        if not found:
+        entries = [value for value in answer.ok_value.values if value.key == PLACEMENT_KEY]
+        if not entries:
             return Ok(StoredRecord(PlacementRecord(), 0))
-        decoded = _decode(found[0].value)
+        decoded = _decode(entries[0].value)
         if isinstance(decoded, Err):
             return decoded
-        return Ok(StoredRecord(decoded.ok_value, found[0].mod_revision))
+        return Ok(StoredRecord(decoded.ok_value, entries[0].mod_revision))
 
     async def write(
         self, record: PlacementRecord, expected_mod_revision: int
     ) -> Result[StoredRecord, KeyValueFailure | RecordConflict]:
-        """Write the record if nobody has written since the expected revision."""
+        """Write the record if its revision in the store is still the expected one."""
         value = cbor2.dumps(msgspec.to_builtins(record))
         answer = await self._key_value.compare_and_swap(PLACEMENT_KEY, expected_mod_revision, value)
         if isinstance(answer, Err):
--- a/src/weirscale/node/placement/states_server.py
+++ b/src/weirscale/node/placement/states_server.py
@@ -1,7 +1,7 @@
-"""Tells the placement planner what this node has heard of a zone's engines.
+"""Answer the placement planner's queries for the states of a zone's engines.
 
-Every node of a zone hears of its engines by the digests of their homes, so any of them can answer
-for all, without another message.
+Every node of a zone receives the digests of the zone's engines from their homes, so any of these
+nodes can answer for all engines without further messages.
 """
 
 import anyio
@@ -26,7 +26,7 @@
     """Answers `EngineStatesRequest` on this node.
 
     Args:
-        directory: What this node has heard of engines.
+        directory: Reports of engines that this node has received.
         link: Receives the requests.
     """
 
@@ -37,29 +37,29 @@
     async def _answer(self, message: msgspec.Struct) -> EngineStatesReply:
         assert isinstance(message, EngineStatesRequest)
         now_s = anyio.current_time()
-        heard = _heard_in_zone(self._directory.snapshot(), message.zone)
-        states = tuple(state_of(facts, now_s) for facts in heard)
+        reported = _reported_in_zone(self._directory.snapshot(), message.zone)
+        states = tuple(state_of(facts, now_s) for facts in reported)
         digest = states_digest(states)
         return EngineStatesReply(
             digest=digest,
-            ages=bytes(pack_age(now_s - facts.reported_at_s) for facts in heard),
+            ages=bytes(pack_age(now_s - facts.reported_at_s) for facts in reported),
             states=() if digest == message.known_digest else states,
         )
 
 
 def states_digest(states: tuple[EngineState, ...]) -> int:
-    """Return a digest of states, `num_running` aside; never 0."""
-    steady = [msgspec.structs.replace(state, num_running=0) for state in states]
-    return xxhash.xxh3_64_intdigest(cbor2.dumps(msgspec.to_builtins(steady))) | 1
+    """Return a digest of states that ignores `num_running`; never 0."""
+    states_without_load = [msgspec.structs.replace(state, num_running=0) for state in states]
+    return xxhash.xxh3_64_intdigest(cbor2.dumps(msgspec.to_builtins(states_without_load))) | 1
 
 
-def _heard_in_zone(snapshot: DirectorySnapshot, zone: ZoneName) -> list[EngineFacts]:
-    heard = [
+def _reported_in_zone(snapshot: DirectorySnapshot, zone: ZoneName) -> list[EngineFacts]:
+    reported = [
         facts
         for facts in snapshot.engines.values()
         if facts.engine.zone == zone and facts.report is not None
     ]
-    return sorted(heard, key=lambda facts: facts.engine.name)
+    return sorted(reported, key=lambda facts: facts.engine.name)
 
 
 def state_of(facts: EngineFacts, now_s: float) -> EngineState:
--- a/src/weirscale/node/placement/status.py
+++ b/src/weirscale/node/placement/status.py
@@ -1,4 +1,4 @@
-"""Answers other nodes' questions about the progress of rollouts."""
+"""Answer requests of other nodes for the progress of rollouts."""
 
 import msgspec
 
@@ -21,24 +21,24 @@
         link.on_call(PlacementStatusRequest, self._answer)
 
     def current(self) -> PlacementStatusReply:
-        """Return what this node knows."""
+        """Return the status known to this node."""
         return PlacementStatusReply(
             self._membership.self_id.name, self._task.is_planner(), self._task.progress()
         )
 
     async def of_planner(self) -> PlacementStatusReply | None:
-        """Return what the node that plans knows; None if no live node says that it plans."""
+        """Return the planner's status; None if no live node reports being the planner."""
         own = self.current()
         if own.is_planner:
             return own
         own_id = self._membership.self_id
         peers = [peer for peer in self._membership.peers() if peer.node != own_id]
-        question = PlacementStatusRequest()
-        return await first_answer(self._link, peers, question, STATUS_TIMEOUT_S, _from_planner)
+        request = PlacementStatusRequest()
+        return await first_answer(self._link, peers, request, STATUS_TIMEOUT_S, _planner_reply)
 
     async def _answer(self, message: msgspec.Struct) -> PlacementStatusReply:
         return self.current()
 
 
-def _from_planner(reply: msgspec.Struct) -> PlacementStatusReply | None:
+def _planner_reply(reply: msgspec.Struct) -> PlacementStatusReply | None:
     return reply if isinstance(reply, PlacementStatusReply) and reply.is_planner else None
