--- a/src/weirscale/node/backends/directory.py
+++ b/src/weirscale/node/backends/directory.py
@@ -99,7 +99,7 @@
             self.num_dropped_observations += 1
 
     def record_load_report(self, report: LoadReport, age_s: float) -> None:
-        """Record a load report that its home node read from the engine `age_s` seconds ago."""
+        """Record a load report that the engine's home node read `age_s` seconds ago."""
         reported_at_s = anyio.current_time() - age_s
         self.post(ReportArrived(report, reported_at_s, is_own_probe=False))
 
--- a/src/weirscale/node/backends/probe_pace.py
+++ b/src/weirscale/node/backends/probe_pace.py
@@ -106,12 +106,14 @@
     local_zone = zone if len(engines) > rules.max_single_zone_engines else None
     probed = [facts for facts in engines if not has_home_report(facts, rules, now_s)]
     local = [facts for facts in probed if local_zone in (None, facts.engine.zone)]
-    served = {
+    served_models = {
         facts.report.model
         for facts in engines
         if facts.report is not None and _is_ready(facts, local_zone, rules, now_s)
     }
-    needed_models = snapshot.declared_models - served if is_settled else frozenset[ModelName]()
+    needed_models = (
+        snapshot.declared_models - served_models if is_settled else frozenset[ModelName]()
+    )
     num_remote = len(probed) - len(local)
     num_needed_remote = sum(
         facts.engine.model in needed_models
--- a/src/weirscale/node/placement/fleet_states.py
+++ b/src/weirscale/node/placement/fleet_states.py
@@ -199,8 +199,8 @@
         """Record a state if it is newer than the recorded one, by run and then by time."""
         previous = self._observed.get(state.engine)
         if previous is not None:
-            before = (previous.state.incarnation, previous.observed_at_s)
-            if before >= (state.incarnation, observed_at_s):
+            previous_key = (previous.state.incarnation, previous.observed_at_s)
+            if previous_key >= (state.incarnation, observed_at_s):
                 return
         self._observed[state.engine] = ObservedState(state, observed_at_s)
 
