--- a/features/steps/experiment_files_steps.py
+++ b/features/steps/experiment_files_steps.py
@@ -112,7 +112,7 @@
     async with httpx.AsyncClient(transport=transport) as client:
         exchange = HttpExchange(client, "127.0.0.1:1", request)
         received = [one async for one in read_answer(exchange)]
-        await exchange.leave()
+        await exchange.disconnect()
     return ", ".join(shown(one, exchange.was_connected) for one in received)
 
 
--- a/features/support/poor_network.py
+++ b/features/support/poor_network.py
@@ -34,7 +34,7 @@
         """Put a datagram on the wire as a stranger would, with any source address."""
         endpoint = self.endpoints.get(destination)
         if endpoint is not None:
-            endpoint.take(Datagram(source, payload))
+            endpoint.enqueue(Datagram(source, payload))
 
     def carry(self, source, destination, payload):
         """Carry one datagram, and record it."""
--- a/src/weirscale/experiments/demo/main.py
+++ b/src/weirscale/experiments/demo/main.py
@@ -20,7 +20,7 @@
 from weirscale.experiments.run.callers import Callers
 from weirscale.experiments.run.exchange import Connect
 from weirscale.experiments.run.recorder import Recorder
-from weirscale.experiments.run.virtual import right_answer
+from weirscale.experiments.run.virtual import expected_answer
 from weirscale.experiments.workload.plan import PlanSetting, make_plan
 from weirscale.experiments.workload.shape import PRESETS, WorkloadShape
 
@@ -64,7 +64,7 @@
     """Judge what callers and stand-ins recorded."""
     history = History(
         [*recorder.records, *embedded.run_records()],
-        right_answer,
+        expected_answer,
         embedded.deployment.engines[0].block_size_bytes,
     )
     return work_out(history, judge(history), identity, ControlCost())
--- a/src/weirscale/experiments/faults/injector.py
+++ b/src/weirscale/experiments/faults/injector.py
@@ -205,7 +205,7 @@
     def _note_zone(self, zone: ZoneName, change: NodeChange) -> None:
         for place in self._world.fleet.places:
             if place.zone == zone:
-                self._world.fleet.note(place.name, change)
+                self._world.fleet.record_change(place.name, change)
 
     async def _leaving_backend(self, fault: PlannedFault) -> None:
         platform = self._world.platform
--- a/src/weirscale/experiments/memory_network.py
+++ b/src/weirscale/experiments/memory_network.py
@@ -97,7 +97,7 @@
             self._thawed.set()
             self._thawed = None
 
-    def take(self, datagram: Datagram) -> None:
+    def enqueue(self, datagram: Datagram) -> None:
         """Put an arriving datagram into the inbox."""
         try:
             self._send.send_nowait(datagram)
@@ -179,7 +179,7 @@
         await anyio.sleep(delay_s)
         endpoint = self.endpoints.get(destination)
         if endpoint is not None:
-            endpoint.take(datagram)
+            endpoint.enqueue(datagram)
 
     def quality_of(self, source: MemoryEndpoint, destination: NodeAddress) -> LinkQuality:
         """Return the quality of the link between two nodes."""
--- a/src/weirscale/experiments/run/callers.py
+++ b/src/weirscale/experiments/run/callers.py
@@ -104,7 +104,7 @@
         with anyio.CancelScope(deadline=until_s) as scope:
             async with aclosing(read_answer(exchange)) as answer:
                 await self._read(sent.request_id, exchange, answer, behaviour.read_delay_s)
-        await exchange.leave()
+        await exchange.disconnect()
         if scope.cancelled_caught and behaviour.leaves_after_s is not None:
             self._end(CallerLeft(at_s=self._now(), request_id=sent.request_id))
 
--- a/src/weirscale/experiments/run/exchange.py
+++ b/src/weirscale/experiments/run/exchange.py
@@ -45,7 +45,7 @@
         """Return the node's next ASGI message; None when the connection is closed."""
         ...
 
-    async def leave(self) -> None:
+    async def disconnect(self) -> None:
         """Close the connection from the caller's side."""
         ...
 
@@ -74,7 +74,7 @@
         except (anyio.EndOfStream, anyio.ClosedResourceError):
             return None
 
-    async def leave(self) -> None:
+    async def disconnect(self) -> None:
         """Close the connection from the caller's side."""
         self._has_left.set()
         self._receive.close()
--- a/src/weirscale/experiments/run/fleet.py
+++ b/src/weirscale/experiments/run/fleet.py
@@ -172,7 +172,7 @@
         """Count bytes that a node sends to another."""
         self.num_peer_bytes += num_bytes
 
-    def note(self, name: NodeName, change: NodeChange) -> None:
+    def record_change(self, name: NodeName, change: NodeChange) -> None:
         """Record a change that the harness made elsewhere."""
         self._record(name, change)
 
--- a/src/weirscale/experiments/run/http_exchange.py
+++ b/src/weirscale/experiments/run/http_exchange.py
@@ -41,7 +41,7 @@
         except httpx.HTTPError:
             return None
 
-    async def leave(self) -> None:
+    async def disconnect(self) -> None:
         """Close the connection."""
         if self._response is not None:
             await self._response.aclose()
--- a/src/weirscale/experiments/run/virtual.py
+++ b/src/weirscale/experiments/run/virtual.py
@@ -136,7 +136,7 @@
         lag_s = platform.machines.faults.lag_s
         history = History(
             [*recorder.records, *platform.run_records()],
-            right_answer,
+            expected_answer,
             self._loaded.deployment.engines[0].block_size_bytes,
             Bounds(leaving_s=lag_s + LEAVING_BOUND_S + MEASURING_SLACK_S),
             is_kv_kept=platform.has_imported_kv,
@@ -173,7 +173,7 @@
     )
 
 
-def right_answer(sent: GenerationSent) -> str:
+def expected_answer(sent: GenerationSent) -> str:
     """Return the whole text that a stand-in engine generates for a request."""
     return expected_text(sent.prompt, sent.max_tokens)
 
