--- a/src/weirscale/experiments/run/__init__.py
+++ b/src/weirscale/experiments/run/__init__.py
@@ -1,1 +1,1 @@
-"""Experiment files, virtual fleets and the run of one experiment."""
+"""Load experiment files and run them on virtual fleets."""
--- a/src/weirscale/experiments/run/answers.py
+++ b/src/weirscale/experiments/run/answers.py
@@ -1,4 +1,4 @@
-"""Reads a node's HTTP answer as a caller does: a stream of events, or one whole body."""
+"""Parse a node's HTTP answer on the caller's side: an event stream or a whole body."""
 
 from collections.abc import AsyncGenerator
 from contextlib import aclosing
@@ -49,7 +49,7 @@
 
 
 class ReceivedText(msgspec.Struct, frozen=True):
-    """A piece of text; `answer_id` is the id that the event names."""
+    """A piece of generated text; `answer_id` is the `id` field of its event."""
 
     answer_id: str
     text: str
@@ -64,28 +64,28 @@
 
 
 class ReceivedRefusal(msgspec.Struct, frozen=True):
-    """The router's error, alone or within a stream."""
+    """An error of the router, as a whole body or as an event of a stream."""
 
     code: RefusalCode
     run_status: RunStatus
 
 
 class ReceivedBody(msgspec.Struct, frozen=True):
-    """A whole body that is not the router's error."""
+    """A whole body that is not an error of the router."""
 
     status: int
     body: bytes
 
 
 class ReceivedBreak(msgspec.Struct, frozen=True):
-    """The connection closed before the answer's end."""
+    """The connection closed before the end of the answer."""
 
 
 Received = ReceivedText | ReceivedEnd | ReceivedRefusal | ReceivedBody | ReceivedBreak
 
 
 async def read_answer(exchange: CallerExchange) -> AsyncGenerator[Received, None]:
-    """Yield what a caller receives; the last item is never a `ReceivedText`."""
+    """Yield the parts of an answer in order; the last one is never a `ReceivedText`."""
     start = await exchange.next_message()
     if start is None:
         yield ReceivedBreak()
@@ -104,7 +104,7 @@
 
 
 async def _read_body(exchange: CallerExchange) -> bytes | None:
-    """Return the whole body, None if the connection closed before its end."""
+    """Return the whole body, or None if the connection closed before its end."""
     parts: list[bytes] = []
     while True:
         message = await exchange.next_message()
@@ -144,14 +144,14 @@
                 return
             piece = msgspec.json.decode(data, type=_Event)
             yield ReceivedText(piece.id, piece.choices[0].delta.content)
-            last = _end_of(piece)
+            last = _stream_end(piece)
         if not message.get("more_body", False):
-            # The body ended as if whole, with neither an end marker nor an error.
+            # The HTTP body is complete but holds neither an end marker nor an error.
             yield ReceivedEnd(finish_reason=None, num_prompt_tokens=0, num_cached_tokens=0)
             return
 
 
-def _end_of(piece: _Event) -> ReceivedEnd:
+def _stream_end(piece: _Event) -> ReceivedEnd:
     usage = piece.usage
     return ReceivedEnd(
         finish_reason=piece.choices[0].finish_reason,
--- a/src/weirscale/experiments/run/callers.py
+++ b/src/weirscale/experiments/run/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a virtual fleet: they send the items of a plan and record what they see."""
+"""Simulated callers of a fleet, which send the requests of a plan and record the answers."""
 
 from collections.abc import AsyncIterator, Callable, Sequence
 from contextlib import aclosing
@@ -38,33 +38,33 @@
 from weirscale.experiments.workload.prompts import request_body
 from weirscale.standins.engine.answer import CHARACTERS_PER_TOKEN
 
-Reach = Callable[[ZoneName, int], tuple[NodeName, Connect]]
-"""Finds the node for a caller near a zone, by an index among the zone's nodes."""
+FindNode = Callable[[ZoneName, int], tuple[NodeName, Connect]]
+"""Chooses the node for a caller, by the caller's zone and an index among the zone's nodes."""
 GIVE_UP_GRACE_S = 8.0
-"""Callers wait this much longer than their deadline, so that late endings are seen as late."""
+"""Callers wait this long past the deadline, so that late answers are recorded as late."""
 STAYING_CALLER = CallerBehaviour()
 
 
 class Callers:
-    """Sends a plan, open-loop: no send waits for an answer to another.
+    """Sends the requests of a plan open-loop: no request waits for the answer to another.
 
     Attributes:
-        num_ended: Requests that have ended, for the display of progress.
+        num_ended: Requests that have ended, for the progress display.
     """
 
-    def __init__(self, reach: Reach, recorder: Recorder) -> None:
-        """Make callers.
+    def __init__(self, find_node: FindNode, recorder: Recorder) -> None:
+        """Create the callers.
 
         Args:
-            reach: Finds the node that a caller gets a connection to.
-            recorder: Takes what callers see.
+            find_node: Chooses the node that a caller connects to.
+            recorder: Receives the records of sent requests and received answers.
         """
-        self._reach = reach
+        self._find_node = find_node
         self._recorder = recorder
         self.num_ended = 0
 
     async def send_all(self, plan: Sequence[PlanItem]) -> None:
-        """Send every item at its time, from now on, and return when all have ended."""
+        """Send each item at its offset from now, and return when all requests have ended."""
         start_s = anyio.current_time()
         async with anyio.create_task_group() as tasks:
             for item in plan:
@@ -72,7 +72,7 @@
                 self._send(tasks, item, start_s)
 
     def _send(self, tasks: TaskGroup, item: PlanItem, start_s: float) -> None:
-        node, connect = self._reach(item.zone, item.node_index)
+        node, connect = self._find_node(item.zone, item.node_index)
         now_s = self._recorder.now()
         if isinstance(item, GenerationItem):
             body = request_body(item)
@@ -96,7 +96,7 @@
         await anyio.sleep(CALLER_DELAY_S)
         exchange = connect(request)
         if exchange is None:
-            self._end(self._broke(sent.request_id, was_connected=False))
+            self._record_ending(self._connection_broke(sent.request_id, was_connected=False))
             return
         until_s = sent.deadline_at_s + GIVE_UP_GRACE_S
         if behaviour.leaves_after_s is not None:
@@ -106,7 +106,7 @@
                 await self._read(sent.request_id, exchange, answer, behaviour.read_delay_s)
         await exchange.disconnect()
         if scope.cancelled_caught and behaviour.leaves_after_s is not None:
-            self._end(CallerLeft(at_s=self._now(), request_id=sent.request_id))
+            self._record_ending(CallerLeft(at_s=self._now(), request_id=sent.request_id))
 
     async def _read(
         self,
@@ -118,7 +118,9 @@
         num_chunks = 0
         async for received in answer:
             if not isinstance(received, ReceivedText):
-                self._end(self._ending(request_id, received, exchange.was_connected))
+                self._record_ending(
+                    self._ending_record(request_id, received, exchange.was_connected)
+                )
                 return
             chunk = ChunkReceived(
                 at_s=self._now(),
@@ -132,7 +134,9 @@
             num_chunks += 1
             await anyio.sleep(read_delay_s)
 
-    def _ending(self, request_id: RequestId, received: Received, was_connected: bool) -> Ending:
+    def _ending_record(
+        self, request_id: RequestId, received: Received, was_connected: bool
+    ) -> Ending:
         at_s = self._now()
         match received:
             case ReceivedEnd():
@@ -155,15 +159,15 @@
                     at_s=at_s, request_id=request_id, status=received.status, body=received.body
                 )
             case _:
-                return self._broke(request_id, was_connected)
+                return self._connection_broke(request_id, was_connected)
 
-    def _broke(self, request_id: RequestId, was_connected: bool) -> ConnectionBroke:
+    def _connection_broke(self, request_id: RequestId, was_connected: bool) -> ConnectionBroke:
         return ConnectionBroke(at_s=self._now(), request_id=request_id, was_connected=was_connected)
 
-    def _end(self, ending: Ending) -> None:
+    def _record_ending(self, ending: Ending) -> None:
         self.num_ended += 1
         self._recorder.add(ending)
 
     def _now(self) -> float:
-        """Return when the caller sees what the node has just sent."""
+        """Return the time at which a message that the node sends now reaches the caller."""
         return self._recorder.now() + CALLER_DELAY_S
--- a/src/weirscale/experiments/run/exchange.py
+++ b/src/weirscale/experiments/run/exchange.py
@@ -1,7 +1,8 @@
-"""One HTTP exchange between a caller and a node of a virtual fleet, without sockets.
+"""An HTTP exchange between a caller and a node of a virtual fleet, without sockets.
 
-The node's side is what an ASGI server offers its application, with back-pressure: `send` returns
-when the caller has taken the message. So whole callers' paths run in virtual time.
+The node's side has the interface that an ASGI server offers to its application, with
+back-pressure: `send` returns when the caller has received the message. Whole requests can thus
+run in virtual time.
 """
 
 from collections.abc import Callable
@@ -20,8 +21,8 @@
     Attributes:
         method: HTTP method.
         path: Path without the query.
-        query: Query without the question mark.
-        headers: Header names in lower case, and values.
+        query: Query string without the question mark.
+        headers: Pairs of a header name in lower case and its value.
         body: The whole body.
     """
 
@@ -33,10 +34,10 @@
 
 
 class CallerExchange(Protocol):
-    """The caller's side of one exchange, in memory or on a socket.
+    """The caller's side of an exchange, in memory or on a socket.
 
     Attributes:
-        was_connected: Whether a connection was made; known after the first message.
+        was_connected: Whether a connection was established; valid after the first `next_message`.
     """
 
     was_connected: bool
@@ -51,11 +52,11 @@
 
 
 Connect = Callable[[HttpRequest], CallerExchange | None]
-"""Opens an exchange; None if the connection is refused at once."""
+"""Opens an exchange; returns None if the connection is refused immediately."""
 
 
 class Exchange:
-    """An exchange in memory: a `CallerExchange`, and the node's side of it."""
+    """An in-memory exchange: both the `CallerExchange` and the node's side."""
 
     was_connected = True
 
@@ -65,7 +66,7 @@
         self._receive: MemoryObjectReceiveStream[Message] = streams[1]
         self._request = request
         self._is_body_read = False
-        self._has_left = anyio.Event()
+        self._disconnected = anyio.Event()
 
     async def next_message(self) -> Message | None:
         """Return the node's next ASGI message; None when the connection is closed."""
@@ -76,7 +77,7 @@
 
     async def disconnect(self) -> None:
         """Close the connection from the caller's side."""
-        self._has_left.set()
+        self._disconnected.set()
         self._receive.close()
 
     def break_off(self) -> None:
@@ -99,15 +100,15 @@
         }
 
     async def receive(self) -> Message:
-        """Return the application's next message: the body, then the caller's leaving."""
+        """Return the request body, then wait for the caller to disconnect and report that."""
         if not self._is_body_read:
             self._is_body_read = True
             return {"type": "http.request", "body": self._request.body, "more_body": False}
-        await self._has_left.wait()
+        await self._disconnected.wait()
         return {"type": "http.disconnect"}
 
     async def send(self, message: Message) -> None:
-        """Pass on a message of the application; ignored once the connection is closed."""
+        """Pass a message of the application to the caller; drop it if the connection is closed."""
         try:
             await self._send.send(message)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
--- a/src/weirscale/experiments/run/experiment.py
+++ b/src/weirscale/experiments/run/experiment.py
@@ -1,4 +1,4 @@
-"""Experiment files: what is run, on which deployment, under which faults."""
+"""Schema of experiment files: the workload, the deployment and the faults of a run."""
 
 from weirscale.domain.configuration.model import Declared
 from weirscale.experiments.faults.kinds import PlannedFault
@@ -8,15 +8,15 @@
 
 
 class WorkloadChoice(Declared, frozen=True):
-    """A preset of the workload and what is changed in it.
+    """A workload preset and its overrides.
 
     Attributes:
         preset: `yearbook` or `racing`.
-        requests_per_s: Mean arrival rate, or None for the preset's.
-        bursts: Times of higher rate.
-        common_bytes: Bytes at the head of all tenants' prompts that are the same.
-        leave_share: Share of callers that leave, or None for the preset's.
-        slow_share: Share of slow readers, or None for the preset's.
+        requests_per_s: Mean arrival rate; None uses the preset's.
+        bursts: Periods with a higher arrival rate, added to the preset's.
+        common_bytes: Length of the prefix that the prompts of all tenants share.
+        leave_share: Share of callers that disconnect early; None uses the preset's.
+        slow_share: Share of callers that read slowly; None uses the preset's.
     """
 
     preset: str
@@ -28,13 +28,13 @@
 
 
 class EngineChanges(Declared, frozen=True):
-    """What the stand-in engines do differently from the deployment's declaration.
+    """Settings of the stand-in engines, in addition to or in place of the deployment's.
 
     Attributes:
-        num_total_blocks: Blocks of cache of each engine, or None for the declared number.
-        event_lag_s: Time from a cache event to its publication.
-        restart_s: Time from an engine's crash until it answers again.
-        load_s: Time that loading weights takes when one engine loads alone.
+        num_total_blocks: Cache blocks of each engine; None uses the declared number.
+        event_lag_s: Delay between a cache event and its publication.
+        restart_s: Time from an engine's crash until it responds again.
+        load_s: Time to load weights when only one engine is loading.
     """
 
     num_total_blocks: int | None = None
@@ -44,18 +44,18 @@
 
 
 class Experiment(Declared, frozen=True):
-    """One experiment file.
+    """The content of an experiment file.
 
     Attributes:
-        format: Version of this file format; 1.
+        format: Version of the file format; must be 1.
         name: The experiment's name.
         deployment: Path of the configuration file, relative to the experiment file.
-        workload: What callers do.
-        nodes_per_zone: Nodes in each zone.
-        duration_s: Time in which callers send.
-        seed: Determines workload, faults' targets and all chance.
-        engines: What the stand-in engines do differently.
-        faults: Faults on the timeline.
+        workload: The callers' workload.
+        nodes_per_zone: Number of nodes in each zone.
+        duration_s: Length of the period in which callers send requests.
+        seed: Seed of all random choices, such as the workload and the targets of faults.
+        engines: Settings of the stand-in engines.
+        faults: Faults to inject, with their times.
     """
 
     format: int
--- a/src/weirscale/experiments/run/fleet.py
+++ b/src/weirscale/experiments/run/fleet.py
@@ -1,4 +1,7 @@
-"""A fleet of virtual nodes: starting, killing, pausing and stopping them, all on record."""
+"""A fleet of virtual nodes that can be started, killed, paused and stopped.
+
+Each of these changes is recorded.
+"""
 
 import anyio
 import msgspec
@@ -22,7 +25,7 @@
 
 
 class MemberPlace(msgspec.Struct, frozen=True):
-    """Where a node of the fleet stands."""
+    """Name, zone and peer address of a node of the fleet."""
 
     name: NodeName
     zone: ZoneName
@@ -30,7 +33,7 @@
 
 
 class _Member:
-    """One node over all its runs."""
+    """The state of a node across its runs."""
 
     def __init__(self, place: MemberPlace) -> None:
         self.place = place
@@ -41,11 +44,11 @@
 
 
 class Fleet:
-    """Owns the nodes of a run.
+    """Owns the nodes of an experiment run.
 
     Attributes:
         places: All nodes, sorted by name.
-        failures: Exceptions raised in nodes: faults of the product.
+        failures: Exceptions that nodes raised; each one is a bug in the nodes.
         num_peer_bytes: Bytes that nodes have sent to one another.
     """
 
@@ -67,7 +70,7 @@
         self._members = {place.name: _Member(place) for place in self.places}
 
     def use_factory(self, make_node: NodeFactory) -> None:
-        """Set what nodes are made by; called once before any is started."""
+        """Set the factory of nodes; must be called before the first `start`."""
         self._make_node = make_node
 
     def start(self, name: NodeName) -> None:
@@ -101,30 +104,30 @@
         self._record(name, NodeChange.STARTED)
 
     def endpoint(self, name: NodeName) -> MemoryEndpoint:
-        """Return the network access of a node's present run."""
+        """Return the network endpoint of a node's current run."""
         endpoint = self._members[name].endpoint
         assert endpoint is not None
         return endpoint
 
     def is_running(self, name: NodeName) -> bool:
-        """Whether a node runs, paused or not."""
+        """Return whether a node is running; a paused node counts as running."""
         process = self._members[name].process
-        return process is not None and process.accepts
+        return process is not None and process.is_accepting
 
     def num_exchanges(self, name: NodeName) -> int:
-        """Return how many exchanges with callers a node has open."""
+        """Return the number of open exchanges between callers and a node."""
         process = self._members[name].process
         return process.num_exchanges if process is not None else 0
 
     def crash(self, name: NodeName) -> None:
-        """Kill a node; does nothing if it does not run."""
+        """Kill a node; do nothing if it is not running."""
         if not self.is_running(name):
             return
         self._record(name, NodeChange.CRASHED)
-        self._end(name)
+        self._terminate(name)
 
     async def restart(self, name: NodeName, down_s: float) -> None:
-        """Kill a node and start it again after a time."""
+        """Kill a node and start it again after `down_s`; do nothing if it is not running."""
         if not self.is_running(name):
             return
         self.crash(name)
@@ -132,68 +135,79 @@
         self.start_if_stopped(name)
 
     def start_if_stopped(self, name: NodeName) -> None:
-        """Start a node unless another fault has done so."""
+        """Start a node unless another fault has already restarted it."""
         if not self.is_running(name):
             self.start(name)
 
     async def pause(self, name: NodeName, lasts_s: float) -> None:
-        """Stop a node as SIGSTOP would and let it go on after a time."""
+        """Suspend a node as SIGSTOP does, and resume it after `lasts_s`."""
         member = self._members[name]
         process, endpoint = member.process, member.endpoint
-        if process is None or endpoint is None or not process.accepts or process.life.is_paused:
+        if (
+            process is None
+            or endpoint is None
+            or not process.is_accepting
+            or process.life.is_paused
+        ):
             return
         self._record(name, NodeChange.PAUSED)
         process.life.pause()
         endpoint.freeze()
         await anyio.sleep(lasts_s)
         endpoint.thaw()
-        if member.process is process and process.accepts:
+        if member.process is process and process.is_accepting:
             process.life.resume()
             self._record(name, NodeChange.RESUMED)
 
-    async def stop_planned(self, name: NodeName, patience_s: float) -> bool:
-        """Drain a node and end it; False if draining took longer than the patience."""
+    async def stop_planned(self, name: NodeName, timeout_s: float) -> bool:
+        """Drain a node and stop it; return False if draining exceeded the timeout."""
         member = self._members[name]
         process = member.process
-        if process is None or process.node is None or not process.accepts or member.is_draining:
+        if (
+            process is None
+            or process.node is None
+            or not process.is_accepting
+            or member.is_draining
+        ):
             return True
         member.is_draining = True
         self._record(name, NodeChange.DRAIN_BEGAN)
         is_drained = False
-        with anyio.move_on_after(patience_s):
+        with anyio.move_on_after(timeout_s):
             await process.drain()
             is_drained = True
-        if member.process is process and process.accepts:
+        if member.process is process and process.is_accepting:
             self._record(name, NodeChange.STOPPED)
-            self._end(name)
+            self._terminate(name)
         return is_drained
 
     def count_peer_bytes(self, num_bytes: int) -> None:
-        """Count bytes that a node sends to another."""
+        """Add bytes that a node sent to another node."""
         self.num_peer_bytes += num_bytes
 
     def record_change(self, name: NodeName, change: NodeChange) -> None:
-        """Record a change that the harness made elsewhere."""
+        """Record a change of a node that was made outside of this class."""
         self._record(name, change)
 
-    def reach(self, zone: ZoneName, index: int) -> tuple[NodeName, Connect]:
-        """Return the node that a caller near a zone gets a connection to.
+    def find_node(self, zone: ZoneName, index: int) -> tuple[NodeName, Connect]:
+        """Return the node that a caller in a zone connects to.
 
-        Callers know all nodes' addresses: they try those of their zone first, beginning at an
-        index, then the others. Draining nodes have left the callers' lists but still accept.
+        A caller has the addresses of all nodes. It tries the nodes of its zone first, starting at
+        `index`, then those of other zones. Draining nodes come last, since they have left the
+        callers' lists but still accept connections.
         """
-        near = [place for place in self.places if place.zone == zone]
-        far = [place for place in self.places if place.zone != zone]
-        start = index % len(near)
-        ordered = near[start:] + near[:start] + far
+        in_zone = [place for place in self.places if place.zone == zone]
+        elsewhere = [place for place in self.places if place.zone != zone]
+        start = index % len(in_zone)
+        ordered = in_zone[start:] + in_zone[:start] + elsewhere
         ordered.sort(key=lambda place: self._members[place.name].is_draining)
         for place in ordered:
             process = self._members[place.name].process
-            if process is not None and process.accepts:
+            if process is not None and process.is_accepting:
                 return place.name, process.connect
         return ordered[0].name, _refuse_connection
 
-    def _end(self, name: NodeName) -> None:
+    def _terminate(self, name: NodeName) -> None:
         member = self._members[name]
         if member.process is not None:
             member.process.kill()
@@ -205,7 +219,7 @@
         self._recorder.add(NodeChanged(at_s=self._recorder.now(), node=name, change=change))
 
     async def _watch_configuration(self, name: NodeName, node: Node) -> None:
-        """Record each revision that a node puts in force."""
+        """Record each configuration revision that a node applies."""
         revision = ConfigurationRevision(0)
         while True:
             in_force = await node.configuration.changed_after(revision)
--- a/src/weirscale/experiments/run/gates.py
+++ b/src/weirscale/experiments/run/gates.py
@@ -1,4 +1,8 @@
-"""Ports of one virtual node: what it does passes its life's gate and the links of its zone."""
+"""Ports of a virtual node that apply the state of its process and the links of its zone.
+
+A call waits while the process is paused, raises once it is killed, and fails or waits while a
+link that it needs is cut.
+"""
 
 from collections.abc import AsyncGenerator, AsyncIterator, Awaitable, Callable
 from contextlib import AbstractAsyncContextManager, aclosing, asynccontextmanager
@@ -11,7 +15,7 @@
 from weirscale.domain.request.model import ServiceRequest, ServiceResponse
 from weirscale.experiments.history.records import OrderTaken
 from weirscale.experiments.run.life import ProcessLife
-from weirscale.experiments.run.links import Path
+from weirscale.experiments.run.links import ZonePath
 from weirscale.experiments.run.recorder import Recorder
 from weirscale.messages.cache import CacheDump, CacheEventBatch, LoadReport
 from weirscale.ports.engine import (
@@ -29,23 +33,23 @@
 AnswerT = TypeVar("AnswerT")
 
 CONTROL_TIMEOUT_S = 2.0
-"""Calls other than generation give up after this time on a cut link."""
+"""Timeout of calls other than generation while the link is cut."""
 UNREACHABLE_ENGINE = EngineFailure(EngineFailureKind.UNREACHABLE, "the link is cut")
 TIMED_OUT_ENGINE = EngineFailure(EngineFailureKind.TIMED_OUT, "the link was cut")
 
 
 class GatedEngine:
-    """An `EnginePort` as one node has it.
+    """The `EnginePort` through which a virtual node reaches an engine.
 
     Args:
-        engine: The engine itself.
+        engine: The engine's own port.
         life: The node's process.
-        path: The way from node to engine.
-        recorder: Takes the orders that the engine accepts.
+        path: The path from the node's zone to the engine's.
+        recorder: Receives the orders that the engine accepts.
     """
 
     def __init__(
-        self, engine: EnginePort, life: ProcessLife, path: Path, recorder: Recorder
+        self, engine: EnginePort, life: ProcessLife, path: ZonePath, recorder: Recorder
     ) -> None:
         self._engine = engine
         self._life = life
@@ -55,23 +59,23 @@
     def generate(
         self, call: GenerateCall
     ) -> AbstractAsyncContextManager[AsyncIterator[ChunkOrFailure]]:
-        """Start one attempt and stream its chunks."""
+        """Start an attempt and stream its chunks."""
         return self._stream(lambda: self._engine.generate(call))
 
     def resume(
         self, request_id: RequestId, attempt: int, from_sequence: int
     ) -> AbstractAsyncContextManager[AsyncIterator[ChunkOrFailure]]:
-        """Stream the chunks of an attempt again."""
+        """Stream the chunks of an attempt again from a sequence number."""
         return self._stream(lambda: self._engine.resume(request_id, attempt, from_sequence))
 
     def cache_events(
         self, incarnation: Incarnation | None, after_sequence: int
     ) -> AbstractAsyncContextManager[AsyncIterator[Result[CacheEventBatch, EngineFailure]]]:
-        """Follow cache events."""
+        """Stream cache events."""
         return self._stream(lambda: self._engine.cache_events(incarnation, after_sequence))
 
     async def cancel(self, request_id: RequestId, attempt: int) -> Result[None, EngineFailure]:
-        """Stop an attempt's work."""
+        """Cancel an attempt."""
         return await self._control(lambda: self._engine.cancel(request_id, attempt))
 
     async def load(self) -> Result[LoadReport, EngineFailure]:
@@ -79,14 +83,14 @@
         return await self._control(self._engine.load)
 
     async def cache_dump(self) -> Result[CacheDump, EngineFailure]:
-        """Read every block held now."""
+        """Read all blocks that are currently cached."""
         return await self._control(self._engine.cache_dump)
 
     async def order(self, order: EngineOrder) -> Result[None, EngineFailure]:
-        """Give a fenced order; recorded at the moment at which the engine accepts it."""
-        return await self._control(lambda: self._recorded_order(order))
+        """Send a fenced order; record it at the moment when the engine accepts it."""
+        return await self._control(lambda: self._send_and_record_order(order))
 
-    async def _recorded_order(self, order: EngineOrder) -> Result[None, EngineFailure]:
+    async def _send_and_record_order(self, order: EngineOrder) -> Result[None, EngineFailure]:
         answer = await self._engine.order(order)
         report = await self._engine.load()
         if isinstance(answer, Ok) and isinstance(report, Ok):
@@ -108,26 +112,26 @@
         ],
     ) -> AsyncIterator[AsyncIterator[Result[ItemT, EngineFailure]]]:
         if not await self._life.guard(self._path.connect):
-            async with aclosing(_only(UNREACHABLE_ENGINE)) as failure:
+            async with aclosing(_yield_failure(UNREACHABLE_ENGINE)) as failure:
                 yield failure
             return
         async with (
             open_stream() as items,
-            aclosing(self._arriving(items)) as arriving,
-            aclosing(self._life.guard_each(arriving)) as seen,
+            aclosing(self._delayed_items(items)) as delayed_items,
+            aclosing(self._life.guard_each(delayed_items)) as guarded_items,
         ):
-            yield seen
+            yield guarded_items
 
-    async def _arriving(
+    async def _delayed_items(
         self, items: AsyncIterator[Result[ItemT, EngineFailure]]
     ) -> AsyncGenerator[Result[ItemT, EngineFailure], None]:
-        """Delay the first item by the way back, and all while the way is cut."""
+        """Delay the first item by the return delay, and each item until the path is connected."""
         is_first = True
         async for item in items:
             if is_first:
                 await anyio.sleep(self._path.delay_s)
                 is_first = False
-            await self._path.wait_until_joined()
+            await self._path.wait_until_connected()
             yield item
 
     async def _control(
@@ -135,27 +139,27 @@
     ) -> Result[AnswerT, EngineFailure]:
         if not await self._life.guard(self._path.connect):
             return Err(UNREACHABLE_ENGINE)
-        return await self._life.guard(lambda: self._answered(call))
+        return await self._life.guard(lambda: self._answer_over_link(call))
 
-    async def _answered(
+    async def _answer_over_link(
         self, call: Callable[[], Awaitable[Result[AnswerT, EngineFailure]]]
     ) -> Result[AnswerT, EngineFailure]:
         answer = await call()
         with anyio.move_on_after(CONTROL_TIMEOUT_S):
-            await self._path.wait_until_joined()
+            await self._path.wait_until_connected()
             await anyio.sleep(self._path.delay_s)
             return answer
         return Err(TIMED_OUT_ENGINE)
 
 
-async def _only(failure: EngineFailure) -> AsyncGenerator[Err[EngineFailure], None]:
+async def _yield_failure(failure: EngineFailure) -> AsyncGenerator[Err[EngineFailure], None]:
     yield Err(failure)
 
 
 class GatedService:
-    """A `ServicePort` as one node has it."""
+    """The `ServicePort` through which a virtual node reaches a service back end."""
 
-    def __init__(self, service: ServicePort, life: ProcessLife, path: Path) -> None:
+    def __init__(self, service: ServicePort, life: ProcessLife, path: ZonePath) -> None:
         self._service = service
         self._life = life
         self._path = path
@@ -163,33 +167,33 @@
     async def call(
         self, request: ServiceRequest, time_left_s: float
     ) -> Result[ServiceResponse, ServiceFailure]:
-        """Send the request once."""
+        """Send the request, without a retry."""
         if not await self._life.guard(self._path.connect):
             return Err(ServiceFailure(ServiceFailureKind.UNREACHABLE, "the link is cut"))
-        return await self._life.guard(lambda: self._answered(request, time_left_s))
+        return await self._life.guard(lambda: self._answer_over_link(request, time_left_s))
 
-    async def _answered(
+    async def _answer_over_link(
         self, request: ServiceRequest, time_left_s: float
     ) -> Result[ServiceResponse, ServiceFailure]:
         with anyio.move_on_after(time_left_s):
             answer = await self._service.call(request, time_left_s)
-            await self._path.wait_until_joined()
+            await self._path.wait_until_connected()
             await anyio.sleep(self._path.delay_s)
             return answer
         return Err(ServiceFailure(ServiceFailureKind.TIMED_OUT, "no answer in time"))
 
 
 class GatedMachines:
-    """A `MachineListPort` as one node has it."""
+    """The `MachineListPort` through which a virtual node reads the machine list."""
 
-    def __init__(self, machines: MachineListPort, life: ProcessLife, path: Path) -> None:
+    def __init__(self, machines: MachineListPort, life: ProcessLife, path: ZonePath) -> None:
         self._machines = machines
         self._life = life
         self._path = path
 
     async def machines(self) -> Result[tuple[Machine, ...], MachineListFailure]:
-        """Read the list."""
+        """Read the machine list."""
         if not self._path.links.reaches_platform(self._path.source):
             await self._life.guard(lambda: anyio.sleep(CONTROL_TIMEOUT_S))
-            return Err(MachineListFailure("the platform cannot be reached; go on with the last"))
+            return Err(MachineListFailure("the platform cannot be reached; keep the last list"))
         return await self._life.guard(self._machines.machines)
--- a/src/weirscale/experiments/run/http_exchange.py
+++ b/src/weirscale/experiments/run/http_exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange with a node over a socket, in the form that callers read."""
+"""A `CallerExchange` with a node over a socket."""
 
 from collections.abc import AsyncIterator
 
@@ -10,10 +10,10 @@
 
 
 class HttpExchange:
-    """A `CallerExchange` by httpx; nothing is sent before the first `next_message`.
+    """A `CallerExchange` based on httpx; the first `next_message` sends the request.
 
     Attributes:
-        was_connected: Whether a connection was made.
+        was_connected: Whether a connection was established; valid after the first `next_message`.
     """
 
     def __init__(self, client: httpx.AsyncClient, address: str, request: HttpRequest) -> None:
@@ -30,7 +30,7 @@
         self._parts: AsyncIterator[bytes] | None = None
 
     async def next_message(self) -> Message | None:
-        """Return the next message; None when the connection broke."""
+        """Return the next message, or None if the connection failed."""
         try:
             if self._parts is None:
                 return await self._open()
--- a/src/weirscale/experiments/run/life.py
+++ b/src/weirscale/experiments/run/life.py
@@ -1,10 +1,10 @@
-"""The life of one virtual node process: running, paused as by SIGSTOP, or killed.
+"""The state of a virtual node process: running, paused as by SIGSTOP, or killed.
 
-A node in virtual time shares the event loop with all others, so nothing can kill it as a signal
-would: its code may be shielded from cancellation. Instead, all that it does to the world passes a
-gate. At the gate of a killed process every call raises `ProcessKilled`, through shields and all;
-at the gate of a paused one it waits until the process goes on, as a call that was about to be
-made before the pause and is made after it.
+All nodes in virtual time share an event loop, so a node cannot be killed as by a signal:
+cancellation does not reach code in a shielded scope. Instead, each external call of a node passes
+a gate (`ProcessLife.guard`). Once the process is killed, every call raises `ProcessKilled`, also
+in shielded scopes. While it is paused, a call waits until the process resumes, like a call that
+the process was about to make when it was stopped.
 """
 
 from collections.abc import AsyncGenerator, AsyncIterator, Awaitable, Callable
@@ -16,11 +16,11 @@
 
 
 class ProcessKilled(BaseException):
-    """Unwinds the code of a killed process; handlers of `Exception` do not see it."""
+    """Unwinds the code of a killed process; `except Exception` does not catch it."""
 
 
 class ProcessLife:
-    """One run of one virtual process."""
+    """One run of a virtual process, and the gate for its external calls."""
 
     def __init__(self) -> None:
         self._is_killed = False
@@ -29,37 +29,37 @@
 
     @property
     def is_killed(self) -> bool:
-        """Whether the process is gone."""
+        """Whether the process has been killed."""
         return self._is_killed
 
     @property
     def is_paused(self) -> bool:
-        """Whether the process is stopped for now."""
+        """Whether the process is paused."""
         return self._resumed is not None
 
     def kill(self) -> None:
-        """End the process; whatever it waits for at a gate unwinds."""
+        """Kill the process; calls that wait at the gate raise `ProcessKilled`."""
         self._is_killed = True
         self.resume()
         for scope in tuple(self._waiting):
             scope.cancel()
 
     def pause(self) -> None:
-        """Stop the process."""
+        """Pause the process."""
         if self._resumed is None:
             self._resumed = anyio.Event()
 
     def resume(self) -> None:
-        """Let the process go on."""
+        """Resume the process."""
         if self._resumed is not None:
             self._resumed.set()
             self._resumed = None
 
-    async def go_on(self) -> None:
+    async def wait_until_running(self) -> None:
         """Wait while the process is paused.
 
         Raises:
-            ProcessKilled: The process is gone.
+            ProcessKilled: The process has been killed.
         """
         while self._resumed is not None:
             await self._resumed.wait()
@@ -67,12 +67,12 @@
             raise ProcessKilled
 
     async def guard(self, call: Callable[[], Awaitable[AnswerT]]) -> AnswerT:
-        """Make a call of the process; its answer is seen only while the process runs.
+        """Make an external call for the process; return its result only while the process runs.
 
         Raises:
-            ProcessKilled: The process is gone, now or before the answer came.
+            ProcessKilled: The process was killed before the call or before its result.
         """
-        await self.go_on()
+        await self.wait_until_running()
         answer: list[AnswerT] = []
         scope = anyio.CancelScope()
         self._waiting[scope] = None
@@ -81,11 +81,11 @@
                 answer.append(await call())
         finally:
             self._waiting.pop(scope, None)
-        await self.go_on()
+        await self.wait_until_running()
         return answer[0]
 
     async def guard_each(self, items: AsyncIterator[AnswerT]) -> AsyncGenerator[AnswerT, None]:
-        """Pass on the items of an iterator, each as the answer to a call of the process."""
+        """Yield the items of an iterator, each fetched by a guarded call."""
         while True:
             try:
                 item = await self.guard(items.__anext__)
--- a/src/weirscale/experiments/run/links.py
+++ b/src/weirscale/experiments/run/links.py
@@ -1,4 +1,4 @@
-"""Links between zones and to the platform, as back ends and nodes of a virtual fleet see them."""
+"""Simulated links between the zones of a virtual fleet, and from zones to the platform."""
 
 import anyio
 import msgspec
@@ -7,15 +7,15 @@
 
 SAME_ZONE_DELAY_S = 0.0002
 ZONE_DELAY_S = 0.0015
-"""One way between zones."""
+"""One-way delay between zones."""
 CALLER_DELAY_S = 0.001
-"""One way between a caller and a node."""
+"""One-way delay between a caller and a node."""
 CONNECT_TIMEOUT_S = 1.0
-"""Connecting over a cut link fails after this time."""
+"""Time after which a connection attempt over a cut link fails."""
 
 
 class Links:
-    """Which zones can reach one another and the platform."""
+    """Keeps which zones can reach one another and the platform."""
 
     def __init__(self) -> None:
         self._cut_zones: set[ZoneName] = set()
@@ -34,25 +34,25 @@
         self._notify()
 
     def rejoin(self, zone: ZoneName) -> None:
-        """Make all links of a zone whole."""
+        """Restore all links of a zone."""
         self._cut_zones.discard(zone)
         self._zones_without_platform.discard(zone)
         self._notify()
 
     def rejoin_platform(self, zone: ZoneName) -> None:
-        """Give a zone the platform back, unless the zone itself is cut off."""
+        """Restore a zone's link to the platform, unless the whole zone is cut off."""
         if zone not in self._cut_zones:
             self._zones_without_platform.discard(zone)
         self._notify()
 
-    def are_joined(self, first: ZoneName, second: ZoneName) -> bool:
-        """Whether two zones reach each other."""
+    def are_connected(self, first: ZoneName, second: ZoneName) -> bool:
+        """Return whether two zones can reach each other."""
         if first == second:
             return True
         return first not in self._cut_zones and second not in self._cut_zones
 
     def reaches_platform(self, zone: ZoneName) -> bool:
-        """Whether a zone reaches the platform."""
+        """Return whether a zone can reach the platform."""
         return zone not in self._zones_without_platform
 
     async def wait_for_change(self) -> None:
@@ -64,8 +64,8 @@
         self._changed = anyio.Event()
 
 
-class Path(msgspec.Struct, frozen=True):
-    """The way from one zone to another."""
+class ZonePath(msgspec.Struct, frozen=True):
+    """The path from one zone to another."""
 
     links: Links
     source: ZoneName
@@ -73,23 +73,23 @@
 
     @property
     def delay_s(self) -> float:
-        """One-way delay."""
+        """One-way delay in seconds."""
         return SAME_ZONE_DELAY_S if self.source == self.destination else ZONE_DELAY_S
 
     @property
-    def is_joined(self) -> bool:
-        """Whether the way is open."""
-        return self.links.are_joined(self.source, self.destination)
+    def is_connected(self) -> bool:
+        """Whether the zones can reach each other."""
+        return self.links.are_connected(self.source, self.destination)
 
     async def connect(self) -> bool:
-        """Travel there once; False, after the connect timeout, if the way is cut."""
-        if not self.is_joined:
+        """Wait for the one-way delay; return False after the connect timeout if the path is cut."""
+        if not self.is_connected:
             await anyio.sleep(CONNECT_TIMEOUT_S)
             return False
         await anyio.sleep(self.delay_s)
         return True
 
-    async def wait_until_joined(self) -> None:
-        """Wait as bytes on a connection do: until the way is open."""
-        while not self.is_joined:
+    async def wait_until_connected(self) -> None:
+        """Wait until the path is open, as unacknowledged bytes of a connection do."""
+        while not self.is_connected:
             await self.links.wait_for_change()
--- a/src/weirscale/experiments/run/load.py
+++ b/src/weirscale/experiments/run/load.py
@@ -1,4 +1,4 @@
-"""Reads and checks experiment files, and works out their workloads."""
+"""Load and check experiment files, and derive their workloads."""
 
 from collections.abc import Iterator, Mapping
 from pathlib import Path
@@ -18,11 +18,11 @@
 from weirscale.experiments.workload.shape import PRESETS, Burst, WorkloadShape
 
 HOT_SHIFT_FACTOR = 2.0
-"""The rate's multiple while a sudden shift of the hot set lasts."""
+"""Factor of the arrival rate during a sudden shift of the hot set."""
 
 
 class LoadedExperiment(msgspec.Struct, frozen=True):
-    """An experiment with its deployment read and its workload's shape worked out."""
+    """An experiment with its deployment and the shape of its workload."""
 
     experiment: Experiment
     deployment: Deployment
@@ -30,10 +30,10 @@
 
 
 def load_experiment(file: Path) -> Result[LoadedExperiment, tuple[str, ...]]:
-    """Read and check an experiment file and the deployment that it names.
+    """Load and check an experiment file and its deployment file.
 
     Returns:
-        The experiment, or every error as one line that names file, line, field and remedy.
+        The experiment, or all errors, each a line with file, line, field and remedy.
     """
     try:
         text = file.read_text()
@@ -60,12 +60,12 @@
 
 
 def with_shape(experiment: Experiment, deployment: Deployment) -> LoadedExperiment:
-    """Work out the shape of an experiment's workload; shifts of the hot set belong to it."""
+    """Return the experiment with the shape of its workload, including shifts of the hot set."""
     return LoadedExperiment(experiment, deployment, workload_shape(experiment))
 
 
 def check_experiment(text: str) -> Result[Experiment, ConfigurationErrors]:
-    """Parse an experiment file and check the rules over several fields."""
+    """Parse the text of an experiment file and check its values."""
     parsed = parse_declared(text, Experiment)
     if isinstance(parsed, Err):
         return parsed
@@ -74,7 +74,7 @@
 
 
 Problem = tuple[str, str, str]
-"""Path of a field, what is wrong with it, and the remedy."""
+"""Path of a field, error message and remedy."""
 
 
 def _rule_errors(experiment: Experiment, lines: Mapping[str, int]) -> list[ConfigurationError]:
@@ -111,7 +111,7 @@
 
 
 def _fault_problems(experiment: Experiment) -> Iterator[Problem]:
-    # A duration that is itself wrong says nothing about the faults' times.
+    # An invalid duration is reported by itself, so it is no bound for the times of faults.
     end_s = experiment.duration_s if experiment.duration_s > 0 else float("inf")
     for index, fault in enumerate(experiment.faults):
         if not 0 <= fault.at_s < end_s:
@@ -124,7 +124,7 @@
 
 
 def workload_shape(experiment: Experiment) -> WorkloadShape:
-    """Return the preset with the experiment's changes and its sudden shifts of the hot set."""
+    """Return the preset with the experiment's overrides and a burst for each hot-set shift."""
     choice = experiment.workload
     preset = PRESETS[choice.preset]
     shifts = [fault for fault in experiment.faults if fault.kind is FaultKind.HOT_SHIFT]
--- a/src/weirscale/experiments/run/main.py
+++ b/src/weirscale/experiments/run/main.py
@@ -1,4 +1,4 @@
-"""The command `experiment run`."""
+"""Implement the command `experiment run`."""
 
 import os
 import sys
@@ -23,10 +23,10 @@
 
 
 def ensure_fixed_hash_seed() -> None:
-    """Start this command anew, in place, with a fixed hash seed, unless one is set already.
+    """Re-execute this command with a fixed hash seed, unless one is already set.
 
-    The order of sets of names follows the hash seed, so a seed of ours determines a run only
-    together with it. Python reads it at its start only.
+    The iteration order of sets of names depends on the hash seed, so an experiment seed determines
+    a run only together with it. Python reads the hash seed only at startup.
     """
     if os.environ.get(HASH_SEED_VARIABLE, "random") != "random":
         return
@@ -44,12 +44,13 @@
 
     Args:
         file: Experiment file, see `experiments/`.
-        seed: Replaces the file's seed.
-        report: Directory for `report.json`; None writes nothing.
-        faults: Kinds of faults with commas between, in place of the file's; they overlap.
+        seed: Overrides the file's seed.
+        report: Directory for `report.json`; None writes no report.
+        faults: Comma-separated kinds of faults that replace the file's; they overlap in time.
 
     Returns:
-        The exit code: 0, 1 when a rule was broken, 2 for a bad argument.
+        The exit code: 0 for success, 1 if a rule was violated or a node raised an exception, 2 for
+        an invalid argument.
     """
     loaded = load_experiment(Path(file))
     if isinstance(loaded, Err):
@@ -74,27 +75,27 @@
 def _with_faults(
     loaded: LoadedExperiment, faults: str | Sequence[str] | None
 ) -> Result[LoadedExperiment, str]:
-    """Put named faults in place of the file's; fire gives several names as a tuple."""
+    """Replace the file's faults by the named ones; Fire passes several names as a tuple."""
     if faults is None:
         return Ok(loaded)
     names = faults.split(",") if isinstance(faults, str) else list(faults)
-    known = {kind.value: kind for kind in FaultKind}
-    unknown = [name for name in names if name not in known]
+    kinds_by_name = {kind.value: kind for kind in FaultKind}
+    unknown = [name for name in names if name not in kinds_by_name]
     if unknown:
-        return Err(f"unknown fault {unknown[0]!r}; use {', '.join(known)}")
-    planned = overlapping([known[name] for name in names])
+        return Err(f"unknown fault {unknown[0]!r}; use {', '.join(kinds_by_name)}")
+    planned = overlapping([kinds_by_name[name] for name in names])
     name = "+".join([loaded.experiment.name, *names])
     experiment = msgspec.structs.replace(loaded.experiment, name=name, faults=planned)
     return Ok(with_shape(experiment, loaded.deployment))
 
 
 def has_failed(outcome: RunOutcome) -> bool:
-    """Whether a rule was broken or a node raised an exception."""
+    """Return whether a rule was violated or a node raised an exception."""
     return bool(outcome.figures.violations) or outcome.figures.num_internal_errors > 0
 
 
 def run_with_progress(loaded: LoadedExperiment, seed: int) -> RunOutcome:
-    """Run with a bar of progress on the terminal."""
+    """Run an experiment with a progress bar on the terminal."""
     from rich.progress import Progress as ProgressBar
 
     with ProgressBar(transient=True) as bar:
@@ -121,9 +122,9 @@
         show("refusals: " + " ".join(f"{code}={n}" for code, n in figures.refusals.items()))
     ttft = figures.ttft_seconds
     show(
-        f"prefix_hit_rate={_shown(figures.prefix_hit_rate)} "
-        f"recomputed_tokens_ratio={_shown(figures.recomputed_tokens_ratio)} "
-        f"ttft_s p50={_shown(ttft.p50)} p95={_shown(ttft.p95)} p99={_shown(ttft.p99)}"
+        f"prefix_hit_rate={_format(figures.prefix_hit_rate)} "
+        f"recomputed_tokens_ratio={_format(figures.recomputed_tokens_ratio)} "
+        f"ttft_s p50={_format(ttft.p50)} p95={_format(ttft.p95)} p99={_format(ttft.p99)}"
     )
     show(f"violations={len(figures.violations)} internal_errors={figures.num_internal_errors}")
     for violation in figures.violations[:MAX_PRINTED_VIOLATIONS]:
@@ -132,5 +133,5 @@
         show(f"internal error: {error}")
 
 
-def _shown(value: float | None) -> str:
+def _format(value: float | None) -> str:
     return "none" if value is None else f"{value:.3f}"
--- a/src/weirscale/experiments/run/node_factory.py
+++ b/src/weirscale/experiments/run/node_factory.py
@@ -1,4 +1,4 @@
-"""Makes the product's own nodes for a virtual fleet, with all their ports behind gates."""
+"""Creates real nodes for a virtual fleet, with gates at all their ports."""
 
 from random import Random
 
@@ -8,7 +8,7 @@
 from weirscale.domain.identifiers import Incarnation, NodeId
 from weirscale.experiments.run.fleet import Fleet
 from weirscale.experiments.run.gates import GatedEngine, GatedMachines, GatedService
-from weirscale.experiments.run.links import Path
+from weirscale.experiments.run.links import ZonePath
 from weirscale.experiments.run.node_process import NodeSetup
 from weirscale.experiments.run.platform import Platform
 from weirscale.experiments.run.platform_gates import GatedKeyValue, GatedPeers
@@ -25,23 +25,23 @@
 PEER_KEYS = (PeerKey(key_id=1, secret=b"virtual-fleet-peer-key"),)
 
 FIRST_EPOCH_MS = 1_800_000_000_000
-"""Wall clock at the beginning of each run, so that runs do not depend on the day."""
+"""Wall clock at the start of each run, fixed so that runs do not depend on the date."""
 
 
 def epoch_ms() -> int:
-    """Return the virtual wall clock."""
+    """Return the virtual wall clock in milliseconds since the epoch."""
     return FIRST_EPOCH_MS + int(anyio.current_time() * 1000)
 
 
 class ProductNodes:
-    """Makes nodes; one factory for a whole run.
+    """Factory of the nodes of an experiment run.
 
     Args:
         platform: The stand-ins that nodes reach.
-        fleet: The fleet whose nodes are made.
-        recorder: Takes what the gates see.
-        random: Seeds each node's own generator.
-        event_log: Where nodes' events go.
+        fleet: The fleet that the nodes belong to.
+        recorder: Receives the records of engine orders.
+        random: Seeds each node's own random generator.
+        event_log: Receives the log events of all nodes.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self._event_log = event_log
 
     def make(self, setup: NodeSetup) -> Node:
-        """Make the node of one run."""
+        """Create a node for one run of its process."""
         identity = NodeIdentity(
             node=NodeId(setup.name, Incarnation(epoch_ms() + setup.run_number)),
             zone=setup.zone,
@@ -78,8 +78,8 @@
         platform = self._platform
         life = setup.life
 
-        def path_to(zone: str) -> Path:
-            return Path(platform.links, setup.zone, zone)  # type: ignore[arg-type]
+        def path_to(zone: str) -> ZonePath:
+            return ZonePath(platform.links, setup.zone, zone)  # type: ignore[arg-type]
 
         def engine_port(engine: Engine) -> EnginePort:
             stand_in = platform.engines[engine.name]
--- a/src/weirscale/experiments/run/node_process.py
+++ b/src/weirscale/experiments/run/node_process.py
@@ -1,4 +1,4 @@
-"""One run of a virtual node: its tasks, its life and the exchanges with its callers."""
+"""One run of a virtual node process, with its tasks and its exchanges with callers."""
 
 from collections.abc import Callable, MutableMapping
 from typing import Any
@@ -13,19 +13,19 @@
 from weirscale.node.assembly import Node
 
 FLUSH_S = 0.01
-"""What a server needs to send answers that are complete."""
+"""Time that the HTTP server needs to send answers that the application has completed."""
 
 
 class NodeSetup(msgspec.Struct, frozen=True):
-    """What a run of a node is made from.
+    """Parameters of one run of a node.
 
     Attributes:
         name: The node's name.
-        zone: Its zone.
-        address: Its peer address.
-        run_number: Counts the runs of this node from 1.
-        life: Its process.
-        tasks: Its process's task group.
+        zone: The node's zone.
+        address: The node's peer address.
+        run_number: Number of this run of the node, starting at 1.
+        life: State of the node's process.
+        tasks: Task group of the process.
     """
 
     name: NodeName
@@ -37,16 +37,17 @@
 
 
 NodeFactory = Callable[[NodeSetup], Node]
-"""Makes the node of one run; its ports must pass the gates of the setup's life."""
+"""Creates the node of one run; its ports must pass the gate of `NodeSetup.life`."""
 
 
 class NodeProcess:
-    """One run of one node.
+    """One run of a node.
 
     Attributes:
-        life: Its gate to the world.
-        node: The node, once `run` has made it.
-        failures: Exceptions that handling of requests or tasks raised: faults of the product.
+        life: State of the process and gate for its external calls.
+        node: The node, once `run` has created it.
+        failures: Exceptions that request handlers or tasks of the node raised; each one is a bug
+            in the node.
     """
 
     def __init__(self, failures: list[Exception]) -> None:
@@ -58,17 +59,17 @@
         self._exchanges: dict[Exchange, None] = {}
 
     @property
-    def accepts(self) -> bool:
-        """Whether a connection can be made: a paused process still has its listening socket."""
+    def is_accepting(self) -> bool:
+        """Whether callers can connect; the listening socket of a paused process stays open."""
         return self._tasks is not None and not self.life.is_killed
 
     @property
     def num_exchanges(self) -> int:
-        """Exchanges that have not ended."""
+        """Number of exchanges that have not ended."""
         return len(self._exchanges)
 
     async def run(self, make_node: Callable[[TaskGroup], Node]) -> None:
-        """Run until killed or stopped; never raises."""
+        """Run until killed or stopped; never raise, but add the node's exceptions to `failures`."""
         try:
             with self._scope:
                 async with anyio.create_task_group() as tasks:
@@ -78,34 +79,34 @@
         except* ProcessKilled:
             pass
         except* Exception as group:
-            self.failures.extend(_leaves(group))
+            self.failures.extend(_leaf_exceptions(group))
         finally:
             self._tasks = None
             self._break_exchanges()
 
     async def drain(self) -> None:
-        """Have the node drain, as SIGTERM does: a paused process takes it when it goes on.
+        """Drain the node as on SIGTERM; a paused process starts to drain when it resumes.
 
-        Returns at once when the process is killed meanwhile. Otherwise the HTTP server still sends
-        what the application has handed to it.
+        Returns immediately if the process is killed meanwhile. Otherwise it returns after the HTTP
+        server has had time to send what the application has passed to it.
         """
         try:
-            await self.life.go_on()
+            await self.life.wait_until_running()
             if self.node is not None:
                 await self.node.drain()
             await anyio.sleep(FLUSH_S)
         except* ProcessKilled:
-            # `except*` also meets it inside the groups of the node's own task groups.
+            # `except*` also catches it inside exception groups, which the node's task groups raise.
             pass
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process immediately."""
         self.life.kill()
         self._scope.cancel()
         self._break_exchanges()
 
     def connect(self, request: HttpRequest) -> Exchange | None:
-        """Connect and send a request; None if the connection is refused."""
+        """Connect and send a request; return None if the connection is refused."""
         if self._tasks is None or self.node is None or self.life.is_killed:
             return None
         exchange = Exchange(request)
@@ -121,7 +122,7 @@
             await self.life.guard(lambda: exchange.send(dict(message)))
 
         try:
-            await self.life.go_on()
+            await self.life.wait_until_running()
             await node.caller_app(exchange.scope(), receive, send)
         except Exception as error:
             self.failures.append(error)
@@ -134,9 +135,11 @@
             exchange.break_off()
 
 
-def _leaves(group: BaseExceptionGroup[Exception]) -> list[Exception]:
-    """Return the single exceptions of a group."""
-    leaves: list[Exception] = []
+def _leaf_exceptions(group: BaseExceptionGroup[Exception]) -> list[Exception]:
+    """Return the exceptions of a group and of its nested groups."""
+    leaf_exceptions: list[Exception] = []
     for error in group.exceptions:
-        leaves.extend(_leaves(error) if isinstance(error, BaseExceptionGroup) else [error])
-    return leaves
+        leaf_exceptions.extend(
+            _leaf_exceptions(error) if isinstance(error, BaseExceptionGroup) else [error]
+        )
+    return leaf_exceptions
--- a/src/weirscale/experiments/run/operator.py
+++ b/src/weirscale/experiments/run/operator.py
@@ -1,4 +1,4 @@
-"""Operators of a virtual fleet: they apply configurations and record what was accepted."""
+"""Simulated operator of a virtual fleet, who applies configurations."""
 
 from collections.abc import Callable
 from random import Random
@@ -15,20 +15,20 @@
 from weirscale.standins.key_value.in_process import InProcessKeyValue
 from weirscale.standins.key_value.server import KeyValueServer
 
-READ_AGAIN_S = 0.5
+READ_RETRY_S = 0.5
 MAX_READS = 60
 
 Change = Callable[[Deployment], Deployment]
-"""What an operator changes in the file."""
+"""Returns a changed copy of the declared deployment."""
 
 
 class Operator:
-    """Applies files through the product's own `apply`.
+    """Applies configurations with the real `Applier` and records accepted revisions.
 
     Args:
         store: The key-value service.
-        recorder: Takes accepted revisions.
-        random: Jitters waits.
+        recorder: Receives the accepted revisions.
+        random: Source of the jitter of waits and of apply ids.
     """
 
     def __init__(self, store: KeyValueServer, recorder: Recorder, random: Random) -> None:
@@ -38,15 +38,15 @@
         self._num_applied = 0
 
     async def declare(self, deployment: Deployment) -> ApplyOutcome:
-        """Apply the first file, to an empty store."""
+        """Apply the first configuration, to an empty store."""
         return await self._apply(deployment, None)
 
     async def change(self, change: Change, thinking_s: float = 0.0) -> ApplyOutcome | None:
-        """Read the declared state, change it and apply it; None if it could not be read.
+        """Read the declared deployment, change it and apply it; return None if reading failed.
 
         Args:
-            change: What is changed.
-            thinking_s: Time between reading and applying, in which others may apply too.
+            change: Returns the changed deployment.
+            thinking_s: Delay between reading and applying, in which others can apply changes.
         """
         for _ in range(MAX_READS):
             current = await read_current(self._port)
@@ -54,7 +54,7 @@
                 deployment = change(current.ok_value.stored.deployment)
                 await anyio.sleep(thinking_s)
                 return await self._apply(deployment, current.ok_value.revision)
-            await anyio.sleep(READ_AGAIN_S)
+            await anyio.sleep(READ_RETRY_S)
         return None
 
     async def _apply(self, deployment: Deployment, made_from: int | None) -> ApplyOutcome:
--- a/src/weirscale/experiments/run/platform.py
+++ b/src/weirscale/experiments/run/platform.py
@@ -1,4 +1,4 @@
-"""Everything outside the nodes of a virtual fleet: engines, services, store and machine list."""
+"""Stand-ins for the platform of a virtual fleet: engines, services, stores and machine list."""
 
 from random import Random
 
@@ -22,24 +22,24 @@
 from weirscale.standins.weight_store.in_process import InProcessWeightStore, WeightStoreSettings
 
 NUM_SCHEDULER_STEPS = 4
-"""Decode steps for each chunk: a fourth of the events of a run, with the same token times."""
+"""Decode steps per chunk; 4 steps make a quarter of the events of 1 step, at equal token times."""
 WEIGHT_BYTES = 8_000_000_000
-"""Bytes of one model's weights."""
+"""Size of the weights of each model."""
 RATE_LIMIT_PER_S = 50.0
 RATE_LIMIT_BURST = 50
-"""The platform's store is rate-limited over all its clients."""
+"""Rate limit and burst of the key-value service, for all clients together."""
 
 
 class Platform:
-    """The stand-ins of one run.
+    """The stand-ins of an experiment run.
 
     Attributes:
-        deployment: The deployment as first declared.
+        deployment: The deployment as declared at the start.
         engines: Engines by name.
         services: Service back ends by name.
         store: The key-value service.
-        weights: The weight store.
-        kept_kv_stores: Stores of kept KV cache by address.
+        weights: The store of model weights.
+        kept_kv_stores: Stores of exported KV cache blocks, by address.
         machines: The machine list.
         links: Links between zones.
         zones: All zones, in the order of the deployment.
@@ -78,24 +78,26 @@
         )
 
     def addresses(self) -> dict[str, str]:
-        """Return the address of every engine and service back end by its name."""
-        addresses: dict[str, str] = {one.name: one.address for one in self.deployment.engines}
+        """Return the addresses of all engines and service back ends by name."""
+        addresses: dict[str, str] = {
+            engine.name: engine.address for engine in self.deployment.engines
+        }
         for service in self.deployment.services:
-            addresses.update({one.name: one.address for one in service.backends})
+            addresses.update({backend.name: backend.address for backend in service.backends})
         return addresses
 
     @property
     def has_imported_kv(self) -> bool:
-        """Whether any engine has imported blocks from a store of kept KV cache."""
+        """Whether any engine has imported blocks from a store of exported KV cache blocks."""
         return any(store.num_imported_blocks for store in self.kept_kv_stores.values())
 
     def start(self, tasks: TaskGroup) -> None:
-        """Run the engines."""
+        """Start the engines in a task group."""
         for engine in self.engines.values():
             tasks.start_soon(engine.run)
 
     def run_records(self) -> list[AnyRecord]:
-        """Return what engines and services ran, as records."""
+        """Return the runs of all engines and services as history records."""
         records: list[AnyRecord] = []
         for engine in self.engines.values():
             records.extend(map(engine_run, engine.model.ledger.records()))
@@ -105,7 +107,7 @@
 
 
 def engine_run(run: RunRecord) -> EngineRun:
-    """Return an engine's ledger entry as a record of a history."""
+    """Return a ledger entry of an engine as a history record."""
     return EngineRun(
         at_s=run.started_at_s,
         request_id=run.request_id,
@@ -123,7 +125,7 @@
 
 
 def service_run(run: StandInServiceRun) -> ServiceRun:
-    """Return a service's run as a record of a history."""
+    """Return a run of a service as a history record."""
     return ServiceRun(
         at_s=run.ran_at_s,
         request_id=run.request_id,
@@ -133,7 +135,7 @@
 
 
 def _weight_settings(changes: EngineChanges) -> WeightStoreSettings:
-    """Return a store whose bandwidth one load alone uses for the time that loading takes."""
+    """Return settings whose bandwidth makes a single load take `changes.load_s`."""
     return WeightStoreSettings(bytes_per_s=WEIGHT_BYTES / changes.load_s)
 
 
--- a/src/weirscale/experiments/run/platform_gates.py
+++ b/src/weirscale/experiments/run/platform_gates.py
@@ -1,4 +1,4 @@
-"""Access of one virtual node to the key-value service and to its peers."""
+"""Ports through which a virtual node reaches the key-value service and its peers."""
 
 from collections.abc import AsyncGenerator, AsyncIterator, Callable
 from contextlib import AbstractAsyncContextManager, aclosing, asynccontextmanager
@@ -16,15 +16,15 @@
 from weirscale.standins.key_value.in_process import InProcessKeyValue
 
 DATAGRAM_HEADER_BYTES = 28
-"""IP and UDP headers."""
+"""Size of the IP and UDP headers of a datagram."""
 CALL_HEADER_BYTES = 300
-"""About the HTTP and TCP/IP headers of one request or answer."""
+"""Approximate size of the HTTP and TCP/IP headers of a request or reply."""
 
 Watch = AsyncIterator[Result[WatchEvent, KeyValueFailure]]
 
 
 class GatedKeyValue:
-    """A `KeyValuePort` as one node has it."""
+    """The `KeyValuePort` through which a virtual node reaches the key-value service."""
 
     def __init__(
         self, client: InProcessKeyValue, life: ProcessLife, links: Links, zone: ZoneName
@@ -36,43 +36,45 @@
 
     async def read(self, prefix: str) -> Result[ReadAnswer, KeyValueFailure]:
         """Read every key with a prefix."""
-        return await self._life.guard(lambda: self._joined().read(prefix))
+        return await self._life.guard(lambda: self._updated_client().read(prefix))
 
     async def compare_and_swap(
         self, key: str, expected_mod_revision: int, value: bytes | None, lease_id: int = 0
     ) -> Result[SwapAnswer, KeyValueFailure]:
-        """Write or delete a key if its revision is the expected one."""
+        """Write or delete a key if its revision equals the expected one."""
         return await self._life.guard(
-            lambda: self._joined().compare_and_swap(key, expected_mod_revision, value, lease_id)
+            lambda: self._updated_client().compare_and_swap(
+                key, expected_mod_revision, value, lease_id
+            )
         )
 
     async def grant_lease(self, time_to_live_s: float) -> Result[int, KeyValueFailure]:
-        """Make a lease."""
-        return await self._life.guard(lambda: self._joined().grant_lease(time_to_live_s))
+        """Grant a lease."""
+        return await self._life.guard(lambda: self._updated_client().grant_lease(time_to_live_s))
 
     async def keep_lease_alive(self, lease_id: int) -> Result[float, KeyValueFailure]:
         """Renew a lease."""
-        return await self._life.guard(lambda: self._joined().keep_lease_alive(lease_id))
+        return await self._life.guard(lambda: self._updated_client().keep_lease_alive(lease_id))
 
     async def revoke_lease(self, lease_id: int) -> Result[None, KeyValueFailure]:
-        """End a lease."""
-        return await self._life.guard(lambda: self._joined().revoke_lease(lease_id))
+        """Revoke a lease."""
+        return await self._life.guard(lambda: self._updated_client().revoke_lease(lease_id))
 
     def watch(self, prefix: str, start_revision: int) -> AbstractAsyncContextManager[Watch]:
-        """Follow changes from a revision on."""
+        """Watch changes of keys with a prefix, starting at a revision."""
         return self._watch(prefix, start_revision)
 
     @asynccontextmanager
     async def _watch(self, prefix: str, start_revision: int) -> AsyncIterator[Watch]:
-        await self._life.go_on()
+        await self._life.wait_until_running()
         async with (
-            self._joined().watch(prefix, start_revision) as events,
-            aclosing(self._arriving(events)) as arriving,
-            aclosing(self._life.guard_each(arriving)) as seen,
+            self._updated_client().watch(prefix, start_revision) as events,
+            aclosing(self._delayed_items(events)) as delayed_items,
+            aclosing(self._life.guard_each(delayed_items)) as guarded_items,
         ):
-            yield seen
+            yield guarded_items
 
-    async def _arriving(
+    async def _delayed_items(
         self, events: Watch
     ) -> AsyncGenerator[Result[WatchEvent, KeyValueFailure], None]:
         async for event in events:
@@ -80,17 +82,17 @@
                 await self._links.wait_for_change()
             yield event
 
-    def _joined(self) -> InProcessKeyValue:
-        """Return the client, cut off or not as the links are now."""
+    def _updated_client(self) -> InProcessKeyValue:
+        """Return the client, cut off if the zone cannot currently reach the platform."""
         self._client.is_cut_off = not self._links.reaches_platform(self._zone)
         return self._client
 
 
 class GatedPeers:
-    """A `PeerNetwork` as one node has it.
+    """The `PeerNetwork` through which a virtual node reaches its peers.
 
-    Calls of others are answered in the node's own task group, so that a caller that is killed
-    meanwhile does not stop them halfway.
+    Calls from peers are handled in the node's own task group, so that a peer that is killed in the
+    meantime does not cancel the handler halfway.
     """
 
     def __init__(
@@ -112,8 +114,10 @@
 
     async def datagrams(self) -> AsyncIterator[Datagram]:
         """Iterate over arriving casts."""
-        async with aclosing(self._life.guard_each(aiter(self._endpoint.datagrams()))) as seen:
-            async for datagram in seen:
+        async with aclosing(
+            self._life.guard_each(aiter(self._endpoint.datagrams()))
+        ) as guarded_items:
+            async for datagram in guarded_items:
                 yield datagram
 
     async def call(
@@ -140,9 +144,9 @@
     async def _answer(
         self, handler: CallHandler, payload: bytes, answers: list[bytes], answered: anyio.Event
     ) -> None:
-        await self._life.go_on()
+        await self._life.wait_until_running()
         answer = await handler(payload)
         self._count_bytes(len(answer) + CALL_HEADER_BYTES)
         answers.append(answer)
-        await self._life.go_on()
+        await self._life.wait_until_running()
         answered.set()
--- a/src/weirscale/experiments/run/recorder.py
+++ b/src/weirscale/experiments/run/recorder.py
@@ -1,4 +1,4 @@
-"""Gathers the records of a run in memory."""
+"""Collects the records of an experiment run in memory."""
 
 from collections.abc import Callable
 
@@ -6,21 +6,21 @@
 
 
 class Recorder:
-    """Takes records from callers, harness and stand-ins; all run in one event loop.
+    """Collects the records of callers, harness and stand-ins; all of them share an event loop.
 
     Attributes:
-        records: Everything recorded, in the order of recording.
+        records: All records, in the order in which they were added.
     """
 
     def __init__(self, now: Callable[[], float]) -> None:
-        """Make an empty recorder.
+        """Create an empty recorder.
 
         Args:
-            now: The clock of all records.
+            now: Clock for the times of records, in seconds.
         """
         self.records: list[AnyRecord] = []
         self.now = now
 
     def add(self, record: AnyRecord) -> None:
-        """Keep one record."""
+        """Add a record."""
         self.records.append(record)
--- a/src/weirscale/experiments/run/requests.py
+++ b/src/weirscale/experiments/run/requests.py
@@ -1,4 +1,4 @@
-"""HTTP requests and "sent" records of the items of a plan."""
+"""Build the HTTP requests and the "sent" records for the items of a plan."""
 
 from urllib.parse import urlsplit
 
@@ -17,25 +17,26 @@
 
 
 def api_key(tenant: TenantName) -> str:
-    """Return a tenant's API key, by the convention of the shipped deployments."""
+    """Return a tenant's API key as the shipped deployments declare it."""
     return f"{tenant}-key"
 
 
 def marker_of(item: ServiceItem) -> str:
     """Return the text that the answer to an item must contain.
 
-    A change's answer names its body, which its repeats share; a read's names the request.
+    An item with a body is a change, whose answer contains a digest of the body; repeats of the
+    change share that digest. The answer to a read contains the request id.
     """
     return body_digest(item.body) if item.body else item.request_id
 
 
 def generation_request(item: GenerationItem, body: dict[str, object]) -> HttpRequest:
-    """Return the request that a caller of a generation item sends."""
+    """Return the HTTP request for a generation item with the given body."""
     return HttpRequest("POST", CHAT_PATH, "", _headers(item, None), msgspec.json.encode(body))
 
 
 def service_request(item: ServiceItem) -> HttpRequest:
-    """Return the request that a caller of a service item sends."""
+    """Return the HTTP request for a service item."""
     target = urlsplit(item.path)
     path = f"{SERVICES_PREFIX}{item.service}{target.path}"
     headers = _headers(item, item.idempotency_key)
@@ -57,7 +58,7 @@
 def generation_sent(
     item: GenerationItem, body: dict[str, object], node: NodeName, start_s: float, now_s: float
 ) -> GenerationSent:
-    """Return the record of a generation item that is sent now; the run began at `start_s`."""
+    """Return the record of a generation item sent at `now_s`, in a run that began at `start_s`."""
     prompt = prompt_bytes(body)
     assert prompt is not None
     return GenerationSent(
@@ -75,7 +76,7 @@
 
 
 def service_sent(item: ServiceItem, node: NodeName, start_s: float, now_s: float) -> ServiceSent:
-    """Return the record of a service item that is sent now; the run began at `start_s`."""
+    """Return the record of a service item sent at `now_s`, in a run that began at `start_s`."""
     return ServiceSent(
         at_s=now_s,
         request_id=item.request_id,
--- a/src/weirscale/experiments/run/virtual.py
+++ b/src/weirscale/experiments/run/virtual.py
@@ -1,4 +1,4 @@
-"""Runs one experiment: a whole fleet in one process, in virtual time."""
+"""Runs an experiment: a whole fleet in a single process, in virtual time."""
 
 from collections.abc import Callable, Sequence
 from random import Random
@@ -30,26 +30,29 @@
 from weirscale.standins.engine.answer import expected_text
 
 SETTLE_S = 3.0
-"""Callers begin this long after the nodes start: the fleet has its configuration by then."""
+"""Delay between the start of the nodes and the first requests.
+
+The nodes have received their configuration by then.
+"""
 LEAVING_BOUND_S = 2.0
-"""After the machine list shows that a back end leaves."""
+"""Time for nodes to stop sending new work once the machine list shows that a back end leaves."""
 MEASURING_SLACK_S = 0.5
-"""Time between hearing and sending that is no fault: polling, and requests on their way."""
+"""Tolerance added to `LEAVING_BOUND_S`, for polling and for requests in flight."""
 
 Progress = Callable[[int, int, float], None]
-"""Told how many requests have ended, of how many, and the seconds of virtual time so far."""
+"""Called with the ended requests, the planned requests and the elapsed virtual seconds."""
 PROGRESS_INTERVAL_S = 1.0
 
 MakeFactory = Callable[[Platform, Fleet, Recorder, Random], NodeFactory]
 
 
 class RunOutcome(msgspec.Struct, frozen=True):
-    """A run's history and its figures.
+    """The history and the figures of a run.
 
     Attributes:
-        history: All records; times are the virtual clock's, which begins at 0.
-        figures: What the report gives.
-        faults: The faults, with their times on that clock.
+        history: All records, with times of the virtual clock, which starts at 0.
+        figures: The figures of the report.
+        faults: The injected faults, with times of the virtual clock.
     """
 
     history: History
@@ -58,17 +61,17 @@
 
 
 class VirtualRun:
-    """One run; `run` is called once.
+    """A run of an experiment; `run` must be called only once.
 
     Attributes:
-        seed: The seed that determines all chance.
+        seed: Seed of all random choices.
 
     Args:
         loaded: The experiment.
-        seed: Replaces the experiment's seed.
-        event_log: Where nodes' events go.
-        make_factory: Makes the factory of nodes; the product's unless a test gives another.
-        progress: Told of progress once a virtual second.
+        seed: Overrides the experiment's seed.
+        event_log: Receives the log events of all nodes; None discards them.
+        make_factory: Creates the factory of nodes; None uses real nodes.
+        progress: Called once per second of virtual time.
     """
 
     def __init__(
@@ -88,7 +91,7 @@
         self._faults_on_clock: tuple[PlannedFault, ...] = ()
 
     async def run(self) -> RunOutcome:
-        """Run to the end, then judge."""
+        """Run the experiment to its end and judge its history."""
         experiment = self._loaded.experiment
         deployment = self._loaded.deployment
         platform = Platform(deployment, experiment.engines, self._fork())
@@ -104,14 +107,14 @@
             for place in fleet.places:
                 fleet.start(place.name)
             await anyio.sleep(SETTLE_S)
-            self._faults_on_clock = _later(experiment.faults, anyio.current_time())
+            self._faults_on_clock = _shift_times(experiment.faults, anyio.current_time())
             Injector(world, self._fork()).start(tasks, self._faults_on_clock)
-            await self._send_all(Callers(fleet.reach, recorder))
+            await self._send_all(Callers(fleet.find_node, recorder))
             tasks.cancel_scope.cancel()
         return self._outcome(platform, fleet, recorder)
 
     def _fork(self) -> Random:
-        """Return a generator of its own for one part, so that parts do not disturb one another."""
+        """Return a separate generator, so that random choices of one part do not affect another."""
         return Random(self._random.getrandbits(64))
 
     def _product_factory(
@@ -122,11 +125,11 @@
     async def _send_all(self, callers: Callers) -> None:
         plan = plan_of(self._loaded, self.seed)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._tell_progress, callers, len(plan))
+            tasks.start_soon(self._report_progress, callers, len(plan))
             await callers.send_all(plan)
             tasks.cancel_scope.cancel()
 
-    async def _tell_progress(self, callers: Callers, num_planned: int) -> None:
+    async def _report_progress(self, callers: Callers, num_planned: int) -> None:
         start_s = anyio.current_time()
         while self._progress is not None:
             self._progress(callers.num_ended, num_planned, anyio.current_time() - start_s)
@@ -141,7 +144,7 @@
             Bounds(leaving_s=lag_s + LEAVING_BOUND_S + MEASURING_SLACK_S),
             is_kv_kept=platform.has_imported_kv,
         )
-        identity = identity_of(self._loaded, self.seed)
+        identity = run_identity(self._loaded, self.seed)
         node_seconds = len(fleet.places) * anyio.current_time()
         control = ControlCost(bytes_per_second=fleet.num_peer_bytes / node_seconds)
         figures = work_out(history, judge(history), identity, control, fleet.failures)
@@ -149,7 +152,7 @@
 
 
 def plan_of(loaded: LoadedExperiment, seed: int) -> Sequence[PlanItem]:
-    """Return the plan of an experiment's callers."""
+    """Return the requests that the callers of an experiment send."""
     deployment = loaded.deployment
     setting = PlanSetting(
         tenants=tuple(tenant.name for tenant in deployment.tenants),
@@ -158,12 +161,12 @@
     return make_plan(loaded.shape, setting, loaded.experiment.duration_s, seed)
 
 
-def _later(faults: tuple[PlannedFault, ...], by_s: float) -> tuple[PlannedFault, ...]:
+def _shift_times(faults: tuple[PlannedFault, ...], by_s: float) -> tuple[PlannedFault, ...]:
     return tuple(msgspec.structs.replace(fault, at_s=fault.at_s + by_s) for fault in faults)
 
 
-def identity_of(loaded: LoadedExperiment, seed: int) -> RunIdentity:
-    """Return what names a run of an experiment."""
+def run_identity(loaded: LoadedExperiment, seed: int) -> RunIdentity:
+    """Return the fields that identify a run of an experiment."""
     experiment = loaded.experiment
     return RunIdentity(
         name=experiment.name,
@@ -179,5 +182,5 @@
 
 
 def run_experiment(run: VirtualRun) -> RunOutcome:
-    """Run an experiment in virtual time; its seed gives one schedule."""
+    """Run an experiment in virtual time; its seed determines the task schedule."""
     return run_in_virtual_time(run.run, seed=run.seed)
