--- a/src/weirscale/experiments/__init__.py
+++ b/src/weirscale/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Workloads, experiment runs, history checking and reports."""
+"""Workloads, experiment runs, history checks and reports."""
--- a/src/weirscale/experiments/memory_network.py
+++ b/src/weirscale/experiments/memory_network.py
@@ -1,8 +1,9 @@
-"""An in-memory network between nodes, for whole fleets in one process in virtual time.
+"""An in-memory network between nodes, for whole fleets in a single process in virtual time.
 
-It delays, drops, duplicates, reorders and cuts, and freezes nodes as SIGSTOP would: what arrives
-at a frozen node waits and comes in a burst when it wakes; `MemoryEndpoint.sleep` does not return
-while the node is frozen. All chance comes from the `Random` handed in.
+It can delay, drop, duplicate and reorder messages, partition the network, and freeze nodes as
+SIGSTOP does. Messages to a frozen node are queued and delivered in a burst when it resumes, and
+`MemoryEndpoint.sleep` does not return while the node is frozen. All random choices come from the
+`Random` passed to `MemoryNetwork`.
 """
 
 from collections.abc import AsyncIterator
@@ -18,17 +19,19 @@
 from weirscale.ports.peers import CallHandler, Datagram, PeerFailure
 
 INBOX_SIZE = 8192
-"""Datagrams that wait at most; more are dropped, as by a full socket buffer."""
+"""Maximum number of queued datagrams; further ones are dropped, as by a full socket buffer."""
 
 
 class LinkQuality(msgspec.Struct, frozen=True):
-    """How a link treats what is sent over it.
+    """Delay and losses of a link.
 
     Attributes:
         delay_s: One-way delay.
-        jitter_s: Up to this much is added at random; reorders when above the sending gap.
-        drop_rate: Share of datagrams lost; a call is lost (times out) at the same rate.
-        duplicate_rate: Share of datagrams that arrive twice.
+        jitter_s: Maximum random addition to the delay; datagrams are reordered if it exceeds the
+            time between them.
+        drop_rate: Share of datagrams that are lost. Requests and replies of calls are lost at the
+            same rate; such a call times out.
+        duplicate_rate: Share of datagrams that are delivered twice.
     """
 
     delay_s: float = 0.0015
@@ -38,7 +41,7 @@
 
 
 class MemoryEndpoint:
-    """One node's access to the network; implements `PeerNetwork`."""
+    """A node's access to the network; implements `PeerNetwork`."""
 
     def __init__(self, network: "MemoryNetwork", address: NodeAddress, zone: ZoneName) -> None:
         self.address = address
@@ -77,28 +80,28 @@
         self.handler = handler
 
     async def sleep(self, duration_s: float) -> None:
-        """Sleep as a task of this node would: longer if the node is frozen meanwhile."""
+        """Sleep as a task of this node does: longer if the node is frozen meanwhile."""
         await anyio.sleep(duration_s)
         await self.wait_until_thawed()
 
     async def wait_until_thawed(self) -> None:
-        """Return at once unless the node is frozen."""
+        """Wait while the node is frozen."""
         while self._thawed is not None:
             await self._thawed.wait()
 
     def freeze(self) -> None:
-        """Stop the node as SIGSTOP would."""
+        """Suspend the node as SIGSTOP does."""
         if self._thawed is None:
             self._thawed = anyio.Event()
 
     def thaw(self) -> None:
-        """Let the node go on."""
+        """Resume the node."""
         if self._thawed is not None:
             self._thawed.set()
             self._thawed = None
 
     def enqueue(self, datagram: Datagram) -> None:
-        """Put an arriving datagram into the inbox."""
+        """Add an arriving datagram to the inbox; drop it if the inbox is full or closed."""
         try:
             self._send.send_nowait(datagram)
         except (anyio.WouldBlock, anyio.BrokenResourceError, anyio.ClosedResourceError):
@@ -109,9 +112,9 @@
     """Carries datagrams and calls between endpoints.
 
     Args:
-        tasks: Deliveries run in this task group.
-        random: Source of all chance.
-        default_quality: Of every link.
+        tasks: Task group in which datagrams are delivered.
+        random: Source of all random choices.
+        default_quality: Quality of every link.
     """
 
     def __init__(
@@ -124,21 +127,21 @@
         self._blocked: set[tuple[NodeAddress, NodeAddress]] = set()
 
     def attach(self, address: NodeAddress, zone: ZoneName) -> MemoryEndpoint:
-        """Connect a node, in place of any earlier one at the address."""
+        """Connect a node; it replaces an earlier one at the same address."""
         endpoint = MemoryEndpoint(self, address, zone)
         self.endpoints[address] = endpoint
         return endpoint
 
     def detach(self, address: NodeAddress) -> None:
-        """Take a node off the network, as a crash does."""
+        """Disconnect a node from the network, as a crash does."""
         self.endpoints.pop(address, None)
 
     def cut(self, sources: set[NodeAddress], destinations: set[NodeAddress]) -> None:
-        """Lose everything from the sources to the destinations (one way)."""
+        """Drop all messages from the sources to the destinations, in this direction only."""
         self._blocked.update((a, b) for a in sources for b in destinations)
 
     def cut_both_ways(self, first: set[NodeAddress], second: set[NodeAddress]) -> None:
-        """Lose everything between two groups."""
+        """Drop all messages between two groups, in both directions."""
         self.cut(first, second)
         self.cut(second, first)
 
@@ -147,7 +150,7 @@
         self._blocked.clear()
 
     def carry(self, source: MemoryEndpoint, destination: NodeAddress, payload: bytes) -> None:
-        """Carry one datagram; it may be dropped, doubled or delayed."""
+        """Carry a datagram, which may be dropped, duplicated or delayed."""
         quality = self.quality_of(source, destination)
         if self._is_lost(source.address, destination, quality):
             return
@@ -160,7 +163,10 @@
     async def carry_call(
         self, source: MemoryEndpoint, destination: NodeAddress, payload: bytes
     ) -> Result[bytes, PeerFailure]:
-        """Carry one call there and back; a lost one never returns (the caller times out)."""
+        """Carry a call and its reply.
+
+        If the request or the reply is lost, this never returns, so the caller must set a timeout.
+        """
         quality = self.quality_of(source, destination)
         if self._is_lost(source.address, destination, quality):
             await anyio.sleep_forever()
--- a/src/weirscale/experiments/virtual_time.py
+++ b/src/weirscale/experiments/virtual_time.py
@@ -1,4 +1,4 @@
-"""Runs a coroutine function in virtual time: anyio on trio with a clock that jumps when idle."""
+"""Run a coroutine function in virtual time: anyio on trio, with a clock that skips idle time."""
 
 import importlib
 from collections.abc import Awaitable, Callable
@@ -8,25 +8,25 @@
 
 ResultT = TypeVar("ResultT")
 
-JUMP_AT_ONCE = 0.0
+AUTOJUMP_THRESHOLD_S = 0.0
 SCHEDULER_SEED = 0
 
 
 def run_in_virtual_time(
     function: Callable[..., Awaitable[ResultT]], *arguments: object, seed: int = SCHEDULER_SEED
 ) -> ResultT:
-    """Run to the end and return the result; the same seed gives the same schedule."""
+    """Run a coroutine function and return its result; equal seeds give equal task schedules."""
     from trio.testing import MockClock
 
     seed_scheduler(seed)
-    clock = MockClock(autojump_threshold=JUMP_AT_ONCE)
+    clock = MockClock(autojump_threshold=AUTOJUMP_THRESHOLD_S)
     return anyio.run(function, *arguments, backend="trio", backend_options={"clock": clock})
 
 
 def seed_scheduler(seed: int) -> None:
-    """Make trio run tasks that are ready together in an order that the seed alone determines.
+    """Make the order in which trio runs simultaneously ready tasks depend only on the seed.
 
-    Trio shuffles them by a generator of its own, which has no public seed.
+    Trio shuffles them with a generator of its own that cannot be seeded through its public API.
     """
     scheduler = importlib.import_module("trio._core._run")
     scheduler._ALLOW_DETERMINISTIC_SCHEDULING = True  # type: ignore[attr-defined]
