--- a/src/weirscale/experiments/run/links.py
+++ b/src/weirscale/experiments/run/links.py
@@ -15,7 +15,7 @@
 
 
 class Links:
-    """Keeps which zones can reach one another and the platform."""
+    """Tracks which zones can reach one another and the platform."""
 
     def __init__(self) -> None:
         self._cut_zones: set[ZoneName] = set()
