--- a/features/operator_commands.feature
+++ b/features/operator_commands.feature
@@ -1,5 +1,9 @@
 Feature: The command line and the operators' port
-  Scenario Outline: A bad command is one line that names the remedy
+
+  Guards against commands that fail with a traceback or without a remedy, and against operator
+  requests that start a drain by a GET.
+
+  Scenario Outline: A wrong command prints one line that names the remedy
     When weirscale is called with "<arguments>"
     Then it exits with 2 after one line about "<about>"
 
@@ -18,7 +22,7 @@
     Then it exits with 0 and prints the commands
 
   Scenario Outline: The operators' port answers
-    Given an operators' application of a node that decided request "r-1"
+    Given the operator application of a node that routed request "r-1"
     When an operator sends <method> <path>
     Then the operator gets status <status> and "<text>"
 
@@ -33,8 +37,8 @@
       | GET    | /operator/drain                     | 404    | is not served      |
       | GET    | /operator/other                     | 404    | docs/operators     |
 
-  Scenario: Only a posted drain begins the planned stop
-    Given an operators' application of a node that decided request "r-1"
+  Scenario: Only a POST of a drain begins the planned stop
+    Given the operator application of a node that routed request "r-1"
     When an operator sends GET /operator/drain
     Then the planned stop has begun 0 times
     When an operator sends POST /operator/drain
--- a/features/path_bad_input.feature
+++ b/features/path_bad_input.feature
@@ -1,10 +1,13 @@
-Feature: Bad input gets a 4xx with its remedy, reaches no back end and costs bounded memory
+Feature: Bad input gets a 4xx with a remedy, reaches no back end and uses bounded memory
+
+  Guards against malformed, oversized, unauthorised or stalled requests that crash a node, occupy a
+  permit or reach a back end, and against bodies that are read far past their limit.
 
   Scenario Outline: <input>
     Given a node with small limits
     When a caller sends "<input>"
     Then the answer is <status> with code "<code>" and run status "not_run"
-    And no back end was reached and the node serves on
+    And no back end was reached and the node serves the next request
 
     Examples:
       | input                                  | status | code              |
@@ -65,15 +68,15 @@
       | a service body over the limit          | 413    | body_too_large    |
       | half a service body and then nothing   | 408    | request_timeout   |
 
-  Scenario: A caller that leaves in the middle of its body gets no answer and holds nothing
+  Scenario: A caller that disconnects while sending its body gets no answer and no permit
     Given a node with small limits
-    When a caller leaves in the middle of its body
-    Then nothing was answered
-    And no back end was reached and the node serves on
+    When a caller disconnects while sending its body
+    Then no answer was sent
+    And no back end was reached and the node serves the next request
 
-  Scenario: Brackets in strings do not count as depth
+  Scenario: Brackets in strings do not count as JSON depth
     Given a node with small limits
-    When a caller asks about 1000 brackets in a string
+    When a caller sends 1000 brackets in a string
     Then the answer is complete
 
   Scenario: The depth check agrees with counting brackets of parsed JSON
--- a/features/path_faults.feature
+++ b/features/path_faults.feature
@@ -1,12 +1,19 @@
-Feature: A caller gets the whole answer, once and in order, whatever an engine does
-
-  Scenario Outline: One engine <fault>s at <step>, <kind> caption
-    Given an engine that will <fault> once at the step "<step>" and a healthy engine
-    When <kind> caption is asked for, streamed and whole
-    Then each caption ends as "<outcome>"
-    And the history of the request path is clean
-
-    Examples: the step at which an engine fails, how, and what the caller gets
+Feature: A caller gets the complete answer, once and in order, whatever fault an engine has
+
+  Guards against answers with lost, repeated, reordered or foreign chunks, against a second run of a
+  request that may run at most once, and against a wrong run status in an error.
+  Faults of the scripted engine: "kill" ends the process, "stall" sends nothing more, "cross" sends a
+  chunk of another request, "duplicate" sends a chunk twice, "cut" ends the stream without its last
+  chunk, "reset" breaks the connection, "skip" omits a chunk, "busy", "mismatch" and "invalid" refuse
+  the request.
+
+  Scenario Outline: One engine has the fault "<fault>" at <step>, <kind> generation request
+    Given an engine with the fault "<fault>" once at the step "<step>" and a healthy engine
+    When <kind> generation request is sent, streamed and non-streamed
+    Then each generation request ends as "<outcome>"
+    And the request path kept its guarantees
+
+    Examples: the step at which the engine fails, the fault, and what the caller gets
       | step          | fault     | kind           | outcome                 |
       | connect       | kill      | a repeatable   | complete                |
       | connect       | kill      | an at-most-once | complete               |
@@ -75,13 +82,13 @@
       | after the end | cut       | an at-most-once | complete               |
       | after the end | reset     | an at-most-once | complete               |
 
-  Scenario Outline: Every engine <fault>s each time at <step>, <kind> caption
-    Given two engines that <fault> each time at the step "<step>"
-    When <kind> caption is asked for, streamed and whole
-    Then each caption ends as "<outcome>"
-    And the history of the request path is clean
+  Scenario Outline: Every engine has the fault "<fault>" each time at <step>, <kind> generation request
+    Given two engines with the fault "<fault>" each time at the step "<step>"
+    When <kind> generation request is sent, streamed and non-streamed
+    Then each generation request ends as "<outcome>"
+    And the request path kept its guarantees
 
-    Examples: no engine can serve, and the refusal says what is proved
+    Examples: no engine can serve, and the error states whether the request provably ran or did not run
       | step        | fault | kind            | outcome                |
       | connect     | kill  | a repeatable    | backend_failed not_run |
       | connect     | busy  | an at-most-once | backend_failed not_run |
@@ -93,35 +100,35 @@
       | mid-stream  | stall | an at-most-once | stream_broken ran      |
       | mid-stream  | skip  | a repeatable    | stream_broken ran      |
 
-  Scenario: An answer is never continued with other weights
-    Given an engine that will kill once at the step "mid-stream" and a healthy engine
-    And the healthy engine serves other weights
-    When a repeatable caption is asked for, streamed and whole
-    Then each caption ends as "stream_broken ran"
-    And the history of the request path is clean
-
-  Scenario: A spent retry budget ends retries
-    Given an engine that will kill once at the step "connect" and a healthy engine
-    And a retry budget of nothing
-    When a repeatable caption is asked for, streamed and whole
-    Then each caption ends as "backend_failed not_run"
-    And the history of the request path is clean
-
-  Scenario: A deadline ends a request with what is known
-    Given two engines that stall each time at the step "headers"
-    When a caption with 2000 ms is asked for
-    Then each caption ends as "deadline_exceeded unknown"
-    And the captions took at most 2.1 seconds
-    And the history of the request path is clean
-
-  Scenario Outline: A hedge answers when the first engine <fault>s at <step>
-    Given an engine that will <fault> once at the step "<step>" and a healthy engine
+  Scenario: An answer is never continued by an engine with another weight version
+    Given an engine with the fault "kill" once at the step "mid-stream" and a healthy engine
+    And the healthy engine serves another weight version
+    When a repeatable generation request is sent, streamed and non-streamed
+    Then each generation request ends as "stream_broken ran"
+    And the request path kept its guarantees
+
+  Scenario: An exhausted retry budget ends retries
+    Given an engine with the fault "kill" once at the step "connect" and a healthy engine
+    And a retry budget of zero
+    When a repeatable generation request is sent, streamed and non-streamed
+    Then each generation request ends as "backend_failed not_run"
+    And the request path kept its guarantees
+
+  Scenario: A request that reaches its deadline ends with the run status known by then
+    Given two engines with the fault "stall" each time at the step "headers"
+    When a generation request with a deadline of 2000 ms is sent
+    Then each generation request ends as "deadline_exceeded unknown"
+    And the generation requests took at most 2.1 seconds
+    And the request path kept its guarantees
+
+  Scenario Outline: A hedged attempt answers when the first engine has the fault "<fault>" at <step>
+    Given an engine with the fault "<fault>" once at the step "<step>" and a healthy engine
     And hedging after 200 ms
-    When a repeatable caption is asked for, streamed and whole
-    Then each caption ends as "complete"
-    And the captions took at most 0.6 seconds
+    When a repeatable generation request is sent, streamed and non-streamed
+    Then each generation request ends as "complete"
+    And the generation requests took at most 0.6 seconds
     And the first engine's work was cancelled
-    And the history of the request path is clean
+    And the request path kept its guarantees
 
     Examples:
       | step        | fault |
@@ -129,51 +136,51 @@
       | headers     | stall |
       | first chunk | stall |
 
-  Scenario: A request that may run once is never hedged
-    Given an engine that will stall once at the step "headers" and a healthy engine
+  Scenario: A request that may run at most once is never hedged
+    Given an engine with the fault "stall" once at the step "headers" and a healthy engine
     And hedging after 200 ms
-    When an at-most-once caption is asked for, streamed and whole
-    Then each caption ends as "complete"
-    And the history of the request path is clean
+    When an at-most-once generation request is sent, streamed and non-streamed
+    Then each generation request ends as "complete"
+    And the request path kept its guarantees
 
-  Scenario Outline: A caller that leaves <when> stops the engine's work
+  Scenario Outline: The engine's work is cancelled when the caller disconnects <when>
     Given two healthy engines
-    When a caller leaves a caption after <after> seconds
+    When the caller of a generation request disconnects after <after> seconds
     Then the first engine's work was cancelled
-    And the history of the request path is clean
+    And the request path kept its guarantees
 
     Examples:
       | when                   | after |
       | before the first chunk | 0.02  |
       | mid-stream             | 0.17  |
 
-  Scenario: A slow caller holds the engine back
+  Scenario: Back-pressure from a slow caller reaches the engine
     Given two healthy engines
-    When a caller that needs 10 seconds for each piece has read 2 pieces
-    Then at most 2 chunks were taken from the engine
+    When a caller that needs 10 seconds to read each part has read 2 parts
+    Then at most 2 chunks were read from the engine
 
-  Scenario: A slow caller is not taken for a stalled engine
+  Scenario: A slow caller is not mistaken for a stalled engine
     Given two healthy engines
-    When a caller that needs 5 seconds for each piece asks for a caption
-    Then each caption ends as "complete"
+    When a caller that needs 5 seconds to read each part sends a generation request
+    Then each generation request ends as "complete"
     And the first engine was not asked to resume
-    And the history of the request path is clean
+    And the request path kept its guarantees
 
-  Scenario: Chunks that have arrived together leave together, each as an event of its own
+  Scenario: Chunks that arrived together are forwarded together, each as its own event
     Given an engine whose chunks arrive together
-    When a repeatable caption is asked for, streamed and whole
-    Then each caption ends as "complete"
-    And the streamed caption came in 1 parts with 7 events
-    And the history of the request path is clean
+    When a repeatable generation request is sent, streamed and non-streamed
+    Then each generation request ends as "complete"
+    And the streamed answer arrived in 1 parts with 7 events
+    And the request path kept its guarantees
 
-  Scenario: A key of an at-most-once caption that has run is refused as run
+  Scenario: The idempotency key of an at-most-once request that ran is refused with the status "ran"
     Given two healthy engines
-    When an at-most-once caption is asked for twice with one key
-    Then the second caption is refused as "duplicate_request ran"
-    And the history of the request path is clean
-
-  Scenario: Each attempt names the run of the engine and the weights that were chosen
-    Given an engine that will kill once at the step "mid-stream" and a healthy engine
-    When a repeatable caption is asked for, streamed and whole
-    Then each caption ends as "complete"
-    And every call expected the chosen incarnation and weights
+    When an at-most-once generation request is sent twice with the same idempotency key
+    Then the second generation request is refused as "duplicate_request ran"
+    And the request path kept its guarantees
+
+  Scenario: Each attempt states the engine's incarnation and the weight version that were chosen
+    Given an engine with the fault "kill" once at the step "mid-stream" and a healthy engine
+    When a repeatable generation request is sent, streamed and non-streamed
+    Then each generation request ends as "complete"
+    And every call expected the chosen incarnation and weight version
--- a/features/path_hostile_input.feature
+++ b/features/path_hostile_input.feature
@@ -1,11 +1,14 @@
-Feature: Hostile input over real sockets gets a 4xx or a closed connection, and the node serves on
+Feature: Hostile input over real sockets gets a 4xx or a closed connection, and the node stays in service
+
+  Guards against raw HTTP/1.1 and HTTP/2 input that occupies a connection without end, makes the node
+  read without bound, reaches an engine or stops the server.
 
   Scenario Outline: <input>
     When a hostile client sends "<input>" to a node behind a real server
     Then the hostile client gets "<outcome>"
-    And the node read little, reached no engine and serves the next request
+    And the node read a bounded amount, reached no engine and serves the next request
 
-    Examples: "closed" is an end of the connection without an answer
+    Examples: "closed" means that the connection ends without an answer
       | input                                       | outcome       |
       | headers over the callers' limit             | 431           |
       | a thousand headers                          | 431 or closed |
--- a/features/path_protocols.feature
+++ b/features/path_protocols.feature
@@ -1,12 +1,16 @@
-Feature: Callers reach a node by HTTP/1.1 and by HTTP/2
-  Scenario Outline: Answers are whole by either protocol
+Feature: Callers can use HTTP/1.1 and HTTP/2
+
+  Guards against answers that are truncated or mixed up when callers send requests concurrently over
+  either protocol.
+
+  Scenario Outline: Answers are complete over either protocol
     Given the request path served on loopback
-    When 6 callers ask at once by <protocol> for <kind> answers
-    Then each has status 200 by <protocol> and a whole <kind> answer of its own
+    When 6 callers concurrently request <kind> answers over <protocol>
+    Then each caller has status 200 over <protocol> and its own complete <kind> answer
 
     Examples:
-      | protocol | kind     |
-      | HTTP/1.1 | streamed |
-      | HTTP/1.1 | whole    |
-      | HTTP/2   | streamed |
-      | HTTP/2   | whole    |
+      | protocol | kind         |
+      | HTTP/1.1 | streamed     |
+      | HTTP/1.1 | non-streamed |
+      | HTTP/2   | streamed     |
+      | HTTP/2   | non-streamed |
--- a/features/settings_file.feature
+++ b/features/settings_file.feature
@@ -1,10 +1,14 @@
 Feature: A node's settings file
-  Scenario: Flags go before the file
+
+  Guards against settings that are silently ignored, and against a wrong file that stops a node with
+  a traceback instead of one line that names the field and the remedy.
+
+  Scenario: Flags take precedence over the file
     Given a settings file with zone "bole-hall" and caller port 7001
     When the settings are loaded with caller port 7002 as a flag
     Then the node settings have zone "bole-hall" and caller port 7002
 
-  Scenario Outline: Unusable settings name the field and the remedy
+  Scenario Outline: The error for invalid settings names the field or the remedy
     Given a settings file with the text "<text>"
     When the settings are loaded without flags
     Then loading fails with a line about "<about>"
@@ -22,6 +26,6 @@
       | {zone: a, peer_keys: [{key_id: 1, secret: short}]}                | give 16 to 64 characters |
       | {zone: a, peer_keys: [{key_id: 300, secret: sixteen-letters!}]}   | use 0 to 255            |
 
-  Scenario: A missing settings file is one line, not a traceback
+  Scenario: The error for a missing settings file is one line, not a traceback
     When settings are loaded from a file that does not exist
     Then loading fails with a line about "check the path"
--- a/features/steps/node_drain_steps.py
+++ b/features/steps/node_drain_steps.py
@@ -24,8 +24,8 @@
 }
 
 
-@given("a node alone whose key-value service is down")
-def step_node_alone(context):
+@given("a single node whose key-value service is down")
+def step_single_node(context):
     def make_node(tasks):
         store = KeyValueServer(random.Random(1))
         store.faults.is_down = True
@@ -47,7 +47,7 @@
     async def send(message):
         context.sent.append(message)
 
-    async def script():
+    async def stop_during_request():
         async with anyio.create_task_group() as tasks:
             node = context.make_node(tasks)
             tasks.start_soon(node.run)
@@ -56,11 +56,11 @@
             context.was_clean = await node.drain()
             tasks.cancel_scope.cancel()
 
-    run_in_virtual_time(script)
+    run_in_virtual_time(stop_during_request)
 
 
-@then('the request has its whole answer "{code}" and the stop was clean')
-def step_whole_answer(context, code):
+@then('the request has the complete answer "{code}" and the stop was clean')
+def step_complete_answer(context, code):
     body = b"".join(message.get("body", b"") for message in context.sent)
     assert context.sent and not context.sent[-1].get("more_body"), context.sent
     assert code.encode() in body, body
--- a/features/steps/operator_commands_steps.py
+++ b/features/steps/operator_commands_steps.py
@@ -45,13 +45,13 @@
         assert command in context.output, context.output
 
 
-@given('an operators\' application of a node that decided request "{request_id}"')
+@given('the operator application of a node that routed request "{request_id}"')
 def step_application(context, request_id):
     peers = (Peer(OWN_ID, NodeAddress("127.0.0.1", 7100), "bole-hall", PeerState.ALIVE),)
     record = DecisionRecord(request_id, "node-1", "a-school", "qalam", ())
 
-    async def explain(asked_id):
-        return record if asked_id == request_id else None
+    async def explain(queried_id):
+        return record if queried_id == request_id else None
 
     async def of_planner():
         return PlacementStatusReply("node-2", True, ())
--- a/features/steps/path_bad_input_steps.py
+++ b/features/steps/path_bad_input_steps.py
@@ -1,4 +1,4 @@
-"""Steps of `path_bad_input.feature`."""
+"""Steps of `path_bad_input.feature`; `INPUTS` maps each input's name to its request."""
 
 import hashlib
 import json
@@ -21,32 +21,32 @@
 ORDERS = "/services/matemia/orders"
 
 
-def chat(**changes):
+def chat_body(**changes):
     return json.dumps(CHAT | changes).encode()
 
 
-def without(field):
+def body_without(field):
     return json.dumps({k: v for k, v in CHAT.items() if k != field}).encode()
 
 
-def raw(body):
+def chat_request(body):
     return CallerScript(body_parts=[body])
 
 
-def completion(prompt):
+def completion_request(prompt):
     body = json.dumps({"model": MODEL, "prompt": prompt}).encode()
     return CallerScript(path="/v1/completions", body_parts=[body])
 
 
-def with_header(name, value):
-    return CallerScript(body_parts=[chat()], headers={name: value})
+def request_with_header(name, value):
+    return CallerScript(body_parts=[chat_body()], headers={name: value})
 
 
-def nested(opening, closing, depth):
+def nested_body(opening, closing, depth):
     return b'{"model":"qalam","messages":' + opening * depth + b"1" + closing * depth + b"}"
 
 
-def at(path, method="POST", parts=(b"x",), **others):
+def request_to(path, method="POST", parts=(b"x",), **others):
     return CallerScript(method=method, path=path, body_parts=list(parts), **others)
 
 
@@ -55,66 +55,72 @@
 LONG_BODY = [b"x" * 1000] * 1000
 
 INPUTS = {
-    "an empty body": raw(b""),
-    "malformed JSON": raw(b'{"model": qalam}'),
-    "JSON cut in the middle": raw(chat()[:-5]),
-    "a JSON array": raw(b"[1, 2]"),
-    "a JSON string": raw(b'"hello"'),
-    "JSON 100000 arrays deep": raw(nested(b"[", b"]", 100_000)),
-    "JSON 100000 objects deep": raw(b'{"a":' * 100_000 + b"1" + b"}" * 100_000),
-    "JSON one deeper than the limit": raw(nested(b"[", b"]", 8)),
-    "deep JSON after an escaped quote": raw(b'{"a":"\\"","b":' + b"[" * 9 + b"]" * 9 + b"}"),
-    "invalid UTF-8 in a string": raw(chat().replace(b"hi", b"\xff\xfe")),
-    "invalid UTF-8 outside strings": raw(b"\xff" + chat()),
-    "a lone surrogate byte sequence": raw(chat().replace(b"hi", b"\xed\xa0\x80")),
-    "no model": raw(without("model")),
-    "a model that is a number": raw(chat(model=7)),
-    "an unknown model": raw(chat(model="gpt-99")),
-    "an unknown adapter": raw(chat(model=f"{MODEL}:klingon")),
-    "no messages": raw(without("messages")),
-    "empty messages": raw(chat(messages=[])),
-    "messages that are a string": raw(chat(messages="hi")),
-    "a message without content": raw(chat(messages=[{"role": "user"}])),
-    "a message with a number as content": raw(chat(messages=[{"role": "user", "content": 1}])),
-    "a completion with a list as prompt": completion(["a"]),
-    "an empty prompt": completion(""),
-    "stream that is a string": raw(chat(stream="yes")),
-    "n that is two": raw(chat(n=2)),
-    "max_tokens that is a string": raw(chat(max_tokens="9")),
-    "max_tokens that is true": raw(chat(max_tokens=True)),
-    "max_tokens of zero": raw(chat(max_tokens=0)),
-    "max_tokens over the limit": raw(chat(max_tokens=101)),
-    "max_tokens beyond 64 bits": raw(chat(max_tokens=10**40)),
-    "a declared length over the limit": with_header("content-length", "9" * 30),
+    "an empty body": chat_request(b""),
+    "malformed JSON": chat_request(b'{"model": qalam}'),
+    "JSON cut in the middle": chat_request(chat_body()[:-5]),
+    "a JSON array": chat_request(b"[1, 2]"),
+    "a JSON string": chat_request(b'"hello"'),
+    "JSON 100000 arrays deep": chat_request(nested_body(b"[", b"]", 100_000)),
+    "JSON 100000 objects deep": chat_request(b'{"a":' * 100_000 + b"1" + b"}" * 100_000),
+    "JSON one deeper than the limit": chat_request(nested_body(b"[", b"]", 8)),
+    "deep JSON after an escaped quote": chat_request(
+        b'{"a":"\\"","b":' + b"[" * 9 + b"]" * 9 + b"}"
+    ),
+    "invalid UTF-8 in a string": chat_request(chat_body().replace(b"hi", b"\xff\xfe")),
+    "invalid UTF-8 outside strings": chat_request(b"\xff" + chat_body()),
+    "a lone surrogate byte sequence": chat_request(chat_body().replace(b"hi", b"\xed\xa0\x80")),
+    "no model": chat_request(body_without("model")),
+    "a model that is a number": chat_request(chat_body(model=7)),
+    "an unknown model": chat_request(chat_body(model="gpt-99")),
+    "an unknown adapter": chat_request(chat_body(model=f"{MODEL}:klingon")),
+    "no messages": chat_request(body_without("messages")),
+    "empty messages": chat_request(chat_body(messages=[])),
+    "messages that are a string": chat_request(chat_body(messages="hi")),
+    "a message without content": chat_request(chat_body(messages=[{"role": "user"}])),
+    "a message with a number as content": chat_request(
+        chat_body(messages=[{"role": "user", "content": 1}])
+    ),
+    "a completion with a list as prompt": completion_request(["a"]),
+    "an empty prompt": completion_request(""),
+    "stream that is a string": chat_request(chat_body(stream="yes")),
+    "n that is two": chat_request(chat_body(n=2)),
+    "max_tokens that is a string": chat_request(chat_body(max_tokens="9")),
+    "max_tokens that is true": chat_request(chat_body(max_tokens=True)),
+    "max_tokens of zero": chat_request(chat_body(max_tokens=0)),
+    "max_tokens over the limit": chat_request(chat_body(max_tokens=101)),
+    "max_tokens beyond 64 bits": chat_request(chat_body(max_tokens=10**40)),
+    "a declared length over the limit": request_with_header("content-length", "9" * 30),
     "a body over the limit in parts": CallerScript(body_parts=LONG_BODY),
     "a body that never ends": CallerScript(body_parts=LONG_BODY * 100),
-    "half a body and then nothing": CallerScript(body_parts=[b"{", b"}"], stalls_after=1),
-    "a header flood": CallerScript(body_parts=[chat()], headers=FLOOD),
-    "one huge header": with_header("x-huge", "v" * 100_000),
-    "no key": CallerScript(body_parts=[chat()], has_key=False),
-    "a wrong key": with_header("authorization", "Bearer nobody"),
-    "the digest as key": with_header("authorization", f"Bearer {DIGEST}"),
-    "a basic authorization": with_header("authorization", f"Basic {API_KEY}"),
-    "a request id with a line break": with_header("x-request-id", "a\r\nset-cookie: b"),
-    "a request id that is too long": with_header("x-request-id", "a" * 129),
-    "a deadline that is a word": with_header("x-deadline-ms", "soon"),
-    "a deadline of zero": with_header("x-deadline-ms", "0"),
-    "a deadline of a year": with_header("x-deadline-ms", "31536000000"),
-    "a repeatable that is a word": with_header("x-repeatable", "maybe"),
-    "a priority that is a word": with_header("x-priority", "high"),
-    "an idempotency key that is too long": with_header("idempotency-key", "k" * 256),
-    "an empty idempotency key": with_header("idempotency-key", ""),
-    "an unknown path": at("/v2/anything"),
-    "a GET of completions": at("/v1/completions", "GET"),
-    "a POST of models": at("/v1/models"),
-    "an unknown service": at("/services/nobody/orders"),
-    "a service without a name": at("/services/"),
-    "a service body over the limit": at(ORDERS, parts=LONG_BODY),
-    "half a service body and then nothing": at(ORDERS, parts=(b"a", b"b"), stalls_after=1),
+    "half a body and then nothing": CallerScript(body_parts=[b"{", b"}"], stalls_after_parts=1),
+    "a header flood": CallerScript(body_parts=[chat_body()], headers=FLOOD),
+    "one huge header": request_with_header("x-huge", "v" * 100_000),
+    "no key": CallerScript(body_parts=[chat_body()], has_key=False),
+    "a wrong key": request_with_header("authorization", "Bearer nobody"),
+    "the digest as key": request_with_header("authorization", f"Bearer {DIGEST}"),
+    "a basic authorization": request_with_header("authorization", f"Basic {API_KEY}"),
+    "a request id with a line break": request_with_header("x-request-id", "a\r\nset-cookie: b"),
+    "a request id that is too long": request_with_header("x-request-id", "a" * 129),
+    "a deadline that is a word": request_with_header("x-deadline-ms", "soon"),
+    "a deadline of zero": request_with_header("x-deadline-ms", "0"),
+    "a deadline of a year": request_with_header("x-deadline-ms", "31536000000"),
+    "a repeatable that is a word": request_with_header("x-repeatable", "maybe"),
+    "a priority that is a word": request_with_header("x-priority", "high"),
+    "an idempotency key that is too long": request_with_header("idempotency-key", "k" * 256),
+    "an empty idempotency key": request_with_header("idempotency-key", ""),
+    "an unknown path": request_to("/v2/anything"),
+    "a GET of completions": request_to("/v1/completions", "GET"),
+    "a POST of models": request_to("/v1/models"),
+    "an unknown service": request_to("/services/nobody/orders"),
+    "a service without a name": request_to("/services/"),
+    "a service body over the limit": request_to(ORDERS, parts=LONG_BODY),
+    "half a service body and then nothing": request_to(
+        ORDERS, parts=(b"a", b"b"), stalls_after_parts=1
+    ),
 }
 
 
-def send(context, script):
+def send_request(context, script):
     context.answer = run_in_virtual_time(call_app, context.node.app, script)
     return context.answer
 
@@ -128,18 +134,18 @@
 
 @when('a caller sends "{name}"')
 def step_send(context, name):
-    send(context, INPUTS[name])
+    send_request(context, INPUTS[name])
 
 
-@when("a caller leaves in the middle of its body")
-def step_leave_in_body(context):
-    send(context, CallerScript(body_parts=[b"{", b"}"], leaves_after_parts=1))
+@when("a caller disconnects while sending its body")
+def step_disconnect_in_body(context):
+    send_request(context, CallerScript(body_parts=[b"{", b"}"], disconnects_after_parts=1))
 
 
-@when("a caller asks about {num:d} brackets in a string")
+@when("a caller sends {num:d} brackets in a string")
 def step_brackets(context, num):
     content = '"[{' * num + "\\"
-    send(context, raw(chat(messages=[{"role": "user", "content": content}])))
+    send_request(context, chat_request(chat_body(messages=[{"role": "user", "content": content}])))
 
 
 @then('the answer is {status:d} with code "{code}" and run status "{run_status}"')
@@ -151,11 +157,11 @@
     assert answer.error["remedy"] and answer.error["message"]
     assert answer.error["request_id"] == answer.headers["x-request-id"]
     assert "\n" not in answer.headers["x-request-id"]
-    assert answer.num_received_parts <= MAX_PARTS, "went on reading past the limit"
+    assert answer.num_received_parts <= MAX_PARTS, "the node continued to read past the limit"
 
 
-@then("nothing was answered")
-def step_nothing(context):
+@then("no answer was sent")
+def step_no_answer(context):
     assert context.answer.status == 0
 
 
@@ -164,13 +170,13 @@
     assert context.answer.is_complete and context.answer.text == FULL_ANSWER
 
 
-@then("no back end was reached and the node serves on")
-def step_unreached(context):
+@then("no back end was reached and the node serves the next request")
+def step_no_back_end_reached(context):
     node = context.node
     assert not node.engines[0].calls and not node.backends[0].requests
     assert node.admission.num_admitted == 0 and node.drain.num_running == 0
     assert [name for name, _ in node.log.events] == ["request"], node.log.events
-    assert send(context, CallerScript(body_parts=[generation_body()])).text == FULL_ANSWER
+    assert send_request(context, CallerScript(body_parts=[generation_body()])).text == FULL_ANSWER
 
 
 json_values = st.recursive(
@@ -194,8 +200,8 @@
 def step_depth(context):
     @settings(derandomize=True, deadline=None, database=None, max_examples=300)
     @for_all(json_values, st.integers(0, 4))
-    def agrees(value, limit):
+    def check_depth(value, limit):
         text = json.dumps(value).encode()
         assert is_deeper_than(text, limit) == (depth_of(value) > limit), text
 
-    agrees()
+    check_depth()
--- a/features/steps/path_faults_steps.py
+++ b/features/steps/path_faults_steps.py
@@ -1,4 +1,8 @@
-"""Steps of `path_faults.feature`."""
+"""Steps of `path_faults.feature`.
+
+Each generation request runs in virtual time against scripted engines; `context.calls` keeps the node,
+the answer, the duration and the headers of each.
+"""
 
 import anyio
 from behave import given, then, when
@@ -10,25 +14,25 @@
 from weirscale.domain.configuration.model import RetryRules
 
 REQUEST_ID = "caption-1"
-EACH_TIME = 1000
+MANY_TIMES = 1000
 KINDS = {"a repeatable": "true", "an at-most-once": "false"}
 
 
-def prepare(context, make_engines, **retry):
+def configure(context, make_engines, **retry):
     context.make_engines = make_engines
     context.retry = RetryRules(**retry)
     context.versions = {}
     context.calls = []
 
 
-def new_node(context):
+def create_node(context):
     node = PathNode(context.make_engines(), retry=context.retry)
     node.routing.versions = context.versions
     return node
 
 
-def ask(context, streamed, node=None, **script):
-    node = node or new_node(context)
+def send_request(context, streamed, node=None, **script):
+    node = node or create_node(context)
     headers = {"x-request-id": REQUEST_ID} | script.pop("headers", {})
     script = CallerScript(body_parts=[generation_body(streamed)], headers=headers, **script)
 
@@ -48,40 +52,40 @@
     return f"{answer.error['code']} {answer.error['run_status']}"
 
 
-@given('an engine that will {fault:w} once at the step "{step}" and a healthy engine')
-def step_one_faulty(context, fault, step):
+@given('an engine with the fault "{fault:w}" once at the step "{step}" and a healthy engine')
+def step_one_faulty_engine(context, fault, step):
     def engines():
         script = [ScriptedFault(Step(step), Fault(fault))]
         return [ScriptedEngine("runner-1", script), ScriptedEngine("runner-2")]
 
-    prepare(context, engines)
+    configure(context, engines)
 
 
-@given('two engines that {fault:w} each time at the step "{step}"')
-def step_all_faulty(context, fault, step):
+@given('two engines with the fault "{fault:w}" each time at the step "{step}"')
+def step_all_engines_faulty(context, fault, step):
     def engines():
-        scripts = [[ScriptedFault(Step(step), Fault(fault), EACH_TIME)] for _ in range(2)]
+        scripts = [[ScriptedFault(Step(step), Fault(fault), MANY_TIMES)] for _ in range(2)]
         return [ScriptedEngine(f"runner-{i + 1}", script) for i, script in enumerate(scripts)]
 
-    prepare(context, engines)
+    configure(context, engines)
 
 
 @given("two healthy engines")
-def step_healthy(context):
-    prepare(context, lambda: [ScriptedEngine("runner-1"), ScriptedEngine("runner-2")])
+def step_healthy_engines(context):
+    configure(context, lambda: [ScriptedEngine("runner-1"), ScriptedEngine("runner-2")])
 
 
 @given("an engine whose chunks arrive together")
-def step_together(context):
-    prepare(context, lambda: [ScriptedEngine("runner-1", arrives_together=True)])
+def step_chunks_together(context):
+    configure(context, lambda: [ScriptedEngine("runner-1", arrives_together=True)])
 
 
-@given("the healthy engine serves other weights")
-def step_other_weights(context):
+@given("the healthy engine serves another weight version")
+def step_other_weight_version(context):
     context.versions = {"runner-2": "v2"}
 
 
-@given("a retry budget of nothing")
+@given("a retry budget of zero")
 def step_no_budget(context):
     context.retry = RetryRules(budget_ratio=0.0, min_retries_per_s=0.0)
 
@@ -91,37 +95,39 @@
     context.retry = RetryRules(hedge_after_s=after / 1000)
 
 
-@when("{kind} caption is asked for, streamed and whole")
+@when("{kind} generation request is sent, streamed and non-streamed")
 def step_ask(context, kind):
     for streamed in (True, False):
-        ask(context, streamed, headers={"x-repeatable": KINDS[kind]})
+        send_request(context, streamed, headers={"x-repeatable": KINDS[kind]})
 
 
-@when("a caption with {deadline:d} ms is asked for")
+@when("a generation request with a deadline of {deadline:d} ms is sent")
 def step_ask_deadline(context, deadline):
-    ask(context, True, headers={"x-deadline-ms": str(deadline)})
+    send_request(context, True, headers={"x-deadline-ms": str(deadline)})
 
 
-@when("a caller leaves a caption after {after:f} seconds")
-def step_leave(context, after):
-    ask(context, True, leaves_after_s=after)
+@when("the caller of a generation request disconnects after {after:f} seconds")
+def step_disconnect(context, after):
+    send_request(context, True, disconnects_after_s=after)
 
 
-@when("a caller that needs {delay:d} seconds for each piece asks for a caption")
-def step_slow_whole(context, delay):
-    ask(context, True, read_delay_s=delay)
+@when("a caller that needs {delay:d} seconds to read each part sends a generation request")
+def step_slow_caller(context, delay):
+    send_request(context, True, read_delay_s=delay)
 
 
-@when("an at-most-once caption is asked for twice with one key")
+@when("an at-most-once generation request is sent twice with the same idempotency key")
 def step_ask_twice(context):
-    node = new_node(context)
+    node = create_node(context)
     for _ in range(2):
-        ask(context, True, node, headers={"x-repeatable": "false", "idempotency-key": "k1"})
+        send_request(
+            context, True, node, headers={"x-repeatable": "false", "idempotency-key": "k1"}
+        )
 
 
-@when("a caller that needs {delay:d} seconds for each piece has read {num:d} pieces")
-def step_slow(context, delay, num):
-    context.node = new_node(context)
+@when("a caller that needs {delay:d} seconds to read each part has read {num:d} parts")
+def step_slow_caller_has_read(context, delay, num):
+    context.node = create_node(context)
     script = CallerScript(body_parts=[generation_body()], read_delay_s=delay)
 
     async def main():
@@ -131,19 +137,19 @@
     run_in_virtual_time(main)
 
 
-@then('each caption ends as "{outcome}"')
+@then('each generation request ends as "{outcome}"')
 def step_outcome(context, outcome):
     for _, answer, _, _ in context.calls:
         assert outcome_of(answer) == outcome, (outcome_of(answer), answer)
 
 
-@then('the second caption is refused as "{outcome}"')
+@then('the second generation request is refused as "{outcome}"')
 def step_second(context, outcome):
     assert outcome_of(context.calls[0][1]) == "complete"
     assert outcome_of(context.calls[1][1]) == outcome
 
 
-@then("the captions took at most {limit:f} seconds")
+@then("the generation requests took at most {limit:f} seconds")
 def step_took(context, limit):
     for _, _, duration_s, _ in context.calls:
         assert duration_s <= limit, duration_s
@@ -160,30 +166,33 @@
     assert context.calls[0][0].engines[0].num_resumes == 0
 
 
-@then("the streamed caption came in {parts:d} parts with {events:d} events")
+@then("the streamed answer arrived in {parts:d} parts with {events:d} events")
 def step_parts(context, parts, events):
     answer = context.calls[0][1]
     assert len(answer.parts) == parts, answer.parts
     assert len(answer.events) == events, answer.events
 
 
-@then("at most {num:d} chunks were taken from the engine")
-def step_pulled(context, num):
-    assert 0 < context.node.engines[0].num_pulled <= num, context.node.engines[0].num_pulled
+@then("at most {num:d} chunks were read from the engine")
+def step_chunks_read(context, num):
+    assert 0 < context.node.engines[0].num_read <= num, context.node.engines[0].num_read
 
 
-@then("the history of the request path is clean")
-def step_clean(context):
+@then("the request path kept its guarantees")
+def step_guarantees(context):
     assert context.calls
     for node, answer, _, headers in context.calls:
         check_answer(node, answer)
         check_runs(node, answer, headers)
-        check_books(node)
+        check_released(node)
 
 
 def check_answer(node, answer):
-    """Nothing crossed, doubled or reordered; truncated only with an error and no end marker."""
-    if answer.has_caller_left:
+    """Check that no chunk is foreign, repeated or out of order.
+
+    A truncated answer must end with an error and without the end marker.
+    """
+    if answer.has_caller_disconnected:
         return
     if answer.is_complete:
         assert answer.text == FULL_ANSWER, answer.text
@@ -202,18 +211,18 @@
     num_runs = node.num_runs(REQUEST_ID)
     if headers.get("x-repeatable") == "false":
         assert num_runs <= 1, f"ran {num_runs} times"
-    if answer.has_caller_left:
+    if answer.has_caller_disconnected:
         return
     if answer.is_complete:
         assert num_runs >= 1
     elif answer.error["run_status"] == "not_run":
-        assert num_runs == 0, f"said not_run and ran {num_runs} times"
+        assert num_runs == 0, f"stated not_run but ran {num_runs} times"
     elif answer.error["run_status"] == "ran":
-        assert num_runs >= 1, "said ran and did not run"
+        assert num_runs >= 1, "stated ran but did not run"
 
 
-def check_books(node):
-    """Each choice has its outcome, each permit is back, each request has its line."""
+def check_released(node):
+    """Check that each choice has a reported outcome, permits are released and requests are logged."""
     assert node.routing.num_chosen == len(node.routing.outcomes)
     assert node.admission.num_held == 0
     assert node.drain.num_running == 0
@@ -221,8 +230,8 @@
     assert len(lines) == node.admission.num_admitted
 
 
-@then("every call expected the chosen incarnation and weights")
-def step_expected(context):
+@then("every call expected the chosen incarnation and weight version")
+def step_expected_run(context):
     calls = [
         call
         for node, _, _, _ in context.calls
--- a/features/steps/path_in_time_steps.py
+++ b/features/steps/path_in_time_steps.py
@@ -1,4 +1,4 @@
-"""Steps of `path_in_time.feature`."""
+"""Steps of `path_in_time.feature`; all requests run in virtual time."""
 
 from contextlib import asynccontextmanager
 
@@ -16,19 +16,19 @@
 from weirscale.ports.event_log import render_line
 from weirscale.ports.service import ServiceFailureKind
 
-EACH_TIME = 1000
+MANY_TIMES = 1000
 HEDGE_AFTER_S = 0.2
 NEVER_S = 10_000.0
 MID_STREAM_S = 0.17
 NUM_SEEDS = 8
 TOLERANCE_S = 0.15
-CAPTION = CallerScript(body_parts=[generation_body()])
+GENERATION_REQUEST = CallerScript(body_parts=[generation_body()])
 AT_MOST_ONCE = {"x-repeatable": "false"}
 KEY = {"idempotency-key": "k1"}
 KINDS = {
-    "a caption": {},
-    "an at-most-once caption": AT_MOST_ONCE,
-    "a caption with a key": AT_MOST_ONCE | KEY,
+    "a generation request": {},
+    "an at-most-once generation request": AT_MOST_ONCE,
+    "a generation request with a key": AT_MOST_ONCE | KEY,
     "an order": {},
     "an order with a key": KEY,
 }
@@ -44,12 +44,12 @@
 }
 
 
-async def never(*_):
+async def never_answer(*_):
     await anyio.sleep(NEVER_S)
-    raise AssertionError("nobody gave up")
+    raise AssertionError("the request path waited without a timeout")
 
 
-class SlowToClose(ScriptedEngine):
+class SlowClosingEngine(ScriptedEngine):
     """An engine whose connections take long to close."""
 
     @asynccontextmanager
@@ -61,42 +61,42 @@
                 await anyio.sleep(NEVER_S)
 
 
-def healthy_node():
+def create_healthy_node():
     return PathNode([ScriptedEngine("runner-1")], [ScriptedBackend("press-1")])
 
 
 @given("a request path whose choice of engines never answers")
 def step_no_engines(context):
-    context.node = healthy_node()
-    context.node.routing.choose = never
+    context.node = create_healthy_node()
+    context.node.routing.choose = never_answer
 
 
 @given("a request path whose choice of back ends never answers")
 def step_no_backends(context):
-    context.node = healthy_node()
-    context.node.service_routing.choose = never
+    context.node = create_healthy_node()
+    context.node.service_routing.choose = never_answer
 
 
 @given("a request path whose ledger of claims never answers")
 def step_no_ledger(context):
-    context.node = healthy_node()
-    context.node.ledger.claim = never
+    context.node = create_healthy_node()
+    context.node.ledger.claim = never_answer
 
 
-@given("a request path whose engines reject it and close slowly")
+@given("a request path whose engines reject requests and close connections slowly")
 def step_slow_close(context):
-    fault = ScriptedFault(Step.CONNECT, Fault.INVALID, EACH_TIME)
-    context.node = PathNode([SlowToClose("runner-1", [fault])])
+    fault = ScriptedFault(Step.CONNECT, Fault.INVALID, MANY_TIMES)
+    context.node = PathNode([SlowClosingEngine("runner-1", [fault])])
 
 
 @given("a request path with one engine")
 def step_one_engine(context):
-    context.node = healthy_node()
+    context.node = create_healthy_node()
 
 
-@given("a request path whose engine breaks each time")
-def step_breaks(context):
-    fault = ScriptedFault(Step.HEADERS, Fault.RESET, EACH_TIME)
+@given("a request path whose engine breaks the connection each time")
+def step_engine_breaks(context):
+    fault = ScriptedFault(Step.HEADERS, Fault.RESET, MANY_TIMES)
     context.node = PathNode([ScriptedEngine("runner-1", [fault])])
 
 
@@ -109,12 +109,12 @@
     context.node = PathNode(engines, backends, RetryRules(hedge_after_s=HEDGE_AFTER_S))
 
 
-def send(context, kind, deadline_ms, read_delay_s=0.0):
+def send_request(context, kind, deadline_ms, read_delay_s=0.0):
     headers = {"x-deadline-ms": str(deadline_ms)} | KINDS[kind]
     is_order = "order" in kind
     script = CallerScript(
-        path="/services/matemia/orders" if is_order else CAPTION.path,
-        body_parts=[b"{}"] if is_order else CAPTION.body_parts,
+        path="/services/matemia/orders" if is_order else GENERATION_REQUEST.path,
+        body_parts=[b"{}"] if is_order else GENERATION_REQUEST.body_parts,
         headers=headers,
         read_delay_s=read_delay_s,
     )
@@ -125,21 +125,21 @@
             answer = await call_with_canceller(context.node, script)
         else:
             answer = await timed_call(context, script, started_s)
-        context.over_after_s = anyio.current_time() - started_s
+        context.ended_after_s = anyio.current_time() - started_s
         return answer
 
     context.answer = run_in_virtual_time(main)
 
 
 async def timed_call(context, script, started_s):
-    """Call and note when the last part of the answer came, which may be before the call ends."""
+    """Record when the last part of the answer was sent, which may be before the call ends."""
 
     async def app(scope, receive, send):
-        async def timed(message):
+        async def timed_send(message):
             await send(message)
             context.answered_after_s = anyio.current_time() - started_s
 
-        await context.node.app(scope, receive, timed)
+        await context.node.app(scope, receive, timed_send)
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(context.node.canceller.run)
@@ -150,41 +150,43 @@
 
 @when("{kind} with a deadline of {deadline:d} seconds is sent")
 def step_send(context, kind, deadline):
-    send(context, kind, deadline * 1000)
+    send_request(context, kind, deadline * 1000)
 
 
 @when("{kind} with a deadline of {deadline:d} ms is sent")
 def step_send_ms(context, kind, deadline):
-    send(context, kind, deadline)
+    send_request(context, kind, deadline)
 
 
 @when("{kind} with a deadline of {deadline:d} seconds is sent and its answer is never read")
 def step_send_unread(context, kind, deadline):
-    send(context, kind, deadline * 1000, NEVER_S)
+    send_request(context, kind, deadline * 1000, NEVER_S)
 
 
-@when("a caption is asked for and the process is paused for {pause:d} seconds meanwhile")
-def step_paused(context, pause):
-    """With several seeds: whether the watch or the stream goes on first is the scheduler's choice."""
+@when(
+    "a generation request is sent and the process is suspended for {pause:d} seconds during the stream"
+)
+def step_suspended(context, pause):
+    """Use several seeds: the scheduler decides whether the stall watch or the stream runs first."""
 
     async def main(node):
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(pause_process)
-            return await call_with_canceller(node, CAPTION)
+            tasks.start_soon(suspend_process)
+            return await call_with_canceller(node, GENERATION_REQUEST)
 
-    async def pause_process():
+    async def suspend_process():
         await anyio.sleep(MID_STREAM_S)
         trio.lowlevel.current_clock().jump(pause)
 
-    context.paused = []
+    context.suspended_runs = []
     for seed in range(NUM_SEEDS):
-        node = healthy_node()
-        context.paused.append((node, run_in_virtual_time(main, node, seed=seed)))
+        node = create_healthy_node()
+        context.suspended_runs.append((node, run_in_virtual_time(main, node, seed=seed)))
 
 
-@then("each of the captions is whole and none was resumed")
-def step_whole(context):
-    for node, answer in context.paused:
+@then("each answer is complete and no stream was resumed")
+def step_complete(context):
+    for node, answer in context.suspended_runs:
         assert answer.text == FULL_ANSWER and answer.is_complete, answer
         assert node.engines[0].num_resumes == 0
 
@@ -195,47 +197,47 @@
     assert 0 <= context.answered_after_s - after_s <= TOLERANCE_S, context.answered_after_s
 
 
-@then('it is refused as "{outcome}" after {after:d} seconds')
+@then('the request is refused as "{outcome}" after {after:d} seconds')
 def step_refused(context, outcome, after):
     check_refused(context, outcome, after)
 
 
-@then('it is refused as "{outcome}" after {after:d} ms')
+@then('the request is refused as "{outcome}" after {after:d} ms')
 def step_refused_ms(context, outcome, after):
     check_refused(context, outcome, after / 1000)
 
 
 @then("the request is over after {after:d} seconds")
 def step_over(context, after):
-    assert abs(context.over_after_s - after) <= TOLERANCE_S, context.over_after_s
+    assert abs(context.ended_after_s - after) <= TOLERANCE_S, context.ended_after_s
 
 
-@then("nothing of it is left")
-def step_nothing_left(context):
+@then("the node holds nothing for the request")
+def step_nothing_held(context):
     node = context.node
     assert node.admission.num_held == 0 and node.drain.num_running == 0
     assert node.routing.num_chosen == len(node.routing.outcomes)
     assert node.service_routing.num_chosen == node.service_routing.num_reported
 
 
-@then('the request\'s line says "{line}"')
-def step_line(context, line):
+@then('the request\'s log line ends with "{line}"')
+def step_log_line(context, line):
     (fields,) = [fields for name, fields in context.node.log.events if name == "request"]
     rendered = render_line({"message_type": "request"} | fields)
     assert rendered.endswith(" " + line), rendered
 
 
-@then('the metrics say "{metric}"')
+@then('the metrics contain "{metric}"')
 def step_metric(context, metric):
     script = CallerScript(method="GET", path="/metrics")
     answer = run_in_virtual_time(call_app, context.node.app, script)
     assert metric in answer.body.decode().splitlines(), answer.body.decode()
 
 
-@then('a history of {num:d} failures tells {told:d} of them and "{rest}"')
-def step_history(context, num, told, rest):
+@then('a history of {num:d} failures lists {num_listed:d} of them and "{rest}"')
+def step_history(context, num, num_listed, rest):
     history = RequestHistory()
     for number in range(num):
         history.record_failure(f"runner-{number}", "broken", NextStep.RESUME)
     *causes, last = history.causes.split(",")
-    assert (len(causes), last) == (told, rest), history.causes
+    assert (len(causes), last) == (num_listed, rest), history.causes
--- a/features/steps/path_protocols_steps.py
+++ b/features/steps/path_protocols_steps.py
@@ -19,12 +19,12 @@
     context.node = PathNode([ScriptedEngine("runner-1", arrives_together=True)])
 
 
-@when("{count:d} callers ask at once by {protocol} for {kind} answers")
-def step_ask(context, count, protocol, kind):
+@when("{count:d} callers concurrently request {kind} answers over {protocol}")
+def step_send_requests(context, count, kind, protocol):
     context.responses = {}
     is_http2 = protocol == "HTTP/2"
 
-    async def ask(client, port, request_id):
+    async def send_request(client, port, request_id):
         headers = {"authorization": f"Bearer {API_KEY}", "x-request-id": request_id}
         url = f"http://{LOOPBACK}:{port}/v1/chat/completions"
         body = generation_body(streamed=kind == "streamed")
@@ -41,14 +41,14 @@
                 anyio.create_task_group() as callers,
             ):
                 for number in range(count):
-                    callers.start_soon(ask, client, port, f"caller-{number}")
+                    callers.start_soon(send_request, client, port, f"caller-{number}")
             tasks.cancel_scope.cancel()
 
     anyio.run(main)
 
 
-@then("each has status 200 by {protocol} and a whole {kind} answer of its own")
-def step_whole(context, protocol, kind):
+@then("each caller has status 200 over {protocol} and its own complete {kind} answer")
+def step_complete(context, protocol, kind):
     assert len(context.responses) == 6
     for request_id, response in context.responses.items():
         assert (response.status_code, response.http_version) == (200, protocol)
--- a/features/steps/path_services_steps.py
+++ b/features/steps/path_services_steps.py
@@ -1,4 +1,4 @@
-"""Steps of `path_services.feature`."""
+"""Steps of `path_services.feature`; all orders run in virtual time against scripted back ends."""
 
 import anyio
 from behave import given, then, when
@@ -37,25 +37,25 @@
     return f"{answer.error['code']} {answer.error['run_status']}"
 
 
-def open_shops(context, scripts, delay_s=0.0):
+def create_print_shops(context, scripts, delay_s=0.0):
     shops = [ScriptedBackend(f"press-{i}", s, delay_s=delay_s) for i, s in enumerate(scripts)]
     context.node = PathNode(backends=shops)
 
 
-@given('two print shops whose first fails as "{failure}" {num:d} times')
-def step_first_fails(context, failure, num):
+@given('two print shops, the first of which fails {num:d} times with "{failure}"')
+def step_first_fails(context, num, failure):
     script = [] if failure == "none" else [ServiceFailureKind(failure)] * num
-    open_shops(context, [script, []])
+    create_print_shops(context, [script, []])
 
 
-@given("two print shops that need {delay:d} seconds")
+@given("two print shops that need {delay:d} seconds per order")
 def step_slow_shops(context, delay):
-    open_shops(context, [[], []], delay)
+    create_print_shops(context, [[], []], delay)
 
 
-@given("two print shops that are both unreachable")
+@given("two unreachable print shops")
 def step_unreachable(context):
-    open_shops(context, [[ServiceFailureKind.UNREACHABLE] for _ in range(2)])
+    create_print_shops(context, [[ServiceFailureKind.UNREACHABLE] for _ in range(2)])
 
 
 @given("the node is draining")
@@ -68,15 +68,15 @@
     context.node.configuration.in_force = None
 
 
-@given("the node hears its configuration {after:g} seconds after the order came")
+@given("the node receives its configuration {after:g} seconds after the order")
 def step_configured_later(context, after):
     configuration = context.node.configuration
-    configuration.coming, configuration.in_force = configuration.in_force, None
-    configuration.comes_after_s = after
+    configuration.next_in_force, configuration.in_force = configuration.in_force, None
+    configuration.changes_after_s = after
 
 
-@when("both print shops come back")
-def step_back(context):
+@when("both print shops are reachable again")
+def step_reachable_again(context):
     assert all(not shop.script for shop in context.node.backends)
 
 
@@ -95,7 +95,7 @@
     send_order(context, key=key, body=b'{"books": 32}')
 
 
-@when('two orders are sent at once with key "{key}"')
+@when('two orders are sent concurrently with key "{key}"')
 def step_two_orders(context, key):
     context.answers = []
 
@@ -110,9 +110,9 @@
     run_in_virtual_time(main)
 
 
-@when('the caller of an order with key "{key}" leaves after {after:d} seconds')
-def step_leave(context, key, after):
-    send_order(context, key=key, leaves_after_s=after)
+@when('the caller of an order with key "{key}" disconnects after {after:d} seconds')
+def step_disconnect(context, key, after):
+    send_order(context, key=key, disconnects_after_s=after)
 
 
 @when("a drain begins {after:d} seconds after an order")
@@ -141,27 +141,27 @@
         assert context.answer.headers["x-run-status"] == "ran"
 
 
-@then('one order ends as "{one}" and the other as "{other}" after {num:d} runs')
-def step_both_end(context, one, other, num):
-    assert sorted(map(outcome_of, context.answers)) == sorted([one, other])
+@then('one order ends as "{outcome}" and the other as "{other_outcome}" after {num:d} runs')
+def step_both_end(context, outcome, other_outcome, num):
+    assert sorted(map(outcome_of, context.answers)) == sorted([outcome, other_outcome])
     assert context.node.num_runs(ORDER_ID) == num
 
 
-@then("the books of the service path are balanced")
-def step_books(context):
+@then("the service path holds nothing for the request")
+def step_released(context):
     node = context.node
     assert node.service_routing.num_chosen == node.service_routing.num_reported
     assert node.admission.num_held == 0 and node.drain.num_running == 0
     assert [name for name, _ in node.log.events].count("request") == 1
 
 
-@then("the answer is marked as given again")
+@then("the answer is marked as replayed")
 def step_replayed(context):
     assert context.answer.headers["idempotent-replayed"] == "true"
 
 
-@then("the print shop was sent the order whole")
-def step_whole(context):
+@then("the print shop received the complete order without the API key")
+def step_complete_order(context):
     (request,) = context.node.backends[0].requests
     assert (request.method, request.path) == ("POST", "/orders?urgent=1")
     assert request.body == ORDER
--- a/features/support/path_asgi.py
+++ b/features/support/path_asgi.py
@@ -1,4 +1,4 @@
-"""Calls an ASGI application directly, as a caller that may stall, leave or read slowly."""
+"""Call an ASGI application directly, as a caller that may stall, disconnect or read slowly."""
 
 import json
 from dataclasses import dataclass, field
@@ -10,10 +10,11 @@
 
 @dataclass
 class CallerScript:
-    """What the caller does besides sending its request.
+    """A caller's request and how the caller sends it and reads the answer.
 
-    `body_parts`: pieces of the body; `stalls_after`: sends no more after so many pieces;
-    `leaves_after_s`: closes the connection; `read_delay_s`: time it takes for each piece.
+    `body_parts`: the body, part by part. `stalls_after_parts`: sends nothing more after this number
+    of parts. `disconnects_after_s`, `disconnects_after_parts`: closes the connection then.
+    `read_delay_s`: time to read each part of the answer.
     """
 
     method: str = "POST"
@@ -21,9 +22,9 @@
     query: bytes = b""
     headers: dict = field(default_factory=dict)
     body_parts: list = field(default_factory=list)
-    stalls_after: int | None = None
-    leaves_after_s: float | None = None
-    leaves_after_parts: int | None = None
+    stalls_after_parts: int | None = None
+    disconnects_after_s: float | None = None
+    disconnects_after_parts: int | None = None
     read_delay_s: float = 0.0
     has_key: bool = True
 
@@ -35,7 +36,7 @@
     parts: list = field(default_factory=list)
     is_ended: bool = False
     num_received_parts: int = 0
-    has_caller_left: bool = False
+    has_caller_disconnected: bool = False
 
     @property
     def body(self):
@@ -75,24 +76,24 @@
 
 async def call_app(app, script):
     answer = Answer()
-    gone = anyio.Event()
+    disconnected = anyio.Event()
     parts = list(script.body_parts)
 
     async def receive():
         answer.num_received_parts += 1
-        sent = answer.num_received_parts - 1
-        if script.leaves_after_parts == sent:
+        num_sent = answer.num_received_parts - 1
+        if script.disconnects_after_parts == num_sent:
             return {"type": "http.disconnect"}
-        if script.stalls_after == sent:
+        if script.stalls_after_parts == num_sent:
             await anyio.sleep_forever()
-        if sent < max(1, len(parts)):
-            body = parts[sent] if parts else b""
-            return {"type": "http.request", "body": body, "more_body": sent + 1 < len(parts)}
-        await gone.wait()
+        if num_sent < max(1, len(parts)):
+            body = parts[num_sent] if parts else b""
+            return {"type": "http.request", "body": body, "more_body": num_sent + 1 < len(parts)}
+        await disconnected.wait()
         return {"type": "http.disconnect"}
 
     async def send(message):
-        assert not answer.is_ended, "sent after the end"
+        assert not answer.is_ended, "the application sent a message after the end of the answer"
         if message["type"] == "http.response.start":
             answer.status = message["status"]
             answer.headers = {k.decode(): v.decode() for k, v in message["headers"]}
@@ -113,20 +114,21 @@
         "headers": [(k.encode("latin-1"), v.encode("latin-1")) for k, v in headers.items()],
     }
 
-    async def leave():
-        await anyio.sleep(script.leaves_after_s)
-        answer.has_caller_left = True
-        gone.set()
+    async def disconnect():
+        await anyio.sleep(script.disconnects_after_s)
+        answer.has_caller_disconnected = True
+        disconnected.set()
 
     async with anyio.create_task_group() as tasks:
-        if script.leaves_after_s is not None:
-            tasks.start_soon(leave)
+        if script.disconnects_after_s is not None:
+            tasks.start_soon(disconnect)
         await app(scope, receive, send)
         tasks.cancel_scope.cancel()
     return answer
 
 
 async def call_with_canceller(node, script):
+    """Call a node's application and wait until its cancellations are sent to the engines."""
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(node.canceller.run)
         answer = await call_app(node.app, script)
--- a/features/support/path_engine.py
+++ b/features/support/path_engine.py
@@ -1,4 +1,4 @@
-"""A scripted engine for tests of the request path: it fails at a chosen step in a chosen way."""
+"""A scripted engine for tests of the request path, with faults at chosen steps of a request."""
 
 import enum
 from contextlib import asynccontextmanager
@@ -13,7 +13,7 @@
 NUM_CHUNKS = 6
 CHUNK_INTERVAL_S = 0.05
 FOREVER_S = 10_000.0
-STRANGER = "somebody-else"
+FOREIGN_ID = "somebody-else"
 
 
 class Step(enum.Enum):
@@ -41,7 +41,7 @@
     MISMATCH = "mismatch"
 
 
-def failed(kind):
+def failure(kind):
     return Err(EngineFailure(kind, kind.value))
 
 
@@ -61,7 +61,7 @@
 
 @dataclass
 class ArrivedChunks:
-    """Chunks that one read has brought."""
+    """Chunks that arrived with the same read."""
 
     chunks: list
 
@@ -77,7 +77,7 @@
 
 @dataclass
 class ScriptedEngine:
-    """An EnginePort; `script` faults happen in order, each to one stream."""
+    """An EnginePort. The faults of `script` apply in order, each to one stream per time."""
 
     name: str
     script: list = field(default_factory=list)
@@ -87,7 +87,7 @@
     cancelled: list = field(default_factory=list)
     calls: list = field(default_factory=list)
     num_resumes: int = 0
-    num_pulled: int = 0
+    num_read: int = 0
     arrives_together: bool = False
 
     def runs_of(self, request_id):
@@ -97,9 +97,9 @@
     async def generate(self, call):
         self.calls.append(call)
         fault = self._take_fault()
-        early = await self._connect(fault)
-        if early is not None:
-            yield self._one(early)
+        refusal = await self._connect(fault)
+        if refusal is not None:
+            yield self._single_item(refusal)
             return
         self.runs[(call.request_id, call.attempt)] = True
         if self.arrives_together:
@@ -112,9 +112,9 @@
         self.num_resumes += 1
         fault = self._take_fault()
         if not self.is_alive:
-            yield self._one(failed(EngineFailureKind.UNREACHABLE))
+            yield self._single_item(failure(EngineFailureKind.UNREACHABLE))
         elif (request_id, attempt) not in self.runs:
-            yield self._one(failed(EngineFailureKind.NOT_FOUND))
+            yield self._single_item(failure(EngineFailureKind.NOT_FOUND))
         else:
             yield self._stream(request_id, attempt, from_sequence, fault)
 
@@ -133,7 +133,7 @@
 
     async def _connect(self, fault):
         if not self.is_alive:
-            return failed(EngineFailureKind.UNREACHABLE)
+            return failure(EngineFailureKind.UNREACHABLE)
         if fault is None or fault.step is not Step.CONNECT:
             return None
         if fault.fault is Fault.KILL:
@@ -145,17 +145,17 @@
             Fault.INVALID: EngineFailureKind.REFUSED_INVALID,
             Fault.MISMATCH: EngineFailureKind.REFUSED_MISMATCH,
         }
-        return failed(kinds.get(fault.fault, EngineFailureKind.UNREACHABLE))
+        return failure(kinds.get(fault.fault, EngineFailureKind.UNREACHABLE))
 
     def kill(self):
         self.is_alive = False
 
-    async def _one(self, item):
+    async def _single_item(self, item):
         yield item
 
     async def _stream(self, request_id, attempt, start, fault):
         if fault is not None and fault.step is Step.HEADERS:
-            async for item in self._misbehave(request_id, 0, fault.fault):
+            async for item in self._apply_fault(request_id, 0, fault.fault):
                 yield item
             if fault.fault is not Fault.DUPLICATE:
                 return
@@ -164,39 +164,39 @@
             if sequence > start:
                 await anyio.sleep(CHUNK_INTERVAL_S)
             if fault is not None and CHUNK_OF_STEP.get(fault.step) == sequence:
-                async for item in self._misbehave(request_id, sequence, fault.fault):
+                async for item in self._apply_fault(request_id, sequence, fault.fault):
                     yield item
                 if fault.fault is Fault.SKIP:
                     continue
                 if fault.fault is not Fault.DUPLICATE:
                     return
-            self.num_pulled += 1
+            self.num_read += 1
             yield Ok(self._chunk(request_id, sequence))
         if fault is not None and fault.step is Step.AFTER_END:
-            async for item in self._misbehave(request_id, NUM_CHUNKS - 1, fault.fault):
+            async for item in self._apply_fault(request_id, NUM_CHUNKS - 1, fault.fault):
                 yield item
 
-    async def _misbehave(self, request_id, sequence, fault):
+    async def _apply_fault(self, request_id, sequence, fault):
         if fault is Fault.KILL:
             self.kill()
             self.runs_before_kill = dict(self.runs)
-            yield failed(EngineFailureKind.BROKEN)
+            yield failure(EngineFailureKind.BROKEN)
         elif fault is Fault.STALL:
             await anyio.sleep(FOREVER_S)
         elif fault is Fault.CROSS:
-            yield Ok(self._chunk(STRANGER, sequence))
+            yield Ok(self._chunk(FOREIGN_ID, sequence))
         elif fault is Fault.DUPLICATE:
             yield Ok(self._chunk(request_id, sequence))
         elif fault is Fault.RESET:
-            yield failed(EngineFailureKind.BROKEN)
-        # CUT: the stream just ends. SKIP: the chunk is left out.
+            yield failure(EngineFailureKind.BROKEN)
+        # CUT ends the stream without its last chunk. SKIP omits the chunk.
 
     def _chunk(self, request_id, sequence):
         is_last = sequence == NUM_CHUNKS - 1
         return TokenChunk(
             request_id=request_id,
             sequence=sequence,
-            text=answer_piece(sequence) if request_id != STRANGER else "a stranger's words ",
+            text=answer_piece(sequence) if request_id != FOREIGN_ID else "a stranger's words ",
             num_tokens=1,
             finish_reason="stop" if is_last else None,
             num_prompt_tokens=10 if is_last else 0,
--- a/features/support/path_node.py
+++ b/features/support/path_node.py
@@ -1,4 +1,4 @@
-"""A request path around scripted back ends: fakes of what other tasks of a node offer."""
+"""A request path with scripted back ends and fakes of the node's other tasks."""
 
 import hashlib
 import json
@@ -80,24 +80,24 @@
 
 @dataclass
 class FakeConfiguration:
-    """A configuration in force from the start, or from a time of the scenario on."""
+    """A configuration in force from the start, or `changes_after_s` after a task waits for it."""
 
     in_force: ConfigurationInForce | None
-    coming: ConfigurationInForce | None = None
-    comes_after_s: float = float("inf")
+    next_in_force: ConfigurationInForce | None = None
+    changes_after_s: float = float("inf")
 
     def current(self):
         return self.in_force
 
     async def changed_after(self, revision):
-        await anyio.sleep(self.comes_after_s)
-        self.in_force = self.coming
+        await anyio.sleep(self.changes_after_s)
+        self.in_force = self.next_in_force
         return self.in_force
 
 
 @dataclass
 class FakeEngineRouting:
-    """Chooses engines in their order; checks that each choice is followed by one report."""
+    """Choose engines in their order; count choices and keep reported outcomes for the checks."""
 
     engines: list
     versions: dict = field(default_factory=dict)
@@ -119,7 +119,7 @@
 
 @dataclass
 class ScriptedBackend:
-    """A ServicePort; `script` holds failures or None for an answer, one for each call."""
+    """A ServicePort. `script` has a failure, or None for an answer, for each call."""
 
     name: str
     script: list = field(default_factory=list)
@@ -176,7 +176,7 @@
 
 @dataclass
 class FakeLedger:
-    """Keeps claims in one dictionary: key -> [fingerprint, request id, state, answer]."""
+    """Keep claims in a dictionary: key -> [fingerprint, request id, state, answer]."""
 
     claims: dict = field(default_factory=dict)
 
@@ -206,7 +206,7 @@
 
 
 class PathNode:
-    """The request path under test."""
+    """The request path of a node under test, with its fakes."""
 
     def __init__(self, engines=(), backends=(), retry=None, callers=None, configured=True):
         in_force = ConfigurationInForce(7, deployment(retry, callers))
--- a/features/support/path_sockets.py
+++ b/features/support/path_sockets.py
@@ -1,4 +1,4 @@
-"""A request path behind the real server on loopback, and raw clients of it; for asyncio only."""
+"""Serve a request path with the real server on loopback, and raw clients for it; asyncio only."""
 
 from contextlib import asynccontextmanager
 
@@ -10,23 +10,23 @@
 LOOPBACK = "127.0.0.1"
 FINISH_TIMEOUT_S = 0.0
 GUARD_S = 20.0
-"""A server that neither answers nor closes fails the test instead of stopping the run."""
+"""Timeout of an exchange: a server that neither answers nor closes fails the test."""
 
 
 class CountingApp:
-    """An ASGI application that counts the bytes of bodies that another one takes."""
+    """An ASGI application that counts the body bytes that the wrapped application reads."""
 
     def __init__(self, app):
         self._app = app
         self.num_bytes = 0
 
     async def __call__(self, scope, receive, send):
-        async def counted():
+        async def counting_receive():
             message = await receive()
             self.num_bytes += len(message.get("body", b""))
             return message
 
-        await self._app(scope, counted, send)
+        await self._app(scope, counting_receive, send)
 
 
 @asynccontextmanager
@@ -43,13 +43,13 @@
             stop.set()
 
 
-async def exchange(port, pieces, half_close=False):
-    """Send pieces as far as the server takes them; return all it sends until it closes."""
+async def exchange(port, parts, half_close=False):
+    """Send parts until the server stops reading; return all bytes it sends until it closes."""
     received = []
     with anyio.fail_after(GUARD_S):
         stream = await anyio.connect_tcp(LOOPBACK, port)
         async with stream, anyio.create_task_group() as tasks:
-            tasks.start_soon(_send, stream, pieces, half_close)
+            tasks.start_soon(_send, stream, parts, half_close)
             try:
                 while True:
                     received.append(await stream.receive())
@@ -58,10 +58,10 @@
     return b"".join(received)
 
 
-async def _send(stream, pieces, half_close):
+async def _send(stream, parts, half_close):
     try:
-        for piece in pieces:
-            await stream.send(piece)
+        for part in parts:
+            await stream.send(part)
         if half_close:
             await stream.send_eof()
     except (anyio.BrokenResourceError, OSError):
