--- a/features/health_circuit.feature
+++ b/features/health_circuit.feature
@@ -1,9 +1,13 @@
-Feature: Health of back ends by circuits
+Feature: Circuit breakers of back ends
+
+  Guards against circuits that open or close too early, against openings that grow without bound,
+  against a pool without any admitted back end, and against leaving back ends that get new work.
+
   # Events: S success, F failure, T timeout, P failed probe, p answered probe, W wrong answer,
-  # R restart, +n waits n seconds; events are 0.1 s apart.
+  # R restart, +n waits n seconds. Other events are 0.1 s apart.
   Scenario Outline: The state after a sequence of events
     Given a healthy circuit
-    When it goes through <events>
+    When the circuit goes through <events>
     Then the circuit is <state>
 
     Examples: failures of requests
@@ -55,9 +59,9 @@
       | R R +400 R          | closed    |
       | F F F +2 S F F F    | open      |
 
-  Scenario Outline: Openings that follow one another double up to a bound
+  Scenario Outline: The open time doubles with each consecutive opening, up to a bound
     Given a circuit that has opened <times> times in a row
-    Then its last opening lasts between <shortest> and <longest> seconds
+    Then the last opening lasts between <shortest> and <longest> seconds
 
     Examples:
       | times | shortest | longest |
@@ -66,20 +70,20 @@
       | 5     | 12.8     | 19.2    |
       | 12    | 48       | 72      |
 
-  Scenario Outline: A back end that was healthy for long starts from the shortest opening
+  Scenario Outline: After a long healthy time the next opening is the shortest again
     Given a circuit that has opened 5 times in a row and was then healthy for <healthy> seconds
-    When it goes through F F F
-    Then its last opening lasts between <shortest> and <longest> seconds
+    When the circuit goes through F F F
+    Then the last opening lasts between <shortest> and <longest> seconds
 
     Examples:
       | healthy | shortest | longest |
       | 100     | 25.6     | 38.4    |
       | 301     | 0.8      | 1.2     |
 
-  Scenario Outline: The share of work grows slowly after a return
+  Scenario Outline: The share of work grows gradually after recovery
     Given a healthy circuit
-    When it goes through F F F +2 S +<waited>
-    Then its share of work is <weight>
+    When the circuit goes through F F F +2 S +<waited>
+    Then the circuit's share of work is <weight>
 
     Examples:
       | waited | weight |
@@ -87,10 +91,10 @@
       | 5      | 0.55   |
       | 10     | 1      |
 
-  Scenario Outline: Circuits never empty a pool
+  Scenario Outline: Open circuits never leave a pool without back ends
     Given a pool of <members> back ends of which <open> are open, <quarantined> quarantined and <leaving> leaving
-    Then <working> get work in full and <readmitted> at the smallest share
-    And no leaving one and no quarantined one before an open one gets work
+    Then <working> back ends get their full share of work and <readmitted> the smallest share
+    And no leaving back end gets work, and no quarantined one while an open one gets none
 
     Examples:
       | members | open | quarantined | leaving | working | readmitted |
@@ -104,11 +108,12 @@
       | 1       | 1    | 0           | 0       | 0       | 1          |
       | 2       | 0    | 0           | 2       | 0       | 0          |
 
-  # Events: list / unlist by the machine list, report n / refuse n by run n itself, run n is seen.
-  Scenario Outline: Leaving holds until a new run is seen
-    Given a back end whose run 1 is known
-    When <events> are heard
-    Then it is <state>
+  # Events: the machine list lists or unlists the back end as leaving; run n itself reports or refuses
+  # as leaving; run n is observed.
+  Scenario Outline: A back end stays leaving until a new run is observed
+    Given a back end with the known run 1
+    When <events> are received
+    Then the back end is <state>
 
     Examples:
       | events                        | state   |
--- a/features/membership_faults.feature
+++ b/features/membership_faults.feature
@@ -1,8 +1,11 @@
 Feature: Membership of nodes under faults
 
+  Guards against nodes that disagree for long about which nodes run, and against running nodes that
+  are declared dead because of packet loss, partitions, pauses, old updates or forged messages.
+
   Scenario Outline: All live nodes agree on a change in time
     Given a fleet of <nodes> nodes in <zones> zones, seed <seed>, losing <loss> % of datagrams
-    When <event> happens to it
+    When the fleet goes through <event>
     Then all live nodes agree within <limit> s
 
     Examples:
@@ -17,26 +20,26 @@
       | 24    | 3     | 8    | 5    | a join                         | 3     |
       | 24    | 3     | 9    | 0    | a restart under the same name  | 3     |
       | 24    | 3     | 10   | 0    | an orderly leave               | 2     |
-      | 24    | 3     | 11   | 0    | a herd replacing half at once  | 10    |
+      | 24    | 3     | 11   | 0    | a replacement of half of the nodes at once  | 10    |
 
-  Scenario Outline: Poor links and pauses bury nobody that runs
+  Scenario Outline: Poor links and pauses do not make a running node be declared dead
     Given a fleet of 18 nodes in 2 zones, seed <seed>, losing <loss> % of datagrams
-    When it runs for 30 s under <fault>
-    Then no node has ever held a running node dead
+    When the fleet runs for 30 s with <fault>
+    Then no node ever regarded a running node as dead
 
     Examples:
       | seed | loss | fault                                 |
       | 21   | 0    | no fault                              |
       | 22   | 10   | no fault                              |
       | 23   | 2    | pauses of 1 s of random nodes         |
-      | 24   | 0    | a one-way cut from one node to another |
-      | 25   | 0    | a one-way cut from a node to a third of the nodes |
+      | 24   | 0    | a one-way partition from one node to another |
+      | 25   | 0    | a one-way partition from a node to a third of the nodes |
 
-  Scenario Outline: A paused node wakes without accusing the others
+  Scenario Outline: A node that resumes after a pause does not accuse the others
     Given a fleet of 12 nodes in 3 zones, seed <seed>, losing 0 % of datagrams
-    When one node is frozen for <pause> s and wakes
-    Then the others never held one another dead
-    And the woken node never held another node dead
+    When one node is paused for <pause> s and resumes
+    Then the other nodes never regarded one another as dead
+    And the resumed node never regarded another node as dead
     And all live nodes agree within 10 s
 
     Examples:
@@ -45,39 +48,39 @@
       | 32   | 10    |
       | 33   | 60    |
 
-  Scenario: A late tick concludes nothing from acks and refutations that were not heard
+  Scenario: A late tick concludes nothing from acks and refutations that could not be received
     Given a node with a probe in flight and a suspicion of another member
-    When its next tick comes 60 s late
+    When the next tick of the node is 60 s late
     Then the probed member is not suspected and the suspect is not dead
-    And the suspect is dead when no refutation comes in the time of a suspicion
+    And the suspect is declared dead when no refutation arrives within the suspicion timeout
 
-  Scenario Outline: Views merge after a cut heals
+  Scenario Outline: Membership views merge after a partition heals
     Given a fleet of 16 nodes in 4 zones, seed <seed>, losing 0 % of datagrams
-    When <cut> lasts <length> s and heals
-    Then each side held the other dead when the cut <outcome>
+    When <partition> lasts <length> s and heals
+    Then each side had declared the other dead if the partition <outcome>
     And all live nodes agree within 20 s
 
     Examples:
-      | seed | cut                                     | length | outcome     |
-      | 41   | a cut between halves                    | 30     | was long    |
-      | 42   | a cut of one zone                       | 30     | was long    |
-      | 44   | a cut between halves without seeds      | 30     | was long    |
-      | 43   | a cut between halves                    | 1      | was short   |
+      | seed | partition                               | length | outcome     |
+      | 41   | a partition of the halves               | 30     | was long    |
+      | 42   | a partition of one zone                 | 30     | was long    |
+      | 44   | a partition of the halves without seeds | 30     | was long    |
+      | 43   | a partition of the halves               | 1      | was short   |
 
-  Scenario: A leaving node is seen as leaving, then gone, and never comes back by old news
+  Scenario: A leaving node is regarded as leaving, then as gone, and old updates do not bring it back
     Given a fleet of 10 nodes in 2 zones, seed 51, losing 0 % of datagrams
     When a node announces that it leaves
-    Then all other nodes hold it leaving within 2 s
-    When it departs and an old ALIVE claim about it is gossiped
-    Then no node holds it live
+    Then all other nodes regard it as leaving within 2 s
+    When the leaving node departs and an old ALIVE update about it is gossiped
+    Then no node regards the departed node as alive
 
-  Scenario Outline: A claim is taken only when it is stronger
+  Scenario Outline: An update is applied only when it takes precedence
     Given a membership state that holds member "m" at incarnation 5, refutations 2, state <held>
-    When a claim arrives with incarnation <incarnation>, refutations <refutations>, state <claim>
-    Then the member is held at state <then>
+    When an update arrives with incarnation <incarnation>, refutations <refutations>, state <update>
+    Then the member has state <result>
 
     Examples:
-      | held    | incarnation | refutations | claim   | then    |
+      | held    | incarnation | refutations | update  | result  |
       | ALIVE   | 5           | 2           | SUSPECT | SUSPECT |
       | ALIVE   | 5           | 1           | DEAD    | ALIVE   |
       | SUSPECT | 5           | 2           | ALIVE   | SUSPECT |
@@ -92,24 +95,24 @@
 
   Scenario: Forged and replayed membership messages change nothing
     Given a fleet of 10 nodes in 1 zones, seed 61, losing 0 % of datagrams
-    When a stranger forges the death of every node and replays all that was sent during a leave
-    Then no node has ever held a running node dead
-    And the node that left stays gone
+    When an attacker forges the death of every node and replays all datagrams of a leave
+    Then no node ever regarded a running node as dead
+    And the node that left stays absent
 
   Scenario: The machine list is a hint only
     Given a fleet of 6 nodes in 1 zones, seed 71, losing 0 % of datagrams
-    When the machine list marks one node as leaving and omits another that runs
-    Then the marked node is held leaving and the omitted one stays alive
+    When the machine list marks one node as leaving and omits another running node
+    Then the marked node is regarded as leaving and the omitted node as alive
 
   Scenario: Tombstones are bounded in number and in time
     Given a membership state that keeps at most 50 dead members for 100 s
-    When 200 members are born and die
-    Then 50 dead members are remembered
-    And none is remembered 101 s later
+    When 200 members join and die
+    Then 50 dead members are kept
+    And no dead member is kept 101 s later
 
   Scenario Outline: A node that joins tries several seeds at once
-    Given a node that joins by <seeds> seeds
-    Then it tries <first> different seeds at once, again after 0.5 s, and one after it has joined
+    Given a joining node with <seeds> seeds
+    Then the node tries <first> different seeds at once, again after 0.5 s, and one seed once it has joined
 
     Examples:
       | seeds | first |
@@ -117,7 +120,7 @@
       | 2     | 2     |
       | 9     | 2     |
 
-  Scenario: A later run of the same name supersedes this one
+  Scenario: A later run of the same name supersedes the earlier run
     Given a fleet of 6 nodes in 1 zones, seed 81, losing 0 % of datagrams
     When a second node with a later incarnation starts under a running node's name elsewhere
     Then the earlier run notices that it is superseded
--- a/features/peers_link.feature
+++ b/features/peers_link.feature
@@ -1,6 +1,9 @@
 Feature: Authenticated messages between nodes
 
-  Scenario: Casts and calls arrive typed, with the sender's own address
+  Guards against forged, altered or replayed datagrams that are delivered, against messages that are
+  delivered twice or lost while keys rotate, and against a codec that raises on arbitrary bytes.
+
+  Scenario: Casts and calls are delivered as typed messages with the sender's address
     Given two linked nodes
     When node A casts "hello" and calls "question" to node B
     Then node B's casts from node A are "hello"
@@ -8,8 +11,8 @@
 
   Scenario Outline: Hostile datagrams change nothing
     Given two linked nodes
-    And node A has cast "first" to node B on a recorded wire
-    When a stranger sends to node B <datagram>
+    And node A has cast "first" to node B over a recorded network
+    When an attacker sends to node B <datagram>
     Then node B's casts from node A are "first"
     And node B has counted a rejection "<kind>"
 
@@ -28,30 +31,30 @@
       | a cast that was sent to node A         | bad_mac         |
       | a cast of an earlier run of node A     | stale_incarnation |
 
-  Scenario: What was recorded before a restart cannot be played to the new run
+  Scenario: Datagrams recorded before a restart cannot be replayed to the new run
     Given two linked nodes
-    And node A has cast "first" to node B on a recorded wire
-    When node B restarts and a stranger plays the whole record to it while node A is gone
+    And node A has cast "first" to node B over a recorded network
+    When node B restarts and an attacker replays all recorded datagrams to it while node A is absent
     Then node B's casts from node A are none
 
-  Scenario: A call replayed after its answer does not run again
+  Scenario: A call that arrives again after its answer does not run again
     Given two linked nodes
     When node A calls "question" to node B and the call arrives twice
     Then node B has run the call 1 time
 
-  Scenario: A busy sender is not challenged once more with each cast
+  Scenario: A busy sender is not challenged again for each cast
     Given two linked nodes
     When node A casts 64 messages at once to node B
     Then node B has sent at most 7 challenges
 
-  Scenario: Calls that race to meet a new run of a node are all answered
+  Scenario: Concurrent calls to a new run of a node are all answered
     Given two linked nodes over a link with heavy reordering
-    When node A calls a new run of node B 40 times at once
-    Then all 40 calls have been answered and each was handled once
+    When node A sends 40 concurrent calls to a new run of node B
+    Then all 40 calls are answered and each was handled once
 
-  Scenario: Keys rotate without a gap
+  Scenario: Key rotation loses no message
     Given two linked nodes
-    When the keys go from old to new on one node at a time, with a cast each way at each step
+    When the keys change from old to new on one node at a time, with a cast in each direction at each step
     Then every cast has arrived
     And casts signed with the old key alone are rejected
 
@@ -62,16 +65,16 @@
 
     Examples:
       | fault                        | least |
-      | every datagram doubled       | 200   |
+      | every datagram duplicated    | 200   |
       | heavy reordering             | 200   |
       | a third of datagrams dropped | 100   |
 
-  Scenario: The codec answers any bytes with a message or a typed failure
+  Scenario: The codec returns a message or a typed failure for any bytes
     When arbitrary bytes and mutated messages are decoded
-    Then the codec has raised nothing
+    Then the codec raised no exception
 
   Scenario: The real network carries casts and calls over loopback
-    Given two nodes linked over UDP and HTTP on loopback
-    When they exchange a cast and a call of 100000 bytes each way
-    Then the real network has delivered both each way
-    And a call to a closed port is provably not sent
+    Given two nodes connected by UDP and HTTP on loopback
+    When they exchange a cast and a call of 100000 bytes in each direction
+    Then the real network delivered both in each direction
+    And a call to a closed port was provably not sent
--- a/features/steps/backends_directory_steps.py
+++ b/features/steps/backends_directory_steps.py
@@ -25,7 +25,7 @@
 
 
 class Traffic:
-    """Sends a steady stream of attempts and remembers where they went."""
+    """Send attempts at a steady rate and record the engine of each."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -62,16 +62,16 @@
             kind = EngineFailureKind.REFUSED_LEAVING
         elif incarnation != stand_in.model.incarnation:
             kind = EngineFailureKind.REFUSED_MISMATCH
-        return EngineFailure(kind, "as the test wants") if kind else None
+        return EngineFailure(kind, "a failure scripted by the test") if kind else None
 
     def num_sent(self, engine, start_s, end_s):
-        return sum(each.engine == engine and start_s <= each.at_s < end_s for each in self.sent)
+        return sum(sent.engine == engine and start_s <= sent.at_s < end_s for sent in self.sent)
 
 
-async def play(events, fleet, traffic):
-    for at_s, act in sorted(events, key=lambda event: event[0]):
+async def run_events(events, fleet, traffic):
+    for at_s, action in sorted(events, key=lambda event: event[0]):
         await anyio.sleep_until(at_s)
-        act(fleet, traffic)
+        action(fleet, traffic)
 
 
 def run_traffic(context, duration_s):
@@ -79,7 +79,7 @@
         fleet = Fleet(declare(NUM_ENGINES))
         traffic = Traffic(fleet)
         async with fleet.running(), anyio.create_task_group() as tasks:
-            tasks.start_soon(play, context.events, fleet, traffic)
+            tasks.start_soon(run_events, context.events, fleet, traffic)
             await traffic.run(tasks, duration_s)
             await anyio.sleep(1.0)
             tasks.cancel_scope.cancel()
@@ -103,7 +103,7 @@
     return lambda fleet, traffic: traffic.failing.update({ENGINE: kind})
 
 
-def refuse(fleet, traffic, names=(ENGINE,)):
+def refuse_connections(fleet, traffic, names=(ENGINE,)):
     for name in names:
         fleet.engines[name].faults.set(EngineFaults(refuse_connections=True))
 
@@ -114,7 +114,7 @@
         engine.faults.clear()
 
 
-def stay(fleet, traffic):
+def stop_leaving(fleet, traffic):
     fleet.engines[ENGINE].model.is_leaving = False
     list_leaving(fleet, False)
 
@@ -132,14 +132,14 @@
     "its home node": report_by_home,
 }
 FAULTS = {
-    "refuses connections": refuse,
+    "refuses connections": refuse_connections,
     "breaks every stream": fail_with(EngineFailureKind.BROKEN),
     "answers wrongly": fail_with(EngineFailureKind.CORRUPT),
-    "refuses as if it had other weights": fail_with(EngineFailureKind.REFUSED_MISMATCH),
+    "refuses as if it had another weight version": fail_with(EngineFailureKind.REFUSED_MISMATCH),
     "restarts under another run": lambda fleet, traffic: fleet.engines[ENGINE].crash(),
 }
 LONG_FAULTS = {"answers wrongly": 60.0}
-"""Faults after which the return of the engine takes longer than 30 s of traffic show."""
+"""Traffic durations in seconds for faults after which recovery takes more than 30 s."""
 
 
 @given("a node that routes 40 requests a second to 4 engines")
@@ -148,26 +148,26 @@
     context.duration_s = 30.0
 
 
-@when("after 3 s engine 1 leaves as told by {source}")
+@when("after 3 s engine 1 leaves according to {source}")
 def step_leaves(context, source):
     context.events.append((LEAVES_AT_S, LEAVE_BY[source]))
 
 
-@when("after 8 s it says that it stays, {how}")
-def step_stays(context, how):
-    context.events.append((8.0, stay))
-    if how == "in a new run":
+@when("after 8 s the engine states that it stays, {run_kind}")
+def step_stays(context, run_kind):
+    context.events.append((8.0, stop_leaving))
+    if run_kind == "in a new run":
         context.events.append((8.0, FAULTS["restarts under another run"]))
 
 
-@then("engine 1 had work before and gets none from 2 s after the node could hear it")
+@then("engine 1 had work before and gets none from 2 s after the statement")
 def step_no_work_after_bound(context):
     traffic = run_traffic(context, 20.0)
     assert traffic.num_sent(ENGINE, 0.0, LEAVES_AT_S) > 15
     assert traffic.num_sent(ENGINE, LEAVES_AT_S + LEAVING_BOUND_S, 99.0) == 0
 
 
-@then("the other engines go on getting work")
+@then("the other engines still get work")
 def step_others_work(context):
     assert context.traffic.num_refused == 0
     for index in (0, 2, 3):
@@ -200,18 +200,20 @@
 
 @when("from 3 s to 6 s every engine refuses connections")
 def step_all_refuse(context):
-    all_refuse = partial(refuse, names=[f"qalam-{index}" for index in range(NUM_ENGINES)])
+    all_refuse = partial(
+        refuse_connections, names=[f"qalam-{index}" for index in range(NUM_ENGINES)]
+    )
     context.events += [(3.0, all_refuse), (6.0, stop_failing)]
 
 
-@then("at least 30 requests a second are still given an engine from 4 s to 6 s")
-def step_still_given(context):
+@then("at least 30 requests a second are still routed to an engine from 4 s to 6 s")
+def step_still_routed(context):
     traffic = run_traffic(context, 25.0)
-    assert sum(4.0 <= each.at_s < 6.0 for each in traffic.sent) >= 60
+    assert sum(4.0 <= sent.at_s < 6.0 for sent in traffic.sent) >= 60
 
 
 @then("every engine gets work again from 20 s to 25 s")
-def step_all_back(context):
+def step_all_recovered(context):
     counts = [context.traffic.num_sent(f"qalam-{i}", 20.0, 25.0) for i in range(NUM_ENGINES)]
     assert min(counts) > 25, counts
 
@@ -221,21 +223,21 @@
     context.events.append((3.0, restart_at_once))
 
 
-@then("at most {most:d} requests are refused for the old run")
+@then("at most {most:d} requests are refused because they name the old run")
 def step_old_run_refused(context, most):
     traffic = run_traffic(context, 20.0)
     mismatch = EngineFailureKind.REFUSED_MISMATCH
-    num = sum(each.failure is not None and each.failure.kind is mismatch for each in traffic.sent)
+    num = sum(sent.failure is not None and sent.failure.kind is mismatch for sent in traffic.sent)
     assert num <= most, num
 
 
 @then("engine 1 gets work under run 2")
 def step_new_run(context):
-    runs = {each.incarnation for each in context.traffic.sent if each.engine == ENGINE}
+    runs = {sent.incarnation for sent in context.traffic.sent if sent.engine == ENGINE}
     assert runs == {1, 2}, runs
 
 
-@when("the machine list names engine 1 as leaving and is then down")
+@when("the machine list marks engine 1 as leaving and is then unavailable")
 def step_list_down(context):
     context.events.append((0.0, LEAVE_BY["the machine list"]))
     context.events.append((5.0, lambda fleet, traffic: setattr(fleet.machines, "is_down", True)))
@@ -246,29 +248,31 @@
     context.deployment = declare(count)
 
 
-@when("an engine that answers one more request for 20 s leaves the configuration and another joins")
+@when(
+    "an engine with a request in flight for 20 s is removed from the configuration and another is added"
+)
 def step_swap_engines(context):
     async def main():
         fleet = Fleet(context.deployment)
-        joining = declare_engine(7)
-        fleet.add_engine(joining)
+        added_engine = declare_engine(7)
+        fleet.add_engine(added_engine)
         closed = context.closed = []
         for name, engine in fleet.engines.items():
-            engine.aclose = lambda name=name: note_closed(name)
+            engine.aclose = lambda name=name: record_closed(name)
 
-        async def note_closed(name):
+        async def record_closed(name):
             closed.append((name, anyio.current_time()))
 
         async with fleet.running():
             chosen = await fleet.router.choose(make_request(), 0, frozenset(), None)
-            leaving = context.left = chosen.ok_value.choice.engine
-            engines = [each for each in context.deployment.engines if each.name != leaving]
+            removed = context.removed = chosen.ok_value.choice.engine
+            engines = [engine for engine in context.deployment.engines if engine.name != removed]
             fleet.configuration.change(
-                msgspec.structs.replace(context.deployment, engines=(*engines, joining))
+                msgspec.structs.replace(context.deployment, engines=(*engines, added_engine))
             )
             await anyio.sleep(20.0)
             fleet.router.report(
-                AttemptOutcome(make_request(), 0, leaving, 1, None, 1, 0, 0.1, 20.0)
+                AttemptOutcome(make_request(), 0, removed, 1, None, 1, 0, 0.1, 20.0)
             )
             await anyio.sleep(300.0)
         return fleet
@@ -276,19 +280,19 @@
     context.fleet = run_in_virtual_time(main)
 
 
-@then("one port was made for each engine")
+@then("one port was created for each engine")
 def step_one_port_each(context):
     assert sorted(context.fleet.ports_made) == ["qalam-0", "qalam-1", "qalam-2", "qalam-7"]
 
 
-@then("the port of the one that left was closed after 20 s and no other")
+@then("only the port of the removed engine was closed, after 20 s")
 def step_port_closed(context):
     ((name, at_s),) = context.closed
-    assert name == context.left
+    assert name == context.removed
     assert 20.0 <= at_s <= 22.0, at_s
 
 
-@when("a report of run {run:d} that is {age:g} s old says that version {version} is loaded")
+@when("a report of run {run:d} that is {age:g} s old states that version {version} is loaded")
 def step_report_arrives(context, run, age, version):
     async def main():
         fleet = Fleet(context.deployment)
@@ -307,26 +311,26 @@
     assert (context.report.incarnation, context.report.weight_version) == (run, version)
 
 
-def run_with_probes_noted(context, script):
-    """Run a fleet with a script and keep who was asked for its load, and when."""
+def run_recording_probes(context, script):
+    """Run a script on a fleet; record the engine and time of each load probe."""
 
     async def main():
         fleet = Fleet(context.deployment, zone=context.zone if "zone" in context else None)
         for name, engine in fleet.engines.items():
-            engine.load = lambda name=name, load=engine.load: note_asked(name, load)
+            engine.load = lambda name=name, load=engine.load: record_probe(name, load)
 
-        async def note_asked(name, load):
-            context.asked.append((name, anyio.current_time()))
+        async def record_probe(name, load):
+            context.probes.append((name, anyio.current_time()))
             return await load()
 
         async with fleet.running():
             await script(fleet)
 
-    context.asked = []
+    context.probes = []
     run_in_virtual_time(main)
 
 
-@when("its home node reports for engine 1 every {interval_s:d} s from 10 s to {end_s:d} s")
+@when("the home node of engine 1 reports its load every {interval_s:d} s from 10 s to {end_s:d} s")
 def step_home_reports(context, interval_s, end_s):
     async def report(fleet):
         await anyio.sleep(10.0)
@@ -336,44 +340,44 @@
             await anyio.sleep(interval_s)
         await anyio.sleep_until(end_s + 34.0)
 
-    run_with_probes_noted(context, report)
+    run_recording_probes(context, report)
 
 
 @when("the node has run for {duration_s:d} s")
 def step_node_has_run(context, duration_s):
-    run_with_probes_noted(context, lambda fleet: anyio.sleep(duration_s))
+    run_recording_probes(context, lambda fleet: anyio.sleep(duration_s))
 
 
-@then("each engine was asked within 1 s of the start")
-def step_asked_at_start(context):
-    assert {name for name, at_s in context.asked if at_s <= 1.0} == {
+@then("each engine was probed within 1 s of the start")
+def step_probed_at_start(context):
+    assert {name for name, at_s in context.probes if at_s <= 1.0} == {
         engine.name for engine in context.deployment.engines
     }
 
 
-@then("the node asked between {least:g} and {most:g} times a second from 20 s on")
+@then("the node probed between {least:g} and {most:g} times a second from 20 s on")
 def step_probe_rate(context, least, most):
-    rate = sum(at_s >= 20.0 for _, at_s in context.asked) / 40.0
+    rate = sum(at_s >= 20.0 for _, at_s in context.probes) / 40.0
     assert least <= rate <= most, rate
 
 
-def num_asked(context, engine, start_s, end_s):
-    return sum(name == engine and start_s <= at_s < end_s for name, at_s in context.asked)
+def num_probes(context, engine, start_s, end_s):
+    return sum(name == engine and start_s <= at_s < end_s for name, at_s in context.probes)
 
 
 @then(
-    "engine 1 was asked every second before, "
+    "engine 1 was probed every second before, "
     "not once from {start_s:d} s to {end_s:d} s, and again from {again_s:d} s"
 )
-def step_asked_apart(context, start_s, end_s, again_s):
-    spans = ((0, 10), (start_s, end_s), (again_s, again_s + 10))
-    counts = [num_asked(context, ENGINE, *span) for span in spans]
+def step_probed_without_reports(context, start_s, end_s, again_s):
+    periods = ((0, 10), (start_s, end_s), (again_s, again_s + 10))
+    counts = [num_probes(context, ENGINE, *period) for period in periods]
     assert 8 <= counts[0] <= 12 and counts[1] == 0 and 8 <= counts[2] <= 12, counts
 
 
-@then("the other engines were asked all the time")
-def step_others_asked(context):
-    assert all(num_asked(context, f"qalam-{index}", 12, 30) >= 14 for index in (0, 2))
+@then("the other engines were probed all the time")
+def step_others_probed(context):
+    assert all(num_probes(context, f"qalam-{index}", 12, 30) >= 14 for index in (0, 2))
 
 
 @given("a node in zone 0 of {count:d} engines in 3 zones")
@@ -384,33 +388,35 @@
 
 @when("from 30 s to 90 s {fault}")
 def step_zone_fault(context, fault):
-    async def strike(fleet):
+    async def cause_fault(fleet):
         await anyio.sleep(30.0)
-        zone = [each.name for each in context.deployment.engines if each.zone == ZONES[0]]
-        refuse(fleet, None, zone if fault == "the engines of its zone refuse connections" else ())
+        zone = [engine.name for engine in context.deployment.engines if engine.zone == ZONES[0]]
+        refuse_connections(
+            fleet, None, zone if fault == "the engines of its zone refuse connections" else ()
+        )
         await anyio.sleep(60.0)
 
-    run_with_probes_noted(context, strike)
+    run_recording_probes(context, cause_fault)
 
 
 @then(
-    "from 60 s on it asked {near:g} to {near_most:g} times a second in its zone "
-    "and {far:g} to {far_most:g} elsewhere"
+    "from 60 s on the node probed {own:g} to {own_most:g} times a second in its zone "
+    "and {other:g} to {other_most:g} in other zones"
 )
-def step_zone_rates(context, near, near_most, far, far_most):
-    near_names = {each.name for each in context.deployment.engines if each.zone == ZONES[0]}
-    names = [name for name, at_s in context.asked if at_s >= 60.0]
-    num_near = sum(name in near_names for name in names)
-    rates = num_near / 30.0, (len(names) - num_near) / 30.0
-    assert near <= rates[0] <= near_most and far <= rates[1] <= far_most, rates
+def step_zone_rates(context, own, own_most, other, other_most):
+    own_names = {engine.name for engine in context.deployment.engines if engine.zone == ZONES[0]}
+    names = [name for name, at_s in context.probes if at_s >= 60.0]
+    num_own = sum(name in own_names for name in names)
+    rates = num_own / 30.0, (len(names) - num_own) / 30.0
+    assert own <= rates[0] <= own_most and other <= rates[1] <= other_most, rates
 
 
 @then(
-    "before 30 s it asked each engine of its zone within 1 s "
-    "and {far:g} to {far_most:g} others a second"
+    "before 30 s the node probed each engine of its zone within 1 s "
+    "and {other:g} to {other_most:g} others a second"
 )
-def step_zone_start(context, far, far_most):
-    near_names = {each.name for each in context.deployment.engines if each.zone == ZONES[0]}
-    assert {name for name, at_s in context.asked if at_s <= 1.0} >= near_names
-    num_far = sum(name not in near_names for name, at_s in context.asked if at_s < 30.0)
-    assert far <= num_far / 30.0 <= far_most, num_far
+def step_zone_start(context, other, other_most):
+    own_names = {engine.name for engine in context.deployment.engines if engine.zone == ZONES[0]}
+    assert {name for name, at_s in context.probes if at_s <= 1.0} >= own_names
+    num_other = sum(name not in own_names for name, at_s in context.probes if at_s < 30.0)
+    assert other <= num_other / 30.0 <= other_most, num_other
--- a/features/steps/duties_lease_steps.py
+++ b/features/steps/duties_lease_steps.py
@@ -4,7 +4,7 @@
 import anyio
 from behave import given, then, when
 
-from features.support.lease_model import Broken, LeaseModel
+from features.support.lease_model import LeaseModel, PropertyViolated
 from features.support.token_fence import TokenFence
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.domain.duties.assignment import (
@@ -28,10 +28,10 @@
 @when("every interleaving of the lease protocol is explored with late calls")
 def step_explore_late(context):
     context.model = LeaseModel(nodes_with_late_calls=(0,), has_orders=False)
-    context.num_worlds = context.model.explore()
+    context.num_states = context.model.explore()
 
 
-@then("no property is broken and the duty was held and handed over")
+@then("no property is violated and the duty was held and handed over")
 def step_held_and_handed(context):
     assert context.model.num_held > 1000, context.model.num_held
     assert context.model.num_handed_over > 100, context.model.num_handed_over
@@ -40,26 +40,26 @@
 @when("every interleaving of the lease protocol is explored with an order in flight")
 def step_explore_orders(context):
     context.model = LeaseModel(nodes_with_late_calls=(), lossy_nodes=(0,))
-    context.num_worlds = context.model.explore()
+    context.num_states = context.model.explore()
 
 
-@then("no property is broken and late orders were refused")
+@then("no property is violated and late orders were refused")
 def step_refused(context):
     assert context.model.num_refused > 100, context.model.num_refused
 
 
-@when("the lease protocol is explored with the rule broken that {rule}")
-def step_explore_broken(context, rule):
-    context.found = None
+@when("the lease protocol is explored with the fault that {rule}")
+def step_explore_with_fault(context, rule):
+    context.finding = None
     try:
         LeaseModel(rule).explore()
-    except Broken as broken:
-        context.found = str(broken)
+    except PropertyViolated as violation:
+        context.finding = str(violation)
 
 
 @then("the exploration finds that {finding}")
-def step_found(context, finding):
-    assert context.found == finding, context.found
+def step_finding(context, finding):
+    assert context.finding == finding, context.finding
 
 
 class FixedMembership:
@@ -77,13 +77,13 @@
 
 
 class Contender:
-    """A node that may take the lease, with its own freezable sleep and way to the store."""
+    """A node that may take the lease, with a sleep that can be paused and its own store client."""
 
     def __init__(self, server, node, membership, seed):
         self.node = node
         self.store = InProcessKeyValue(server)
-        self.thawed = anyio.Event()
-        self.thawed.set()
+        self.resumed = anyio.Event()
+        self.resumed.set()
         self.lease = DutyLeaseTask(
             PLANNER,
             node,
@@ -96,7 +96,7 @@
 
     async def sleep(self, duration_s):
         await anyio.sleep(duration_s)
-        await self.thawed.wait()
+        await self.resumed.wait()
 
     async def run(self):
         with self.scope:
@@ -104,14 +104,14 @@
 
 
 class Contest:
-    """Several nodes after one lease, watched all the time."""
+    """Several nodes that compete for one lease; tokens, double holders and calls are recorded."""
 
     def __init__(self, tasks, seed):
         self.server = KeyValueServer(random.Random(seed))
         self.server.faults.delay_s = 0.01
         peers = tuple(
-            Peer(NodeId(f"n{each}", 1), NodeAddress("10.0.0.1", each), "z", PeerState.ALIVE)
-            for each in range(5)
+            Peer(NodeId(f"n{number}", 1), NodeAddress("10.0.0.1", number), "z", PeerState.ALIVE)
+            for number in range(5)
         )
         self.contenders = [
             Contender(self.server, peer.node, FixedMembership(peer.node, peers), seed)
@@ -125,9 +125,9 @@
         tasks.start_soon(self.watch)
 
     def holder(self):
-        held = [each for each in self.contenders if each.lease.is_held()]
-        self.num_double_holders += len(held) > 1
-        return held[0] if held else None
+        holders = [node for node in self.contenders if node.lease.is_held()]
+        self.num_double_holders += len(holders) > 1
+        return holders[0] if holders else None
 
     async def watch(self):
         num_calls = 0
@@ -165,11 +165,11 @@
 
 async def cause_lease_fault(contest, fault):
     holder = contest.holder()
-    if fault == "the holder freezing for 30 s":
-        holder.thawed = anyio.Event()
+    if fault == "the holder paused for 30 s":
+        holder.resumed = anyio.Event()
         await anyio.sleep(30)
-        holder.thawed.set()
-    elif fault == "the holder stopping for good":
+        holder.resumed.set()
+    elif fault == "the holder stopped permanently":
         holder.scope.cancel()
     elif fault == "the store losing a third of answers":
         contest.server.faults.lost_answer_probability = 0.33
@@ -177,14 +177,14 @@
         contest.set_down(True)
         await anyio.sleep(60)
         contest.set_down(False)
-    elif fault == "the holder releasing it":
+    elif fault == "the holder releasing the lease":
         await holder.lease.release()
     else:
         assert fault == "no fault"
 
 
-@when("the lease runs for 120 s under {fault}")
-def step_lease_runs(context, fault):
+@when("the nodes run for 120 s with {fault}")
+def step_nodes_run(context, fault):
     async def script(contest):
         with anyio.move_on_after(90):
             await cause_lease_fault(contest, fault)
@@ -193,16 +193,16 @@
     run_contest(context, script)
 
 
-@then("no two nodes ever held it at once and tokens only grew")
+@then("no two nodes ever held the lease at once and tokens never decreased")
 def step_one_holder(context):
     contest = context.contest
     assert contest.num_double_holders == 0, contest.num_double_holders
     assert contest.tokens == sorted(contest.tokens), contest.tokens
 
 
-@then("it was held at the end and moved {moves}")
+@then("the lease was held at the end and moved {moves}")
 def step_moved(context, moves):
-    assert context.is_held_at_end, "nobody holds the lease at the end"
+    assert context.is_held_at_end, "no node holds the lease at the end"
     num_moves = len(context.contest.tokens) - 1
     is_expected = {
         "never": num_moves == 0,
@@ -212,27 +212,27 @@
     assert is_expected[moves], num_moves
 
 
-@when("the holder freezes past its lease while its order is on the way")
-def step_freeze_with_order(context):
+@when("the holder is paused past its lease while its order is in flight")
+def step_pause_with_order(context):
     async def script(contest):
-        context.old = contest.holder()
-        context.late_token = context.old.lease.token()
-        context.old.thawed = anyio.Event()
+        context.old_holder = contest.holder()
+        context.late_token = context.old_holder.lease.token()
+        context.old_holder.resumed = anyio.Event()
         await anyio.sleep(40)
         context.new_token = contest.holder().lease.token()
-        context.old.thawed.set()
-        context.is_held_on_waking = context.old.lease.is_held()
+        context.old_holder.resumed.set()
+        context.is_held_on_resuming = context.old_holder.lease.is_held()
 
     run_contest(context, script)
 
 
-@then("the woken node does not hold it")
-def step_woken(context):
-    assert not context.is_held_on_waking
+@then("the resumed node does not hold the lease")
+def step_resumed(context):
+    assert not context.is_held_on_resuming
     assert context.contest.num_double_holders == 0
 
 
-@then("its late order is refused by a receiver that has heard the new holder")
+@then("the late order is refused by a receiver that has admitted an order of the new holder")
 def step_late_order(context):
     fence = TokenFence()
     assert fence.admit(PLANNER, context.new_token)
@@ -250,31 +250,31 @@
     run_contest(context, script)
 
 
-@then("at most {limit:d} calls reach it in any 10 s of the outage and of the minute after")
+@then("at most {limit:d} calls reach the store in any 10 s of the outage and of the minute after")
 def step_call_rate(context, limit):
     calls = context.contest.calls_by_second
     seconds = range(int(FAULT_AT_S), max(calls) - 9)
-    most = max(sum(calls[second + each] for each in range(10)) for second in seconds)
-    assert 0 < most <= limit, most
+    max_calls = max(sum(calls[start + offset] for offset in range(10)) for start in seconds)
+    assert 0 < max_calls <= limit, max_calls
     assert context.is_held_at_end
 
 
-@then("only {count:d} of the nodes have ever asked")
-def step_only_some_asked(context, count):
-    states = [each.lease.state for each in context.contest.contenders]
+@then("only {count:d} of the nodes ever called the store")
+def step_only_some_called(context, count):
+    states = [node.lease.state for node in context.contest.contenders]
     assert sum(state.token != 0 or state.other_holder != b"" for state in states) == count
 
 
 @given("400 nodes in 18 zones and 1700 engines")
 def step_fleet_of_duties(context):
     context.candidates = [
-        DutyCandidate(NodeId(f"node-{each}", 1), f"zone-{each % 18}") for each in range(400)
+        DutyCandidate(NodeId(f"node-{index}", 1), f"zone-{index % 18}") for index in range(400)
     ]
-    context.engines = [(f"engine-{each}", f"zone-{each % 18}") for each in range(1700)]
-    context.before = homes(context)
+    context.engines = [(f"engine-{index}", f"zone-{index % 18}") for index in range(1700)]
+    context.homes_before = engine_homes(context)
 
 
-def homes(context):
+def engine_homes(context):
     by_zone = {}
     for candidate in context.candidates:
         by_zone.setdefault(candidate.zone, []).append(candidate)
@@ -284,32 +284,36 @@
 @when("{change} changes the fleet")
 def step_change_fleet(context, change):
     if change == "a crash":
-        context.changed = context.candidates.pop(7).node
+        context.changed_node = context.candidates.pop(7).node
     else:
-        context.changed = NodeId("node-new", 1)
-        context.candidates.append(DutyCandidate(context.changed, "zone-7"))
-    context.after = homes(context)
+        context.changed_node = NodeId("node-new", 1)
+        context.candidates.append(DutyCandidate(context.changed_node, "zone-7"))
+    context.homes_after = engine_homes(context)
 
 
-@then("every engine has its home in its own zone")
+@then("every engine's home node is in the engine's zone")
 def step_home_zone(context):
     zones = {candidate.node: candidate.zone for candidate in context.candidates}
-    assert all(zones[context.after[engine]] == zone for engine, zone in context.engines)
-    foreign = engine_home("engine-0", "zone-none", context.candidates)
-    assert foreign in zones, "an engine of a zone without nodes has a home elsewhere"
+    assert all(zones[context.homes_after[engine]] == zone for engine, zone in context.engines)
+    home = engine_home("engine-0", "zone-none", context.candidates)
+    assert home in zones, "an engine of a zone without nodes needs a home node in another zone"
 
 
 @then("no duty moves except those of the changed node")
 def step_stable(context):
-    moved = [each for each in context.before if context.before[each] != context.after[each]]
-    assert moved, "the changed node held or took nothing"
+    moved = [
+        engine
+        for engine in context.homes_before
+        if context.homes_before[engine] != context.homes_after[engine]
+    ]
+    assert moved, "no duty of the changed node moved"
     for engine in moved:
-        assert context.changed in (context.before[engine], context.after[engine])
+        assert context.changed_node in (context.homes_before[engine], context.homes_after[engine])
 
 
-@then("no node is home of more than {factor:d} times the mean")
+@then("no node is home to more than {factor:d} times the mean number of engines")
 def step_balanced(context, factor):
-    counts = Counter(context.after.values())
+    counts = Counter(context.homes_after.values())
     assert max(counts.values()) <= factor * 1700 / 400, max(counts.values())
 
 
--- a/features/steps/health_circuit_steps.py
+++ b/features/steps/health_circuit_steps.py
@@ -14,6 +14,8 @@
 
 
 class CircuitRun:
+    """A circuit with its clock and random source, to which events are applied."""
+
     def __init__(self):
         self.circuit = circuits.HEALTHY
         self.now_s = 1000.0
@@ -35,7 +37,7 @@
             "R": lambda: circuits.after_restart(before, RULES, now_s, random),
         }[event]()
 
-    def open_again(self, times):
+    def open_repeatedly(self, times):
         for _ in range(times):
             self.now_s = max(self.now_s, self.circuit.open_until_s)
             for event in ("F", "F", "F") if not self.circuit.is_open else ("F",):
@@ -47,7 +49,7 @@
     context.run = CircuitRun()
 
 
-@when("it goes through {events}")
+@when("the circuit goes through {events}")
 def step_events(context, events):
     for event in events.split():
         context.run.apply(event)
@@ -55,14 +57,14 @@
 
 @then("the circuit is {state}")
 def step_state(context, state):
-    reached = circuits.state_at(context.run.circuit, context.run.now_s)
-    assert reached.value == state, context.run.circuit
+    actual = circuits.state_at(context.run.circuit, context.run.now_s)
+    assert actual.value == state, context.run.circuit
 
 
 @given("a circuit that has opened {times:d} times in a row")
 def step_opened(context, times):
     context.run = CircuitRun()
-    context.run.open_again(times)
+    context.run.open_repeatedly(times)
 
 
 @given(
@@ -76,7 +78,7 @@
     run.now_s += healthy
 
 
-@then("its last opening lasts between {shortest:g} and {longest:g} seconds")
+@then("the last opening lasts between {shortest:g} and {longest:g} seconds")
 def step_opening_length(context, shortest, longest):
     circuit = context.run.circuit
     assert circuit.is_open
@@ -85,10 +87,10 @@
     assert length_s not in (shortest, longest)
 
 
-@then("its share of work is {weight:g}")
+@then("the circuit's share of work is {weight:g}")
 def step_share(context, weight):
-    reached = circuits.admission_weight(context.run.circuit, RULES, context.run.now_s)
-    assert abs(reached - weight) < 1e-6, reached
+    actual = circuits.admission_weight(context.run.circuit, RULES, context.run.now_s)
+    assert abs(actual - weight) < 1e-6, actual
 
 
 @given(
@@ -99,18 +101,18 @@
     staying = members - open_count - quarantined - leaving
     context.now_s = 0.0
     context.members = (
-        [Member(opened(50.0 + index), leavings.STAYING) for index in range(open_count)]
-        + [Member(opened(10.0, True), leavings.STAYING) for _ in range(quarantined)]
+        [Member(open_circuit(50.0 + index), leavings.STAYING) for index in range(open_count)]
+        + [Member(open_circuit(10.0, True), leavings.STAYING) for _ in range(quarantined)]
         + [Member(circuits.HEALTHY, leavings.Leaving(is_listed=True)) for _ in range(leaving)]
         + [Member(circuits.HEALTHY, leavings.STAYING) for _ in range(staying)]
     )
 
 
-def opened(until_s, is_quarantined=False):
+def open_circuit(until_s, is_quarantined=False):
     return circuits.Circuit(is_open=True, is_quarantined=is_quarantined, open_until_s=until_s)
 
 
-@then("{working:d} get work in full and {readmitted:d} at the smallest share")
+@then("{working:d} back ends get their full share of work and {readmitted:d} the smallest share")
 def step_pool_weights(context, working, readmitted):
     context.weights = admission_weights(context.members, RULES, context.now_s)
     counts = (context.weights.count(1.0), context.weights.count(RULES.min_weight))
@@ -118,7 +120,7 @@
     assert sum(counts) + context.weights.count(0.0) == len(context.members)
 
 
-@then("no leaving one and no quarantined one before an open one gets work")
+@then("no leaving back end gets work, and no quarantined one while an open one gets none")
 def step_pool_order(context):
     pairs = list(zip(context.members, context.weights, strict=True))
     assert all(weight == 0.0 for member, weight in pairs if member.leaving.is_leaving_at(0.0))
@@ -129,13 +131,13 @@
     assert not (held_open and in_quarantine)
 
 
-@given("a back end whose run 1 is known")
+@given("a back end with the known run 1")
 def step_run_known(context):
     context.leaving, context.known_run, context.now_s = leavings.STAYING, 1, 100.0
 
 
-@when("{events} are heard")
-def step_heard(context, events):
+@when("{events} are received")
+def step_received_events(context, events):
     for event in events.split(", "):
         kind, _, number = event.partition(" ")
         value = int(number or 0)
@@ -154,7 +156,7 @@
             context.now_s += value
 
 
-@then("it is {state:w}")
+@then("the back end is {state:w}")
 def step_leaving_state(context, state):
-    reached = "leaving" if context.leaving.is_leaving_at(context.now_s) else "staying"
-    assert reached == state, context.leaving
+    actual = "leaving" if context.leaving.is_leaving_at(context.now_s) else "staying"
+    assert actual == state, context.leaving
--- a/features/steps/membership_faults_steps.py
+++ b/features/steps/membership_faults_steps.py
@@ -30,24 +30,24 @@
 
 
 class FalseDeaths:
-    """Watches for running nodes that another one holds dead."""
+    """Record running nodes that another running node regards as dead."""
 
     def __init__(self, fleet, ignored=()):
         self.fleet = fleet
         self.ignored = ignored
-        self.found = set()
+        self.pairs = set()
 
     async def watch(self):
         expected = {node.node.name for node in self.fleet.running()}
         while True:
             for node in self.fleet.running():
                 for name in expected - node.names():
-                    self.found.add((node.node.name, name))
+                    self.pairs.add((node.node.name, name))
             await anyio.sleep(0.05)
 
 
 def run_fleet(context, script):
-    """Start the fleet of the scenario, run a script in virtual time and stop the fleet."""
+    """Start the scenario's fleet, run the script in virtual time and stop the fleet."""
 
     async def main():
         async with anyio.create_task_group() as tasks:
@@ -76,7 +76,7 @@
     return [fleet.nodes[name] for name in ring.names()[:count]]
 
 
-async def cause(fleet, event):
+async def cause_event(fleet, event):
     nodes = fleet.running()
     victim = nodes[len(nodes) // 2]
     if event == "a crash":
@@ -95,7 +95,7 @@
         fleet.start_node(replaces=victim)
     elif event == "an orderly leave":
         await fleet.leave(victim)
-    elif event == "a herd replacing half at once":
+    elif event == "a replacement of half of the nodes at once":
         for node in nodes[::2]:
             fleet.crash(node)
             fleet.start_node()
@@ -103,10 +103,10 @@
         raise ValueError(event)
 
 
-@when("{event} happens to it")
+@when("the fleet goes through {event}")
 def step_event(context, event):
     async def script(fleet, tasks):
-        await cause(fleet, event)
+        await cause_event(fleet, event)
         context.agreed_s = await fleet.until(fleet.all_agree, AGREEMENT_LIMIT_S)
 
     run_fleet(context, script)
@@ -127,16 +127,16 @@
         await anyio.sleep(1.0)
 
 
-@when("it runs for 30 s under {fault}")
+@when("the fleet runs for 30 s with {fault}")
 def step_runs_under(context, fault):
     async def script(fleet, tasks):
         nodes = fleet.running()
         tasks.start_soon(context.deaths.watch)
         if fault == "pauses of 1 s of random nodes":
             tasks.start_soon(pause_random_nodes, fleet, random.Random(context.seed))
-        elif fault == "a one-way cut from one node to another":
+        elif fault == "a one-way partition from one node to another":
             fleet.network.cut({nodes[3].address}, {nodes[4].address})
-        elif fault == "a one-way cut from a node to a third of the nodes":
+        elif fault == "a one-way partition from a node to a third of the nodes":
             fleet.network.cut({nodes[3].address}, {node.address for node in nodes[4:10]})
         else:
             assert fault == "no fault"
@@ -145,37 +145,37 @@
     run_fleet(context, script)
 
 
-@then("no node has ever held a running node dead")
+@then("no node ever regarded a running node as dead")
 def step_no_false_death(context):
-    assert not context.deaths.found, context.deaths.found
+    assert not context.deaths.pairs, context.deaths.pairs
 
 
-@when("one node is frozen for {pause:d} s and wakes")
-def step_frozen(context, pause):
+@when("one node is paused for {pause:d} s and resumes")
+def step_paused(context, pause):
     async def script(fleet, tasks):
-        context.frozen = fleet.running()[7]
+        context.paused_node = fleet.running()[7]
         tasks.start_soon(context.deaths.watch)
-        context.frozen.endpoint.freeze()
+        context.paused_node.endpoint.freeze()
         await anyio.sleep(pause)
-        context.frozen.endpoint.thaw()
+        context.paused_node.endpoint.thaw()
         context.agreed_s = await fleet.until(fleet.all_agree, AGREEMENT_LIMIT_S)
         await anyio.sleep(10)
 
     run_fleet(context, script)
 
 
-@then("the others never held one another dead")
+@then("the other nodes never regarded one another as dead")
 def step_others_intact(context):
-    frozen = context.frozen.node.name
-    wrong = {pair for pair in context.deaths.found if frozen not in pair}
-    assert not wrong, wrong
+    paused = context.paused_node.node.name
+    false_deaths = {pair for pair in context.deaths.pairs if paused not in pair}
+    assert not false_deaths, false_deaths
 
 
-@then("the woken node never held another node dead")
-def step_woken_intact(context):
-    frozen = context.frozen.node.name
-    wrong = {pair for pair in context.deaths.found if pair[0] == frozen}
-    assert not wrong, wrong
+@then("the resumed node never regarded another node as dead")
+def step_resumed_intact(context):
+    paused = context.paused_node.node.name
+    false_deaths = {pair for pair in context.deaths.pairs if pair[0] == paused}
+    assert not false_deaths, false_deaths
 
 
 @given("a node with a probe in flight and a suspicion of another member")
@@ -187,16 +187,16 @@
     protocol.handle_gossip(Gossip((MEMBER, other, accused)), 0.0)
     protocol.probe_soon(MEMBER.name)
     actions = protocol.tick(0.1)
-    pinged = [each.message.target_name for each in actions if isinstance(each.message, Ping)]
+    pinged = [action.message.target_name for action in actions if isinstance(action.message, Ping)]
     assert MEMBER.name in pinged, actions
     context.protocol = protocol
 
 
-@when("its next tick comes {late:d} s late")
+@when("the next tick of the node is {late:d} s late")
 def step_late_tick(context, late):
-    context.woken_at_s = 0.1 + late
-    context.protocol.tick(context.woken_at_s)
-    context.protocol.tick(context.woken_at_s + 0.1)
+    context.resumed_at_s = 0.1 + late
+    context.protocol.tick(context.resumed_at_s)
+    context.protocol.tick(context.resumed_at_s + 0.1)
 
 
 @then("the probed member is not suspected and the suspect is not dead")
@@ -206,20 +206,20 @@
     assert table.get("other").state is MemberState.SUSPECT
 
 
-@then("the suspect is dead when no refutation comes in the time of a suspicion")
-def step_dead_after_all(context):
-    now_s = context.woken_at_s
-    while now_s < context.woken_at_s + MembershipRules().suspicion_max_s + 0.5:
+@then("the suspect is declared dead when no refutation arrives within the suspicion timeout")
+def step_declared_dead(context):
+    now_s = context.resumed_at_s
+    while now_s < context.resumed_at_s + MembershipRules().suspicion_max_s + 0.5:
         now_s += 0.1
         context.protocol.tick(now_s)
     assert context.protocol.state.table.get("other").state is MemberState.DEAD
 
 
-@when("{cut} lasts {length:d} s and heals")
-def step_cut(context, cut, length):
+@when("{partition} lasts {length:d} s and heals")
+def step_partition(context, partition, length):
     async def script(fleet, tasks):
-        split = 1 if cut == "a cut of one zone" else 2
-        if cut.endswith("without seeds"):
+        split = 1 if partition == "a partition of one zone" else 2
+        if partition.endswith("without seeds"):
             for node in fleet.running():
                 node.membership.protocol._seeds.clear()
         first = fleet.group(fleet.zones[:split])
@@ -235,10 +235,10 @@
     run_fleet(context, script)
 
 
-@then("each side held the other dead when the cut {outcome}")
+@then("each side had declared the other dead if the partition {outcome}")
 def step_sides(context, outcome):
-    whole = {(True, context.num_nodes), (False, context.num_nodes)}
-    expected = {"was long": context.split_sizes, "was short": whole}[outcome]
+    all_nodes = {(True, context.num_nodes), (False, context.num_nodes)}
+    expected = {"was long": context.split_sizes, "was short": all_nodes}[outcome]
     assert context.sizes == expected, context.sizes
 
 
@@ -256,28 +256,28 @@
         await leaver.membership.depart()
         fleet.crash(leaver)
         gone = await fleet.until(fleet.all_agree, AGREEMENT_LIMIT_S)
-        teller, *others = fleet.running()
+        sender, *others = fleet.running()
         for other in others:
-            await teller.link.cast(other.address, Gossip((replace(old, refutations=99),)))
+            await sender.link.cast(other.address, Gossip((replace(old, refutations=99),)))
         await anyio.sleep(1)
-        context.gone = gone is not None and fleet.all_agree()
+        context.is_gone = gone is not None and fleet.all_agree()
 
     run_fleet(context, script)
 
 
-@then("all other nodes hold it leaving within {limit:d} s")
+@then("all other nodes regard it as leaving within {limit:d} s")
 def step_leaving(context, limit):
     assert context.seen_s is not None and context.seen_s < limit, context.seen_s
 
 
-@when("it departs and an old ALIVE claim about it is gossiped")
+@when("the leaving node departs and an old ALIVE update about it is gossiped")
 def step_departs(context):
-    pass  # Done in the same run of the fleet as the announcement.
+    pass  # The step of the announcement does this in the same run of the fleet.
 
 
-@then("no node holds it live")
+@then("no node regards the departed node as alive")
 def step_not_live(context):
-    assert context.gone
+    assert context.is_gone
 
 
 @given('a membership state that holds member "m" at incarnation 5, refutations 2, state {held}')
@@ -288,21 +288,23 @@
 
 
 @when(
-    "a claim arrives with incarnation {incarnation:d}, refutations {refutations:d}, state {claim}"
+    "an update arrives with incarnation {incarnation:d}, refutations {refutations:d}, state {update}"
 )
-def step_claim(context, incarnation, refutations, claim):
+def step_update(context, incarnation, refutations, update):
     context.state.apply(
-        replace(MEMBER, incarnation=incarnation, refutations=refutations, state=MemberState[claim]),
+        replace(
+            MEMBER, incarnation=incarnation, refutations=refutations, state=MemberState[update]
+        ),
         1.0,
     )
 
 
-@then("the member is held at state {state}")
-def step_held(context, state):
+@then("the member has state {state}")
+def step_member_state(context, state):
     assert context.state.table.get("m").state is MemberState[state]
 
 
-@when("a stranger forges the death of every node and replays all that was sent during a leave")
+@when("an attacker forges the death of every node and replays all datagrams of a leave")
 def step_forge(context):
     async def script(fleet, tasks):
         codec = MessageCodec()
@@ -318,28 +320,28 @@
             for victim in fleet.running():
                 own = victim.membership.protocol.state.own
                 death = codec.encode(Gossip((replace(own, state=MemberState.DEAD),)))
-                sealer = EnvelopeSigner(
+                signer = EnvelopeSigner(
                     KeyRing((PeerKey(1, b"a stranger's own key....."),)),
                     NodeId(victim.node.name, 10**9),
                     victim.address,
                 )
-                data = sealer.sign(EnvelopeKind.CAST, death, address_binding(target.address))
+                data = signer.sign(EnvelopeKind.CAST, death, address_binding(target.address))
                 fleet.network.inject(victim.address, target.address, data)
         for destination, data in record:
             fleet.network.inject(leaver.address, destination, data)
         await anyio.sleep(10)
-        context.versions = {
+        context.own_refutations = {
             node.membership.protocol.state.own.refutations for node in fleet.running()
         }
-        context.stays_gone = fleet.all_agree()
+        context.stays_absent = fleet.all_agree()
 
     run_fleet(context, script)
 
 
-@then("the node that left stays gone")
-def step_stays_gone(context):
-    assert context.stays_gone
-    assert context.versions == {0}, "a node has refuted a forged claim"
+@then("the node that left stays absent")
+def step_stays_absent(context):
+    assert context.stays_absent
+    assert context.own_refutations == {0}, "a node refuted a forged update"
 
 
 class ListedMachines:
@@ -350,7 +352,7 @@
         return Ok(tuple(self._machines))
 
 
-@when("the machine list marks one node as leaving and omits another that runs")
+@when("the machine list marks one node as leaving and omits another running node")
 def step_machine_list(context):
     async def script(fleet, tasks):
         nodes = fleet.running()
@@ -366,7 +368,7 @@
     run_fleet(context, script)
 
 
-@then("the marked node is held leaving and the omitted one stays alive")
+@then("the marked node is regarded as leaving and the omitted node as alive")
 def step_hints(context):
     assert (context.marked, context.omitted) == (PeerState.LEAVING, PeerState.ALIVE)
 
@@ -377,28 +379,28 @@
     context.state = MembershipState(OWN, context.rules, 0.0)
 
 
-@when("{count:d} members are born and die")
-def step_born_and_die(context, count):
+@when("{count:d} members join and die")
+def step_join_and_die(context, count):
     for number in range(count):
         member = replace(MEMBER, name=f"m{number}")
         context.state.apply(member, 0.0)
         context.state.apply(replace(member, state=MemberState.DEAD), 0.0)
 
 
-def num_remembered(context):
+def num_tombstones(context):
     table = context.state.table
     return len(table.in_buckets(table.differing_buckets(()))) - table.num_live
 
 
-@then("{count:d} dead members are remembered")
-def step_remembered(context, count):
-    assert num_remembered(context) == count, num_remembered(context)
+@then("{count:d} dead members are kept")
+def step_kept(context, count):
+    assert num_tombstones(context) == count, num_tombstones(context)
 
 
-@then("none is remembered {time:d} s later")
-def step_none_remembered(context, time):
+@then("no dead member is kept {time:d} s later")
+def step_none_kept(context, time):
     context.state.table.expire_tombstones(time - context.rules.tombstone_s)
-    assert num_remembered(context) == 0
+    assert num_tombstones(context) == 0
 
 
 @when("a second node with a later incarnation starts under a running node's name elsewhere")
@@ -425,22 +427,24 @@
     assert context.noticed_s is not None
 
 
-@given("a node that joins by {num:d} seeds")
+@given("a joining node with {num:d} seeds")
 def step_joining_node(context, num):
     seeds = [NodeAddress(f"10.0.1.{host}", 1) for host in range(num)]
     context.protocol = MembershipProtocol(OWN, seeds, MembershipRules(), random.Random(1), 0.0)
 
 
-@then("it tries {first:d} different seeds at once, again after 0.5 s, and one after it has joined")
+@then(
+    "the node tries {first:d} different seeds at once, again after 0.5 s, and one seed once it has joined"
+)
 def step_seeds_tried(context, first):
-    def tried(now_s):
+    def tried_seeds(now_s):
         actions = context.protocol.tick(now_s)
-        return [one.destination for one in actions if isinstance(one, StartSync)]
+        return [action.destination for action in actions if isinstance(action, StartSync)]
 
     for now_s in (0.0, 0.5):
-        seeds = tried(now_s)
+        seeds = tried_seeds(now_s)
         assert len(set(seeds)) == len(seeds) == first, seeds
-        assert tried(now_s + 0.25) == []
+        assert tried_seeds(now_s + 0.25) == []
     seed = NodeAddress("10.0.1.0", 1)
     context.protocol.handle_sync_reply(seed, SyncReply((), ()), 0.8)
-    assert len(tried(1.0)) == 1
+    assert len(tried_seeds(1.0)) == 1
--- a/features/steps/peers_link_steps.py
+++ b/features/steps/peers_link_steps.py
@@ -34,7 +34,7 @@
 ID_A = NodeId("a", 100)
 ID_B = NodeId("b", 100)
 FAULTS = {
-    "every datagram doubled": LinkQuality(duplicate_rate=1.0),
+    "every datagram duplicated": LinkQuality(duplicate_rate=1.0),
     "heavy reordering": LinkQuality(jitter_s=2.0),
     "a third of datagrams dropped": LinkQuality(drop_rate=0.33),
 }
@@ -69,8 +69,8 @@
         return Answer(question.text + " answered", question.filler)
 
 
-class Pair:
-    """Two nodes on one memory network; runs one script in virtual time."""
+class NodePair:
+    """Two nodes on an in-memory network; `run` runs a script in virtual time."""
 
     def __init__(self, quality=None):
         self.quality = quality
@@ -94,23 +94,23 @@
         return node
 
 
-def on_pair(context, script):
+def run_on_pair(context, script):
     context.pair.run(lambda: script(context.pair))
 
 
 @given("two linked nodes")
 def step_two_nodes(context):
-    context.pair = Pair()
+    context.pair = NodePair()
     context.prepare = None
 
 
 @given("two linked nodes over a link with {fault}")
 def step_two_nodes_poor_link(context, fault):
-    context.pair = Pair(FAULTS[fault])
+    context.pair = NodePair(FAULTS[fault])
 
 
-@async_when("node A calls a new run of node B {count:d} times at once", on_pair)
-async def step_racing_calls(context, pair, count):
+@async_when("node A sends {count:d} concurrent calls to a new run of node B", run_on_pair)
+async def step_concurrent_calls(context, pair, count):
     pair.network.detach(ADDRESS_B)
     new_b = pair.start(NodeId(ID_B.name, ID_B.incarnation + 1), ADDRESS_B)
     context.replies = {}
@@ -125,14 +125,14 @@
     context.num_handled = new_b.num_calls
 
 
-@then("all {count:d} calls have been answered and each was handled once")
+@then("all {count:d} calls are answered and each was handled once")
 def step_all_answered(context, count):
     expected = {number: Ok(Answer(f"question {number} answered")) for number in range(count)}
     assert context.replies == expected, context.replies
     assert context.num_handled == count, context.num_handled
 
 
-@async_when('node A casts "{cast}" and calls "{call}" to node B', on_pair)
+@async_when('node A casts "{cast}" and calls "{call}" to node B', run_on_pair)
 async def step_cast_and_call(context, pair, cast, call):
     await pair.a.link.cast(ADDRESS_B, Note(cast))
     context.reply = await pair.a.link.call(ADDRESS_B, Question(call), 1.0)
@@ -150,7 +150,7 @@
     assert context.reply == Ok(Answer(text)), context.reply
 
 
-@given('node A has cast "{text}" to node B on a recorded wire')
+@given('node A has cast "{text}" to node B over a recorded network')
 def step_recorded_cast(context, text):
     async def prepare():
         await context.pair.a.link.cast(ADDRESS_B, Note(text))
@@ -160,11 +160,11 @@
     context.prepare = prepare
 
 
-def sealed(key, payload, incarnation=100, destination=ADDRESS_B):
-    sealer = EnvelopeSigner(KeyRing((key,)), NodeId("a", incarnation), ADDRESS_A)
+def signed_cast(key, payload, incarnation=100, destination=ADDRESS_B):
+    signer = EnvelopeSigner(KeyRing((key,)), NodeId("a", incarnation), ADDRESS_A)
     for _ in range(50):
-        sealer.sign(EnvelopeKind.CAST, b"", b"")
-    return sealer.sign(EnvelopeKind.CAST, payload, address_binding(destination))
+        signer.sign(EnvelopeKind.CAST, b"", b"")
+    return signer.sign(EnvelopeKind.CAST, payload, address_binding(destination))
 
 
 def hostile_datagram(context, name):
@@ -176,8 +176,8 @@
     makers = {
         "the recorded cast again": lambda: recorded[0],
         "the recorded cast with a flipped bit": lambda: bytes(flipped),
-        "a cast signed with another key": lambda: sealed(OTHER_KEY, note),
-        "a cast with an unknown key id": lambda: sealed(NEW_KEY, note),
+        "a cast signed with another key": lambda: signed_cast(OTHER_KEY, note),
+        "a cast with an unknown key id": lambda: signed_cast(NEW_KEY, note),
         "an empty datagram": lambda: b"",
         "random bytes under a known key id": lambda: b"\x01" + random.Random(3).randbytes(90),
         "a signed envelope that is not CBOR": lambda: KeyRing((OLD_KEY,)).sign(
@@ -186,16 +186,20 @@
         "a signed envelope of the wrong shape": lambda: KeyRing((OLD_KEY,)).sign(
             cbor2.dumps([0, "a", -5]), binding
         ),
-        "a signed cast of an unknown type": lambda: sealed(OLD_KEY, cbor2.dumps(["nobody", 1])),
-        "a signed cast with a field too few": lambda: sealed(OLD_KEY, cbor2.dumps(["test_note"])),
-        "a cast that was sent to node A": lambda: sealed(OLD_KEY, note, destination=ADDRESS_A),
-        "a cast of an earlier run of node A": lambda: sealed(OLD_KEY, note, incarnation=99),
+        "a signed cast of an unknown type": lambda: signed_cast(
+            OLD_KEY, cbor2.dumps(["nobody", 1])
+        ),
+        "a signed cast with a field too few": lambda: signed_cast(
+            OLD_KEY, cbor2.dumps(["test_note"])
+        ),
+        "a cast that was sent to node A": lambda: signed_cast(OLD_KEY, note, destination=ADDRESS_A),
+        "a cast of an earlier run of node A": lambda: signed_cast(OLD_KEY, note, incarnation=99),
     }
     return makers[name]()
 
 
-@async_when("a stranger sends to node B {datagram}", on_pair)
-async def step_stranger_sends(context, pair, datagram):
+@async_when("an attacker sends to node B {datagram}", run_on_pair)
+async def step_attacker_sends(context, pair, datagram):
     await context.prepare()
     pair.b.link.traffic.num_rejected.clear()
     pair.network.inject(NodeAddress("10.9.9.9", 9), ADDRESS_B, hostile_datagram(context, datagram))
@@ -210,11 +214,12 @@
 
 
 @async_when(
-    "node B restarts and a stranger plays the whole record to it while node A is gone", on_pair
+    "node B restarts and an attacker replays all recorded datagrams to it while node A is absent",
+    run_on_pair,
 )
 async def step_replay_after_restart(context, pair):
     await context.prepare()
-    assert pair.b.casts, "the record must hold a delivered cast"
+    assert pair.b.casts, "the recorded datagrams must include a delivered cast"
     record = [data for to, data in pair.network.recorded if to == ADDRESS_B]
     pair.network.detach(ADDRESS_A)
     pair.b = pair.start(NodeId("b", 200), ADDRESS_B)
@@ -223,17 +228,17 @@
         await anyio.sleep(0.1)
 
 
-@async_when('node A calls "{text}" to node B and the call arrives twice', on_pair)
+@async_when('node A calls "{text}" to node B and the call arrives twice', run_on_pair)
 async def step_call_twice(context, pair, text):
     endpoint = pair.network.attach(NodeAddress("10.0.0.3", 1), "zone")
     calls = []
     handler = pair.network.endpoints[ADDRESS_B].handler
 
-    async def spy(request):
+    async def recording_handler(request):
         calls.append(request)
         return await handler(request)
 
-    pair.network.endpoints[ADDRESS_B].handler = spy
+    pair.network.endpoints[ADDRESS_B].handler = recording_handler
     assert isinstance(await pair.a.link.call(ADDRESS_B, Question(text), 1.0), Ok)
     for request in tuple(calls):
         await endpoint.call(ADDRESS_B, request, 1.0)
@@ -244,7 +249,7 @@
     assert context.pair.b.num_calls == count, context.pair.b.num_calls
 
 
-@async_when("node A casts {count:d} messages at once to node B", on_pair)
+@async_when("node A casts {count:d} messages at once to node B", run_on_pair)
 async def step_busy_sender(context, pair, count):
     for number in range(count):
         await pair.a.link.cast(ADDRESS_B, Note(str(number)))
@@ -258,7 +263,8 @@
 
 
 @async_when(
-    "the keys go from old to new on one node at a time, with a cast each way at each step", on_pair
+    "the keys change from old to new on one node at a time, with a cast in each direction at each step",
+    run_on_pair,
 )
 async def step_rotate(context, pair):
     context.num_steps = 0
@@ -274,7 +280,9 @@
         for node in (pair.a, pair.b):
             node.keys.replace(keys)
             await exchange()
-    pair.network.inject(ADDRESS_A, ADDRESS_B, sealed(OLD_KEY, MessageCodec().encode(Note("late"))))
+    pair.network.inject(
+        ADDRESS_A, ADDRESS_B, signed_cast(OLD_KEY, MessageCodec().encode(Note("late")))
+    )
     await anyio.sleep(1)
 
 
@@ -291,7 +299,7 @@
     assert rejected == {"unknown_key": 1}, rejected
 
 
-@async_when("node A casts {count:d} numbered messages to node B", on_pair)
+@async_when("node A casts {count:d} numbered messages to node B", run_on_pair)
 async def step_numbered(context, pair, count):
     for number in range(count):
         await pair.a.link.cast(ADDRESS_B, Note(str(number)))
@@ -334,18 +342,18 @@
     decode(cbor2.dumps(["unheard", 1]))
 
 
-@then("the codec has raised nothing")
+@then("the codec raised no exception")
 def step_codec_failures(context):
     expected = {"not_cbor", "no_tag", "unknown_tag", "wrong_shape", "too_large"}
     assert context.failures == expected, context.failures
 
 
-@given("two nodes linked over UDP and HTTP on loopback")
+@given("two nodes connected by UDP and HTTP on loopback")
 def step_real_nodes(context):
     context.addresses = [free_address() for _ in range(3)]
 
 
-@when("they exchange a cast and a call of {size:d} bytes each way")
+@when("they exchange a cast and a call of {size:d} bytes in each direction")
 def step_real_exchange(context, size):
     first, second, closed = context.addresses
     context.replies = []
@@ -355,9 +363,9 @@
         nodes = [Node(networks[0], ID_A, first), Node(networks[1], ID_B, second)]
         arrived = anyio.Event()
         for node in nodes:
-            node.link.on_cast(Note, lambda source, note, node=node: take(node, source, note))
+            node.link.on_cast(Note, lambda source, note, node=node: record_cast(node, source, note))
 
-        def take(node, source, note):
+        def record_cast(node, source, note):
             node.casts.append((source, note.text))
             if all(other.casts for other in nodes):
                 arrived.set()
@@ -370,7 +378,7 @@
                 question = Question("q", bytes(size))
                 context.replies.append(await node.link.call(other.address, question, 10.0))
                 await node.link.cast(other.address, Note("over UDP"))
-            context.closed = await nodes[0].link.call(closed, Question("q"), 10.0)
+            context.closed_port_reply = await nodes[0].link.call(closed, Question("q"), 10.0)
             with anyio.fail_after(10):
                 await arrived.wait()
             tasks.cancel_scope.cancel()
@@ -380,7 +388,7 @@
     context.size = size
 
 
-@then("the real network has delivered both each way")
+@then("the real network delivered both in each direction")
 def step_real_delivered(context):
     first, second, _ = context.addresses
     assert context.replies == [Ok(Answer("q answered", bytes(context.size)))] * 2, str(
@@ -389,6 +397,9 @@
     assert context.casts == [[(second, "over UDP")], [(first, "over UDP")]], context.casts
 
 
-@then("a call to a closed port is provably not sent")
+@then("a call to a closed port was provably not sent")
 def step_closed_port(context):
-    assert isinstance(context.closed, Err) and context.closed.err_value.provably_not_sent
+    assert (
+        isinstance(context.closed_port_reply, Err)
+        and context.closed_port_reply.err_value.provably_not_sent
+    )
--- a/features/steps/peers_sockets_steps.py
+++ b/features/steps/peers_sockets_steps.py
@@ -12,8 +12,8 @@
     context.address = free_address()
 
 
-@when("{count:d} tasks cast to it at the same moment")
-def step_cast_together(context, count):
+@when("{count:d} tasks cast to the network concurrently")
+def step_cast_concurrently(context, count):
     context.payloads = set()
 
     async def receive(network):
@@ -36,6 +36,6 @@
     anyio.run(main, backend_options={"use_uvloop": True})
 
 
-@then("it receives {count:d} different datagrams")
+@then("the network receives {count:d} different datagrams")
 def step_received(context, count):
     assert len(context.payloads) == count, context.payloads
--- a/features/support/backend_fleet.py
+++ b/features/support/backend_fleet.py
@@ -1,4 +1,4 @@
-"""A node's directory and routers over in-process engines, in virtual time."""
+"""A node's directory and routers with in-process engines, for virtual time."""
 
 from contextlib import asynccontextmanager
 from random import Random
@@ -33,7 +33,7 @@
 
 
 class FixedConfiguration:
-    """Configuration in force that a test changes by hand."""
+    """A configuration in force that the test changes."""
 
     def __init__(self, deployment):
         self._in_force = ConfigurationInForce(1, deployment)
@@ -54,7 +54,7 @@
 
 
 class ListedMachines:
-    """Machine list that a test changes by hand."""
+    """A machine list that the test changes."""
 
     def __init__(self):
         self.machines_now = ()
@@ -116,7 +116,7 @@
 
 
 class Fleet:
-    """One node's tasks and the engines it reaches."""
+    """One node's directory and routers, and the engines that the node reaches."""
 
     def __init__(self, deployment, policy=None, probe_rules=None, seed=1, zone=None):
         self.engines = {}
--- a/features/support/lease_model.py
+++ b/features/support/lease_model.py
@@ -1,12 +1,14 @@
 """Exhaustive exploration of the lease protocol: two nodes, one duty, one receiver of orders.
 
-All interleavings, without a bound on time or on faults: requests are applied, delayed past their
-time-out or lost, answers are lost or late, nodes pause anywhere (by taking no step while time goes
-on), an order arrives late. The space is finite because a world is kept relative to the present:
-times count from now (what is long past is equal), lease ids and revisions are ranks. The nodes run
-the product's own `next_operation` and `after_answer`.
-
-One node's orders may be in flight, the other's arrive at once: staleness concerns pairs.
+The exploration covers all interleavings, without a bound on time or on the number of faults.
+Requests are applied, delayed past their timeout or lost. Answers are lost or late. Nodes pause at
+any point: they take no step while time passes. An order arrives late. The state space is finite
+because a state is kept relative to the present: times count from now, all past times are equal, and
+lease ids and revisions are replaced by ranks. The nodes run the product's own `next_operation` and
+`after_answer`.
+
+The first node's orders may be in flight; the second node's orders arrive at once. This suffices,
+because a stale order is stale in relation to one later order.
 """
 
 from collections import deque
@@ -45,7 +47,7 @@
 
 
 MUTATING = (LeaseOperation.TAKE_KEY, LeaseOperation.KEEP_ALIVE)
-"""Operations that matter when they arrive late: a late grant is a lease that nobody knows."""
+"""Operations whose late arrival matters. A late grant only creates a lease without a user."""
 
 
 class Store(NamedTuple):
@@ -62,7 +64,7 @@
     answer: object = None
 
 
-class World(NamedTuple):
+class SystemState(NamedTuple):
     store: Store = Store()
     states: tuple = (LeaseState(), LeaseState())
     calls: tuple = (None, None)
@@ -71,12 +73,12 @@
     highest_token: int = 0  # of the second node's orders
 
 
-class Broken(Exception):
-    """A property does not hold."""
+class PropertyViolated(Exception):
+    """A property of the lease protocol does not hold."""
 
 
 class LeaseModel:
-    """The rules as built, or with one of them broken."""
+    """The lease protocol as implemented, or with one rule disabled (`broken_rule`)."""
 
     def __init__(
         self, broken_rule=None, nodes_with_late_calls=NODES, has_orders=True, lossy_nodes=NODES
@@ -88,121 +90,124 @@
         self.num_held = self.num_handed_over = self.num_refused = 0
 
     def explore(self):
-        """Visit every reachable world; returns their number, raises `Broken`."""
-        start = canonical(World())
+        """Visit every reachable state and return their number, or raise `PropertyViolated`."""
+        start = canonical(SystemState())
         seen = {start}
         queue = deque([start])
         while queue:
-            world = queue.popleft()
-            for successor in map(canonical, self.successors(world)):
+            system = queue.popleft()
+            for successor in map(canonical, self.successors(system)):
                 if successor not in seen:
                     self.check(successor)
                     seen.add(successor)
                     queue.append(successor)
         return len(seen)
 
-    def check(self, world):
+    def check(self, system):
         for node in NODES:
-            if not world.states[node].is_held(0):
+            if not system.states[node].is_held(0):
                 continue
             self.num_held += 1
-            key = world.store.key
+            key = system.store.key
             if key is None or key.holder != holder_name(node):
-                raise Broken("a node believes that it holds a duty that it does not hold")
-        first, second = (state.token for state in world.states)
+                raise PropertyViolated("a node acts as holder of a duty that it does not hold")
+        first, second = (state.token for state in system.states)
         self.num_handed_over += bool(first and second)
         if first and first == second:
-            raise Broken("two nodes have one token")
+            raise PropertyViolated("two nodes have the same token")
 
-    def successors(self, world):
-        yield one_second_later(world)
+    def successors(self, system):
+        yield after_one_second(system)
         for node in NODES:
-            yield from self.call_steps(world, node)
-            if world.late_calls[node] is not None:
-                store, _ = apply(world.store, world.late_calls[node], node)
-                yield world._replace(store=store, late_calls=put(world.late_calls, node, None))
+            yield from self.call_steps(system, node)
+            if system.late_calls[node] is not None:
+                store, _ = apply(system.store, system.late_calls[node], node)
+                yield system._replace(
+                    store=store, late_calls=replace_item(system.late_calls, node, None)
+                )
         if self.has_orders:
-            yield from self.order_steps(world)
+            yield from self.order_steps(system)
 
-    def call_steps(self, world, node):
-        state, call = world.states[node], world.calls[node]
+    def call_steps(self, system, node):
+        state, call = system.states[node], system.calls[node]
         if call is None:
             operation = next_operation(state, 0)
             if operation is not None:
                 call = Call(operation, state.lease_id)
                 if operation is LeaseOperation.READ_KEY:
-                    # Changes nothing, so sending and applying it are one step.
-                    call = call._replace(answer=KeyAnswer(world.store.key))
-                yield world._replace(calls=put(world.calls, node, call))
+                    # A read changes nothing, so sending and applying it are one step.
+                    call = call._replace(answer=KeyAnswer(system.store.key))
+                yield system._replace(calls=replace_item(system.calls, node, call))
             return
         if call.answer is not None:
-            yield self.answered(world, node, call.answer)
+            yield self.after_call(system, node, call.answer)
             if call.operation is LeaseOperation.READ_KEY and node in self.lossy_nodes:
-                yield self.answered(world, node, CallFailed())
+                yield self.after_call(system, node, CallFailed())
             return
-        store, answer = apply(world.store, call, node)
-        applied = world._replace(store=store)
-        yield applied._replace(calls=put(world.calls, node, call._replace(answer=answer)))
+        store, answer = apply(system.store, call, node)
+        applied = system._replace(store=store)
+        yield applied._replace(calls=replace_item(system.calls, node, call._replace(answer=answer)))
         if node not in self.lossy_nodes:
             return
-        yield self.answered(applied, node, CallFailed())
+        yield self.after_call(applied, node, CallFailed())
         if call.operation in MUTATING and node in self.nodes_with_late_calls:
             late = call._replace(sent_at=0)
-            world = world._replace(late_calls=put(world.late_calls, node, late))
-        yield self.answered(world, node, CallFailed())
+            system = system._replace(late_calls=replace_item(system.late_calls, node, late))
+        yield self.after_call(system, node, CallFailed())
 
     def may_act(self, state):
-        if self.broken_rule == "no check at the point of use":
+        if self.broken_rule == "no check before an order is sent":
             return state.token != 0
         return state.is_held(0)
 
-    def order_steps(self, world):
-        sender, other = world.states
-        if world.order == 0 and self.may_act(sender):
-            self.check_sender(world, 0)
-            yield world._replace(order=sender.token)
-        if world.order:
-            yield self.late_order_arrives(world._replace(order=0), world.order)
+    def order_steps(self, system):
+        sender, other = system.states
+        if system.order == 0 and self.may_act(sender):
+            self.check_sender(system, 0)
+            yield system._replace(order=sender.token)
+        if system.order:
+            yield self.receive_late_order(system._replace(order=0), system.order)
         if self.may_act(other):
-            self.check_sender(world, 1)
-            yield world._replace(highest_token=other.token)
+            self.check_sender(system, 1)
+            yield system._replace(highest_token=other.token)
 
-    def check_sender(self, world, node):
-        key = world.store.key
+    def check_sender(self, system, node):
+        key = system.store.key
         if key is None or key.holder != holder_name(node):
-            raise Broken("an order is sent by a node that does not hold the duty")
+            raise PropertyViolated("an order is sent by a node that does not hold the duty")
 
-    def late_order_arrives(self, world, token):
-        is_admitted = fence_after(world.highest_token).admit(DUTY, token)
+    def receive_late_order(self, system, token):
+        is_admitted = fence_with_token(system.highest_token).admit(DUTY, token)
         if self.broken_rule == "the receiver does not fence":
             is_admitted = True
-        if is_admitted and token < world.highest_token:
-            raise Broken("an order of an earlier holder takes effect after a later one's")
+        if is_admitted and token < system.highest_token:
+            raise PropertyViolated("an order of an earlier holder takes effect after a later one's")
         self.num_refused += not is_admitted
-        return world
+        return system
 
-    def answered(self, world, node, answer):
-        state, call = world.states[node], world.calls[node]
+    def after_call(self, system, node, answer):
+        state, call = system.states[node], system.calls[node]
         sent_at = call.sent_at
         if self.broken_rule == "validity counts from the answer":
             sent_at = 0
         next_state = after_answer(state, answer, sent_at, 0, RULES)
         if self.broken_rule == "the token never changes" and next_state.token:
             next_state = replace(next_state, token=1)
-        is_lost_taking = call.operation is LeaseOperation.TAKE_KEY and answer == CallFailed()
-        if self.broken_rule == "a lost answer counts as success" and is_lost_taking:
-            next_state = replace(state, phase=LeasePhase.HOLD, token=world.store.revision + 1)
+        is_take_answer_lost = call.operation is LeaseOperation.TAKE_KEY and answer == CallFailed()
+        if self.broken_rule == "a lost answer counts as success" and is_take_answer_lost:
+            next_state = replace(state, phase=LeasePhase.HOLD, token=system.store.revision + 1)
         if self.broken_rule == "a lost lease is not dropped" and answer == LeaseLost():
             next_state = after_answer(state, LeaseRenewed(TIME_TO_LIVE), sent_at, 0, RULES)
-        return world._replace(
-            states=put(world.states, node, next_state), calls=put(world.calls, node, None)
+        return system._replace(
+            states=replace_item(system.states, node, next_state),
+            calls=replace_item(system.calls, node, None),
         )
 
 
-def one_second_later(world):
-    """Let time go on by one: everything relative to now moves into the past."""
-    store = world.store
-    leases = tuple((each, left - 1) for each, left in store.leases if left > 1)
+def after_one_second(system):
+    """Return the state one second later: all times relative to now decrease by one."""
+    store = system.store
+    leases = tuple((lease_id, left - 1) for lease_id, left in store.leases if left > 1)
     if store.key is not None and store.key.lease_id not in dict(leases):
         store = store._replace(key=None)
     states = tuple(
@@ -211,22 +216,23 @@
             not_before_s=state.not_before_s - 1,
             valid_until_s=state.valid_until_s - 1,
         )
-        for state in world.states
+        for state in system.states
     )
     calls = tuple(
-        call and call._replace(sent_at=max(call.sent_at - 1, -TIME_TO_LIVE)) for call in world.calls
+        call and call._replace(sent_at=max(call.sent_at - 1, -TIME_TO_LIVE))
+        for call in system.calls
     )
-    return world._replace(store=store._replace(leases=leases), states=states, calls=calls)
+    return system._replace(store=store._replace(leases=leases), states=states, calls=calls)
 
 
-def canonical(world):
-    """Rename lease ids and revisions to ranks, and make all times past equal."""
-    store = world.store
-    first, second = world.states
+def canonical(system):
+    """Replace lease ids and revisions by ranks, and make all past times equal."""
+    store = system.store
+    first, second = system.states
     lease_ids = {0, first.lease_id, second.lease_id}
-    revisions = {0, first.token, second.token, world.order, world.highest_token}
+    revisions = {0, first.token, second.token, system.order, system.highest_token}
     keys = [store.key]
-    for call in world.calls + world.late_calls:
+    for call in system.calls + system.late_calls:
         if call is not None:
             lease_ids.add(call.lease_id)
             if isinstance(call.answer, KeyAnswer):
@@ -239,9 +245,9 @@
             revisions.add(key.create_revision)
     leases, tokens = Ranks(lease_ids), Ranks(revisions)
     if leases.are_identical and tokens.are_identical:
-        known = tuple(lease for lease in store.leases if lease[0] in leases)
-        store = Store(tokens.highest, leases.highest + 1, known, store.key)
-        return world._replace(store=store, states=(without_past(first), without_past(second)))
+        known_leases = tuple(lease for lease in store.leases if lease[0] in leases)
+        store = Store(tokens.highest, leases.highest + 1, known_leases, store.key)
+        return system._replace(store=store, states=(without_past(first), without_past(second)))
 
     def renamed_key(key):
         if key is None:
@@ -262,19 +268,21 @@
         renamed = replace(state, lease_id=leases.of(state.lease_id), token=tokens.of(state.token))
         return without_past(renamed)
 
-    known = tuple((leases.of(each), left) for each, left in store.leases if each in leases)
-    return World(
-        store=Store(tokens.highest, leases.highest + 1, known, renamed_key(store.key)),
-        states=tuple(map(renamed_state, world.states)),
-        calls=tuple(map(renamed_call, world.calls)),
-        late_calls=tuple(map(renamed_call, world.late_calls)),
-        order=tokens.of(world.order),
-        highest_token=tokens.of(world.highest_token),
+    known_leases = tuple(
+        (leases.of(lease_id), left) for lease_id, left in store.leases if lease_id in leases
+    )
+    return SystemState(
+        store=Store(tokens.highest, leases.highest + 1, known_leases, renamed_key(store.key)),
+        states=tuple(map(renamed_state, system.states)),
+        calls=tuple(map(renamed_call, system.calls)),
+        late_calls=tuple(map(renamed_call, system.late_calls)),
+        order=tokens.of(system.order),
+        highest_token=tokens.of(system.highest_token),
     )
 
 
 def without_past(state):
-    """Make all times past equal, and forget what only status shows."""
+    """Make all past times equal, and drop `other_holder`, which only status output uses."""
     is_past = NEVER_S < state.valid_until_s <= 0 or NEVER_S < state.not_before_s <= 0
     if not is_past and not state.other_holder:
         return state
@@ -287,12 +295,12 @@
 
 
 class Ranks:
-    """Numbers in use, renamed 1, 2, ... in their order; 0 stands for none."""
+    """Map the numbers in use to ranks 1, 2, ... in ascending order; 0 stands for none."""
 
     def __init__(self, numbers):
         self.highest = len(numbers) - 1
         self.are_identical = max(numbers) == self.highest
-        self._ranks = {each: rank for rank, each in enumerate(sorted(numbers))}
+        self._ranks = {number: rank for rank, number in enumerate(sorted(numbers))}
 
     def __contains__(self, number):
         return number in self._ranks
@@ -301,11 +309,11 @@
         return self._ranks[number]
 
 
-def put(pair, index, value):
+def replace_item(pair, index, value):
     return (value, pair[1]) if index == 0 else (pair[0], value)
 
 
-def fence_after(token):
+def fence_with_token(token):
     fence = TokenFence()
     fence.admit(DUTY, token)
     return fence
@@ -316,7 +324,7 @@
 
 
 def apply(store, call, node):
-    """Carry out a call as the key-value service does."""
+    """Return the store after a call, and the answer, as the key-value service would."""
     leases = dict(store.leases)
     if call.operation is LeaseOperation.GRANT_LEASE:
         lease_id = store.next_lease_id
--- a/features/support/membership_fleet.py
+++ b/features/support/membership_fleet.py
@@ -1,4 +1,4 @@
-"""Nodes of peer link and membership alone, over the in-memory network."""
+"""A fleet of nodes that run only the peer link and membership, over the in-memory network."""
 
 from collections.abc import Callable
 from random import Random
@@ -18,7 +18,7 @@
 FLEET_KEY = PeerKey(1, b"key of the membership fleet")
 PEER_PORT = 7100
 WATCH_INTERVAL_S = 0.05
-"""How often `until` looks; the resolution of measured times."""
+"""Interval at which `until` checks its condition; the resolution of the times it returns."""
 
 NODES_PER_ZONE = 22
 """About 400 nodes in 18 zones."""
@@ -31,10 +31,10 @@
     """One node's link and membership.
 
     Attributes:
-        node: Its identity.
-        endpoint: Its access to the network, which can be frozen.
-        link: Its peer link, with traffic counts.
-        membership: Its membership task.
+        node: The node's identity.
+        endpoint: The node's access to the network, which can be paused.
+        link: The node's peer link, with traffic counts.
+        membership: The node's membership task.
     """
 
     def __init__(
@@ -66,11 +66,11 @@
                 tasks.start_soon(self.membership.run)
 
     def names(self) -> frozenset[NodeName]:
-        """Return the names that the node believes live."""
+        """Return the names of the nodes that this node regards as alive."""
         return frozenset(peer.node.name for peer in self.membership.peers())
 
     def peer(self, name: NodeName) -> Peer | None:
-        """Return what the node holds of another one."""
+        """Return this node's entry for another node, or None."""
         for peer in self.membership.peers():
             if peer.node.name == name:
                 return peer
@@ -78,11 +78,11 @@
 
 
 class MembershipFleet:
-    """Starts, stops, freezes and cuts nodes.
+    """Start, stop and pause nodes, and partition their network.
 
     Args:
-        tasks: Nodes run in this task group.
-        seed: Seeds all chance.
+        tasks: Task group in which nodes run.
+        seed: Seed of all random choices.
         zones: Zones that nodes are spread over.
         rules: Membership rules of all nodes.
     """
@@ -106,7 +106,7 @@
         self._num_started = 0
 
     async def start(self, count: int, settle_s: float = 12.0) -> None:
-        """Start nodes at once, then wait until all agree and the traffic of starting is over."""
+        """Start nodes at once; wait until all agree, then `settle_s` for start-up traffic to end."""
         for _ in range(count):
             self.start_node()
         agreed = await self.until(self.all_agree, 60.0)
@@ -114,7 +114,7 @@
         await anyio.sleep(settle_s)
 
     def start_node(self, replaces: MembershipNode | None = None) -> MembershipNode:
-        """Start a node: a new one, or a later run of one that stopped, at its address."""
+        """Start a new node, or a later run of a stopped node at the same address."""
         self._num_started += 1
         number = self._num_started
         incarnation = Incarnation(1_000_000 + number)
@@ -140,38 +140,38 @@
         return node
 
     def crash(self, node: MembershipNode) -> None:
-        """Stop a node without a word."""
+        """Stop a node without announcement."""
         node.scope.cancel()
         self.network.detach(node.address)
         self.nodes.pop(node.node.name, None)
 
     async def leave(self, node: MembershipNode, drain_s: float = 1.0) -> None:
-        """Stop a node as an operator would."""
+        """Stop a node in an orderly way, as an operator would."""
         node.membership.leave()
         await anyio.sleep(drain_s)
         await node.membership.depart()
         self.crash(node)
 
     def running(self) -> list[MembershipNode]:
-        """Return nodes that run, frozen ones included, by name."""
+        """Return the running nodes, including paused ones, by name."""
         return [self.nodes[name] for name in sorted(self.nodes)]
 
     def group(self, zones: list[ZoneName]) -> set[NodeAddress]:
-        """Return the addresses of the nodes in some zones."""
+        """Return the addresses of the nodes in the given zones."""
         return {node.address for node in self.running() if node.zone in zones}
 
     def all_agree(self) -> bool:
-        """Whether every node believes live exactly the nodes that run, each in its latest run."""
+        """Return whether every node regards exactly the running nodes, in their latest runs, as alive."""
         expected = sorted(node.node for node in self.nodes.values())
         return all(
             [peer.node for peer in node.membership.peers()] == expected
             for node in self.nodes.values()
         )
 
-    async def until(self, holds: Callable[[], bool], timeout_s: float) -> float | None:
-        """Wait for a condition; returns the seconds it took, or None if it never held."""
+    async def until(self, condition: Callable[[], bool], timeout_s: float) -> float | None:
+        """Wait for a condition; return the seconds it took, or None after the timeout."""
         started_at_s = anyio.current_time()
-        while not holds():
+        while not condition():
             if anyio.current_time() - started_at_s >= timeout_s:
                 return None
             await anyio.sleep(WATCH_INTERVAL_S)
--- a/features/support/poor_network.py
+++ b/features/support/poor_network.py
@@ -1,4 +1,4 @@
-"""An in-memory network whose links differ and change, and which an attacker reaches."""
+"""An in-memory network with links of different, changing quality, open to an attacker."""
 
 import msgspec
 
@@ -7,13 +7,13 @@
 
 
 class PoorNetwork(MemoryNetwork):
-    """Adds qualities of links between zones, an eavesdropper's record and forged datagrams."""
+    """Add link qualities between zones, a record of datagrams, and forged datagrams."""
 
     def __init__(self, tasks, random, default_quality=None):
         super().__init__(tasks, random, default_quality)
         self._zone_quality = {}
         self.recorded = None
-        """Datagrams seen on the wire, when set to a list: an eavesdropper's record."""
+        """Pairs of destination and payload of all datagrams sent, if set to a list."""
 
     def set_zone_quality(self, first, second, quality):
         """Set the quality between two zones, both ways (or within one zone)."""
@@ -21,7 +21,7 @@
         self._zone_quality[second, first] = quality
 
     def set_default_quality(self, quality):
-        """Set the quality of links with none of their own."""
+        """Set the quality of links that have no quality of their own."""
         self.default_quality = quality
 
     def set_drop_rate(self, drop_rate):
@@ -31,13 +31,13 @@
             self._zone_quality[zones] = msgspec.structs.replace(quality, drop_rate=drop_rate)
 
     def inject(self, source, destination, payload):
-        """Put a datagram on the wire as a stranger would, with any source address."""
+        """Deliver a datagram with any source address, as an attacker could."""
         endpoint = self.endpoints.get(destination)
         if endpoint is not None:
             endpoint.take(Datagram(source, payload))
 
     def carry(self, source, destination, payload):
-        """Carry one datagram, and record it."""
+        """Deliver one datagram, and record it if `recorded` is set."""
         if self.recorded is not None:
             self.recorded.append((destination, payload))
         super().carry(source, destination, payload)
--- a/features/support/token_fence.py
+++ b/features/support/token_fence.py
@@ -1,4 +1,4 @@
-"""The receiving side of fencing: refuses what an earlier holder of a duty sends."""
+"""The receiving side of fencing: refuse orders of an earlier holder of a duty."""
 
 from weirscale.domain.duties.assignment import Duty
 
@@ -6,13 +6,13 @@
 
 
 class TokenFence:
-    """Highest token seen for each duty."""
+    """Keep the highest token seen for each duty, for at most `MAX_FENCED_DUTIES` duties."""
 
     def __init__(self) -> None:
         self._highest: dict[Duty, int] = {}
 
     def admit(self, duty: Duty, token: int) -> bool:
-        """Whether to carry out what arrived with a token; False for a token of the past."""
+        """Return whether to carry out an order with this token; False for an earlier holder's token."""
         highest = self._highest.get(duty, 0)
         if token < highest:
             return False
