--- a/features/steps/prefix_chain_steps.py
+++ b/features/steps/prefix_chain_steps.py
@@ -24,7 +24,7 @@
     context.prompts = (shared + b"a" * 200, shared + b"b" * 200)
 
 
-@when("both are hashed in blocks of {size:d} bytes")
+@when("both prompts are hashed in blocks of {size:d} bytes")
 def step_hash_both(context, size):
     context.chains = [extend_chain(SEED, prompt, 0, size) for prompt in context.prompts]
 
@@ -32,8 +32,8 @@
 @then("exactly the first {count:d} block hashes are equal")
 def step_first_equal(context, count):
     first, second = context.chains
-    equal = [left == right for left, right in zip(first, second, strict=True)]
-    assert equal == [True] * count + [False] * (len(first) - count)
+    are_equal = [left == right for left, right in zip(first, second, strict=True)]
+    assert are_equal == [True] * count + [False] * (len(first) - count)
 
 
 @given(
@@ -45,7 +45,7 @@
 
 
 @when(
-    'it is hashed for tenant "{tenant}", model "{model}", version "{version}" and adapter "{adapter}"'
+    'the prompt is hashed for tenant "{tenant}", model "{model}", version "{version}" and adapter "{adapter}"'
 )
 def step_hash_other(context, tenant, model, version, adapter):
     context.other = hash_blocks(context.prompt, tenant, model, version, adapter)
@@ -57,7 +57,7 @@
     assert not set(context.reference) & set(context.other)
 
 
-@then("cached chains equal hashed ones for any nested prompts, block sizes and seeds")
+@then("cached chains equal computed chains for any nested prompts, block sizes and seeds")
 def step_cached_equal(context):
     pieces = [Random(number).randbytes(7000) for number in range(4)]
 
@@ -79,12 +79,12 @@
     check()
 
 
-@then("a chain cache of {most:d} bytes stays within them after {size:d} MB of prompts")
-def step_bounded(context, most, size):
-    cache = ChainCache(max_bytes=most)
+@then("a chain cache of {max_bytes:d} bytes stays within its size after {size:d} MB of prompts")
+def step_bounded(context, max_bytes, size):
+    cache = ChainCache(max_bytes=max_bytes)
     for number in range(size):
         cache.chain(SEED, Random(number).randbytes(1024 * 1024), BLOCK_SIZE_BYTES)
-        assert 0 < cache.num_bytes <= most
+        assert 0 < cache.num_bytes <= max_bytes
 
 
 @given("a prompt of {size:d} bytes in a chain cache")
@@ -94,19 +94,19 @@
     context.cache.chain(SEED, context.prompt, BLOCK_SIZE_BYTES)
 
 
-@when("the prompt is extended by {size:d} bytes and asked for again")
+@when("the prompt is extended by {size:d} bytes and its chain is requested again")
 def step_extended(context, size):
     context.num_hashed = 0
 
-    def counting(*arguments):
+    def counting_extend_chain(*arguments):
         hashes = extend_chain(*arguments)
         context.num_hashed += len(hashes)
         return hashes
 
-    with patch("weirscale.domain.prefix.chain_cache.extend_chain", counting):
+    with patch("weirscale.domain.prefix.chain_cache.extend_chain", counting_extend_chain):
         context.cache.chain(SEED, context.prompt + b"x" * size, BLOCK_SIZE_BYTES)
 
 
-@then("fewer than {most:d} blocks are hashed")
-def step_few_hashed(context, most):
-    assert 0 < context.num_hashed < most, context.num_hashed
+@then("fewer than {limit:d} blocks are hashed")
+def step_few_hashed(context, limit):
+    assert 0 < context.num_hashed < limit, context.num_hashed
--- a/features/steps/prefix_index_steps.py
+++ b/features/steps/prefix_index_steps.py
@@ -14,14 +14,14 @@
 ARRIVAL = re.compile(r"r(\d+)(#|dump)(\d+)(v\d+)?([-+*=])(\w*)")
 
 
-def event(sign, hashes):
+def make_event(sign, hashes):
     if sign == "+":
         return BlockStored(hashes, None)
     return BlockRemoved(hashes) if sign == "-" else AllBlocksCleared()
 
 
-def take_in(index, arrival, now_s):
-    """Apply one arrival of the table; returns the time after it."""
+def receive_arrival(index, arrival, now_s):
+    """Apply one arrival of the table and return the time after it."""
     if arrival.startswith("wait"):
         now_s += float(arrival.removeprefix("wait"))
     elif arrival.startswith("run"):
@@ -33,30 +33,30 @@
         if kind == "dump":
             index.load_dump(CacheDump(*identity, hashes), now_s)
         else:
-            index.apply(CacheEventBatch(*identity, (event(sign, hashes),)), now_s)
+            index.apply(CacheEventBatch(*identity, (make_event(sign, hashes),)), now_s)
     index.expire(now_s)
     return now_s
 
 
-@given('an index that has taken in "{arrivals}"')
-def step_take_in(context, arrivals):
+@given('an index that has received "{arrivals}"')
+def step_receive(context, arrivals):
     context.index = EngineIndex("e1")
     now_s = 100.0
     for arrival in arrivals.split():
-        now_s = take_in(context.index, arrival, now_s)
+        now_s = receive_arrival(context.index, arrival, now_s)
 
 
-@then('it believes exactly the blocks "{blocks}"')
-def step_believes(context, blocks):
+@then('the index holds exactly the blocks "{blocks}"')
+def step_holds(context, blocks):
     assert "".join(sorted(map(chr, context.index.blocks))) == blocks, list(context.index.blocks)
 
 
-@then('it believes exactly the blocks ""')
-def step_believes_none(context):
-    step_believes(context, "")
+@then('the index holds exactly the blocks ""')
+def step_holds_none(context):
+    step_holds(context, "")
 
 
-@then('it needs "{need}"')
+@then('the index needs "{need}"')
 def step_needs(context, need):
     actual = "dump" if context.index.needs_dump else "replay"
     assert (actual if context.index.has_gap else "nothing") == need, actual
--- a/features/steps/prefix_knowledge_properties_steps.py
+++ b/features/steps/prefix_knowledge_properties_steps.py
@@ -34,13 +34,13 @@
 
 
 class ModelEngine:
-    """A plain engine that publishes batches and remembers its contents at each sequence."""
+    """A plain engine that publishes batches and keeps its blocks at each sequence number."""
 
     def __init__(self):
         self.incarnation, self.version, self.sequence, self.held = 1, "v1", 0, set()
         self.history = {(1, 0): frozenset()}
 
-    def act(self, action, hashes):
+    def perform(self, action, hashes):
         if action == "restart":
             self.incarnation, self.sequence, self.held = self.incarnation + 1, 0, set()
             self.history[(self.incarnation, 0)] = frozenset()
@@ -67,7 +67,7 @@
 
 
 def deliver(messages, fates):
-    """Return messages as a bad network gives them: late ones come after the next one."""
+    """Return messages as a faulty network delivers them: a late one follows the next message."""
     arrived, late = [], []
     for number, message in enumerate(messages):
         fate = fates[number % len(fates)]
@@ -90,16 +90,16 @@
     def check(changes):
         compact, plain = BlockSet(), set()
         for is_added, slot, number in changes:
-            # Few slots and many hashes for each: runs of collisions.
-            spread = (slot << 24) + (number << 40) + (number if slot else 0)
+            # Few slots with many hashes each cause runs of collisions.
+            block_hash = (slot << 24) + (number << 40) + (number if slot else 0)
             if is_added:
-                assert compact.add(spread) == (spread not in plain)
-                plain.add(spread)
+                assert compact.add(block_hash) == (block_hash not in plain)
+                plain.add(block_hash)
             else:
-                assert compact.discard(spread) == (spread in plain)
-                plain.discard(spread)
+                assert compact.discard(block_hash) == (block_hash in plain)
+                plain.discard(block_hash)
             assert len(compact) == len(plain)
-        assert set(compact) == plain and all(each in compact for each in plain)
+        assert set(compact) == plain and all(block_hash in compact for block_hash in plain)
 
     check()
 
@@ -112,7 +112,7 @@
     @given_data(ACTIONS, FATES)
     def check(actions, fates):
         engine, index = ModelEngine(), EngineIndex("e1")
-        batches = [batch for batch in (engine.act(*each) for each in actions) if batch]
+        batches = [batch for batch in (engine.perform(*action) for action in actions) if batch]
         gap_opened_s = None
         for now_s, batch in enumerate(deliver(batches, fates)):
             outcome = index.apply(batch, float(now_s))
@@ -149,11 +149,11 @@
         publisher = DigestPublisher(index, stream=5, bytes_per_s=bytes_per_s)
         network = Network(publisher, view)
         for number, action in enumerate(actions):
-            batch = engine.act(*action)
+            batch = engine.perform(*action)
             if batch:
                 index.apply(batch, network.now_s)
             network.publish(0.2, fates[number % len(fates)], is_gap_answered=number % 3 == 0)
-        # Whatever was lost, quiet publishing and one answer make the view whole again.
+        # After any losses, publishing without changes and an answered request complete the view.
         for _ in range(200):
             network.publish(1.0, "now", is_gap_answered=True)
         assert publisher.num_waiting_keys == 0
@@ -163,7 +163,7 @@
 
 
 class Network:
-    """Brings digests from a publisher to a view as badly as it is told to."""
+    """Deliver digests from a publisher to a view, with the fate of each publication."""
 
     def __init__(self, publisher, view):
         self.publisher, self.view, self.now_s, self.late = publisher, view, 0.0, []
@@ -204,15 +204,19 @@
                 is_hole = has_holes and random.random() < 0.3
                 if is_sampled(block_key(block_hash), sample_bits) and not is_hole:
                     masks.add(block_key(block_hash), bit)
-        found = dict.fromkeys(bits, 0)
-        answered = 0
+        found_depths = dict.fromkeys(bits, 0)
+        answered_mask = 0
         for mask, depth in masks.leading_depths(chain, 24, sample_bits, masks.live):
-            assert mask and not mask & answered, "an engine has two depths"
-            answered |= mask
-            found.update({bit: depth for bit in bits if mask & bit})
-        sampled = [i for i, each in enumerate(chain) if is_sampled(block_key(each), sample_bits)]
+            assert mask and not mask & answered_mask, "an engine has two depths"
+            answered_mask |= mask
+            found_depths.update({bit: depth for bit in bits if mask & bit})
+        sampled = [
+            i
+            for i, block_hash in enumerate(chain)
+            if is_sampled(block_key(block_hash), sample_bits)
+        ]
         for bit, depth in zip(bits, depths, strict=True):
             deepest = max((i + 1 for i in sampled if i < depth), default=0)
-            assert found[bit] <= deepest if has_holes else found[bit] == deepest
+            assert found_depths[bit] <= deepest if has_holes else found_depths[bit] == deepest
 
     check()
--- a/features/steps/prefix_publisher_steps.py
+++ b/features/steps/prefix_publisher_steps.py
@@ -25,19 +25,19 @@
     context.now_s = 0.0
 
 
-def apply(context, *events):
+def apply_events(context, *events):
     sequence = context.index.sequence + 1
     batch = CacheEventBatch("e1", 1, "qalam", "v1", sequence, events)
     context.index.apply(batch, context.now_s)
 
 
 def change_blocks(context):
-    """Replace half as many blocks as change, oldest first."""
+    """Replace the oldest blocks; each replacement counts as two changes."""
     num_replaced = context.num_changes // 2
-    gone, context.blocks = context.blocks[:num_replaced], context.blocks[num_replaced:]
+    removed, context.blocks = context.blocks[:num_replaced], context.blocks[num_replaced:]
     new = [context.random.getrandbits(64) for _ in range(num_replaced)]
     context.blocks += new
-    apply(context, BlockRemoved(tuple(gone)), BlockStored(tuple(new), None))
+    apply_events(context, BlockRemoved(tuple(removed)), BlockStored(tuple(new), None))
 
 
 def publish(context, num_receivers):
@@ -48,7 +48,7 @@
 
 
 @when(
-    "it is published for {seconds:d} seconds to {receivers:d} nodes with {budget:d} bytes a second"
+    "the index is published for {seconds:d} seconds to {receivers:d} nodes with {budget:d} bytes a second"
 )
 def step_publish(context, seconds, receivers, budget):
     if context.publisher is None:
@@ -67,38 +67,38 @@
         publish(context, context.receivers)
         if context.publisher._sending_bits < declared:
             return
-    raise AssertionError("no refinement was started")
+    raise AssertionError("the publisher started no refinement")
 
 
 @when("{count:d} blocks are removed in one batch")
 def step_remove(context, count):
-    apply(context, BlockRemoved(tuple(context.blocks[:count])))
+    apply_events(context, BlockRemoved(tuple(context.blocks[:count])))
     context.blocks = context.blocks[count:]
 
 
-@when("a receiver asks after digest {offset:d} of stream {stream:d}")
-def step_ask(context, offset, stream):
+@when("a receiver requests the digests after {offset:d} of stream {stream:d}")
+def step_request(context, offset, stream):
     after_sequence = max(context.digests[-1].sequence + offset, 0)
     context.reply = context.publisher.answer(DigestRequest("e1", stream, after_sequence))
 
 
-@then("it is answered with {digests:d} digests and {full:d} full one")
+@then("the receiver gets {digests:d} digests and {full:d} full digests")
 def step_answered(context, digests, full):
     assert context.reply.is_home
     assert len(context.reply.digests) == digests, len(context.reply.digests)
     assert (context.reply.full is not None) == bool(full)
 
 
-@when("the view is lost and asks for everything")
-def step_ask_everything(context):
+@when("the view is lost and requests a full digest")
+def step_request_full(context):
     context.view = CacheView()
     reply = context.publisher.answer(DigestRequest("e1", 0, 0))
     context.view.receive_full(reply.full, context.now_s)
 
 
-@then("the digests took at most {most:d} bytes a second")
+@then("the digests used at most {most:d} bytes a second")
 def step_bytes(context, most):
-    num_keys_bytes = sum(len(each.added) + len(each.removed) for each in context.digests)
+    num_keys_bytes = sum(len(digest.added) + len(digest.removed) for digest in context.digests)
     num_bytes = num_keys_bytes + DIGEST_OVERHEAD_BYTES * len(context.digests)
     assert num_bytes * context.receivers <= most * context.seconds, num_bytes
 
@@ -111,14 +111,14 @@
 @then("the view ends equal to the sampled index")
 def step_view_equal(context):
     bits = context.publisher.sample_bits
-    keys = {block_key(each) for each in context.index.blocks}
+    keys = {block_key(block_hash) for block_hash in context.index.blocks}
     assert context.publisher.num_waiting_keys == 0
     assert context.view.keys("e1") == {key for key in keys if is_sampled(key, bits)}
 
 
 @then("every digest encodes to at most {most:d} bytes and decodes to itself")
 def step_encodes(context, most):
-    assert any(len(each.added) > most / 2 for each in context.digests)
+    assert any(len(digest.added) > most / 2 for digest in context.digests)
     for digest in context.digests:
         encoded = cbor2.dumps(msgspec.to_builtins(digest, builtin_types=(bytes,)))
         assert len(encoded) <= most, len(encoded)
