--- a/features/home_engines.feature
+++ b/features/home_engines.feature
@@ -1,64 +1,68 @@
-Feature: Home nodes follow engines and tell the others
-  Scenario Outline: All views come to equal the engine's cache after <fault>
+Feature: Home nodes follow engines and send digests and load reports to other nodes
+
+  Guards against views that differ from an engine's cache after lost messages, crashes or a change of
+  the home node, against engines flooded with dumps, and against load reports beyond their byte budget.
+
+  Scenario Outline: All views become equal to the engine's cache after <fault>
     Given 4 home nodes and 2 scripted engines whose casts are lost at a rate of <loss>
-    When the engines change for 20 seconds while there is "<fault>"
-    And all is quiet for 30 seconds
+    When the caches change for 20 seconds with "<fault>"
+    And nothing changes for 30 seconds
     Then every node's view equals every engine's cache
     And every engine was dumped between <least> and <most> times
-    And every node has heard of every engine's load
+    And every node has received every engine's load report
     And every engine is followed by one node
 
     Examples:
-      | fault                | loss | least | most |
-      | nothing              | 0    | 1     | 1    |
-      | nothing              | 0.2  | 1     | 1    |
-      | lost batches         | 0    | 1     | 1    |
-      | lost batches         | 0.2  | 1     | 1    |
-      | a passed window      | 0    | 2     | 9    |
-      | a lost last batch    | 0    | 1     | 1    |
-      | a crash              | 0    | 1     | 3    |
-      | a crash              | 0.2  | 1     | 3    |
-      | an engine down       | 0    | 1     | 6    |
-      | a home that dies     | 0    | 2     | 2    |
-      | a home that leaves   | 0    | 2     | 2    |
-      | all nodes replaced   | 0    | 2     | 2    |
+      | fault                     | loss | least | most |
+      | no fault                  | 0    | 1     | 1    |
+      | no fault                  | 0.2  | 1     | 1    |
+      | lost batches              | 0    | 1     | 1    |
+      | lost batches              | 0.2  | 1     | 1    |
+      | an exceeded replay window | 0    | 2     | 9    |
+      | a lost last batch         | 0    | 1     | 1    |
+      | a crash                   | 0    | 1     | 3    |
+      | a crash                   | 0.2  | 1     | 3    |
+      | an engine down            | 0    | 1     | 6    |
+      | a home that stops         | 0    | 2     | 2    |
+      | a home that leaves        | 0    | 2     | 2    |
+      | all nodes replaced        | 0    | 2     | 2    |
 
-  Scenario: Blocks of an engine that cannot be followed are soon not believed
+  Scenario: Blocks of an engine that cannot be followed are soon removed from the views
     Given 4 home nodes and 2 scripted engines whose casts are lost at a rate of 0
-    When the engines change for 20 seconds while there is "nothing"
-    And all engines go down for 12 seconds
-    Then no view believes any block
+    When the caches change for 20 seconds with "no fault"
+    And all engines are down for 12 seconds
+    Then no view holds any block
 
-  Scenario: Blocks of an engine whose home cannot be heard are soon not believed
+  Scenario: Blocks of an engine whose home node is unreachable are soon removed from the views
     Given 4 home nodes and 2 scripted engines whose casts are lost at a rate of 0
-    When the engines change for 20 seconds while there is "nothing"
+    When the caches change for 20 seconds with "no fault"
     And no digest arrives for 13 seconds
-    Then only homes believe any block
+    Then only the views of home nodes hold any block
 
-  Scenario Outline: Load reports are spread within their byte budget
+  Scenario Outline: Load reports are distributed within their byte budget
     Given <nodes> home nodes and 2 scripted engines whose casts are lost at a rate of 0
-    When all is quiet for 60 seconds
-    Then each other node heard of each engine's load between <least> and <most> times
+    When nothing changes for 60 seconds
+    Then each other node received each engine's load report between <least> and <most> times
 
     Examples:
       | nodes | least | most |
       | 4     | 55    | 62   |
       | 26    | 28    | 31   |
 
-  Scenario: In a large region only the engine's zone hears of it
+  Scenario: In a large region only the engine's zone receives its load reports
     Given 40 home nodes and 2 scripted engines whose casts are lost at a rate of 0
-    When all is quiet for 10 seconds
-    Then exactly the nodes of an engine's zone have heard of its load
+    When nothing changes for 10 seconds
+    Then exactly the nodes of an engine's zone have received its load report
 
-  Scenario: A herd of restarts does not flood engines with dumps
+  Scenario: A simultaneous start of all nodes does not flood engines with dump requests
     Given 4 home nodes and 40 scripted engines whose casts are lost at a rate of 0
-    When all is quiet for 60 seconds
+    When nothing changes for 60 seconds
     Then no second had more than 12 dumps and every engine was dumped once
 
-  Scenario: All nodes agree on homes and only a dead node's engines move
+  Scenario: All nodes agree on home nodes and only a stopped node's engines move
     Given 6 home nodes and 40 scripted engines whose casts are lost at a rate of 0
-    When all is quiet for 3 seconds
-    Then every engine has one home in its zone
-    When one node dies and 3 seconds pass
-    Then every engine has one home in its zone
-    And only the dead node's engines have moved
+    When nothing changes for 3 seconds
+    Then every engine has one home node in its zone
+    When one node stops and 3 seconds pass
+    Then every engine has one home node in its zone
+    And only the stopped node's engines have moved
--- a/features/routing_choice.feature
+++ b/features/routing_choice.feature
@@ -1,5 +1,10 @@
-Feature: Routing tasks choose back ends and explain it
-  Scenario Outline: Refusals are honest
+Feature: Routing tasks choose back ends and explain their choices
+
+  Guards against refusals with a wrong code or retry delay, against load estimates that ignore requests
+  sent since the last report, against choices that are never released, and against failed back ends
+  that still get work or are never tried again.
+
+  Scenario Outline: Refusals state their cause and when to retry
     Given a node with 3 engines that take 2 requests each
     Then if <situation>, the next request is refused as <code>, not run, with a retry between <least> and <most> s
 
@@ -12,22 +17,22 @@
       | no engine has the version of a continued answer  | no_backend     | 1.0   | 1.0  |
       | every engine is leaving                          | no_backend     | 1.0   | 1.0  |
       | the model is not declared                        | unknown_model  | 0.0   | 0.0  |
-      | no configuration ever came                       | not_configured | 1.0   | 1.0  |
+      | no configuration was ever received               | not_configured | 1.0   | 1.0  |
 
-  Scenario: A node serves as soon as its first reports are in
+  Scenario: A node serves as soon as it has its first load reports
     Given a node with 3 engines that take 2 requests each
-    When a request comes 0.2 s before the engines can be reached
-    Then it is given an engine after 0.1 to 1.0 s
+    When a request arrives 0.2 s before the engines are reachable
+    Then the request is routed to an engine after 0.1 to 1.0 s
 
-  Scenario: Requests of one moment are spread although reports lag
+  Scenario: Concurrent requests are spread although load reports lag
     Given a node with 3 engines that take 64 requests each
-    When 30 requests come at one moment
-    Then each engine gets 10 of them
+    When 30 requests arrive at once
+    Then each engine gets 10 requests
 
-  Scenario Outline: The estimate corrects a late report by what was sent since
+  Scenario Outline: The estimate adds the requests sent since a report
     Given a load estimate at 8000 tokens/s with a report of 5 requests and 4000 tokens made at 10 s
     When <events>
-    Then it says <requests> requests and <tokens> tokens at <at> s
+    Then the estimate is <requests> requests and <tokens> tokens at <at> s
 
     Examples:
       | events                                             | requests | tokens | at    |
@@ -42,48 +47,48 @@
       | a of 8 tokens at 10.2, report of 1 and 0 at 10.3   | 1        | 0      | 10.3  |
       | a of 8 tokens at 10.2, report of 3 and 0 at 10.3, a ends | 2  | 0      | 10.4  |
 
-  Scenario: Engines with other weights see other block hashes
+  Scenario: Engines with different weight versions are matched by different block hashes
     Given a node with 3 engines that take 64 requests each
-    When two of them load v2 and 30 requests come at one moment
-    Then the policy was asked for each version apart, with hashes of that version
-    And the cheaper of its two choices was taken
+    When two engines load v2 and 30 requests arrive at once
+    Then the policy chose separately for each version, with block hashes of that version
+    And the cheaper of the two choices was used
 
-  Scenario Outline: An engine that the policy never prefers is tried all the same
+  Scenario Outline: An engine that the policy never prefers is still tried after a failure
     Given a node with 3 engines that take 64 requests each
-    When the engine preferred least has failed and 20 requests a second come that are <kind>
-    Then it has got <trials> after 10 s
+    When the least preferred engine has failed and 20 requests a second arrive that are <kind>
+    Then the least preferred engine has got <trials> after 10 s
 
     Examples:
       | kind                      | trials    |
       | repeatable                | one trial |
       | not repeatable            | no trial  |
 
-  Scenario: A caller that goes away while it waits for the choice leaves no trace
+  Scenario: A caller that disconnects during the choice leaves no request counted
     Given a node with 3 engines that take 64 requests each
-    When 30 callers go away while their choice is made
+    When 30 callers disconnect during the choice
     Then no engine and no service back end counts a request
 
-  Scenario: Service back ends of the own zone are preferred until they are busier
+  Scenario: Service back ends of the node's zone are preferred until they are busier
     Given a service with 6 back ends in 3 zones
-    When 12 requests come at one moment
-    Then the first 4 go to the own zone and every back end gets some
+    When 12 requests arrive at once
+    Then the first 4 go to the node's zone and every back end gets some
 
-  Scenario Outline: A service back end that fails is held out
+  Scenario Outline: A service back end that fails gets no more requests
     Given a service with 6 back ends in 3 zones
-    When one of the own zone <fault>
-    Then it gets <share> of the next 50 requests
+    When a back end of the node's zone <fault>
+    Then that back end gets <share> of the next 50 requests
 
     Examples:
       | fault                          | share |
       | breaks connections             | none  |
       | answers 503 to every request   | none  |
       | answers 500 to every request   | some  |
-      | crosses an answer              | none  |
+      | answers another request        | none  |
       | is listed as leaving           | none  |
       | was tried by the request       | none  |
 
-  Scenario: Any node explains a request that another one served
-    Given three nodes that each remember 4 requests
-    When 6 requests have been served by the first node
-    Then the third node explains the last one with its outcome, as text and as JSON
-    And it explains nothing of the first one or of a request that nobody served
+  Scenario: Any node explains a request that another node served
+    Given three nodes that each keep the decisions of 4 requests
+    When the first node has served 6 requests
+    Then the third node explains the last request with its outcome, as text and as JSON
+    And the third node has no explanation of the first request or of a request that no node served
--- a/features/routing_link_delays.feature
+++ b/features/routing_link_delays.feature
@@ -1,8 +1,12 @@
 Feature: Expected delays between zones
-  Scenario Outline: The delay follows from what the configuration says of regions
+
+  Guards against estimates with a wrong delay, for example when a zone is in no region or no
+  configuration is in force.
+
+  Scenario Outline: The delay follows from the regions of the configuration
     Given the regions "<regions>"
-    When a node of zone "bole-hall" asks for the delay to "<zone>"
-    Then the delay is that of <relation>
+    When a node of zone "bole-hall" reads the delay to "<zone>"
+    Then the delay is the one for <relation>
 
     Examples:
       | regions                           | zone        | relation       |
--- a/features/steps/choice_eligible_steps.py
+++ b/features/steps/choice_eligible_steps.py
@@ -12,7 +12,7 @@
 NOW_S = 100.0
 
 
-def make_candidate(engine, outstanding=0, most=64, **changes):
+def make_candidate(engine, outstanding=0, limit=64, **changes):
     values = {
         "engine": engine,
         "zone": "bole-hall",
@@ -23,7 +23,7 @@
         "num_outstanding": outstanding,
         "num_waiting_prefill_tokens": 0,
         "prefill_tokens_per_s": 8000.0,
-        "max_concurrent_requests": most,
+        "max_concurrent_requests": limit,
         "num_total_blocks": 4096,
         "num_cached_blocks": 4096,
         "report_age_s": 0.5,
@@ -43,12 +43,12 @@
     )
 
 
-@given("a policy without beliefs and engines")
+@given("a policy without cache knowledge and the engines")
 def step_policy_and_engines(context):
     context.policy = PrefixAware(CacheView(), RoutingObjective())
     context.random = Random(7)
     context.candidates = [
-        make_candidate(row["engine"], int(row["outstanding"]), int(row["most"]))
+        make_candidate(row["engine"], int(row["outstanding"]), int(row["limit"]))
         for row in context.table
     ]
 
@@ -58,7 +58,7 @@
     return "nothing" if choice is None else choice.engine
 
 
-@when('{count:d} different prompts are chosen for with "{excluded}" excluded')
+@when('engines are chosen for {count:d} different prompts with "{excluded}" excluded')
 def step_choose_many(context, count, excluded):
     requests = [make_request(seed, [excluded]) for seed in range(count)]
     context.chosen = [choose(context, request) for request in requests]
@@ -69,6 +69,6 @@
     assert context.chosen and set(context.chosen) == {engine}, context.chosen
 
 
-@then("every choice is nothing")
-def step_every_choice_nothing(context):
+@then("no engine is chosen")
+def step_no_choice(context):
     assert set(context.chosen) == {"nothing"}, context.chosen
--- a/features/steps/choice_prefix_aware_steps.py
+++ b/features/steps/choice_prefix_aware_steps.py
@@ -15,7 +15,9 @@
 NUM_BLOCKS = 1000
 
 
-class FixedBeliefs:
+class FixedMatches:
+    """Cached prefixes of the engines that do not depend on the prompt."""
+
     def __init__(self, matches):
         self.matches = matches
 
@@ -23,10 +25,10 @@
         return self.matches
 
 
-@given("a prefix-aware policy and engines")
+@given("a prefix-aware policy and the engines")
 def step_policy(context):
     context.random = Random(3)
-    context.noted = PeerSends()
+    context.peer_sends = PeerSends()
     context.prompt = make_request(1, num_blocks=NUM_BLOCKS)
     context.candidates = [
         make_candidate(
@@ -37,13 +39,15 @@
         for row in context.table
     ]
     matches = {row["engine"]: PrefixMatch(int(row["matched_blocks"]), 1.0) for row in context.table}
-    context.policy = PrefixAware(FixedBeliefs(matches), RoutingObjective(), context.noted)
+    context.policy = PrefixAware(FixedMatches(matches), RoutingObjective(), context.peer_sends)
 
 
-@given('another node noted sending the prompt to "{engine}" with {tokens:d} tokens to compute')
-def step_noted(context, engine, tokens):
+@given(
+    'another node announced a send of the prompt to "{engine}" with {tokens:d} tokens to compute'
+)
+def step_announced(context, engine, tokens):
     keys = keys_at(context.prompt.block_hashes, ladder_depths(NUM_BLOCKS))
-    context.noted.record(engine, keys, tokens, NOW_S)
+    context.peer_sends.record(engine, keys, tokens, NOW_S)
 
 
 def choose(context, count, is_sent):
@@ -55,26 +59,28 @@
             context.policy.record_send(context.prompt, choice.engine, NOW_S)
 
 
-@when("a prompt of 1000 blocks is chosen for {count:d} times")
+@when("an engine is chosen {count:d} times for a prompt of 1000 blocks")
 def step_choose(context, count):
     choose(context, count, is_sent=False)
 
 
-@when("a prompt of 1000 blocks is chosen for and sent {count:d} times")
+@when("an engine is chosen {count:d} times for a prompt of 1000 blocks and the prompt is sent")
 def step_choose_and_send(context, count):
     choose(context, count, is_sent=True)
 
 
-@when('engine "{engine}" has come back with another incarnation')
+@when('engine "{engine}" has restarted with another incarnation')
 def step_new_run(context, engine):
     context.candidates = [
-        msgspec.structs.replace(each, incarnation=2) if each.engine == engine else each
-        for each in context.candidates
+        msgspec.structs.replace(candidate, incarnation=2)
+        if candidate.engine == engine
+        else candidate
+        for candidate in context.candidates
     ]
 
 
-@when('{count:d} requests have found nothing cached on "{engine}"')
-def step_found_nothing(context, count, engine):
+@when('{count:d} requests had no cached tokens on "{engine}"')
+def step_nothing_cached(context, count, engine):
     for _ in range(count):
         context.policy.choose(context.prompt, context.candidates[:1], NOW_S, context.random)
         context.policy.record_completion(context.prompt, engine, 0, NOW_S)
@@ -87,7 +93,7 @@
 
 
 @then("only one engine was chosen")
-def step_one(context):
+def step_only_one(context):
     assert len({choice.engine for choice in context.choices}) == 1
 
 
@@ -97,15 +103,15 @@
     assert abs(best.queue_s - seconds) < 1e-6 and best.prefill_s == 0.0, best
 
 
-@given("{nodes:d} silent nodes with the same reports of {engines:d} idle engines")
+@given("{nodes:d} nodes without send notices and with the same reports of {engines:d} idle engines")
 def step_nodes(context, nodes, engines):
     context.policies = [PrefixAware(CacheView(), RoutingObjective()) for _ in range(nodes)]
     context.randoms = [Random(number) for number in range(nodes)]
     context.candidates = [make_candidate(f"e{number}") for number in range(engines)]
 
 
-@when("each node chooses for the same {count:d} cold prompts")
-def step_cold(context, count):
+@when("each node chooses engines for the same {count:d} uncached prompts")
+def step_uncached_prompts(context, count):
     context.chosen = [
         [
             policy.choose(make_request(seed), context.candidates, NOW_S, random).engine
@@ -123,5 +129,5 @@
 
 @then("most choices for one prompt agree")
 def step_agree(context):
-    most = sum(Counter(engines).most_common(1)[0][1] for engines in context.chosen)
-    assert most >= 0.8 * sum(len(engines) for engines in context.chosen), most
+    num_agreeing = sum(Counter(engines).most_common(1)[0][1] for engines in context.chosen)
+    assert num_agreeing >= 0.8 * sum(len(engines) for engines in context.chosen), num_agreeing
--- a/features/steps/routing_choice_steps.py
+++ b/features/steps/routing_choice_steps.py
@@ -31,12 +31,12 @@
 from weirscale.ports.service import ServiceFailure, ServiceFailureKind
 from weirscale.standins.faults import EngineFaults
 
-NOBODY = frozenset()
+NO_EXCLUSIONS = frozenset()
 SETTLE_S = 3.0
 
 
-def in_fleet(fleet, function):
-    """Run a function of a running fleet whose first reports are in."""
+def run_in_fleet(fleet, function):
+    """Run a function while a fleet runs, after its first load reports."""
 
     async def main():
         async with fleet.running():
@@ -46,12 +46,12 @@
     return run_in_virtual_time(main)
 
 
-def choose(fleet, request, excluded=NOBODY, required_version=None):
+def choose(fleet, request, excluded=NO_EXCLUSIONS, required_version=None):
     return fleet.router.choose(request, 0, excluded, required_version)
 
 
 async def choose_and_report(fleet, number, **outcome):
-    """Choose for a request and report its attempt, by default as one that ended well."""
+    """Choose an engine for a request and report the attempt, by default as a success."""
     request = make_request(number)
     chosen = await choose(fleet, request)
     fleet.router.report(outcome_of(request, chosen, **outcome))
@@ -62,9 +62,9 @@
     return AttemptOutcome(request, 0, engine, 1, failure, 100, 40, 0.25, duration_s)
 
 
-@given("a node with {count:d} engines that take {most:d} requests each")
-def step_node(context, count, most):
-    context.deployment = declare(count, max_concurrent_requests=most)
+@given("a node with {count:d} engines that take {limit:d} requests each")
+def step_node(context, count, limit):
+    context.deployment = declare(count, max_concurrent_requests=limit)
 
 
 ALL_NAMES = frozenset(f"qalam-{index}" for index in range(3))
@@ -96,8 +96,8 @@
     await anyio.sleep(SETTLE_S)
 
 
-async def bring_about(fleet, situation):
-    """Bring a situation of the table about; returns what the next request asks for."""
+async def cause_situation(fleet, situation):
+    """Cause a situation of the table; return the options and fields of the next request."""
     duration_s = re.search(r" (\d+) s$", situation)
     if situation.startswith("every engine is full"):
         await fill_all(fleet, float(duration_s[1]))
@@ -116,22 +116,22 @@
 )
 def step_refused(context, situation, code, least, most):
     fleet = Fleet(context.deployment)
-    has_configuration = situation != "no configuration ever came"
+    has_configuration = situation != "no configuration was ever received"
     if not has_configuration:
         fleet.configuration.changed_after = lambda revision: anyio.sleep_forever()
 
-    async def ask():
-        call = await bring_about(fleet, situation) if has_configuration else {}
+    async def send_request():
+        call = await cause_situation(fleet, situation) if has_configuration else {}
         options = {key: call.pop(key) for key in ("excluded", "required_version") if key in call}
         return await choose(fleet, make_request(99, **call), **options)
 
-    refusal = in_fleet(fleet, ask).err_value
+    refusal = run_in_fleet(fleet, send_request).err_value
     assert (refusal.code.value, refusal.run_status.value) == (code, "not_run"), refusal
     assert least <= (refusal.retry_after_s or 0.0) <= most, refusal
     assert refusal.remedy
 
 
-@when("a request comes {early_s:g} s before the engines can be reached")
+@when("a request arrives {early_s:g} s before the engines are reachable")
 def step_early_request(context, early_s):
     async def main():
         fleet = Fleet(context.deployment)
@@ -144,26 +144,26 @@
     context.chosen, context.waited_s = run_in_virtual_time(main)
 
 
-@then("it is given an engine after {least:g} to {most:g} s")
-def step_given_after(context, least, most):
+@then("the request is routed to an engine after {least:g} to {most:g} s")
+def step_routed_after(context, least, most):
     assert context.chosen.is_ok() and least <= context.waited_s <= most, context.waited_s
 
 
 async def choose_many(fleet, count):
     chosen = [await choose(fleet, make_request(number)) for number in range(count)]
-    return Counter(each.ok_value.choice.engine for each in chosen)
+    return Counter(result.ok_value.choice.engine for result in chosen)
 
 
-@when("{count:d} requests come at one moment")
-def step_at_one_moment(context, count):
+@when("{count:d} requests arrive at once")
+def step_concurrent_requests(context, count):
     if "services" in context:
-        context.chosen = in_fleet(context.services, lambda: choose_services(context, count))
+        context.chosen = run_in_fleet(context.services, lambda: choose_services(context, count))
     else:
         fleet = Fleet(context.deployment)
-        context.counts = in_fleet(fleet, lambda: choose_many(fleet, count))
+        context.counts = run_in_fleet(fleet, lambda: choose_many(fleet, count))
 
 
-@then("each engine gets {count:d} of them")
+@then("each engine gets {count:d} requests")
 def step_each_gets(context, count):
     assert set(context.counts.values()) == {count}, context.counts
 
@@ -196,22 +196,22 @@
             estimate.note_sent((words[0], 0), int(words[2]), float(words[5]), context.speed)
 
 
-@then("it says {requests:d} requests and {tokens:d} tokens at {at:g} s")
-def step_estimate_says(context, requests, tokens, at):
+@then("the estimate is {requests:d} requests and {tokens:d} tokens at {at:g} s")
+def step_estimate_is(context, requests, tokens, at):
     estimate = context.estimate
-    said = (estimate.num_outstanding(), estimate.num_waiting_prefill_tokens(at, context.speed))
-    assert said[0] == requests and abs(said[1] - tokens) <= 1, said
+    load = (estimate.num_outstanding(), estimate.num_waiting_prefill_tokens(at, context.speed))
+    assert load[0] == requests and abs(load[1] - tokens) <= 1, load
 
 
-class AskedPolicy:
-    """Remembers what it was asked; the engine with the highest name costs least."""
+class RecordingPolicy:
+    """Record the arguments of each choice; the engine with the highest name costs least."""
 
     def __init__(self):
-        self.asked = []
+        self.choice_calls = []
 
     def choose(self, request, candidates, now_s, random):
-        self.asked.append((request, candidates))
-        best = max(each.engine for each in candidates)
+        self.choice_calls.append((request, candidates))
+        best = max(candidate.engine for candidate in candidates)
         cost = -float(best[-1])
         return Choice(best, (CandidateEstimate(best, cost),))
 
@@ -221,20 +221,20 @@
     record_completion = record_send
 
 
-@when("two of them load v2 and 30 requests come at one moment")
+@when("two engines load v2 and 30 requests arrive at once")
 def step_two_versions(context):
-    context.policy = AskedPolicy()
+    context.policy = RecordingPolicy()
     fleet = Fleet(context.deployment, policy=context.policy)
     for name in ("qalam-0", "qalam-1"):
         fleet.engines[name].model.weight_version = "v2"
-    context.counts = in_fleet(fleet, lambda: choose_many(fleet, 30))
+    context.counts = run_in_fleet(fleet, lambda: choose_many(fleet, 30))
 
 
-@then("the policy was asked for each version apart, with hashes of that version")
-def step_asked_apart(context):
+@then("the policy chose separately for each version, with block hashes of that version")
+def step_separate_choices(context):
     versions = set()
-    for request, candidates in context.policy.asked:
-        (version,) = {each.weight_version for each in candidates}
+    for request, candidates in context.policy.choice_calls:
+        (version,) = {candidate.weight_version for candidate in candidates}
         seed = chain_seed(request.tenant, MODEL, version, None)
         assert request.block_hashes == extend_chain(seed, make_prompt(), 0, 64)
         versions.add(version)
@@ -245,14 +245,14 @@
     return make_request(deadline_s=0.0).prompt
 
 
-@then("the cheaper of its two choices was taken")
+@then("the cheaper of the two choices was used")
 def step_cheaper(context):
     assert context.counts == {"qalam-2": 30}, context.counts
 
 
-@when("the engine preferred least has failed and 20 requests a second come that are {kind}")
+@when("the least preferred engine has failed and 20 requests a second arrive that are {kind}")
 def step_failed_least(context, kind):
-    fleet = Fleet(context.deployment, policy=AskedPolicy())
+    fleet = Fleet(context.deployment, policy=RecordingPolicy())
     broken = EngineFailure(EngineFailureKind.BROKEN, "reset")
 
     async def run():
@@ -266,35 +266,35 @@
             await anyio.sleep(0.05)
             fleet.router.report(outcome_of(request, chosen))
 
-    in_fleet(fleet, run)
+    run_in_fleet(fleet, run)
 
 
-@then("it has got {trials} after 10 s")
+@then("the least preferred engine has got {trials} after 10 s")
 def step_trials(context, trials):
     num_trials = context.engines.count("qalam-0")
     assert num_trials == {"one trial": 1, "no trial": 0}[trials], num_trials
 
 
-@when("{count:d} callers go away while their choice is made")
-def step_callers_leave(context, count):
+@when("{count:d} callers disconnect during the choice")
+def step_callers_disconnect(context, count):
     fleet = Fleet(context.deployment, seed=5)
     fleet.configuration.change(
         msgspec.structs.replace(context.deployment, services=(declare_service(3),))
     )
 
-    async def ask_engine(request):
+    async def choose_engine(request):
         chosen = await choose(fleet, request)
         fleet.router.report(outcome_of(request, chosen))
 
-    async def ask_service():
-        chosen = await fleet.services.choose("matemia", NOBODY)
+    async def choose_service():
+        chosen = await fleet.services.choose("matemia", NO_EXCLUSIONS)
         fleet.services.report("matemia", chosen.ok_value.backend, None, 200, 0.1)
 
-    async def leave():
+    async def disconnect_callers():
         for number in range(count):
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(ask_engine, make_request(number))
-                tasks.start_soon(ask_service)
+                tasks.start_soon(choose_engine, make_request(number))
+                tasks.start_soon(choose_service)
                 await anyio.lowlevel.checkpoint()
                 tasks.cancel_scope.cancel()
         await anyio.sleep(1.0)
@@ -305,14 +305,16 @@
         decided = [fleet.decisions.find(f"request-{n}") is not None for n in range(count)]
         return sum(estimates), len(fleet.router._running), fleet.services._num_outstanding, decided
 
-    context.left = in_fleet(fleet, leave)
+    context.counted = run_in_fleet(fleet, disconnect_callers)
 
 
 @then("no engine and no service back end counts a request")
-def step_no_trace(context):
-    num_outstanding, num_running, services, decided = context.left
-    assert any(decided), "no choice was made before its caller left: the case was not met"
-    assert (num_outstanding, num_running, services) == (0, 0, {}), context.left
+def step_nothing_counted(context):
+    num_outstanding, num_running, services, decided = context.counted
+    assert any(decided), (
+        "no choice was made before its caller disconnected, so the case was not tested"
+    )
+    assert (num_outstanding, num_running, services) == (0, 0, {}), context.counted
 
 
 @given("a service with {count:d} back ends in 3 zones")
@@ -320,13 +322,13 @@
     context.services = Fleet(declare(1, services=(declare_service(count),)))
 
 
-async def choose_services(context, count, excluded=NOBODY):
+async def choose_services(context, count, excluded=NO_EXCLUSIONS):
     services = context.services.services
     chosen = [await services.choose("matemia", excluded) for _ in range(count)]
-    return [each.ok_value.backend for each in chosen]
+    return [result.ok_value.backend for result in chosen]
 
 
-@then("the first {count:d} go to the own zone and every back end gets some")
+@then("the first {count:d} go to the node's zone and every back end gets some")
 def step_zone_first(context, count):
     own = {f"matemia-{index}" for index in range(6) if ZONES[index % 3] == ZONES[0]}
     assert set(context.chosen[:count]) <= own, context.chosen
@@ -337,11 +339,11 @@
     "breaks connections": (ServiceFailure(ServiceFailureKind.BROKEN, "reset"), None, 3),
     "answers 503 to every request": (None, 503, 3),
     "answers 500 to every request": (None, 500, 3),
-    "crosses an answer": (ServiceFailure(ServiceFailureKind.CORRUPT, "crossed"), None, 1),
+    "answers another request": (ServiceFailure(ServiceFailureKind.CORRUPT, "crossed"), None, 1),
 }
 
 
-@when("one of the own zone {fault}")
+@when("a back end of the node's zone {fault}")
 def step_service_fault(context, fault):
     fleet = context.services
 
@@ -358,15 +360,15 @@
             await anyio.sleep(0.01)
         return await choose_services(context, 50)
 
-    context.chosen = in_fleet(fleet, run)
+    context.chosen = run_in_fleet(fleet, run)
 
 
-@then("it gets {share} of the next 50 requests")
+@then("that back end gets {share} of the next 50 requests")
 def step_service_share(context, share):
     assert ("matemia-0" in context.chosen) == (share == "some"), Counter(context.chosen)
 
 
-@given("three nodes that each remember {count:d} requests")
+@given("three nodes that each keep the decisions of {count:d} requests")
 def step_three_nodes(context, count):
     context.logs = [DecisionLog(f"node-{index}", count) for index in range(3)]
     fleet, context.explainers = LinkFleet(), []
@@ -379,9 +381,9 @@
         context.explainers.append(Explainer(log, fleet.start(peer.address), view))
 
 
-@when("{count:d} requests have been served by the first node")
+@when("the first node has served {count:d} requests")
 def step_served(context, count):
-    fleet = Fleet(declare(3), policy=AskedPolicy())
+    fleet = Fleet(declare(3), policy=RecordingPolicy())
     fleet.router._decisions = context.logs[0]
 
     async def serve():
@@ -389,27 +391,33 @@
             await choose_and_report(fleet, number)
         await anyio.sleep(1.0)
 
-    in_fleet(fleet, serve)
-    context.last = f"request-{count - 1}"
+    run_in_fleet(fleet, serve)
+    context.last_request_id = f"request-{count - 1}"
 
 
 def explain(context, request_id):
     return run_in_virtual_time(context.explainers[2].explain, request_id)
 
 
-@then("the third node explains the last one with its outcome, as text and as JSON")
+@then("the third node explains the last request with its outcome, as text and as JSON")
 def step_explained(context):
-    record = explain(context, context.last)
+    record = explain(context, context.last_request_id)
     attempt = record.attempts[0]
     assert (record.node, attempt.engine, attempt.num_candidates) == ("node-0", "qalam-2", 3)
     assert attempt.result.num_cached_tokens == 40
     assert json.loads(render_json(record))["attempts"][0]["result"]["num_cached_tokens"] == 40
     text = render_text(record)
-    for part in (context.last, "node-0", "qalam-2", "cost", "40 of 100 prompt tokens cached"):
+    for part in (
+        context.last_request_id,
+        "node-0",
+        "qalam-2",
+        "cost",
+        "40 of 100 prompt tokens cached",
+    ):
         assert part in text, text
 
 
-@then("it explains nothing of the first one or of a request that nobody served")
+@then("the third node has no explanation of the first request or of a request that no node served")
 def step_not_explained(context):
     assert explain(context, "request-0") is None
     assert explain(context, "request-77") is None
--- a/features/steps/routing_link_delays_steps.py
+++ b/features/steps/routing_link_delays_steps.py
@@ -39,12 +39,12 @@
     context.configuration = FixedConfiguration(in_force)
 
 
-@when('a node of zone "{own}" asks for the delay to "{zone}"')
-def step_ask(context, own, zone):
+@when('a node of zone "{own}" reads the delay to "{zone}"')
+def step_read_delay(context, own, zone):
     context.delay_s = LinkDelays(context.configuration, own).delay_s(zone)
 
 
-@then("the delay is that of {relation}")
+@then("the delay is the one for {relation}")
 def step_delay(context, relation):
     assert context.delay_s == DELAYS_S[relation], context.delay_s
     assert len(set(DELAYS_S.values())) == len(DELAYS_S)
--- a/features/support/home_fleet.py
+++ b/features/support/home_fleet.py
@@ -1,4 +1,4 @@
-"""Nodes that are homes of scripted engines, over a lossy in-memory link, in virtual time."""
+"""Home nodes of scripted engines, with lossy in-memory links, for virtual time."""
 
 from contextlib import asynccontextmanager
 from random import Random
@@ -30,11 +30,15 @@
 
 
 class ScriptedEngine:
-    """An engine whose cache and event stream a test drives."""
+    """An engine whose cache and event stream the test controls.
+
+    `lost` has the sequence numbers of batches that the stream omits; `replay_window` is the number of
+    recent batches from which a follower may continue.
+    """
 
     def __init__(self, name):
         self.name, self.incarnation, self.is_down = name, 1, False
-        self.held, self.log, self.window = set(), [], 1000
+        self.held, self.log, self.replay_window = set(), [], 1000
         self._followers = 0
         self.lost = set()
         self.dumped_at_s = []
@@ -72,13 +76,13 @@
         finally:
             self._followers -= 1
 
-    def note_followers(self):
-        """Remember how many follow now: later all are cancelled."""
+    def record_num_followers(self):
+        """Record the number of followers before the end of the test cancels all of them."""
         self.num_followers = self._followers
 
     async def _events(self, incarnation, after_sequence):
         run = self.incarnation
-        is_replayable = len(self.log) - self.window <= after_sequence <= len(self.log)
+        is_replayable = len(self.log) - self.replay_window <= after_sequence <= len(self.log)
         if self.is_down:
             yield Err(DOWN)
             return
@@ -115,7 +119,7 @@
 
 
 class MemoryLink:
-    """Carries messages between nodes of one fleet; loses casts by a share."""
+    """Deliver messages between nodes of a fleet; lose a share of the casts."""
 
     def __init__(self, fleet, address):
         self.fleet, self.address = fleet, address
@@ -142,7 +146,7 @@
 
 
 class Observations:
-    """Remembers what was observed."""
+    """Record load reports and unreachable engines."""
 
     def __init__(self):
         self.reports, self.unreachable = [], []
@@ -155,7 +159,7 @@
 
 
 class HomeNode:
-    """One node's home and view tasks."""
+    """A node's home and view tasks."""
 
     def __init__(self, fleet, number):
         self.fleet = fleet
@@ -190,7 +194,7 @@
 
 
 class HomeFleet:
-    """Engines and nodes; also their membership, configuration and directory."""
+    """Engines and nodes, with the nodes' membership, configuration and directory."""
 
     def __init__(self, num_nodes, num_engines, loss=0.0):
         self.random, self.loss, self.num_calls = Random(5), loss, 0
@@ -202,8 +206,8 @@
         deployment = Deployment(1, "test", (Region("addis", ZONES),), (), declared, ())
         self.in_force = ConfigurationInForce(1, deployment)
         facts = {
-            each.name: EngineFacts(each, port)
-            for each, port in zip(declared, self.engines, strict=True)
+            engine.name: EngineFacts(engine, port)
+            for engine, port in zip(declared, self.engines, strict=True)
         }
         self.directory = DirectorySnapshot(1, facts, {}, frozenset(), {})
         self.nodes = {}
