--- a/features/routing_choice.feature
+++ b/features/routing_choice.feature
@@ -73,7 +73,7 @@
     When 12 requests arrive at once
     Then the first 4 go to the node's zone and every back end gets some
 
-  Scenario Outline: A service back end that fails gets no more requests
+  Scenario Outline: Faults that exclude a service back end from further requests
     Given a service with 6 back ends in 3 zones
     When a back end of the node's zone <fault>
     Then that back end gets <share> of the next 50 requests
