--- a/features/steps/membership_faults_steps.py
+++ b/features/steps/membership_faults_steps.py
@@ -255,12 +255,12 @@
         old = replace(leaver.membership.protocol.state.own, state=MemberState.ALIVE)
         await leaver.membership.depart()
         fleet.crash(leaver)
-        gone = await fleet.until(fleet.all_agree, AGREEMENT_LIMIT_S)
+        agreed_s = await fleet.until(fleet.all_agree, AGREEMENT_LIMIT_S)
         sender, *others = fleet.running()
         for other in others:
             await sender.link.cast(other.address, Gossip((replace(old, refutations=99),)))
         await anyio.sleep(1)
-        context.is_gone = gone is not None and fleet.all_agree()
+        context.is_gone = agreed_s is not None and fleet.all_agree()
 
     run_fleet(context, script)
 
--- a/features/steps/path_faults_steps.py
+++ b/features/steps/path_faults_steps.py
@@ -1,7 +1,7 @@
 """Steps of `path_faults.feature`.
 
-Each generation request runs in virtual time against scripted engines; `context.calls` keeps the node,
-the answer, the duration and the headers of each.
+Each generation request runs in virtual time against scripted engines. `context.calls` keeps the
+node, the answer, the duration and the headers of each request.
 """
 
 import anyio
