--- a/src/weirscale/cli/main.py
+++ b/src/weirscale/cli/main.py
@@ -135,7 +135,7 @@
         return Command(lambda: operators.rollout(str(node)))
 
     def drain(self, node: str) -> Command:
-        """Start the planned shutdown of a node, as SIGTERM does."""
+        """Start the planned stop of a node, as SIGTERM does."""
         from weirscale.cli import operators
 
         return Command(lambda: operators.drain(str(node)))
--- a/src/weirscale/cli/operators.py
+++ b/src/weirscale/cli/operators.py
@@ -16,25 +16,25 @@
 def explain(request_id: str, node: str, as_json: bool) -> int:
     """Print the decisions about a request and what they were based on."""
     query = "" if as_json else "?format=text"
-    return _ask("GET", node, f"{EXPLAIN_PREFIX}{request_id}{query}")
+    return _call_node("GET", node, f"{EXPLAIN_PREFIX}{request_id}{query}")
 
 
 def members(node: str) -> int:
     """Print the nodes that a node considers alive, as JSON."""
-    return _ask("GET", node, MEMBERS_PATH)
+    return _call_node("GET", node, MEMBERS_PATH)
 
 
 def rollout(node: str) -> int:
     """Print the progress of rollouts as JSON; empty on a node that does not plan rollouts."""
-    return _ask("GET", node, ROLLOUT_PATH)
+    return _call_node("GET", node, ROLLOUT_PATH)
 
 
 def drain(node: str) -> int:
-    """Start the planned shutdown of a node."""
-    return _ask("POST", node, DRAIN_PATH)
+    """Start the planned stop of a node."""
+    return _call_node("POST", node, DRAIN_PATH)
 
 
-def _ask(method: str, node: str, path: str) -> int:
+def _call_node(method: str, node: str, path: str) -> int:
     try:
         response = httpx.request(method, f"http://{node}{path}", timeout=TIMEOUT_S, trust_env=False)
     except (httpx.HTTPError, httpx.InvalidURL) as error:
--- a/src/weirscale/cli/trace.py
+++ b/src/weirscale/cli/trace.py
@@ -155,7 +155,7 @@
 def run(request_id: str, files: Sequence[str]) -> int:
     """Print a request's trace."""
     if not files:
-        print("weirscale: name at least one log file", file=sys.stderr)
+        print("weirscale: give at least one log file", file=sys.stderr)
         return EXIT_USAGE
     try:
         lines = read_files(files)
--- a/src/weirscale/domain/choice/recent_sends.py
+++ b/src/weirscale/domain/choice/recent_sends.py
@@ -31,7 +31,7 @@
 
 
 ChooseDepths = Callable[[int], Sequence[int]]
-"""Returns the depths to record for a chain of so many blocks, ascending, including the last."""
+"""Returns, for a number of blocks, the depths to record: ascending, including the last."""
 
 
 @lru_cache(maxsize=1024)
--- a/src/weirscale/domain/claims/authority.py
+++ b/src/weirscale/domain/claims/authority.py
@@ -1,7 +1,7 @@
-"""How long a holder may vote without a confirmation that its epoch is still in force.
+"""Limits the time for which a holder may vote without a confirmation that its epoch is in force.
 
-This is needed only for an epoch that follows the loss of a group's quorum: every other change of
-holders first seals a majority of the current ones. The node that declares a quorum lost has live
+The limit is needed only for an epoch that follows the loss of a group's quorum: every other change
+of holders first seals a majority of the current ones. The node that declares a quorum lost has live
 nodes in more than half of the zones. A holder votes only while it gets answers from at least half
 of the zones, or has read the key-value service. So a holder that was declared lost while it still
 runs stops voting within AUTHORITY_S.
--- a/src/weirscale/domain/configuration/model.py
+++ b/src/weirscale/domain/configuration/model.py
@@ -247,7 +247,7 @@
         retry: Limits on retries.
         callers: Limits on callers' requests.
         claims: At-most-once claims.
-        drain_timeout_s: Longest duration of a graceful shutdown.
+        drain_timeout_s: Longest time that a planned stop waits for running requests.
     """
 
     format: int
--- a/src/weirscale/domain/membership/probes.py
+++ b/src/weirscale/domain/membership/probes.py
@@ -79,7 +79,7 @@
                 del self._relays[sequence]
 
     def clear(self) -> None:
-        """Drop everything in flight: after a pause of this process, missing acks prove nothing."""
+        """Drop everything in flight, because missing acks prove nothing after a suspension."""
         self._probes.clear()
         self._probed.clear()
         self._relays.clear()
--- a/src/weirscale/domain/membership/protocol.py
+++ b/src/weirscale/domain/membership/protocol.py
@@ -70,7 +70,7 @@
 
     def tick(self, now_s: float) -> list[Action]:
         """Advance all timers; call it every `rules.tick_s`."""
-        self._handle_pause(now_s)
+        self._handle_suspension(now_s)
         actions: list[Action] = []
         if self.state.is_superseded:
             return actions
@@ -169,8 +169,11 @@
         receivers = table.sample_live(self._random, DEPARTURE_FANOUT)
         return [SendCast(member.address, Gossip((self.state.own,))) for member in receivers]
 
-    def _handle_pause(self, now_s: float) -> None:
-        """Detect a pause of this process; acks and refutations missed during it prove nothing."""
+    def _handle_suspension(self, now_s: float) -> None:
+        """Detect a suspension of this process; acks missed during it prove nothing.
+
+        Suspicions are postponed by its duration, because refutations were missed as well.
+        """
         late_s = now_s - self._last_tick_s - self._rules.tick_s
         self._last_tick_s = now_s
         if late_s < self._rules.late_tick_s:
--- a/src/weirscale/domain/membership/rules.py
+++ b/src/weirscale/domain/membership/rules.py
@@ -10,11 +10,12 @@
 
     Attributes:
         tick_s: Interval of the protocol's ticks.
-        late_tick_s: A tick that is late by this much means that the process was paused.
+        late_tick_s: A tick that is late by this much means that the process was suspended.
         probe_interval_s: Time between probe rounds; each round probes the next node in the own
             zone's ring, so every node is probed once per round.
-        fleet_ring_every: Every so many rounds the next node in the fleet's ring is probed as well.
-        random_every: Every so many rounds a random node is probed as well.
+        fleet_ring_every: In one of this many rounds, the next node in the fleet's ring is probed
+            as well.
+        random_every: In one of this many rounds, a random node is probed as well.
         direct_timeout_s: Time without an ack after which indirect probes are requested.
         probe_timeout_s: Time without any ack after which the node is suspected.
         num_helpers: Number of nodes that are asked for an indirect probe.
--- a/src/weirscale/domain/membership/suspicions.py
+++ b/src/weirscale/domain/membership/suspicions.py
@@ -10,7 +10,8 @@
     """The suspicion of one member.
 
     Attributes:
-        started_at_s: When this node learned of the suspicion, postponed by pauses of this process.
+        started_at_s: When this node learned of the suspicion, plus the time for which its process
+            was suspended since.
         accusers: Distinct nodes whose probes of the member failed.
     """
 
--- a/src/weirscale/domain/placement/settle.py
+++ b/src/weirscale/domain/placement/settle.py
@@ -47,11 +47,11 @@
         models: Declared models.
         desired: The desired state of each engine.
         observations: The observed state of each engine.
-        load_ages_s: Age of each load by its token, since this planner first knew of the load.
+        load_ages_s: Age of each load by its token, since the load became known to this planner.
 
     Returns:
         The record without the loads that ended, and without failures of versions that are no longer
-        declared: the failures of a newly declared version are current from zero.
+        declared: the failures of a newly declared version are counted from zero.
     """
     still_loading: list[LoadInProgress] = []
     freed: list[LoadInProgress] = []
--- a/src/weirscale/domain/prefix/cache_view.py
+++ b/src/weirscale/domain/prefix/cache_view.py
@@ -36,8 +36,8 @@
     __slots__ = (
         "bit",
         "gap_since_s",
-        "heard_at_s",
         "incarnation",
+        "received_at_s",
         "sample_bits",
         "sequence",
         "stream",
@@ -51,7 +51,7 @@
         self.sequence = 0
         self.sample_bits = 0
         self.gap_since_s: float | None = None
-        self.heard_at_s = now_s
+        self.received_at_s = now_s
         self.updated_at_s = now_s
 
 
@@ -90,7 +90,7 @@
                 return ViewOutcome.VOID
             view.stream = digest.stream
             view.sequence = 0
-        view.heard_at_s = now_s
+        view.received_at_s = now_s
         if digest.sequence <= view.sequence:
             return ViewOutcome.DUPLICATE
         is_next = digest.sequence == view.sequence + 1
@@ -115,7 +115,7 @@
         view.sequence = full.sequence
         view.sample_bits = full.sample_bits
         self._groups = None
-        view.heard_at_s = now_s
+        view.received_at_s = now_s
         view.updated_at_s = now_s
         view.gap_since_s = None
         for key in unpack_keys(full.held):
@@ -138,7 +138,7 @@
     def expire(self, now_s: float) -> None:
         """Remove engines without digests for too long; empty those with an old gap."""
         for engine, view in list(self._views.items()):
-            is_silent = now_s - view.heard_at_s > MAX_SILENCE_S
+            is_silent = now_s - view.received_at_s > MAX_SILENCE_S
             gap_since_s = view.gap_since_s
             has_old_gap = gap_since_s is not None and now_s - gap_since_s > MAX_GAP_S
             if is_silent:
@@ -195,7 +195,7 @@
         """Return whether digests of a publisher's stream are accepted."""
         if stream >= view.stream:
             return True
-        return now_s - view.heard_at_s > STREAM_TAKEOVER_S
+        return now_s - view.received_at_s > STREAM_TAKEOVER_S
 
     def _clear(self, view: _EngineView) -> None:
         self._masks.retire_bit(view.bit)
--- a/src/weirscale/domain/prefix/engine_index.py
+++ b/src/weirscale/domain/prefix/engine_index.py
@@ -118,7 +118,7 @@
             self._start_run(incarnation, weight_version)
 
     def expire(self, now_s: float) -> bool:
-        """Empty the set if a gap has been open for too long; return whether that is so."""
+        """Empty the set if a gap has been open for too long; return whether it was emptied."""
         gap_since_s = self._gap_since_s
         if gap_since_s is None or now_s - gap_since_s < MAX_GAP_S:
             return False
--- a/src/weirscale/leases/lease_task.py
+++ b/src/weirscale/leases/lease_task.py
@@ -68,7 +68,7 @@
         duties: Determines whether this node is among the candidates.
         random: Source of jitter for retries.
         rules: Durations of the lease.
-        sleep: Sleeps; experiments that freeze nodes replace it.
+        sleep: Sleep function; replaced by experiments that freeze nodes.
         call_timeout_s: A call that takes longer counts as failed.
         clock: Monotonic clock in seconds. If machines may be suspended, it must count that time.
     """
--- a/src/weirscale/node/claims/change.py
+++ b/src/weirscale/node/claims/change.py
@@ -37,8 +37,7 @@
 CALL_TIMEOUT_S = 2.0
 """Timeout of each call to a holder; a slower holder counts as unreachable for this change."""
 SWAP_ATTEMPTS = 8
-"""Attempts at the swap while the store is down or rate limited; the group stays sealed until then.
-"""
+"""Attempts at the swap while the store is down or rate limited. The group is sealed meanwhile."""
 SWAP_RETRY_S = 0.25
 """Initial retry backoff of the swap; doubles with each attempt."""
 
--- a/src/weirscale/node/claims/epochs.py
+++ b/src/weirscale/node/claims/epochs.py
@@ -22,7 +22,7 @@
         return self._records.get(group)
 
     def adopt(self, record: GroupEpoch | None) -> bool:
-        """Store an epoch that is in force if it is newer than the known one; return whether."""
+        """Store an epoch in force if it is newer than the known one; return whether it was."""
         if record is None or not 0 <= record.group < NUM_GROUPS:
             return False
         current = self._records.get(record.group)
--- a/src/weirscale/node/claims/ledger.py
+++ b/src/weirscale/node/claims/ledger.py
@@ -92,7 +92,7 @@
 
 
 class QuorumClaimLedger:
-    """Implements `ClaimLedger` with holders on several nodes; `run` must be running.
+    """Claims idempotency keys with a quorum of holders on several nodes; `run` must be running.
 
     Args:
         link: Carries calls between nodes.
@@ -256,7 +256,9 @@
             case RoundState.HELD | RoundState.COMPLETED | RoundState.CONFLICT:
                 state = FINAL_STATES[outcome.state]
             case RoundState.UNCERTAIN:
-                detail = "its group of holders was lost, and the key may have been used before"
+                detail = (
+                    "its group of holders lost its quorum, and the key may have been used before"
+                )
                 return Err(claim_unavailable(detail, outcome.wait_s))
             case RoundState.FULL:
                 return Err(claim_unavailable("the ledger is full"))
--- a/src/weirscale/node/claims/log.py
+++ b/src/weirscale/node/claims/log.py
@@ -91,9 +91,9 @@
         """Write all claims that this node holds to their logs; return whether all are logged."""
         if self._registry is None:
             return False
-        for known, claims in tuple(self._registry.claims()):
+        for held, claims in tuple(self._registry.claims()):
             logged = logged_claims(claims)
-            if not await self._writer.append_missing(known.group, known.epoch, logged):
+            if not await self._writer.append_missing(held.group, held.epoch, logged):
                 return False
         return True
 
--- a/src/weirscale/node/claims/registry.py
+++ b/src/weirscale/node/claims/registry.py
@@ -119,9 +119,9 @@
 
     def claims(self) -> Iterator[tuple[KnownEpoch, tuple[CopiedClaim, ...]]]:
         """Iterate over the groups that this node holds, with their claims."""
-        for known in self.held_epochs():
-            copied = self._holders[known.group].export_claims(anyio.current_time())
-            yield known, copied
+        for held in self.held_epochs():
+            copied = self._holders[held.group].export_claims(anyio.current_time())
+            yield held, copied
 
     def groups_sealed_before(self, time_s: float) -> tuple[int, ...]:
         """Return the groups that were sealed here before a time and have no new epoch yet."""
@@ -212,7 +212,7 @@
 
     async def newer_epochs(self, message: ClaimEpochsQuery) -> ClaimEpochsReply:
         """Return the epochs that are newer than those the calling node knows."""
-        newer = (self.epochs.newer_than(known.group, known.epoch) for known in message.known)
+        newer = (self.epochs.newer_than(entry.group, entry.epoch) for entry in message.known)
         return ClaimEpochsReply(tuple(record for record in newer if record is not None))
 
     def _handle_announcement(self, message: object) -> None:
--- a/src/weirscale/node/configuration/apply.py
+++ b/src/weirscale/node/configuration/apply.py
@@ -190,7 +190,9 @@
         if revision is not None:
             return Accepted(revision)
         if self._has_lost_answer and not self._log_reaches_back(current.ok_value):
-            message = "the answer was lost, and the stored change log starts too late to tell"
+            message = (
+                "the answer was lost, and the stored change log does not reach back far enough"
+            )
             return Unknown(message, "run `weirscale plan`, then apply again")
         return self._refuse_outdated(current.ok_value)
 
--- a/src/weirscale/node/configuration/holder.py
+++ b/src/weirscale/node/configuration/holder.py
@@ -60,7 +60,7 @@
         return revision > self.revision
 
     def apply(self, revision: ConfigurationRevision, deployment: Deployment) -> bool:
-        """Put a canonical deployment in force if its revision is higher; return whether it was."""
+        """Apply a canonical deployment if its revision is higher; return whether it was applied."""
         if not self.record_revision(revision):
             return False
         if self._current is not None:
--- a/src/weirscale/node/configuration/reader.py
+++ b/src/weirscale/node/configuration/reader.py
@@ -22,7 +22,7 @@
 )
 
 NUM_READERS_PER_ZONE = 2
-"""One reader may fail or be paused without a gap; more readers would only load the store."""
+"""One reader may fail or be suspended without a gap; more readers would only load the store."""
 FIRST_BACKOFF_S = 0.25
 MAX_BACKOFF_S = 8.0
 """Maximum backoff, with full jitter: 36 readers make about 8 calls a second to a store that is
--- a/src/weirscale/node/configuration/spread.py
+++ b/src/weirscale/node/configuration/spread.py
@@ -2,8 +2,8 @@
 
 A node that applies a revision announces it to a few peers, which fetch the delta from it and
 announce the revision in turn. Nodes also announce their revisions to random peers at a slow rate,
-which makes up for lost casts. A node without a configuration asks several peers and fetches the
-highest revision.
+which makes up for lost casts. A node without a configuration queries several peers and fetches
+the highest revision.
 """
 
 from collections.abc import Sequence
@@ -44,7 +44,7 @@
 BOOTSTRAP_TIMEOUT_S = 0.5
 FIRST_BOOTSTRAP_RETRY_S = 0.3
 MAX_BOOTSTRAP_RETRY_S = 0.4
-"""A node without a configuration cannot serve requests, so it asks peers about twice a second."""
+"""A node without a configuration cannot serve requests. It queries peers about twice a second."""
 JOIN_POLL_S = 0.02
 JOIN_WAIT_S = 0.3
 """A starting node joins within a few round trips. It checks for other nodes every JOIN_POLL_S, for
@@ -195,21 +195,21 @@
         return self._others()
 
     async def _find_highest(self, peers: Sequence[Peer]) -> NodeAddress | None:
-        """Ask peers for their revisions; return the address of the highest, None without any."""
+        """Query peers for their revisions; return the address of the highest, None without any."""
         answers: dict[NodeAddress, ConfigurationRevision] = {}
         async with anyio.create_task_group() as tasks:
             for peer in peers:
-                tasks.start_soon(self._ask_revision, peer.address, answers, tasks.cancel_scope)
+                tasks.start_soon(self._query_revision, peer.address, answers, tasks.cancel_scope)
         source = max(answers, key=lambda address: answers[address], default=None)
         return source if source is not None and answers[source] > NO_BASE_REVISION else None
 
-    async def _ask_revision(
+    async def _query_revision(
         self,
         address: NodeAddress,
         answers: dict[NodeAddress, ConfigurationRevision],
         scope: anyio.CancelScope,
     ) -> None:
-        """Ask one peer for its revision; an answer limits the wait for the slower peers."""
+        """Query one peer for its revision; an answer limits the wait for the slower peers."""
         answer = await self._link.call(address, ConfigurationStatusQuery(), BOOTSTRAP_TIMEOUT_S)
         if isinstance(answer, Err) or not isinstance(answer.ok_value, ConfigurationStatusReply):
             return
--- a/src/weirscale/node/configuration/status.py
+++ b/src/weirscale/node/configuration/status.py
@@ -87,14 +87,14 @@
         limiter = anyio.CapacityLimiter(MAX_CONCURRENT_QUERIES)
         async with anyio.create_task_group() as tasks:
             for peer in self._membership.peers():
-                tasks.start_soon(self._ask, peer, replies, limiter)
+                tasks.start_soon(self._query_node, peer, replies, limiter)
         answered = [reply for reply in replies.values() if not isinstance(reply, str)]
         highest = max((reply.highest_known for reply in answered), default=NO_BASE_REVISION)
         nodes = [_node_status(peer, reply, highest) for peer, reply in replies.items()]
         nodes.sort(key=lambda status: status.node)
         return FleetConfigurationStatus(highest, tuple(nodes), self._reader.last_problem)
 
-    async def _ask(
+    async def _query_node(
         self,
         peer: Peer,
         replies: dict[Peer, ConfigurationStatusReply | str],
@@ -134,9 +134,9 @@
     if reply.revision >= highest:
         return NodeConfigurationStatus(name, zone, reply.revision, "")
     if reply.highest_known < highest:
-        reason = f"has not heard of revision {highest}"
+        reason = f"does not know of revision {highest}"
     else:
-        reason = f"has heard of revision {highest} but has not fetched it"
+        reason = f"knows of revision {highest} but has not fetched it"
     if reply.last_problem:
         reason += f" ({reply.last_problem})"
     return NodeConfigurationStatus(name, zone, reply.revision, reason)
--- a/src/weirscale/node/interfaces.py
+++ b/src/weirscale/node/interfaces.py
@@ -1,8 +1,4 @@
-"""Interfaces between the tasks of a node.
-
-Request handling depends only on these interfaces, so that each side can be built, tested and
-replaced on its own. Implementations post messages to the owning task's mailbox and share no state.
-"""
+"""Views of the configuration and the membership, and values that the tasks of a node exchange."""
 
 import enum
 from typing import Protocol
--- a/src/weirscale/node/limits/fleet.py
+++ b/src/weirscale/node/limits/fleet.py
@@ -29,7 +29,7 @@
 
 
 class FleetAdmissionTask(AdmissionTask):
-    """Implements `Admission` with limits shared over the fleet; `run` must be running.
+    """Admits requests, with limits shared over the fleet; `run` must be running.
 
     Args:
         link: Carries casts between nodes.
@@ -66,7 +66,7 @@
         self._exchange.record_arrival(request.tenant, request.num_prompt_tokens, now_s)
 
     async def exchange_shares(self) -> None:
-        """Send due demands to home nodes, and grants to the nodes that asked for them."""
+        """Send due demands to home nodes, and grants to the nodes that sent demands."""
         now_s = anyio.current_time()
         self._apply_changes(now_s)
         if self._exchange.is_due(self.queue.num_waiting > 0, now_s):
--- a/src/weirscale/node/limits/task.py
+++ b/src/weirscale/node/limits/task.py
@@ -66,7 +66,7 @@
 
 
 class AdmissionTask:
-    """Implements `Admission`; `run` is the task that owns the queue.
+    """Admits requests; `run` is the task that owns the queue.
 
     Args:
         max_running: Maximum number of concurrent permits.
@@ -152,7 +152,7 @@
         self._pending[request.ticket] = message
 
     def _withdraw(self, ticket: int, now_s: float) -> None:
-        """Remove the request of a caller that left, or free the permit granted in the meantime."""
+        """Remove the request of a cancelled call, or free the permit granted in the meantime."""
         self._pending.pop(ticket, None)
         if not self.queue.withdraw(ticket):
             self.queue.finish(ticket, now_s)
--- a/src/weirscale/node/peers/first_answer.py
+++ b/src/weirscale/node/peers/first_answer.py
@@ -38,13 +38,13 @@
     """
     remaining = iter(peers)
     while batch := tuple(islice(remaining, MAX_CONCURRENT_CALLS)):
-        answers = await _ask_batch(link, batch, query, timeout_s, accept)
+        answers = await _call_batch(link, batch, query, timeout_s, accept)
         if answers:
             return answers[0]
     return None
 
 
-async def _ask_batch(
+async def _call_batch(
     link: PeerLink,
     batch: Iterable[Peer],
     query: msgspec.Struct,
@@ -53,7 +53,7 @@
 ) -> list[AnswerT]:
     answers: list[AnswerT] = []
 
-    async def ask(peer: Peer) -> None:
+    async def call_peer(peer: Peer) -> None:
         reply = await link.call(peer.address, query, timeout_s)
         answer = accept(reply.ok_value) if isinstance(reply, Ok) else None
         if answer is not None:
@@ -62,5 +62,5 @@
 
     async with anyio.create_task_group() as tasks:
         for peer in batch:
-            tasks.start_soon(ask, peer)
+            tasks.start_soon(call_peer, peer)
     return answers
--- a/src/weirscale/node/routing/engine_router.py
+++ b/src/weirscale/node/routing/engine_router.py
@@ -90,7 +90,7 @@
 
 
 class EngineRouter:
-    """Implements `EngineRouting`.
+    """Chooses engines for attempts and records the outcomes; `run` must be running.
 
     Args:
         directory: The directory of back ends.
--- a/src/weirscale/node/routing/service_router.py
+++ b/src/weirscale/node/routing/service_router.py
@@ -53,7 +53,7 @@
 
 
 class ServiceRouter:
-    """Implements `ServiceRouting`.
+    """Chooses service back ends for attempts; `run` must be running.
 
     Args:
         directory: The directory of back ends.
--- a/src/weirscale/ports/engine.py
+++ b/src/weirscale/ports/engine.py
@@ -184,7 +184,7 @@
         """Start one attempt and stream its chunks.
 
         The iterator yields Ok chunks and ends after the chunk with a finish reason, or yields one
-        Err and ends. There may be no timeout for a chunk: the caller must limit the wait. Leaving
+        Err and ends. The wait for a chunk may be unlimited, so the caller must limit it. Leaving
         the context early closes the connection; it does not cancel the attempt.
         """
         ...
--- a/src/weirscale/ports/key_value.py
+++ b/src/weirscale/ports/key_value.py
@@ -41,7 +41,7 @@
         value: The value.
         create_revision: Revision at which the key was created.
         mod_revision: Revision of the last change.
-        lease_id: The lease with which the key is deleted, 0 for none.
+        lease_id: The lease to which the key is attached, and with which it ends; 0 for none.
     """
 
     key: str
