--- a/src/weirscale/cli/operators.py
+++ b/src/weirscale/cli/operators.py
@@ -14,7 +14,7 @@
 
 
 def explain(request_id: str, node: str, as_json: bool) -> int:
-    """Print the decisions about a request and what they were based on."""
+    """Print the decisions about a request and their reasons."""
     query = "" if as_json else "?format=text"
     return _call_node("GET", node, f"{EXPLAIN_PREFIX}{request_id}{query}")
 
--- a/src/weirscale/domain/health/pool.py
+++ b/src/weirscale/domain/health/pool.py
@@ -1,8 +1,8 @@
 """Health of a pool of interchangeable back ends.
 
 Circuits may hold out only a share of a pool. When more circuits are open, a fault of the network
-(or of this node) is likelier than that many faulty back ends, and an empty pool would serve nobody.
-So the back ends that are nearest to their next trial are readmitted at the minimum weight.
+(or of this node) is likelier than that many faulty back ends, and an empty pool could serve no
+request. So the back ends that are nearest to their next trial are readmitted at the minimum weight.
 Quarantined back ends are readmitted last, leaving ones never.
 """
 
--- a/src/weirscale/domain/limits/exchange.py
+++ b/src/weirscale/domain/limits/exchange.py
@@ -127,7 +127,7 @@
     ) -> None:
         """Set the configured tenants and zones.
 
-        A pool is created anew if its tenant's limits or its zone's part changed.
+        A pool is created again if its tenant's limits or its zone's part changed.
         """
         self._tenants = {
             tenant_digest(tenant.name): tenant for tenant in tenants if is_limited(tenant)
--- a/src/weirscale/domain/membership/ring.py
+++ b/src/weirscale/domain/membership/ring.py
@@ -1,4 +1,4 @@
-"""A ring of node names in hash order; it determines who probes whom without any messages."""
+"""A ring of node names in hash order; it determines which node probes which, without messages."""
 
 import bisect
 from collections.abc import Callable
--- a/src/weirscale/leases/lease_task.py
+++ b/src/weirscale/leases/lease_task.py
@@ -120,7 +120,7 @@
                 await self._sleep(POLL_INTERVAL_S)
 
     async def release(self) -> None:
-        """Give up the duty for good.
+        """Give up the duty permanently.
 
         On this node this takes effect at once. Revoking the lease at the key-value service is best
         effort.
--- a/src/weirscale/node/assembly.py
+++ b/src/weirscale/node/assembly.py
@@ -126,7 +126,7 @@
         self._build_planned_stop()
 
     def _build_placement(self, ports: NodePorts, random: Random) -> None:
-        """Create the tasks that hold the planner's lease and plan the placement meanwhile."""
+        """Create the tasks that acquire the planner's lease and plan placement while it is held."""
         self._planner_lease = DutyLeaseTask(
             Duty(DutyKind.PLACEMENT_PLANNER),
             self.identity.node,
--- a/src/weirscale/node/backends/facts.py
+++ b/src/weirscale/node/backends/facts.py
@@ -38,7 +38,7 @@
         mismatch_since_s: When the engine refused a request because its run or version differs
             from its report, None otherwise. The report is ignored until a different one arrives or
             a few seconds have passed.
-        busy_until_s: The engine asked not to be sent requests before this time.
+        busy_until_s: Time until which the engine must get no requests, as it was busy.
     """
 
     engine: Engine
--- a/src/weirscale/node/backends/probes.py
+++ b/src/weirscale/node/backends/probes.py
@@ -145,7 +145,7 @@
         heapq.heappush(self._due, (due_at_s, key))
 
     def _pace_at(self, now_s: float) -> ProbePace:
-        """Return the probe intervals, computed anew each `PACE_INTERVAL_S`."""
+        """Return the probe intervals, computed again every `PACE_INTERVAL_S`."""
         if self._pace is None or now_s >= self._pace_expires_at_s:
             previous = self._pace
             self._pace = self._compute_pace(now_s)
--- a/src/weirscale/node/claims/granted.py
+++ b/src/weirscale/node/claims/granted.py
@@ -1,4 +1,4 @@
-"""The claim type that the quorum ledger hands out."""
+"""The claim type that the quorum ledger returns."""
 
 from weirscale.domain.claims.model import ClaimKey
 from weirscale.node.interfaces import Claim
--- a/src/weirscale/node/claims/keeper.py
+++ b/src/weirscale/node/claims/keeper.py
@@ -38,7 +38,7 @@
 FULL_CHECK_S = 30.0
 """Interval between checks of all groups while membership does not change."""
 LOST_CHECK_S = 5.0
-"""Interval between checks of all groups while a group seems to have lost its quorum for good."""
+"""Interval between checks of all groups while a group seems to have lost its quorum permanently."""
 CONFIRM_S = 8.0
 """How often a holder asks other zones for newer epochs; three attempts within AUTHORITY_S."""
 SEALED_TOO_LONG_S = 3.0
--- a/src/weirscale/node/placement/task.py
+++ b/src/weirscale/node/placement/task.py
@@ -171,7 +171,7 @@
         self._undelivered.update(load.token for load in plan.ordered)
         self._states.watch(load.engine for load in record.loads)
         await self._send_orders(record, changes, plan.next_token, observations)
-        # After the orders, so that an engine that is retried in vain is not shown as loading.
+        # After the orders, so that an engine that executed no order is not shown as loading.
         active_loads = tuple(load for load in record.loads if load.token not in self._dropped)
         settled = msgspec.structs.replace(record, loads=active_loads)
         progress_observations = self._mark_unavailable(raw_observations, paused_since_s)
