--- a/src/weirscale/leases/lease_task.py
+++ b/src/weirscale/leases/lease_task.py
@@ -68,7 +68,7 @@
         duties: Determines whether this node is among the candidates.
         random: Source of jitter for retries.
         rules: Durations of the lease.
-        sleep: Sleeps; experiments that freeze nodes replace it.
+        sleep: Sleep function; replaced by experiments that freeze nodes.
         call_timeout_s: A call that takes longer counts as failed.
         clock: Monotonic clock in seconds. If machines may be suspended, it must count that time.
     """
@@ -120,7 +120,7 @@
                 await self._sleep(POLL_INTERVAL_S)
 
     async def release(self) -> None:
-        """Give up the duty for good.
+        """Give up the duty permanently.
 
         On this node this takes effect at once. Revoking the lease at the key-value service is best
         effort.
