--- a/features/claims_faults.feature
+++ b/features/claims_faults.feature
@@ -1,5 +1,8 @@
-Feature: At most one run for each idempotency key, whatever fails
-  Scenario Outline: Callers repeat their keys through several nodes while <fault>
+Feature: At most one run for each idempotency key under node, network and store faults
+  Guards against two callers that are both granted one key, and against a key that is granted
+  again after its holders lost their memory, their messages or the store.
+
+  Scenario Outline: Callers retry their keys through several nodes while <fault>
     Given claim holders on 5 nodes in 3 zones
     When 30 keys are claimed by 3 racing callers each while <fault>
     Then no key has run more than once
@@ -23,10 +26,10 @@
       | store answers are lost and a node leaves | 28     |
       | everything fails a little               | 15      |
 
-  Scenario Outline: One caller's <first> request and the second with its key
+  Scenario Outline: A second request with the key of a first that ended as "<first>", with <body>
     Given claim holders on 3 nodes in 3 zones
-    When a first request with a key ends as "<first>" and a second comes with "<body>" through another node
-    Then the second is told "<second>"
+    When a first request with a key ends as "<first>" and a second arrives with "<body>" through another node
+    Then the second request is answered "<second>"
 
     Examples:
       | first     | body       | second      |
@@ -35,26 +38,26 @@
       | abandoned | same body  | in_progress |
       | not run   | same body  | granted     |
 
-  Scenario: A group that was lost whole refuses unknown keys for the retention window
+  Scenario: A group whose holders all restarted refuses claims for the retention window
     Given claim holders on 5 nodes in 3 zones
     When a key has run and then all nodes restart at once
     Then the key and new keys are refused as not run until the retention has passed
-    And new keys are granted after it
+    And new keys are granted after the retention
 
-  Scenario: A store that fails between seal and swap leaves the group refusing, then whole
+  Scenario: When the store fails between seal and swap, the group refuses claims until the store is back
     Given claim holders on 5 nodes in 3 zones
     When the store goes down after the holders were sealed for a change
     Then claims of the group are refused as not run until the store is back
     And the key that ran before is answered as completed
 
-  Scenario: A holder that hears fewer than half of the zones and no store stops voting
+  Scenario: A holder that reaches fewer than half of the zones and not the store stops voting
     Given claim holders on 5 nodes in 5 zones
     When two zones are cut off together with the store for 60 seconds
     Then no node in the cut zones grants a key
-    And the nodes outside have gone on granting wherever they have a quorum
+    And the nodes outside still grant each key for which they have a quorum
 
-  Scenario: Nodes that hand over before they stop leave every claim behind
+  Scenario: No claim is lost when nodes hand over before they stop
     Given claim holders on 5 nodes in 3 zones
     When 20 keys have run and then all nodes are replaced, each after it has handed over
     Then every key is answered as completed by the new nodes
-    And no new key was refused meanwhile
+    And no new key was refused during the replacement
--- a/features/claims_log_model.feature
+++ b/features/claims_log_model.feature
@@ -1,10 +1,13 @@
-Feature: No history of the claim log runs a key twice
-  Scenario: All histories of two callers, three holders, their loss and the load of the log
+Feature: Exhaustive check of the claim log
+  Guards against a history of votes, marks, restarts and log writes in which one key runs twice.
+  Each rule of the log is also broken on purpose, to show that the exploration notices it.
+
+  Scenario: All histories of two callers and three holders that are lost, after which the log is loaded
     When all histories of the claim log are explored
     Then no history of the claim log runs the key twice
-    And more than 10000 states were reached, many of them after a load
+    And more than 10000 states were reached, more than a tenth of that number after a load
 
-  Scenario Outline: The exploration finds a double run when <rule>
+  Scenario Outline: The exploration finds a key that runs twice when <rule>
     When all histories of the claim log are explored while "<rule>"
     Then a history of the claim log that runs the key twice is found
 
--- a/features/claims_model_check.feature
+++ b/features/claims_model_check.feature
@@ -1,7 +1,10 @@
 Feature: Exhaustive check of the claim protocol
+  Guards against a history of votes, restarts, changes of epoch and lost, duplicated or late messages
+  in which one key runs twice. Each rule is also broken on purpose, to show that the check notices it.
+
   Scenario: Two callers, three holders, a restart and a change of epoch
     When every history of the claim protocol is explored
-    Then none runs the key twice
+    Then no history runs the key twice
     And more than 10000 states were reached
 
   Scenario Outline: The check finds a history that runs the key twice when <broken rule>
--- a/features/steps/claims_faults_steps.py
+++ b/features/steps/claims_faults_steps.py
@@ -10,7 +10,7 @@
 
 FAULT_AT_S = 3.0
 FAULT_LASTS_S = 20.0
-TROUBLE = {
+MESSAGE_FAULTS = {
     "replies are lost": Faults(lose_reply=0.3),
     "requests are lost": Faults(lose_request=0.3),
     "calls are delivered twice": Faults(duplicate=0.5),
@@ -19,10 +19,10 @@
 }
 
 
-async def bring_about(fleet, fault):
-    """Bring a fault about and, after a while, take back what can be taken back."""
+async def inject_fault(fleet, fault):
+    """Inject a fault, and end it after `FAULT_LASTS_S` where it can be ended."""
     await anyio.sleep(FAULT_AT_S)
-    fleet.faults = TROUBLE.get(fault, Faults())
+    fleet.faults = MESSAGE_FAULTS.get(fault, Faults())
     if "a node is lost" in fault or "two nodes" in fault:
         fleet.stop(1)
     if "two nodes" in fault:
@@ -49,11 +49,11 @@
 
 
 async def call_repeatedly(fleet, key, first_node):
-    """One caller: sends its key again through other nodes until it knows that it has run."""
+    """Send a key through one node after the other until it has run, at most 4 times."""
     await anyio.sleep(fleet.random.uniform(0.0, FAULT_AT_S + FAULT_LASTS_S))
     for attempt in range(4):
-        told = await fleet.request((first_node + attempt) % 5, key)
-        if told in ("granted", "completed"):
+        answer = await fleet.request((first_node + attempt) % 5, key)
+        if answer in ("granted", "completed"):
             return
         await anyio.sleep(fleet.random.uniform(0.1, 2.0))
 
@@ -70,7 +70,7 @@
 @async_when("30 keys are claimed by 3 racing callers each while {fault}", on_fleet)
 async def step_race(context, fleet, fault):
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(bring_about, fleet, fault)
+        tasks.start_soon(inject_fault, fleet, fault)
         for number in range(30):
             for caller in range(3):
                 tasks.start_soon(call_repeatedly, fleet, f"key-{number}", number + caller)
@@ -93,13 +93,13 @@
 
 @then("every key that ran is still refused or answered when it is sent again")
 def step_remembered(context):
-    told = set(context.late)
-    assert told <= {"completed", "in_progress", "claim_unavailable"}, told
-    assert "completed" in told
+    answers = set(context.late)
+    assert answers <= {"completed", "in_progress", "claim_unavailable"}, answers
+    assert "completed" in answers
 
 
 @async_when(
-    'a first request with a key ends as "{first}" and a second comes with "{body}" through another node',
+    'a first request with a key ends as "{first}" and a second arrives with "{body}" through another node',
     on_fleet,
 )
 async def step_two_requests(context, fleet, first, body):
@@ -108,8 +108,8 @@
     context.second = await fleet.request(1, "key", body=content)
 
 
-@then('the second is told "{second}"')
-def step_told(context, second):
+@then('the second request is answered "{second}"')
+def step_second_answer(context, second):
     assert context.second == second, context.second
 
 
@@ -134,7 +134,7 @@
     assert {*context.soon, *context.later} == {"claim_unavailable"}
 
 
-@then("new keys are granted after it")
+@then("new keys are granted after the retention")
 def step_amnesia_over(context):
     assert context.after == "granted"
     assert context.runs == {"old": 1, "newer": 1}
@@ -145,7 +145,7 @@
     await fleet.request(0, "key")
     group = group_of(claim_key("school", "key"))
     record = fleet.nodes[0].ledger.registry.epochs.record(group)
-    fall_on_prepare(fleet, group)
+    stop_store_on_prepare(fleet, group)
     fleet.stop(record.holders[0].address.port)
     await anyio.sleep(12.0)
     live = next(iter(fleet.nodes))
@@ -156,17 +156,17 @@
     context.runs = fleet.runs
 
 
-def fall_on_prepare(fleet, group):
-    """Take the store down as soon as a change of the group has sealed its holders."""
+def stop_store_on_prepare(fleet, group):
+    """Take the store down when a change of the group, with sealed holders, is prepared."""
     for node in fleet.running():
         prepare = node.link.call_handlers[ClaimPrepare]
 
-        async def falling(message, prepare=prepare):
+        async def prepare_without_store(message, prepare=prepare):
             if message.record.group == group:
                 fleet.server.faults.is_down = True
             return await prepare(message)
 
-        node.link.call_handlers[ClaimPrepare] = falling
+        node.link.call_handlers[ClaimPrepare] = prepare_without_store
 
 
 @then("claims of the group are refused as not run until the store is back")
@@ -206,7 +206,7 @@
     assert set(context.inside) == {"claim_unavailable"}, context.inside
 
 
-@then("the nodes outside have gone on granting wherever they have a quorum")
+@then("the nodes outside still grant each key for which they have a quorum")
 def step_outside(context):
     assert context.outside == context.expected, context.outside
     assert "granted" in context.expected
@@ -227,16 +227,16 @@
                 tasks.start_soon(fleet.request, number + 5, f"new-{number}-{caller}")
             assert await leaving.ledger.hand_over(15.0)
         fleet.stop(number)
-    context.told = [await fleet.request(5, f"key-{number}") for number in range(20)]
+    context.answers = [await fleet.request(5, f"key-{number}") for number in range(20)]
     context.runs = fleet.runs
 
 
 @then("every key is answered as completed by the new nodes")
 def step_all_completed(context):
-    assert set(context.told) == {"completed"}, context.told
+    assert set(context.answers) == {"completed"}, context.answers
 
 
-@then("no new key was refused meanwhile")
+@then("no new key was refused during the replacement")
 def step_none_refused(context):
     assert set(context.runs.values()) == {1}
     assert len(context.runs) == 40, context.runs
--- a/features/steps/claims_log_faults_steps.py
+++ b/features/steps/claims_log_faults_steps.py
@@ -1,4 +1,4 @@
-"""Steps: fleets that log their claims, under the restart of all nodes and faults of the store."""
+"""Steps for fleets that log their claims, with restarts of all nodes and store faults."""
 
 import random
 
@@ -26,8 +26,8 @@
 GROUP = 7
 
 
-async def disturb(fleet, fault):
-    """Bring a fault about; time 0 is a minute before the restart."""
+async def inject_fault(fleet, fault):
+    """Inject a fault; time 0 is a minute before the restart."""
     faults = fleet.server.faults
     if fault == "the store is slow":
         faults.delay_s = 0.6
@@ -45,10 +45,10 @@
         "the store is down from 40 s before to 5 s after": (20.0, 65.0),
     }
     if fault in outages:
-        begin_s, end_s = outages[fault]
-        await anyio.sleep(begin_s)
+        start_s, end_s = outages[fault]
+        await anyio.sleep(start_s)
         faults.is_down = True
-        await anyio.sleep(end_s - begin_s)
+        await anyio.sleep(end_s - start_s)
         faults.is_down = False
 
 
@@ -70,24 +70,26 @@
     run_logging_fleet(run_in_virtual_time, scenario, *context.shape)
 
 
-@async_when("callers repeat 20 keys while all nodes restart and {fault}", on_logging_fleet)
-async def step_herd(context, fleet, fault):
+@async_when("callers retry 20 keys while all nodes restart and {fault}", on_logging_fleet)
+async def step_restart_under_load(context, fleet, fault):
     context.ran_before = {}
-    begin_s = anyio.current_time()
+    start_s = anyio.current_time()
 
     async def call(number, caller):
         await anyio.sleep(number * 4.0 + fleet.random.uniform(0.0, 2.0))
-        await fleet.call_repeatedly(f"key-{number}", number + caller, begin_s + 90.0)
+        await fleet.call_repeatedly(f"key-{number}", number + caller, start_s + 90.0)
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(disturb, fleet, fault)
+        tasks.start_soon(inject_fault, fleet, fault)
         tasks.start_soon(restart, fleet, fault, context.ran_before)
         for number in range(20):
             for caller in range(2):
                 tasks.start_soon(call, number, caller)
         await anyio.sleep(RESTART_AT_S + SERVED_AFTER_S)
-        context.told = [await fleet.request(n % 5, f"new-{n}", time_left_s=10.0) for n in range(10)]
-    context.again = {key: await fleet.request(1, key) for key in context.ran_before}
+        context.answers = [
+            await fleet.request(n % 5, f"new-{n}", time_left_s=10.0) for n in range(10)
+        ]
+    context.answers_after_restart = {key: await fleet.request(1, key) for key in context.ran_before}
     context.runs = fleet.runs
 
 
@@ -99,22 +101,22 @@
 @then("no key that ran before the restart was granted after it")
 def step_remembered(context):
     assert len(context.ran_before) >= 5, context.ran_before
-    told = set(context.again.values())
-    assert told <= {"completed", "in_progress", "claim_unavailable"}, told
+    answers = set(context.answers_after_restart.values())
+    assert answers <= {"completed", "in_progress", "claim_unavailable"}, answers
 
 
-@then('25 s after the restart new keys are told "{told}"')
-def step_new_keys(context, told):
-    share = context.told.count(told) / len(context.told)
-    assert share >= 0.8, context.told
+@then('25 s after the restart new keys are answered "{answer}"')
+def step_new_keys(context, answer):
+    share = context.answers.count(answer) / len(context.answers)
+    assert share >= 0.8, context.answers
 
 
 @async_when("the store goes down for 60 seconds and new keys come every second", on_logging_fleet)
 async def step_outage(context, fleet):
-    context.told = {}
+    context.answers = {}
 
     async def call(second):
-        context.told[second] = await fleet.request(second % 5, f"key-{second}")
+        context.answers[second] = await fleet.request(second % 5, f"key-{second}")
 
     async with anyio.create_task_group() as tasks:
         for second in range(-10, 70):
@@ -125,20 +127,20 @@
 
 @then("new keys were granted until the store went down and again from {resume_s:d} s after it")
 def step_resumed(context, resume_s):
-    refused = [second for second, told in context.told.items() if told != "granted"]
+    refused = [second for second, answer in context.answers.items() if answer != "granted"]
     assert refused, "the store's outage was not noticed"
     assert min(refused) >= 0, refused
     assert max(refused) < resume_s, refused
 
 
-@then("each refusal told to come again within 10 s")
+@then("each refusal asks for a retry within 10 s")
 def step_retry_after(context):
-    told = set(context.told.values())
-    assert told == {"granted", "claim_unavailable"}, told
+    answers = set(context.answers.values())
+    assert answers == {"granted", "claim_unavailable"}, answers
 
 
-def lone_store(context, scenario):
-    """Run a scenario on a store without nodes."""
+def on_store_alone(context, scenario):
+    """Run a scenario on a key-value store without nodes."""
     run_in_virtual_time(lambda: scenario(KeyValueServer(random.Random(1))))
 
 
@@ -147,17 +149,17 @@
 
 
 @async_when(
-    "the mark of a run is kept by a later run while it still lives, and the store goes down",
-    lone_store,
+    "a later run renews the mark of a run that still runs, and the store goes down",
+    on_store_alone,
 )
 async def step_superseded(context, server):
-    def mark_of(incarnation):
+    def log_mark_of(incarnation):
         store = InProcessKeyValue(server)
         rules = ClaimRules(log_in_store=True, log_lease_s=LEASE_S)
         run = NodeId("lone", incarnation)
         return LogMark(run, store, lambda: rules, all_logged, lambda: 1)
 
-    earlier, later = mark_of(1), mark_of(2)
+    earlier, later = log_mark_of(1), log_mark_of(2)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(earlier.run)
         await anyio.sleep(5.0)
@@ -169,21 +171,20 @@
         tasks.cancel_scope.cancel()
 
 
-@then("the earlier run still demands the log a minute later")
+@then("the earlier run still requires the log a minute later")
 def step_demands(context):
     assert context.needs_log == [True, False], context.needs_log
 
 
-def made_claims(first, count):
-    chance = random.Random(first)
+def generate_claims(first, count):
+    rng = random.Random(first)
     return [
-        LoggedClaim(chance.randbytes(16), chance.randbytes(60), chance.randbytes(8))
-        for _ in range(count)
+        LoggedClaim(rng.randbytes(16), rng.randbytes(60), rng.randbytes(8)) for _ in range(count)
     ]
 
 
 async def with_writer(server, script):
-    """Run a script with a writer on a store."""
+    """Run a script with a claim log writer on a store."""
     rules = ClaimRules(retention_s=RETENTION_S)
     writer = ClaimLogWriter(InProcessKeyValue(server), lambda: rules)
     async with anyio.create_task_group() as tasks:
@@ -191,9 +192,11 @@
         await script(writer)
 
 
-@async_when("500 claims of one group are logged, and as many again after the retention", lone_store)
+@async_when(
+    "500 claims of one group are logged, and as many again after the retention", on_store_alone
+)
 async def step_segments(context, server):
-    context.first, context.second = made_claims(1, 500), made_claims(2, 500)
+    context.first, context.second = generate_claims(1, 500), generate_claims(2, 500)
 
     async def script(writer):
         for claims in (context.first, context.second):
@@ -215,17 +218,17 @@
 
 @then("segments of the first half are deleted")
 def step_pruned(context):
-    num_left = len(set(context.first) & set(context.loaded))
-    assert num_left < 300, num_left
+    num_remaining = len(set(context.first) & set(context.loaded))
+    assert num_remaining < 300, num_remaining
     assert len(context.sizes) <= 7, context.sizes
 
 
 @async_when(
-    "the log of a group is fenced while a writer has a claim of the epoch before", lone_store
+    "the log of a group is fenced while a writer has a claim of the previous epoch", on_store_alone
 )
 async def step_fenced(context, server):
     async def script(writer):
-        early, late = made_claims(1, 1), made_claims(2, 1)
+        early, late = generate_claims(1, 1), generate_claims(2, 1)
         assert await writer.append(GROUP, 1, early)
 
         async def fence(planner):
@@ -254,17 +257,17 @@
     def check_announcements(node):
         announce = node.link.call_handlers[ClaimAnnounce]
 
-        async def checked(message):
+        async def checked_announce(message):
             ack = await announce(message)
             held = dict(node.ledger.registry.claims())
-            begun = KnownEpoch(message.record.group, message.record.epoch)
-            if message.record.is_logged and held.get(begun):
-                log = (await logs.read(begun.group)).ok_value
+            begun_epoch = KnownEpoch(message.record.group, message.record.epoch)
+            if message.record.is_logged and held.get(begun_epoch):
+                log = (await logs.read(begun_epoch.group)).ok_value
                 context.num_begun += 1
-                context.missing += set(logged_claims(held[begun])) - set(log.claims)
+                context.missing += set(logged_claims(held[begun_epoch])) - set(log.claims)
             return ack
 
-        node.link.call_handlers[ClaimAnnounce] = checked
+        node.link.call_handlers[ClaimAnnounce] = checked_announce
 
     for node in fleet.running():
         check_announcements(node)
--- a/features/steps/claims_log_model_steps.py
+++ b/features/steps/claims_log_model_steps.py
@@ -1,4 +1,4 @@
-"""Steps: the exhaustive exploration of the claim log."""
+"""Steps for the exhaustive exploration of the claim log."""
 
 from behave import then, when
 
@@ -21,7 +21,7 @@
     assert context.history is None, context.history
 
 
-@then("more than {count:d} states were reached, many of them after a load")
+@then("more than {count:d} states were reached, more than a tenth of that number after a load")
 def step_states(context, count):
     assert context.explorer.num_states > count, context.explorer.num_states
     assert context.explorer.num_loaded > count / 10, context.explorer.num_loaded
--- a/features/steps/claims_model_check_steps.py
+++ b/features/steps/claims_model_check_steps.py
@@ -14,7 +14,7 @@
     context.history = Explorer(broken_rule).search()
 
 
-@then("none runs the key twice")
+@then("no history runs the key twice")
 def step_none(context):
     assert context.history is None, context.history
 
--- a/features/support/claims_fleet.py
+++ b/features/support/claims_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of claim ledgers in one process: peer calls with faults, membership that knows the truth."""
+"""A fleet of claim ledgers in one process, with peer call faults and an accurate membership."""
 
 import random
 
@@ -22,7 +22,7 @@
 
 
 class Faults(msgspec.Struct):
-    """What calls between nodes suffer: shares of them, and seconds."""
+    """Probabilities of faults of a call between nodes; `late_s` is the delay of late replies."""
 
     lose_request: float = 0.0
     lose_reply: float = 0.0
@@ -32,7 +32,7 @@
 
 
 class Configuration:
-    """A configuration that stands still."""
+    """A configuration that never changes."""
 
     def __init__(self, zones, num_holders=3):
         regions = tuple(Region(f"region-{zone}", (zone,)) for zone in zones)
@@ -81,23 +81,23 @@
         return Err(PeerFailure("timed out", provably_not_sent=False))
 
     async def _exchange(self, destination, message):
-        faults, chance = self.fleet.faults, self.fleet.random
+        faults, rng = self.fleet.faults, self.fleet.random
         if destination == self.address:
             return await self.call_handlers[type(message)](message)
-        await anyio.sleep(LINK_DELAY_S * chance.uniform(0.5, 1.5))
+        await anyio.sleep(LINK_DELAY_S * rng.uniform(0.5, 1.5))
         target = self.fleet.reach(self.address, destination)
-        if target is None or chance.random() < faults.lose_request:
+        if target is None or rng.random() < faults.lose_request:
             await anyio.sleep_forever()
         copy = target.codec.decode(self.codec.encode(message)).ok_value
-        if chance.random() < faults.duplicate:
+        if rng.random() < faults.duplicate:
             self.fleet.tasks.start_soon(self._deliver_again, destination, copy)
         with anyio.CancelScope(shield=True):
             reply = await target.call_handlers[type(copy)](copy)
-        if chance.random() < faults.late_reply:
+        if rng.random() < faults.late_reply:
             await anyio.sleep(faults.late_s)
         await anyio.sleep(LINK_DELAY_S)
         if self.fleet.reach(destination, self.address) is None or (
-            chance.random() < faults.lose_reply
+            rng.random() < faults.lose_reply
         ):
             await anyio.sleep_forever()
         return reply
@@ -110,7 +110,7 @@
 
 
 class LinkFleet:
-    """Links that all reach each other without faults; `tasks` is needed for casts only."""
+    """Links that all reach each other without faults; only casts need `tasks`."""
 
     def __init__(self, tasks=None):
         self.tasks, self.faults, self.random = tasks, Faults(), random.Random(1)
@@ -125,7 +125,7 @@
 
 
 class Membership:
-    """A view that holds every running node that this one can reach."""
+    """A membership view that lists every running node that its own node can reach."""
 
     def __init__(self, fleet, node):
         self.fleet, self.node = fleet, node
@@ -133,9 +133,9 @@
 
     def peers(self):
         return tuple(
-            Peer(each.node_id, each.address, each.zone, each.state)
-            for each in sorted(self.fleet.running(), key=lambda each: each.node_id)
-            if self.fleet.reach(self.node.address, each.address) is not None
+            Peer(node.node_id, node.address, node.zone, node.state)
+            for node in sorted(self.fleet.running(), key=lambda node: node.node_id)
+            if self.fleet.reach(self.node.address, node.address) is not None
         )
 
     def version(self):
@@ -168,7 +168,7 @@
 
 
 class Fleet:
-    """Nodes, the store, and the history of requests that ran."""
+    """Nodes, the store, and `runs`, the number of times that each key ran."""
 
     def __init__(self, tasks, num_nodes, zones, seed=1):
         self.tasks = tasks
@@ -220,12 +220,12 @@
         return None if is_cut else target.link
 
     def num_ready_groups(self):
-        """Groups whose newest epoch has all its holders, each active."""
-        held = {}
+        """Return how many groups have an epoch that at least three running nodes hold."""
+        num_holders = {}
         for node in self.running():
-            for known in node.ledger.registry.held_epochs():
-                held[known] = held.get(known, 0) + 1
-        return sum(1 for count in held.values() if count >= 3)
+            for epoch in node.ledger.registry.held_epochs():
+                num_holders[epoch] = num_holders.get(epoch, 0) + 1
+        return sum(1 for count in num_holders.values() if count >= 3)
 
     async def wait_until_ready(self, timeout_s=60.0):
         for _ in range(int(timeout_s)):
@@ -235,7 +235,7 @@
         raise AssertionError(f"{self.num_ready_groups()} groups ready")
 
     async def request(self, number, key, outcome="complete", body=b"body", time_left_s=5.0):
-        """One caller's request through a node; runs it when the claim is granted."""
+        """Claim a key through a node, run it when granted, and return the answer's code or state."""
         node = self.nodes.get(number)
         if node is None:
             return "no node"
--- a/features/support/claims_log_fleet.py
+++ b/features/support/claims_log_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of claim ledgers that log their claims, and calls that repeat keys until they have run."""
+"""A fleet of claim ledgers that log their claims, and callers that retry keys until they have run."""
 
 import anyio
 import msgspec
@@ -9,7 +9,7 @@
 
 
 class LoggingFleet(Fleet):
-    """A fleet whose claim rules have the log in the store."""
+    """A fleet whose claim rules keep a log in the store."""
 
     def start(self, number, zone, incarnation):
         in_force = self.configuration.current()
@@ -21,7 +21,7 @@
         return super().start(number, zone, incarnation)
 
     async def restart_all(self, down_s=1.0):
-        """Stop all nodes at once, and start later runs of them after a while."""
+        """Stop all nodes at once, and start later runs of them after `down_s`."""
         stopped = [self.stop(number) for number in sorted(self.nodes)]
         await anyio.sleep(down_s)
         for node in stopped:
@@ -31,15 +31,15 @@
         """Send a key through one node after the other until it has run."""
         attempt = 0
         while anyio.current_time() < until_s:
-            told = await self.request((first_node + attempt) % 5, key, time_left_s=10.0)
-            if told in ("granted", "completed"):
+            answer = await self.request((first_node + attempt) % 5, key, time_left_s=10.0)
+            if answer in ("granted", "completed"):
                 return
             attempt += 1
             await anyio.sleep(self.random.uniform(0.1, 2.0))
 
 
 def run_logging_fleet(run_virtual, scenario, num_nodes=5, zones=("a", "b", "c")):
-    """Run a scenario on a fleet whose holders have all set their marks."""
+    """Run a scenario on a fleet after all holders have set their marks."""
 
     async def main():
         async with anyio.create_task_group() as tasks:
