--- a/features/configuration_apply.feature
+++ b/features/configuration_apply.feature
@@ -1,4 +1,6 @@
-Feature: Applying a file answers truthfully and is safe to run again
+Feature: Applying a file reports what the store holds and is safe to retry
+  Guards against an operator who is told that a file was refused although the store holds it, or the
+  reverse, when answers of the store are lost, late or overtaken by other writers.
 
   Scenario Outline: One operator applies a file
     Given a store that <store>
@@ -13,7 +15,7 @@
       | holds a                                   | revision 2       | accepted at 3           | b    |
       | holds b                                   | nothing          | in place at 2           | b    |
       | holds a, then c                           | revision 2       | refused, current 3      | c    |
-      | holds bytes of a stranger                 | revision 2       | refused, unreadable     | ?    |
+      | holds foreign bytes                       | revision 2       | refused, unreadable     | ?    |
       | is empty and loses 3 answers              | nothing          | accepted at 2           | b    |
       | holds a and loses 3 answers               | revision 2       | accepted at 3           | b    |
       | holds a and is down for 20 s              | revision 2       | accepted at 3           | b    |
@@ -25,7 +27,7 @@
       | holds a, loses the answer, then is down for hours | revision 2 | unknown              | b    |
       | holds a, loses the answer, is overtaken 20 times | revision 2 | unknown               | c    |
 
-  Scenario Outline: A command that was cut short is run again
+  Scenario Outline: An interrupted command is run again
     Given an apply of "b" on a store that holds "a" is killed <moment>
     When the same command is run again
     Then it answers accepted, the store holds "b", and it was written once
@@ -35,9 +37,9 @@
       | before the swap      |
       | after the swap       |
 
-  Scenario Outline: Operators race with files made from the same revision
+  Scenario Outline: Operators race with different files made from the same revision
     When <operators> operators race with different files from one revision under <fault>, for seeds 1 to 20
-    Then in every race one is accepted, all others are refused and told the winner's change
+    Then in every race one file is accepted, and all others are refused with the accepted change
 
     Examples:
       | operators | fault                   |
--- a/features/configuration_commands.feature
+++ b/features/configuration_commands.feature
@@ -1,6 +1,8 @@
-Feature: The configuration commands answer with a line and an exit code
+Feature: The configuration commands print one line and set an exit code
+  Guards against commands that end with a traceback, or with an exit code or text that does not tell an
+  operator what happened and what to do next.
 
-  Scenario Outline: Check
+  Scenario Outline: Check a file
     When the command checks <file>
     Then it exits with <code>, printing "<text>" on <num_lines> lines
 
@@ -24,7 +26,7 @@
       | apply tsehay made_from=2   | 4    | changed since, from revision 2               |
     Then every command exits with its code and prints its text, without a traceback
 
-  Scenario Outline: No service answers
+  Scenario Outline: Commands report that no service answers
     When the command <command> runs against a port where nothing listens
     Then it exits with <code>, printing "<text>" on 1 lines
 
@@ -34,7 +36,7 @@
       | apply   | 4    | nothing was changed           |
       | status  | 6    | give host:port of a running node |
 
-  Scenario Outline: Status
+  Scenario Outline: Status of a fleet
     Given a node that reports <nodes>
     When the status command asks it for <wanted>
     Then it exits with <code>, printing "<text>" on <num_lines> lines
--- a/features/configuration_difference.feature
+++ b/features/configuration_difference.feature
@@ -1,6 +1,8 @@
-Feature: Differences between deployments are shown to people and sent to nodes
+Feature: Differences between deployments are shown as plans and sent as deltas
+  Guards against a plan that hides or misstates a change, and against a delta or stored value that
+  gives another deployment than the one that was applied, raises, or is too large to send.
 
-  Scenario Outline: A plan names what an edit changes
+  Scenario Outline: A plan lists what an edit changes
     Given the shipped deployment "tsehay"
     When the deployment text "<old>" becomes "<new>"
     Then the configuration plan is "<plan>"
@@ -13,14 +15,14 @@
       | drain_timeout_s: 120    | drain_timeout_s: 60     | ~ drain_timeout_s: value 120 → 60                 |
       | format: 1               | # Comment\nformat: 1    | no change                                         |
 
-  Scenario: Any delta makes exactly the later deployment, also after encoding
+  Scenario: Any delta gives exactly the later deployment, also after encoding
     When deltas between many pairs of generated deployments are encoded, decoded and applied
     Then each result has the later deployment's content and digest, and reuses unchanged items
 
-  Scenario: The order of the file means nothing
-    Then a deployment with every list turned round has the same canonical form and digest
+  Scenario: The order of items in the file has no effect
+    Then a deployment with every list reversed has the same canonical form and digest
 
-  Scenario Outline: Stored bytes that are not right are refused, never raised
+  Scenario Outline: Damaged stored bytes are refused without an exception
     When the stored form of a deployment is <damage>
     Then decoding it fails saying "<message>"
 
@@ -32,6 +34,6 @@
       | missing a field         | regions                |
       | a bomb of 100 megabytes | cut short or too large |
 
-  Scenario: A change is small at the size to design for
+  Scenario: A change is small at the design size
     Given a deployment of 1700 engines and 290 tenants
     Then its whole encoding is below 64000 bytes and the delta of one new weight version below 300
--- a/features/configuration_file.feature
+++ b/features/configuration_file.feature
@@ -1,6 +1,8 @@
 Feature: A configuration file is checked as a whole, with line, field and remedy for each error
+  Guards against a wrong file that is accepted, that is refused without a hint where and how to correct
+  it, or that exhausts memory or time while it is parsed.
 
-  Scenario Outline: The shipped deployments have the sizes of today
+  Scenario Outline: The shipped deployments have their known sizes
     When the deployment file "<file>" is checked
     Then it declares <zones> zones, <engines> engines, <backends> back ends and <tenants> tenants
     And only the route "<method> <path>" of its paths may not be repeated
--- a/features/limits_shares.feature
+++ b/features/limits_shares.feature
@@ -1,5 +1,8 @@
-Feature: Limits that hold over the fleet
-  Scenario Outline: The whole limit is used wherever the load is: <load>
+Feature: Tenant limits hold across the fleet
+  Guards against nodes that together admit more than a tenant's limit when messages are lost,
+  duplicated, late or cut, and against a part of the limit that stays unused where the load is.
+
+  Scenario Outline: The whole limit is usable wherever the load is: <load>
     Given 3 zones of 3 nodes that share <limit>
     When the load is "<load>" for 20 seconds
     Then between <least> and <most> requests a second are admitted in all
@@ -15,9 +18,9 @@
       | 9 slots       | one zone  | 25.0  | 31.0 |
       | 9 slots       | all nodes | 25.0  | 31.0 |
 
-  Scenario Outline: No loss, doubling, delay or cut lifts the requests above <limit>
+  Scenario Outline: Lost, duplicated, late and cut messages never admit more requests than <limit>
     Given 3 zones of 3 nodes that share <limit>
-    When 50 schedules of lost, doubled, late and cut messages are tried
+    When 50 schedules of lost, duplicated, late and cut messages are run
     Then no schedule admits more than the rate and one burst
 
     Examples:
@@ -25,9 +28,9 @@
       | 20 requests/s              |
       | 20 requests/s and burst 40 |
 
-  Scenario Outline: No loss, doubling, delay or cut lifts the usable slots above <limit>
+  Scenario Outline: Lost, duplicated, late and cut messages never make more slots usable than <limit>
     Given 3 zones of 3 nodes that share <limit>
-    When 50 schedules of lost, doubled, late and cut messages are tried
+    When 50 schedules of lost, duplicated, late and cut messages are run
     Then no schedule has more usable slots than the limit, and one comes within <gap> of it
 
     Examples:
@@ -35,44 +38,44 @@
       | 9 slots  | 0   |
       | 40 slots | 12  |
 
-  Scenario: The parts of all nodes and zones together are the whole limit
-    When limits, zones and sizes of fleet are drawn and every zone gives all it has
-    Then the slots given and owned are exactly the limit
-    And the requests given and on credit are at most the burst, or one for each zone
+  Scenario: The parts of all nodes and zones add up to the whole limit
+    When limits, zones and fleet sizes are drawn at random and every zone grants all it has
+    Then the slots granted and owned are exactly the limit
+    And the requests granted and on credit are at most the burst, or one for each zone
 
-  Scenario Outline: After a pause no more than one burst of <burst> comes at once
+  Scenario Outline: After an idle time no more than one burst of <burst> is admitted at once
     Given 3 zones of 3 nodes that share <limit>
     When all nodes are idle for 10 seconds and flooded for 2 seconds
     Then between <least> and <most> requests are admitted in the flood
 
-    Examples: most is the burst and two seconds of the rate
+    Examples: `most` is the burst and two seconds of the rate
       | limit                      | burst | least | most |
       | 20 requests/s              | 12    | 45    | 52   |
       | 20 requests/s and burst 40 | 40    | 60    | 80   |
 
-  Scenario: A standing part serves a first request without asking
+  Scenario: A standing part admits a first request without a grant
     Given 3 zones of 3 nodes that share 40 slots
     When one node is cut off from all others and gets one request at a time
-    Then it goes on admitting them
+    Then the node continues to admit them
 
-  Scenario Outline: Nodes that take themselves for homes lift the sum by one zone's part each: <num_alone>
+  Scenario Outline: Each node that considers itself the home raises the sum by one zone's part: <num_alone>
     Given 3 zones of 3 nodes that share 9 slots
-    When <num_alone> nodes of one zone lose sight of all others under load
+    When <num_alone> nodes of one zone lose contact with all others under load
     Then at most <slots> slots are usable at any time
-    And the nodes that lost sight still admit requests
+    And the nodes that lost contact still admit requests
 
     Examples:
       | num_alone | slots |
       | 1         | 12    |
       | 2         | 15    |
 
-  Scenario: A zone that is cut off gives back what it borrowed and goes on with its own part
+  Scenario: A zone that is cut off gives back what it borrowed and continues with its own part
     Given 3 zones of 3 nodes that share 9 slots
     When one zone is cut off for 20 seconds under load
     Then its nodes hold 3 slots at the end
     And never more than 9 slots are usable in all
 
-  Scenario: Admission tasks share a limit over the peer link
+  Scenario: Admission tasks share a limit through the peer link
     Given 3 nodes with admission tasks that share 20 requests/s
-    When callers flood one of them for 20 seconds
+    When callers flood one of the nodes for 20 seconds
     Then the flooded node admits between 18 and 20 requests a second and one burst
--- a/features/steps/configuration_apply_steps.py
+++ b/features/steps/configuration_apply_steps.py
@@ -17,7 +17,7 @@
 HOURS_S = 20_000
 
 
-def held(server):
+def held_name(server):
     found = server.model.range(KEY, b"", 0.0)
     if not found:
         return "-"
@@ -25,7 +25,7 @@
     return decoded.unwrap().deployment.name if decoded.is_ok() else "?"
 
 
-def shown(outcome):
+def describe(outcome):
     if isinstance(outcome, Accepted):
         return f"{'in place' if outcome.was_in_place else 'accepted'} at {outcome.revision}"
     if isinstance(outcome, Refused):
@@ -43,7 +43,7 @@
     return await Applier(port, small_deployment(name), made_from, apply_id or name, seeded).run()
 
 
-async def apply_in_turn(server, names):
+async def apply_in_sequence(server, names):
     """Apply files one after another, each made from the one before."""
     for name in names:
         base = server.model.mod_revision(KEY, 0.0) or None
@@ -56,16 +56,16 @@
 
 
 async def prepare(server, store):
-    """Put the store into the state that a row names."""
+    """Put the store into the state that a table row names."""
     content = re.match(r"holds (\w)(?:, then (\w))?", store)
-    if "stranger" in store:
+    if "foreign" in store:
         server.model.put(KEY, b"?", 0, 0.0)
     elif content:
-        await apply_in_turn(server, [name for name in content.groups() if name])
+        await apply_in_sequence(server, [name for name in content.groups() if name])
 
 
-def strike(server, store, tasks):
-    """Start the faults that a row names."""
+def start_faults(server, store, tasks):
+    """Start the faults that a table row names."""
     lost = re.search(r"loses (\d) answers", store)
     if lost:
         server.faults.num_answers_to_lose = int(lost[1])
@@ -74,34 +74,34 @@
     if "one call in 4 s" in store:
         server.faults.requests_per_s, server.faults.burst_requests = 0.25, 1
     if "is down for" in store and "loses" not in store:
-        tasks.start_soon(be_down, server, 20 if "20 s" in store else HOURS_S)
+        tasks.start_soon(stop_store, server, 20 if "20 s" in store else HOURS_S)
     if "loses the answer" in store:
         tasks.start_soon(lose_swap, server, store)
 
 
-async def be_down(server, duration_s):
+async def stop_store(server, duration_s):
     server.faults.is_down = True
     await anyio.sleep(duration_s)
     server.faults.is_down = False
 
 
 async def lose_swap(server, store):
-    """Lose the answer to the swap, then let others overtake it or take the store down."""
-    # The read, at time 0, is to be answered.
+    """Lose the answer to the swap, then let others overwrite the value or stop the store."""
+    # The read, at time 0, must still be answered.
     server.faults.delay_s = 1.0
     await anyio.sleep(1.2)
     server.faults.num_answers_to_lose = 1
     await wait_for_swap(server, 3)
-    # The answer is lost half a second after the effect; the next try takes effect much later.
+    # The answer is lost 0.5 s after the swap took effect; the retry takes effect much later.
     await anyio.sleep(0.505)
     assert server.faults.num_answers_to_lose == 0
     if "down" in store:
-        await be_down(server, HOURS_S)
+        await stop_store(server, HOURS_S)
     num_overtaken = 20 if "20 times" in store else 1
     if "overtaken" in store:
         server.faults.delay_s = 0.0
         names = ["c" if number % 2 else "d" for number in range(num_overtaken)]
-        await apply_in_turn(server, names if num_overtaken > 1 else ["c"])
+        await apply_in_sequence(server, names if num_overtaken > 1 else ["c"])
 
 
 @given("a store that {store}")
@@ -117,11 +117,11 @@
         server = KeyValueServer(random.Random(1))
         await prepare(server, context.store)
         async with anyio.create_task_group() as tasks:
-            strike(server, context.store, tasks)
+            start_faults(server, context.store, tasks)
             await anyio.lowlevel.checkpoint()
             outcome = await apply(server, name, made_from)
             tasks.cancel_scope.cancel()
-        return shown(outcome), held(server)
+        return describe(outcome), held_name(server)
 
     context.outcome = run_in_virtual_time(main)
 
@@ -135,12 +135,12 @@
 def step_killed(context, new, old, moment):
     async def main():
         server = KeyValueServer(random.Random(1))
-        await apply_in_turn(server, [old])
+        await apply_in_sequence(server, [old])
         server.faults.delay_s = 1.0
         # The read takes effect at 0.5 s and is answered at 1 s, the swap takes effect at 1.5 s.
         with anyio.move_on_after(1.2 if moment == "before the swap" else 1.7):
             await apply(server, new, 2)
-        return server, held(server)
+        return server, held_name(server)
 
     context.server, context.held = run_in_virtual_time(main)
     assert context.held == (old if moment == "before the swap" else new)
@@ -154,36 +154,36 @@
 @then('it answers accepted, the store holds "{name}", and it was written once')
 def step_once(context, name):
     assert isinstance(context.outcome, Accepted), context.outcome
-    assert held(context.server) == name
+    assert held_name(context.server) == name
     assert context.server.model.mod_revision(KEY, 0.0) == context.outcome.revision == 3
 
 
 def race(num_operators, fault, seed):
     async def main():
-        rand = random.Random(seed)
-        server = KeyValueServer(rand)
-        await apply_in_turn(server, ["a"])
+        rng = random.Random(seed)
+        server = KeyValueServer(rng)
+        await apply_in_sequence(server, ["a"])
         outcomes = {}
 
-        async def operate(name):
-            await anyio.sleep(rand.random() * 0.02)
+        async def apply_as_operator(name):
+            await anyio.sleep(rng.random() * 0.02)
             outcomes[name] = await apply(server, name, 2)
 
-        async def flap():
+        async def toggle_outages():
             while fault == "outages":
-                server.faults.is_down = rand.random() < 0.6
+                server.faults.is_down = rng.random() < 0.6
                 await anyio.sleep(0.2)
 
         server.faults.delay_s = 0.02
         if fault == "half of answers lost":
             server.faults.lost_answer_probability = 0.5
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(flap)
+            tasks.start_soon(toggle_outages)
             async with anyio.create_task_group() as operators:
                 for number in range(num_operators):
-                    operators.start_soon(operate, f"operator-{number}")
+                    operators.start_soon(apply_as_operator, f"operator-{number}")
             tasks.cancel_scope.cancel()
-        return outcomes, held(server)
+        return outcomes, held_name(server)
 
     return run_in_virtual_time(main)
 
@@ -195,7 +195,7 @@
     context.races = [race(operators, fault, seed) for seed in range(1, 21)]
 
 
-@then("in every race one is accepted, all others are refused and told the winner's change")
+@then("in every race one file is accepted, and all others are refused with the accepted change")
 def step_one_wins(context):
     for outcomes, name_held in context.races:
         winners = [name for name, answer in outcomes.items() if isinstance(answer, Accepted)]
@@ -203,5 +203,5 @@
         for name, answer in outcomes.items():
             if name != name_held:
                 assert isinstance(answer, Refused), (name, answer)
-                told = [change.summary for change in answer.changes_since]
-                assert told == [f"~ name: value a → {name_held}"], told
+                changes = [change.summary for change in answer.changes_since]
+                assert changes == [f"~ name: value a → {name_held}"], changes
--- a/features/steps/configuration_commands_steps.py
+++ b/features/steps/configuration_commands_steps.py
@@ -20,7 +20,7 @@
 from weirscale.standins.key_value.app import KeyValueApp
 from weirscale.standins.key_value.server import KeyValueServer
 
-NO_ONE = "127.0.0.1:1"
+UNUSED_ADDRESS = "127.0.0.1:1"
 FILES = {
     "a binary file": b"\xff\xfe",
     "a file of 2 errors": b"format: x\nname: a\nmodels: []\nengines: []\ntenants: []\n",
@@ -28,7 +28,7 @@
 
 
 def run_command(function, *arguments, **options):
-    """Return exit code and everything printed."""
+    """Return the exit code and everything printed to stdout and stderr."""
     printed = io.StringIO()
     with redirect_stdout(printed), redirect_stderr(printed):
         code = function(*arguments, **options)
@@ -36,10 +36,10 @@
 
 
 def serve_on_loopback(context, app):
-    """Serve an app from another thread until the scenario ends; returns its address."""
+    """Serve an app from another thread until the scenario ends; return its address."""
     portal = start_blocking_portal()
-    entered = portal.__enter__()
-    server = entered.wrap_async_context_manager(served(app))
+    running_portal = portal.__enter__()
+    server = running_portal.wrap_async_context_manager(served(app))
     address = server.__enter__()
     context.add_cleanup(portal.__exit__, None, None, None)
     context.add_cleanup(server.__exit__, None, None, None)
@@ -59,8 +59,8 @@
 
 @then('it exits with {code:d}, printing "{text}" on {num_lines:d} lines')
 def step_exit(context, code, text, num_lines):
-    found_code, printed = context.command
-    assert (found_code, text in printed) == (code, True), context.command
+    actual_code, printed = context.command
+    assert (actual_code, text in printed) == (code, True), context.command
     assert len(printed.splitlines()) == num_lines, printed
 
 
@@ -92,11 +92,11 @@
 def step_no_service(context, command):
     path = str(DEPLOYMENTS / "tsehay.yaml")
     if command == "status":
-        context.command = run_command(commands.status, NO_ONE)
+        context.command = run_command(commands.status, UNUSED_ADDRESS)
     elif command == "plan":
-        context.command = run_command(commands.plan, path, [NO_ONE])
+        context.command = run_command(commands.plan, path, [UNUSED_ADDRESS])
     else:
-        context.command = run_command(commands.apply, path, [NO_ONE], time_limit_s=0.01)
+        context.command = run_command(commands.apply, path, [UNUSED_ADDRESS], time_limit_s=0.01)
 
 
 @given("a node that reports {nodes}")
--- a/features/steps/configuration_difference_steps.py
+++ b/features/steps/configuration_difference_steps.py
@@ -94,15 +94,15 @@
     assert context.num_shared > 0
 
 
-@then("a deployment with every list turned round has the same canonical form and digest")
+@then("a deployment with every list reversed has the same canonical form and digest")
 def step_order(context):
     deployment = check_deployment(text_of("tsehay")).unwrap()
-    turned = msgspec.structs.replace(
+    reversed_lists = msgspec.structs.replace(
         deployment, engines=deployment.engines[::-1], tenants=deployment.tenants[::-1]
     )
-    assert turned != deployment
-    assert canonical(turned) == canonical(deployment)
-    assert digest(canonical(turned)) == digest(canonical(deployment))
+    assert reversed_lists != deployment
+    assert canonical(reversed_lists) == canonical(deployment)
+    assert digest(canonical(reversed_lists)) == digest(canonical(deployment))
 
 
 @when("the stored form of a deployment is {damage}")
--- a/features/steps/configuration_file_steps.py
+++ b/features/steps/configuration_file_steps.py
@@ -26,7 +26,7 @@
 
 
 def file_with(old):
-    """Return the shipped file that has a text, Tsehay's where both do."""
+    """Return the text of the shipped file that contains `old`, that of Tsehay if both do."""
     return next(text for text in map(text_of, ("tsehay", "startgrid")) if old in text)
 
 
@@ -70,7 +70,7 @@
     (error,) = context.errors
     assert (error.path, message in error.message) == (field, True), error
     assert error.remedy
-    # Of two fields that contradict each other, the later one in the file is named.
+    # Of two conflicting fields, the error names the later one in the file.
     assert error.line == context.error_line or "taken by engines" in error.message, error
 
 
--- a/features/steps/configuration_spread_steps.py
+++ b/features/steps/configuration_spread_steps.py
@@ -59,7 +59,7 @@
 
 
 def start_faults(fleet, faults, tasks):
-    """Put the faults that a row names in force."""
+    """Start the faults that a table row names."""
     if faults in STORE_FAULTS:
         for field, value in STORE_FAULTS[faults].items():
             setattr(fleet.server.faults, field, value)
@@ -75,7 +75,7 @@
 
 
 async def change_under_faults(fleet, faults):
-    """Apply changes; returns the fleet and, for each revision, how long each node lacked it."""
+    """Apply changes; return the fleet and the seconds until each change was in force everywhere."""
     delays_s = []
     async with anyio.create_task_group() as tasks:
         start_faults(fleet, faults, tasks)
@@ -111,8 +111,8 @@
         assert max(delays_s) <= within, delays_s
 
 
-@then("no node ever goes back, and no node has what was not accepted")
-def step_monotonic(context):
+@then("no node ever goes back, and no node has a configuration that was not accepted")
+def step_never_back(context):
     for fleet, _ in context.runs:
         for node in [*fleet.nodes.values(), *fleet.past_nodes]:
             revisions = [record.revision for record in node.history]
@@ -126,7 +126,7 @@
     context.size = (nodes, zones)
 
 
-def in_force(context, script, deployment=None):
+def on_configured_fleet(context, script, deployment=None):
     deployment = deployment or small_deployment("first")
     run_in_virtual_time(run_fleet, script, *context.size, 1, deployment)
 
@@ -136,21 +136,25 @@
     context.soaks = [run_soak(seed, duration_s=120.0) for seed in (1, 2)]
 
 
-@then("no answer to an operator was untrue and no node went back or had what was not accepted")
+@then(
+    "no answer to an operator was wrong, no node went back, and none had an unaccepted configuration"
+)
 def step_soak_sound(context):
     assert not any(result.violations for result in context.soaks), context.soaks
 
 
-@then("a last change was in force within {within:d} s, and the runs were not trivial")
+@then(
+    "a last change was in force within {within:d} s, with enough files accepted, files refused and restarts"
+)
 def step_soak_lively(context, within):
     assert all(result.in_force_s <= within for result in context.soaks), context.soaks
     assert all(result.num_accepted >= 5 for result in context.soaks), context.soaks
     assert all(result.num_refused >= 1 and result.num_restarts >= 8 for result in context.soaks)
 
 
-@async_when("the store goes down and one node restarts with {peers}", in_force)
+@async_when("the store goes down and one node restarts with {peers}", on_configured_fleet)
 async def time_restart(context, fleet, peers):
-    """Restart a node with the store down; returns the wait and the revision that it got."""
+    """Restart a node with the store down; record its wait, its revision and the highest."""
     names = list(fleet.nodes)
     if peers == "one of three peers behind":
         fleet.network.cut_both_ways(
@@ -186,32 +190,34 @@
     assert revision == highest and waited_s <= within, context.restarted
 
 
-@async_when("all nodes restart with the store down and it returns after a minute", in_force)
-async def restart_all(context, fleet):
-    """Restart all nodes with the store down for long."""
+@async_when(
+    "all nodes restart with the store down and it returns after a minute", on_configured_fleet
+)
+async def restart_all_without_store(context, fleet):
+    """Restart all nodes with the store down for more than a minute."""
     fleet.server.faults.is_down = True
     fleet.server.notify()
     for name in list(fleet.nodes):
         fleet.restart(name)
-    # The duty of reading is settled by then.
+    # By then, each zone has settled which nodes read the store.
     await anyio.sleep(10)
     num_calls = fleet.server.num_calls
     await anyio.sleep(QUIET_S)
     rate = (fleet.server.num_calls - num_calls) / QUIET_S
     num_readers = sum(node.task._reader.is_reader for node in fleet.nodes.values())
-    num_early = sum(bool(node.history) for node in fleet.nodes.values())
+    num_with_configuration = sum(bool(node.history) for node in fleet.nodes.values())
     fleet.server.faults.is_down = False
-    context.herd = num_early, rate, num_readers, await fleet.wait_until_in_force(2)
+    context.herd = num_with_configuration, rate, num_readers, await fleet.wait_until_in_force(2)
 
 
 @then("no node acts on any configuration before, and all have it within {within:d} s after")
 def step_herd(context, within):
-    num_early, _, _, delay_s = context.herd
-    assert num_early == 0 and delay_s <= within, context.herd
+    num_with_configuration, _, _, delay_s = context.herd
+    assert num_with_configuration == 0 and delay_s <= within, context.herd
 
 
 @then(
-    "the store was asked at most {rate:d} times a second meanwhile, and by {readers:d} nodes of a zone only"
+    "meanwhile the store got at most {rate:d} calls a second, and only {readers:d} nodes of a zone read it"
 )
 def step_herd_rate(context, rate, readers):
     assert 0 < context.herd[1] <= rate and context.herd[2] == readers * context.size[1], (
@@ -219,7 +225,7 @@
     )
 
 
-@async_when("all nodes restart at once with the store up", in_force)
+@async_when("all nodes restart at once with the store up", on_configured_fleet)
 async def restart_all_with_store(context, fleet):
     num_calls = fleet.server.num_calls
     for name in list(fleet.nodes):
@@ -235,7 +241,9 @@
     assert delay_s <= within and 0 < num_calls <= calls, context.herd
 
 
-@async_when("zone-0 is cut off, a change is applied, and the cut heals after 60 s", in_force)
+@async_when(
+    "zone-0 is cut off, a change is applied, and the cut heals after 60 s", on_configured_fleet
+)
 async def cut_zone(context, fleet):
     cut = [node for node in fleet.nodes.values() if node.zone == "zone-0"]
     others = {node.address for node in fleet.nodes.values() if node not in cut}
@@ -259,11 +267,13 @@
     assert during == {2} and delay_s <= within, context.cut
 
 
-@async_when("one node is paused and one cannot fetch while a change is applied", in_force)
+@async_when(
+    "one node is paused and one cannot fetch while a change is applied", on_configured_fleet
+)
 async def lag_two(context, fleet):
     names = list(fleet.nodes)
     fleet.nodes[names[7]].endpoint.freeze()
-    # Casts still reach this one, its calls do not get out.
+    # Casts still reach this node, but its calls fail.
     lagging = fleet.nodes[names[8]]
     lagging.port.is_cut_off = True
     fleet.server.cut_watches()
@@ -279,7 +289,7 @@
     return "fetch failed on purpose"
 
 
-@then('status names just these two, with "{first}" and "{second}"')
+@then('status lists only these two as lagging, with "{first}" and "{second}"')
 def step_status(context, first, second):
     lagging = context.status.lagging(context.status.revision)
     assert [node.node for node in lagging] == ["node-007", "node-008"], lagging
@@ -289,14 +299,14 @@
 
 
 def with_large_deployment(context, script):
-    in_force(context, script, large_deployment())
+    on_configured_fleet(context, script, large_deployment())
 
 
 @async_when("a minute passes without a change", with_large_deployment)
 async def count_bytes(context, fleet):
-    """Return bytes a second without changes, and bytes a change, of the node that sent most."""
+    """Record the bytes per second without changes and per change, of the node that sent most."""
     nodes = list(fleet.nodes.values())
-    # Fetches that were under way when the last node had the first configuration end first.
+    # Wait for fetches that were in flight when the last node got the first configuration.
     await anyio.sleep(SETTLE_S)
     before = {node.name: node.num_bytes_sent() for node in nodes}
     await anyio.sleep(QUIET_S)
@@ -317,32 +327,30 @@
     assert 0 < context.cost[0] <= rate, context.cost
 
 
-@then(
-    "8 changes of a deployment at the size to design for cost it at most {num_bytes:d} bytes each"
-)
+@then("8 changes of a deployment of the design size cost it at most {num_bytes:d} bytes each")
 def step_change_cost(context, num_bytes):
     assert 0 < context.cost[1] <= num_bytes, context.cost
 
 
-@when("a peer's delta is damaged, of a forgotten base, or with another digest")
+@when("a peer's delta is damaged, has a forgotten base, or has another digest")
 def step_bad_replies(context):
     ahead, behind = ConfigurationHolder(), ConfigurationHolder()
     for revision in range(1, MAX_KEPT_REVISIONS + 5):
         ahead.apply(revision, canonical(small_deployment(f"change-{revision}")))
         if revision == MAX_KEPT_REVISIONS:
             behind.apply(revision, canonical(small_deployment(f"change-{revision}")))
-    good = ahead.reply_to(behind.revision)
-    assert good.base_revision == behind.revision and ahead.reply_to(1).base_revision == 0
-    assert behind.read_reply(good).name == f"change-{ahead.revision}"
+    good_reply = ahead.reply_to(behind.revision)
+    assert good_reply.base_revision == behind.revision and ahead.reply_to(1).base_revision == 0
+    assert behind.read_reply(good_reply).name == f"change-{ahead.revision}"
     replace = msgspec.structs.replace
-    bad = [
-        replace(good, payload=good.payload[:-4]),
-        replace(good, payload=b""),
-        replace(good, base_revision=1),
-        replace(good, digest=bytes(16)),
-        ConfigurationReply(good.revision, 0, good.digest, good.payload),
+    bad_replies = [
+        replace(good_reply, payload=good_reply.payload[:-4]),
+        replace(good_reply, payload=b""),
+        replace(good_reply, base_revision=1),
+        replace(good_reply, digest=bytes(16)),
+        ConfigurationReply(good_reply.revision, 0, good_reply.digest, good_reply.payload),
     ]
-    context.refusals = [behind.read_reply(reply) for reply in bad]
+    context.refusals = [behind.read_reply(reply) for reply in bad_replies]
     context.holders = (ahead, behind)
 
 
@@ -356,7 +364,7 @@
 
 
 class JoiningMembership:
-    """Knows one other node from a time on."""
+    """A membership view that lists one other node from `joins_at_s` on."""
 
     def __init__(self, joins_at_s):
         self.joins_at_s = joins_at_s
@@ -367,12 +375,12 @@
         return tuple(others) if anyio.current_time() >= self.joins_at_s else ()
 
 
-class AskedLink:
-    """Notes when the first call is made; answers none."""
+class UnansweredLink:
+    """A peer link that records the time of the first call and answers none."""
 
     def __init__(self):
-        self.asked = anyio.Event()
-        self.asked_at_s = None
+        self.first_call = anyio.Event()
+        self.first_call_at_s = None
 
     def on_cast(self, message_type, handler):
         pass
@@ -384,8 +392,8 @@
         pass
 
     async def call(self, destination, message, timeout_s):
-        self.asked_at_s = self.asked_at_s or anyio.current_time()
-        self.asked.set()
+        self.first_call_at_s = self.first_call_at_s or anyio.current_time()
+        self.first_call.set()
         await anyio.sleep(timeout_s)
         return Err(PeerFailure("no answer", provably_not_sent=False))
 
@@ -393,16 +401,16 @@
 @when("nodes of {num:d} seeds join {after:g} s after they start")
 def step_nodes_join(context, num, after):
     async def main(seed):
-        link = AskedLink()
+        link = UnansweredLink()
         joins_at_s = anyio.current_time() + after
         spread = ConfigurationSpread(
             ConfigurationHolder(), link, JoiningMembership(joins_at_s), "z", None, Random(seed)
         )
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(spread.run)
-            await link.asked.wait()
+            await link.first_call.wait()
             tasks.cancel_scope.cancel()
-        return link.asked_at_s - joins_at_s
+        return link.first_call_at_s - joins_at_s
 
     context.asked_after_s = [run_in_virtual_time(partial(main, seed)) for seed in range(num)]
 
--- a/features/steps/limits_admission_steps.py
+++ b/features/steps/limits_admission_steps.py
@@ -10,13 +10,13 @@
 
 
 class Load:
-    """Callers against one admission task in virtual time."""
+    """Callers that use one admission task in virtual time."""
 
     def __init__(self, num_permits, hold_s):
         self.task = AdmissionTask(num_permits, LocalAllowances())
         self.hold_s = hold_s
         self.num_admitted = {}
-        self.running = self.most_running = 0
+        self.running = self.max_running = 0
 
     async def call(self, tenant, priority=None, time_left_s=1000.0, hold_s=None):
         deadline_s = anyio.current_time() + time_left_s
@@ -26,7 +26,7 @@
             return answer.err_value
         self.num_admitted[tenant.name] = self.num_admitted.get(tenant.name, 0) + 1
         self.running += 1
-        self.most_running = max(self.most_running, self.running)
+        self.max_running = max(self.max_running, self.running)
         await anyio.sleep(self.hold_s if hold_s is None else hold_s)
         self.running -= 1
         self.task.release(answer.ok_value)
@@ -34,10 +34,10 @@
 
     async def flood(self, tenant, num_callers, duration_s):
         async def repeat():
-            while anyio.current_time() < ends_s:
+            while anyio.current_time() < end_s:
                 await self.call(tenant)
 
-        ends_s = anyio.current_time() + duration_s
+        end_s = anyio.current_time() + duration_s
         async with anyio.create_task_group() as tasks:
             for _ in range(num_callers):
                 tasks.start_soon(repeat)
@@ -84,9 +84,9 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(load.flood, Tenant("a", (), 1), 20, 100.0)
         await anyio.sleep(1.0)
-        begin_s = anyio.current_time()
+        start_s = anyio.current_time()
         await load.call(Tenant("b", (), 10))
-        waited_s = anyio.current_time() - begin_s
+        waited_s = anyio.current_time() - start_s
         tasks.cancel_scope.cancel()
     context.waited_s = waited_s
 
@@ -124,9 +124,9 @@
                 for _ in range(num_before):
                     tasks.start_soon(load.call, tenant, None, 100.0, hold_s)
                 await anyio.sleep(0.2)
-                begin_s = anyio.current_time()
+                start_s = anyio.current_time()
                 refusal = await load.call(tenant, time_left_s=time_left_s)
-                context.answered_after_s = anyio.current_time() - begin_s
+                context.answered_after_s = anyio.current_time() - start_s
                 tasks.cancel_scope.cancel()
             return refusal
 
@@ -138,40 +138,40 @@
 
 
 @then(
-    'the last caller is told "{told}" after {after_s:g} seconds, not run, with a time to come back'
+    'the last caller gets "{code}" after {after_s:g} seconds, as not run and with a time to retry'
 )
-def step_refused(context, told, after_s):
+def step_refused(context, code, after_s):
     refusal = context.refusal
-    assert refusal.code.value == told, refusal
+    assert refusal.code.value == code, refusal
     assert refusal.run_status is RunStatus.NOT_RUN
     assert refusal.retry_after_s > 0
     assert abs(context.answered_after_s - after_s) < 0.05, context.answered_after_s
 
 
 @async_when(
-    "callers leave while waiting and just as they are admitted, and a permit is released twice",
+    "callers disconnect while waiting and just as they are admitted, and a permit is released twice",
     run_load,
 )
-async def step_leave(context, load):
+async def step_disconnect(context, load):
     tenant = Tenant("a", ())
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(load.call, tenant)
         await anyio.sleep(0.05)
         with anyio.move_on_after(0.01):
             await load.call(tenant)
-        with anyio.move_on_after(0.04):  # the permit comes back at this very moment
+        with anyio.move_on_after(0.04):  # the permit is released at this very moment
             await load.call(tenant)
     permit = await load.call(tenant)
     load.task.release(permit)
-    begin_s = anyio.current_time()
+    start_s = anyio.current_time()
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(load.call, tenant)
         tasks.start_soon(load.call, tenant)
-    context.took_s = anyio.current_time() - begin_s
-    context.most_running = load.most_running
+    context.took_s = anyio.current_time() - start_s
+    context.max_running = load.max_running
 
 
 @then("the next two callers run one after the other")
 def step_one_after_the_other(context):
-    assert context.most_running == 1
+    assert context.max_running == 1
     assert abs(context.took_s - 0.2) < 0.03, context.took_s
--- a/features/steps/limits_shares_steps.py
+++ b/features/steps/limits_shares_steps.py
@@ -42,8 +42,8 @@
 @when('the load is "{load}" for 20 seconds')
 def step_load(context, load):
     fleet = make_fleet(context)
-    load, _, trouble = load.partition(", ")
-    fleet.double = 0.5 if trouble == "doubled" else 0.0
+    load, _, fault = load.partition(", ")
+    fleet.double = 0.5 if fault == "doubled" else 0.0
     fleet.arrivals_per_s = LOADS[load]
     fleet.run(5.0)
     before = {number: node.num_started for number, node in fleet.nodes.items()}
@@ -62,25 +62,25 @@
     assert min(context.started) >= equal / 2, context.started
 
 
-def run_schedule(fleet, chance):
-    """Twelve periods in which load, losses and cuts change, drawn from a seeded source."""
-    fleet.lose = chance.choice([0.0, 0.0, 0.1, 0.4])
-    fleet.double = chance.choice([0.0, 0.5])
-    fleet.max_delay_s = chance.choice([0.002, 0.03, 0.1, 0.5])
-    fleet.hold_s = chance.choice([0.05, 0.3, 1.0])
+def run_schedule(fleet, rng):
+    """Run twelve periods in which load, losses and cuts change, drawn from a seeded source."""
+    fleet.lose = rng.choice([0.0, 0.0, 0.1, 0.4])
+    fleet.double = rng.choice([0.0, 0.5])
+    fleet.max_delay_s = rng.choice([0.002, 0.03, 0.1, 0.5])
+    fleet.hold_s = rng.choice([0.05, 0.3, 1.0])
     for _ in range(12):
-        hot = chance.choice([range(9), range(3), range(3, 6), [chance.randrange(9)], []])
-        fleet.arrivals_per_s = {number: chance.choice([0.0, 20.0, 50.0]) for number in hot}
-        has_cut = chance.random() < 0.3
-        fleet.cut_zones = set(chance.sample(ZONES, chance.randrange(3))) if has_cut else set()
-        fleet.isolated = set(chance.sample(range(9), chance.randrange(3))) if has_cut else set()
-        fleet.run(chance.choice([0.5, 1.0, 2.5]))
-        if chance.random() < 0.4:
+        loaded_nodes = rng.choice([range(9), range(3), range(3, 6), [rng.randrange(9)], []])
+        fleet.arrivals_per_s = {number: rng.choice([0.0, 20.0, 50.0]) for number in loaded_nodes}
+        has_cut = rng.random() < 0.3
+        fleet.cut_zones = set(rng.sample(ZONES, rng.randrange(3))) if has_cut else set()
+        fleet.isolated = set(rng.sample(range(9), rng.randrange(3))) if has_cut else set()
+        fleet.run(rng.choice([0.5, 1.0, 2.5]))
+        if rng.random() < 0.4:
             for node in fleet.nodes.values():
                 node.num_waiting = 0
 
 
-@when("{count:d} schedules of lost, doubled, late and cut messages are tried")
+@when("{count:d} schedules of lost, duplicated, late and cut messages are run")
 def step_schedules(context, count):
     context.excess, context.most_slots = [], []
     for seed in range(count):
@@ -106,7 +106,7 @@
     assert limit - gap <= max(context.most_slots) <= limit, context.most_slots
 
 
-@when("limits, zones and sizes of fleet are drawn and every zone gives all it has")
+@when("limits, zones and fleet sizes are drawn at random and every zone grants all it has")
 def step_parts(context):
     context.parts = []
 
@@ -129,13 +129,13 @@
         context.parts.append((requests, max(burst, num_zones), slots, limit))
 
 
-@then("the slots given and owned are exactly the limit")
+@then("the slots granted and owned are exactly the limit")
 def step_all_slots(context):
     assert len(context.parts) >= 300
     assert all(slots == limit for _, _, slots, limit in context.parts)
 
 
-@then("the requests given and on credit are at most the burst, or one for each zone")
+@then("the requests granted and on credit are at most the burst, or one for each zone")
 def step_all_requests(context):
     assert all(requests <= burst for requests, burst, _, _ in context.parts)
 
@@ -164,12 +164,12 @@
     context.num_started = fleet.nodes[4].num_started
 
 
-@then("it goes on admitting them")
-def step_goes_on(context):
+@then("the node continues to admit them")
+def step_continues(context):
     assert context.num_started >= 10, context.num_started
 
 
-@when("{num_alone:d} nodes of one zone lose sight of all others under load")
+@when("{num_alone:d} nodes of one zone lose contact with all others under load")
 def step_alone(context, num_alone):
     fleet = make_fleet(context)
     fleet.arrivals_per_s = dict.fromkeys(range(9), 10.0)
@@ -178,8 +178,10 @@
     fleet.isolated = set(range(num_alone))
     others = [node.member for number, node in fleet.nodes.items() if number >= num_alone]
     for node in fleet.nodes.values():
-        seen = [node.member] if node in context.alone else others
-        node.exchange.set_members([Member(each.address, each.zone) for each in seen], fleet.now_s)
+        visible = [node.member] if node in context.alone else others
+        node.exchange.set_members(
+            [Member(each.address, each.zone) for each in visible], fleet.now_s
+        )
     fleet.run(4.0)
     before = [node.num_started for node in context.alone]
     fleet.run(10.0)
@@ -194,7 +196,7 @@
     assert SLOTS <= context.most_slots <= slots, context.most_slots
 
 
-@then("the nodes that lost sight still admit requests")
+@then("the nodes that lost contact still admit requests")
 def step_alone_admits(context):
     assert min(context.admitted) > 0, context.admitted
 
@@ -204,7 +206,7 @@
     fleet = make_fleet(context)
     fleet.arrivals_per_s = dict.fromkeys(range(3), 20.0)
     fleet.run(10.0)
-    assert fleet.most_slots == SLOTS  # the zone has borrowed the others' parts
+    assert fleet.most_slots == SLOTS  # the zone has borrowed the parts of the others
     fleet.cut_zones = {"a"}
     fleet.arrivals_per_s = dict.fromkeys(range(9), 10.0)
     fleet.run(20.0)
@@ -244,7 +246,7 @@
     context.start, context.tenant = start, tenant
 
 
-@when("callers flood one of them for 20 seconds")
+@when("callers flood one of the nodes for 20 seconds")
 def step_flood(context):
     times_s = []
 
@@ -253,15 +255,15 @@
             flooded = context.start(tasks)[0]
 
             async def repeat():
-                while anyio.current_time() < begin_s + 25.0:
+                while anyio.current_time() < start_s + 25.0:
                     deadline_s = anyio.current_time() + 5.0
                     answer = await flooded.admit(context.tenant, "request", 1, 10, deadline_s)
                     await anyio.sleep(0.05)
                     if answer.is_ok():
-                        times_s.append(anyio.current_time() - begin_s)
+                        times_s.append(anyio.current_time() - start_s)
                         flooded.release(answer.ok_value)
 
-            begin_s = anyio.current_time()
+            start_s = anyio.current_time()
             async with anyio.create_task_group() as callers:
                 for _ in range(10):
                     callers.start_soon(repeat)
--- a/features/support/configuration_fleet.py
+++ b/features/support/configuration_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of configuration tasks on a memory network, with the key-value stand-in."""
+"""A fleet of configuration tasks on an in-memory network, with the key-value stand-in."""
 
 from collections.abc import Awaitable, Callable
 from random import Random
@@ -31,7 +31,7 @@
 FLEET_KEY = PeerKey(1, b"key of a virtual fleet..")
 FIRST_PORT = 7000
 JOIN_S = 0.2
-"""How long a node takes to learn of the others."""
+"""Seconds until a started node lists the other nodes."""
 FIRST_REVISION = ConfigurationRevision(2)
 """The store starts at revision 1."""
 
@@ -39,7 +39,7 @@
 
 
 class KnownMembers:
-    """The nodes that run; every view of it learns of changes at once."""
+    """The running nodes; changes are visible in every view at once."""
 
     def __init__(self) -> None:
         self.by_name: dict[NodeName, Peer] = {}
@@ -51,13 +51,13 @@
         self.num_changes += 1
 
     def remove(self, name: NodeName) -> None:
-        """Forget a node."""
+        """Remove a node."""
         del self.by_name[name]
         self.num_changes += 1
 
 
 class MembersView:
-    """Implements `MembershipView` for one node, which knows only itself at first."""
+    """Membership view of one node, which lists only itself for the first `JOIN_S`."""
 
     def __init__(self, members: KnownMembers, own: Peer) -> None:
         self._members = members
@@ -70,14 +70,14 @@
         return self._own.node
 
     def peers(self) -> tuple[Peer, ...]:
-        """All nodes that run, sorted."""
+        """Return all running nodes, sorted by name."""
         if anyio.current_time() < self._joins_at_s:
             return (self._own,)
         by_name = self._members.by_name
         return tuple(by_name[name] for name in sorted(by_name))
 
     def version(self) -> int:
-        """Grows with each change."""
+        """Return a number that grows with each change."""
         return self._members.num_changes
 
 
@@ -90,10 +90,10 @@
 
 
 class FleetNode:
-    """One run of one node; it is the event log of its own task.
+    """One run of one node, which also is the event log of its own task.
 
     Attributes:
-        history: Every revision that it put in force, in order.
+        history: Every revision that the node put in force, in order.
         scope: Cancelled to stop the node.
         endpoint: Its access to the network, which can be frozen.
         link: Its peer link, with traffic counts.
@@ -139,9 +139,9 @@
                 tasks.start_soon(self.task.run)
 
     def event(self, name: str, **fields: object) -> None:
-        """Record what is in force whenever the task logs that it has changed.
+        """Record the configuration in force whenever the task logs a change.
 
-        `changed_after` would not do: by its own rule it never tells of a lower revision.
+        `changed_after` cannot be used, because it never returns a lower revision.
         """
         in_force = self.task.current()
         if name == "configuration_in_force" and in_force is not None:
@@ -154,9 +154,9 @@
 
     Args:
         tasks: Nodes run in this task group.
-        num_nodes: Nodes at the start.
-        num_zones: Zones that they are spread over.
-        seed: Seeds all chance.
+        num_nodes: Number of nodes at the start.
+        num_zones: Number of zones that the nodes are spread over.
+        seed: Seed of all random choices.
     """
 
     def __init__(self, tasks: TaskGroup, num_nodes: int, num_zones: int, seed: int) -> None:
@@ -175,7 +175,7 @@
             self._start(Peer(node, address, zone, PeerState.ALIVE))
 
     def stop(self, name: NodeName) -> FleetNode:
-        """Stop a node as a crash does; membership still lists it."""
+        """Stop a node as a crash does; the membership still lists it."""
         node = self.nodes.pop(name)
         node.scope.cancel()
         self.network.detach(node.address)
@@ -183,13 +183,13 @@
         return node
 
     def restart(self, name: NodeName) -> FleetNode:
-        """Stop a node and start it anew, with nothing kept."""
+        """Stop a node and start a new run of it, with empty memory."""
         before = self.stop(name).peer
         node = NodeId(name, Incarnation(before.node.incarnation + 1))
         return self._start(Peer(node, before.address, before.zone, PeerState.ALIVE))
 
     async def apply(self, deployment: Deployment) -> ApplyOutcome:
-        """Apply from the revision that the store has; notes what was accepted."""
+        """Apply a deployment made from the store's revision; record it if accepted."""
         now_s = anyio.current_time()
         base = self.server.model.mod_revision(CONFIGURATION_KEY.encode(), now_s)
         port = InProcessKeyValue(self.server)
@@ -200,7 +200,7 @@
         return outcome
 
     async def wait_until_in_force(self, revision: int, time_limit_s: float = 60.0) -> float:
-        """Wait until every node has a revision, or a higher one; returns the seconds it took."""
+        """Wait until every node has a revision or a higher one; return the seconds waited."""
         start_s = anyio.current_time()
         with anyio.fail_after(time_limit_s):
             for node in list(self.nodes.values()):
@@ -222,7 +222,7 @@
     seed: int = 1,
     deployment: Deployment | None = None,
 ) -> ResultT:
-    """Run a script on a fleet; with a deployment, once that is in force on all nodes."""
+    """Run a script on a fleet; given a deployment, wait until it is in force on all nodes first."""
     async with anyio.create_task_group() as tasks:
         fleet = ConfigurationFleet(tasks, num_nodes, num_zones, seed)
         if deployment is not None:
--- a/features/support/configuration_soak.py
+++ b/features/support/configuration_soak.py
@@ -26,22 +26,22 @@
 
 
 class ApplyRecord(msgspec.Struct, frozen=True):
-    """What an operator was told of a file; its deployment's name is unique."""
+    """The outcome that an operator got for a file; the deployment's name is unique."""
 
     name: str
     outcome: ApplyOutcome
 
 
 class SoakResult(msgspec.Struct, frozen=True):
-    """What became of one run.
+    """Result of one run.
 
     Attributes:
         num_accepted: Files accepted.
         num_refused: Files refused.
-        num_unknown: Files whose operator was told that it is not known.
+        num_unknown: Files whose outcome was reported as unknown.
         num_restarts: Restarts of nodes.
-        in_force_s: How long a last change took on all nodes after the faults ended.
-        violations: What was broken, one line each.
+        in_force_s: Seconds until a last change was in force on all nodes after the faults ended.
+        violations: Violated rules, one line each.
     """
 
     num_accepted: int
@@ -53,7 +53,7 @@
 
 
 class Soak:
-    """Brings faults over a fleet and checks its history afterwards."""
+    """Injects faults into a fleet and checks its history afterwards."""
 
     def __init__(self, fleet: ConfigurationFleet, duration_s: float) -> None:
         self._fleet = fleet
@@ -68,7 +68,12 @@
             async with anyio.create_task_group() as tasks:
                 for number in range(NUM_OPERATORS):
                     tasks.start_soon(self._operate, number)
-                for fault in (self._restart, self._pause, self._cut_zones, self._spoil_store):
+                for fault in (
+                    self._restart,
+                    self._pause,
+                    self._cut_zones,
+                    self._change_store_faults,
+                ):
                     tasks.start_soon(fault)
         self._heal()
         outcome = await self._fleet.apply(_deployment("last"))
@@ -83,11 +88,11 @@
             num_unknown=len(outcomes) - num_accepted - num_refused,
             num_restarts=len(self._fleet.past_nodes),
             in_force_s=in_force_s,
-            violations=(*self._wrong_answers(), *self._wrong_nodes()),
+            violations=(*self._find_wrong_answers(), *self._find_wrong_nodes()),
         )
 
     async def _operate(self, number: int) -> None:
-        """Apply files, each made from what the store holds at the start of it."""
+        """Apply files, each made from the revision that the store holds at that time."""
         model = self._fleet.server.model
         port = InProcessKeyValue(self._fleet.server)
         count = 0
@@ -115,7 +120,7 @@
             node.endpoint.thaw()
 
     async def _cut_zones(self) -> None:
-        """Cut a zone off from the others and from the store, for a while."""
+        """Repeatedly partition a zone from the others and from the store."""
         while True:
             await self._wait(1.0, 20.0)
             zone = f"zone-{self._random.randrange(NUM_ZONES)}"
@@ -127,14 +132,14 @@
             await self._wait(1.0, 20.0)
             self._reconnect()
 
-    async def _spoil_store(self) -> None:
+    async def _change_store_faults(self) -> None:
         while True:
-            pick = self._random.choice
+            choose = self._random.choice
             self._fleet.server.faults = KeyValueFaults(
                 is_down=self._random.random() < 0.3,
-                delay_s=pick((0.0, 0.0, 0.5, 2.0, 4.0)),
-                lost_answer_probability=pick((0.0, 0.2, 0.6)),
-                requests_per_s=pick((None, None, 5.0)),
+                delay_s=choose((0.0, 0.0, 0.5, 2.0, 4.0)),
+                lost_answer_probability=choose((0.0, 0.2, 0.6)),
+                requests_per_s=choose((None, None, 5.0)),
                 is_watch_silent=self._random.random() < 0.2,
             )
             self._fleet.server.cut_watches()
@@ -155,8 +160,8 @@
         for node in self._fleet.nodes.values():
             node.endpoint.thaw()
 
-    def _truth(self) -> dict[int, Deployment]:
-        """Return what the store held at each revision."""
+    def _stored_deployments(self) -> dict[int, Deployment]:
+        """Return the deployment that the store held at each revision."""
         changes = self._fleet.server.model.changes_from(1, CONFIGURATION_KEY.encode(), b"")
         return {
             change.revision: decode_stored(change.stored.value).unwrap().deployment
@@ -164,9 +169,11 @@
             if change.stored is not None
         }
 
-    def _wrong_answers(self) -> list[str]:
-        """Check what operators were told against the store."""
-        revisions = {deployment.name: revision for revision, deployment in self._truth().items()}
+    def _find_wrong_answers(self) -> list[str]:
+        """Compare the outcomes that operators got with the store."""
+        revisions = {
+            deployment.name: revision for revision, deployment in self._stored_deployments().items()
+        }
         wrong: list[str] = []
         for record in self._records:
             held_at = revisions.get(record.name)
@@ -177,16 +184,16 @@
                 wrong.append(f"{record.name}: refused, but held at {held_at}")
         return wrong
 
-    def _wrong_nodes(self) -> list[str]:
-        """Check what nodes had in force: it only grows, and is what the store held."""
-        truth = self._truth()
+    def _find_wrong_nodes(self) -> list[str]:
+        """Check that each node's revisions only grew and had the store's content."""
+        stored_deployments = self._stored_deployments()
         wrong: list[str] = []
         for node in [*self._fleet.nodes.values(), *self._fleet.past_nodes]:
             revisions = [record.revision for record in node.history]
             if revisions != sorted(set(revisions)):
                 wrong.append(f"{node.peer.node}: went back: {revisions}")
             for record in node.history:
-                if truth.get(record.revision) != record.deployment:
+                if stored_deployments.get(record.revision) != record.deployment:
                     wrong.append(f"{node.peer.node}: revision {record.revision} is not the store's")
         return wrong
 
--- a/features/support/deployments.py
+++ b/features/support/deployments.py
@@ -1,4 +1,4 @@
-"""Deployments for scenarios."""
+"""Shipped and minimal deployments for scenarios."""
 
 from pathlib import Path
 
--- a/features/support/large_deployment.py
+++ b/features/support/large_deployment.py
@@ -1,4 +1,4 @@
-"""A deployment of the size to design for."""
+"""A deployment of the design size: 1700 engines and 290 tenants."""
 
 import hashlib
 
@@ -21,7 +21,7 @@
 
 
 def large_deployment(version: str = "1") -> Deployment:
-    """Return the deployment, canonical, with a weight version of its first model."""
+    """Return the canonical deployment, with the given weight version of its first model."""
     zones = tuple(ZoneName(f"zone-{number}") for number in range(NUM_ZONES))
     engines = tuple(
         Engine(
--- a/features/support/limits_fleet.py
+++ b/features/support/limits_fleet.py
@@ -1,4 +1,4 @@
-"""Nodes that share limits, with messages that are lost, doubled, late and cut, in simulated time."""
+"""Nodes that share limits in simulated time; messages are lost, duplicated, late and cut."""
 
 import heapq
 import itertools
@@ -11,11 +11,11 @@
 from weirscale.domain.limits.homes import Member
 
 STEP_S = 0.02
-SOME_NODE_S = 0.002
+DEFAULT_MAX_DELAY_S = 0.002
 
 
 class SharingNode:
-    """One node: its exchange, its waiting and its running requests of one tenant."""
+    """One node: its share exchange, and its waiting and running requests of one tenant."""
 
     def __init__(self, fleet, number, zone):
         self.member = Member(NodeAddress("10.0.0.1", number), zone)
@@ -27,19 +27,19 @@
 
 
 class SharingFleet:
-    """A fleet in fixed steps; `tenant` is the only tenant."""
+    """A fleet that runs in fixed time steps; `tenant` is the only tenant."""
 
     def __init__(self, tenant, zones, nodes_in_zone, seed):
         self.tenant, self.zones = tenant, zones
         self.random = random.Random(seed)
         self.now_s = 0.0
         self.lose = self.double = 0.0
-        self.max_delay_s = SOME_NODE_S
+        self.max_delay_s = DEFAULT_MAX_DELAY_S
         self.cut_zones, self.isolated = set(), set()
         self.arrivals_per_s = {}
         self.hold_s = 0.3
         self.nodes = {}
-        self.on_wire, self.order = [], itertools.count()
+        self.in_flight, self.send_order = [], itertools.count()
         self.most_slots = 0
         for zone in zones:
             for _ in range(nodes_in_zone):
@@ -47,17 +47,17 @@
                 self.nodes[number] = SharingNode(self, number, zone)
         for node in self.nodes.values():
             node.exchange.set_limits([tenant], zones, 0.0)
-            node.exchange.set_members([each.member for each in self.nodes.values()], 0.0)
+            node.exchange.set_members([other.member for other in self.nodes.values()], 0.0)
 
     def run(self, duration_s):
         for _ in range(int(duration_s / STEP_S)):
             self.now_s += STEP_S
             self._deliver()
             for number, node in self.nodes.items():
-                self._turn(number, node)
-            self._watch()
+                self._step_node(number, node)
+            self._record_usable_slots()
 
-    def _turn(self, number, node):
+    def _step_node(self, number, node):
         rate = self.arrivals_per_s.get(number, 0.0)
         if self.random.random() < rate * STEP_S:
             node.num_waiting += 1
@@ -79,12 +79,12 @@
         for _ in range(copies):
             if self.random.random() >= self.lose:
                 arrives_s = self.now_s + self.random.uniform(0.0, self.max_delay_s)
-                item = (arrives_s, next(self.order), source, outgoing)
-                heapq.heappush(self.on_wire, item)
+                item = (arrives_s, next(self.send_order), source, outgoing)
+                heapq.heappush(self.in_flight, item)
 
     def _deliver(self):
-        while self.on_wire and self.on_wire[0][0] <= self.now_s:
-            _, _, source, outgoing = heapq.heappop(self.on_wire)
+        while self.in_flight and self.in_flight[0][0] <= self.now_s:
+            _, _, source, outgoing = heapq.heappop(self.in_flight)
             target = self.nodes[outgoing.destination.port]
             if self._is_cut(source, outgoing.destination.port):
                 continue
@@ -102,7 +102,7 @@
         zones = [self.nodes[number].member.zone for number in (source, destination)]
         return (zones[0] in self.cut_zones) != (zones[1] in self.cut_zones)
 
-    def _watch(self):
+    def _record_usable_slots(self):
         usable = sum(node.holding.slots(self.now_s) for node in self.nodes.values())
         self.most_slots = max(self.most_slots, usable)
 
--- a/features/support/local_allowances.py
+++ b/features/support/local_allowances.py
@@ -1,4 +1,4 @@
-"""Allowances for a process that stands alone: each tenant's whole limit."""
+"""Allowances for a process without peers: each tenant's whole limit."""
 
 from weirscale.domain.configuration.model import Tenant
 from weirscale.domain.identifiers import TenantName
@@ -7,7 +7,7 @@
 
 
 class LocalAllowance(TenantAllowance):
-    """The whole limit on one node, for a process that stands alone."""
+    """A tenant's whole limit on one node, for a process without peers."""
 
     def __init__(self, tenant: Tenant, now_s: float) -> None:
         self._num_running = 0
@@ -22,7 +22,7 @@
             self._prompt_tokens = TokenBucket(rate_per_s, rate_per_s * PROMPT_BURST_S, now_s)
 
     def can_start(self, num_prompt_tokens: int, now_s: float) -> bool:
-        """Whether every limit has room; a prompt above the bucket's depth needs it full."""
+        """Return whether every limit has room; a prompt above the bucket's depth needs a full bucket."""
         if self._max_running is not None and self._num_running >= self._max_running:
             return False
         if self._requests is not None and self._requests.available(now_s) < 1.0:
@@ -31,7 +31,7 @@
         return bucket is None or bucket.available(now_s) >= min(num_prompt_tokens, bucket.depth)
 
     def start(self, num_prompt_tokens: int, now_s: float) -> None:
-        """Take from every limit."""
+        """Consume from every limit."""
         self._num_running += 1
         if self._requests is not None:
             self._requests.take(1.0, now_s)
@@ -43,18 +43,18 @@
         self._num_running -= 1
 
     def wait_s(self, num_ahead: int, num_prompt_tokens: int) -> float:
-        """Time for the rates to admit those ahead."""
+        """Return the seconds until the request rate admits the requests ahead."""
         if self._requests is None:
             return 0.0
         return num_ahead / max(self._requests.rate_per_s, 1e-9)
 
     def num_slots(self, now_s: float) -> int | None:
-        """The tenant's concurrency limit."""
+        """Return the tenant's concurrency limit."""
         return self._max_running
 
 
 class LocalAllowances:
-    """Keeps one allowance for each tenant, made anew when the tenant's limits change."""
+    """Keeps one allowance per tenant, replaced when the tenant's limits change."""
 
     def __init__(self) -> None:
         self._allowances: dict[TenantName, tuple[Tenant, LocalAllowance]] = {}
