--- a/features/claims_log_faults.feature
+++ b/features/claims_log_faults.feature
@@ -10,15 +10,15 @@
     And 25 s after the restart new keys are answered "<answer>"
 
     Examples:
-      | fault                                          | answer            |
-      | the store answers                              | granted           |
-      | the store is slow                              | granted           |
-      | store answers are lost                         | granted           |
-      | the store limits the rate                      | granted           |
-      | the store was down until 15 s before           | granted           |
-      | the store is down for the 4 s of the restart   | granted           |
-      | they restart again 1 s later                   | granted           |
-      | messages are lost and late until 5 s after     | granted           |
+      | fault                                           | answer            |
+      | the store answers                               | granted           |
+      | the store is slow                               | granted           |
+      | store answers are lost                          | granted           |
+      | the store limits the rate                       | granted           |
+      | the store was down until 15 s before            | granted           |
+      | the store is down for the 4 s of the restart    | granted           |
+      | they restart again 1 s later                    | granted           |
+      | messages are lost and late until 5 s after      | granted           |
       | the store is down from 40 s before to 5 s after | claim_unavailable |
 
   Scenario: A store outage stops grants for one lease at most
--- a/features/configuration_apply.feature
+++ b/features/configuration_apply.feature
@@ -8,24 +8,24 @@
     Then the answer is "<answer>" and the store holds "<held>"
 
     Examples:
-      | store                                     | base             | answer                  | held |
-      | is empty                                  | nothing          | accepted at 2           | b    |
-      | is empty                                  | revision 7       | refused, current 0      | -    |
-      | holds a                                   | nothing          | refused, current 2      | a    |
-      | holds a                                   | revision 2       | accepted at 3           | b    |
-      | holds b                                   | nothing          | in place at 2           | b    |
-      | holds a, then c                           | revision 2       | refused, current 3      | c    |
-      | holds foreign bytes                       | revision 2       | refused, unreadable     | ?    |
-      | is empty and loses 3 answers              | nothing          | accepted at 2           | b    |
-      | holds a and loses 3 answers               | revision 2       | accepted at 3           | b    |
-      | holds a and is down for 20 s              | revision 2       | accepted at 3           | b    |
-      | holds a and is down for hours             | revision 2       | refused, unreachable    | a    |
-      | holds a and takes 2 s for a call          | revision 2       | accepted at 3           | b    |
-      | holds a and takes 5 s for a call          | revision 2       | refused, unreachable    | a    |
-      | holds a and allows one call in 4 s        | revision 2       | accepted at 3           | b    |
-      | holds a, loses the answer, is overtaken by c | revision 2    | accepted at 3           | c    |
+      | store                                             | base       | answer               | held |
+      | is empty                                          | nothing    | accepted at 2        | b    |
+      | is empty                                          | revision 7 | refused, current 0   | -    |
+      | holds a                                           | nothing    | refused, current 2   | a    |
+      | holds a                                           | revision 2 | accepted at 3        | b    |
+      | holds b                                           | nothing    | in place at 2        | b    |
+      | holds a, then c                                   | revision 2 | refused, current 3   | c    |
+      | holds foreign bytes                               | revision 2 | refused, unreadable  | ?    |
+      | is empty and loses 3 answers                      | nothing    | accepted at 2        | b    |
+      | holds a and loses 3 answers                       | revision 2 | accepted at 3        | b    |
+      | holds a and is down for 20 s                      | revision 2 | accepted at 3        | b    |
+      | holds a and is down for hours                     | revision 2 | refused, unreachable | a    |
+      | holds a and takes 2 s for a call                  | revision 2 | accepted at 3        | b    |
+      | holds a and takes 5 s for a call                  | revision 2 | refused, unreachable | a    |
+      | holds a and allows one call in 4 s                | revision 2 | accepted at 3        | b    |
+      | holds a, loses the answer, is overtaken by c      | revision 2 | accepted at 3        | c    |
       | holds a, loses the answer, then is down for hours | revision 2 | unknown              | b    |
-      | holds a, loses the answer, is overtaken 20 times | revision 2 | unknown               | c    |
+      | holds a, loses the answer, is overtaken 20 times  | revision 2 | unknown              | c    |
 
   Scenario Outline: An interrupted command is run again
     Given an apply of "b" on a store that holds "a" is killed <moment>
--- a/features/placement_settling.feature
+++ b/features/placement_settling.feature
@@ -1,5 +1,8 @@
-Feature: Loads in progress are settled by proof only
-  Scenario Outline: What a report says of a load with token 7 in run 2
+Feature: Loads in progress are settled only by proof
+  Guards against a load slot that is freed while the load may still run, that is never freed, and
+  against engines that are restored to a version that never served or has failed on them.
+
+  Scenario Outline: Outcome of a load with token 7 in run 2, by the engine's version and token
     Given a load of v2 with token 7 on run 2 that is <age> s old and may take 300 s
     When the engine reports run <run>, version <version>, token <token> and leaving <leaving>
     Then the load is <outcome>
@@ -17,7 +20,7 @@
       | 299 | 2   | none    | 6     | no      | loading  |
       | 300 | 2   | none    | 6     | no      | given up |
 
-  Scenario Outline: What an engine says of loads decides at once
+  Scenario Outline: Outcome of a load with token 7 in run 2, by the engine's report of loads
     Given a load of v2 with token 7 on run 2 that is 10 s old and may take 300 s
     When the engine reports run <run> without weights, loading <loading> and failed <failed>
     Then the load is <outcome>
@@ -32,9 +35,9 @@
       | 3   | 0       | 0      | failed  |
       | 1   | 0       | 7      | loading |
 
-  Scenario Outline: A load that was given up holds its slot until it has certainly ended
+  Scenario Outline: An abandoned load holds its slot until it has provably ended
     Given a load of v2 with token 7 on run 2 that is <age> s old and may take 300 s
-    And it was given up before
+    And the load was given up before
     When the engine reports run <run> without weights, loading <loading> and failed <failed>
     Then the load is <outcome>
 
@@ -48,7 +51,7 @@
       | 899 | 2   | 7       | 0      | held    |
       | 900 | 2   | 7       | 0      | freed   |
 
-  Scenario Outline: The version that a model served last
+  Scenario Outline: The version that a model last served
     Given 6 engines of which 4 must stay ready, and <before> was served last
     When the engines serve <serving> while v2 is the declared version
     Then the version served last is <after>
@@ -63,10 +66,10 @@
       | v1      | v2 v2 v2 v2 v1 v1 | v2      |
       | v1      | - - - - - -       | v1      |
 
-  Scenario Outline: What an engine loads whose rollout of v2 has stopped
+  Scenario Outline: The version that an engine loads after the rollout of v2 has stopped
     Given 6 engines of which 4 must stay ready, and <before> was served last
     When v2 has failed on two other engines and one that serves <serving> is <treatment>, <failed> having failed on it
-    Then it is ordered to load <ordered>
+    Then the engine is ordered to load <ordered>
 
     Examples:
       | before  | serving | treatment | failed  | ordered |
@@ -78,7 +81,7 @@
       | v2      | nothing | restored  | nothing | nothing |
       | nothing | nothing | restored  | v2      | nothing |
 
-  Scenario: A planner whose record was changed by another gives no order
+  Scenario: A planner whose record was changed by another planner gives no order
     Given two planners that have both read the placement record and both hold the lease
-    When another version is declared and each plans one round
-    Then the first one gives an order and the second one gives none
+    When another version is declared and each planner runs one round
+    Then the first planner gives an order and the second gives none
--- a/features/steps/placement_orders_steps.py
+++ b/features/steps/placement_orders_steps.py
@@ -21,8 +21,8 @@
 )
 
 
-class HeldWeights:
-    """A weight source that answers when the test says so."""
+class DelayedWeights:
+    """A weight source that answers once `release` is set."""
 
     def __init__(self, answer):
         self.release = anyio.Event()
@@ -61,7 +61,7 @@
 def step_role_orders(context, run):
     expected = None if run == "any" else Incarnation(int(run))
 
-    async def give(engine, port, source):
+    async def send_orders(engine, port, source):
         orders = [
             EngineOrder(9, ChangeRole("decode"), expected),
             EngineOrder(5, ChangeRole("prefill"), RUN),
@@ -69,12 +69,14 @@
         answers = [await port.order(order) for order in orders]
         return answers, engine.model.role
 
-    context.answers, context.role = run_engine(context.port, give)
+    context.answers, context.role = run_engine(context.port, send_orders)
 
 
 @then("the answers are {first} and {second} and the role is {role}")
 def step_answers(context, first, second, role):
-    kinds = ["accepted" if each.is_ok() else each.err_value.kind.value for each in context.answers]
+    kinds = [
+        "accepted" if answer.is_ok() else answer.err_value.kind.value for answer in context.answers
+    ]
     assert (kinds, context.role) == ([first, second], role), (kinds, context.role)
 
 
@@ -84,29 +86,29 @@
 
     async def load(engine, port, source):
         assert (await port.order(EngineOrder(4, LoadModel("qalam", "v2"), RUN))).is_ok()
-        meanwhile = await next_report(port, lambda report: report.model is None)
+        during_load = await next_report(port, lambda report: report.model is None)
         source.release.set()
         after = await next_report(port, lambda report: report.loading_token == 0)
-        return meanwhile, after
+        return during_load, after
 
-    context.reports = run_engine(context.port, load, lambda: HeldWeights(answer))
+    context.reports = run_engine(context.port, load, lambda: DelayedWeights(answer))
 
 
-async def next_report(port, is_wanted):
+async def next_report(port, is_expected):
     while True:
         report = (await port.load()).ok_value
-        if is_wanted(report):
+        if is_expected(report):
             return report
         await anyio.sleep(SETTINGS.load_report_interval_s)
 
 
 @then(
-    "the report says loading 4 and failed 0 meanwhile, and loading 0 and failed {failed:d} after it"
+    "the report says loading 4 and failed 0 during the load, and loading 0 and failed {failed:d} after it"
 )
 def step_reports(context, failed):
-    seen = [(each.loading_token, each.failed_load_token) for each in context.reports]
+    seen = [(report.loading_token, report.failed_load_token) for report in context.reports]
     assert seen == [(4, 0), (0, failed)], seen
-    assert [each.role for each in context.reports] == ["both", "both"]
+    assert [report.role for report in context.reports] == ["both", "both"]
 
 
 LATER_FIELDS = ("role", "loading_token", "failed_load_token")
@@ -122,12 +124,12 @@
     context.report = msgspec.convert(fields, LoadReport)
 
 
-@then("its role is unknown and it tells of no load")
+@then("its role is unknown and it reports no load")
 def step_no_role(context):
     assert [getattr(context.report, name) for name in LATER_FIELDS] == [None, 0, 0]
 
 
-@then("a load summary without them is understood too")
+@then("a load summary without them is decoded too")
 def step_old_summary(context):
     summary = LoadSummary.of(context.whole, 1.0)
     identity = ("qalam-1", 1, "qalam", "v1")
--- a/features/steps/placement_rollout_steps.py
+++ b/features/steps/placement_rollout_steps.py
@@ -46,11 +46,11 @@
     rollout.engines["qalam-0"].refuses_orders = False
 
 
-async def refuse_orders_for_ever(rollout):
+async def refuse_orders_forever(rollout):
     rollout.engines["qalam-0"].refuses_orders = True
 
 
-async def one_stuck_load(rollout):
+async def stick_one_load(rollout):
     rollout.weights.num_to_stick = 1
 
 
@@ -75,7 +75,7 @@
 
 
 async def every_load_fails(rollout):
-    """Also going back fails: no weights can be read at all."""
+    """Make every load fail, also a load of the previous version."""
     rollout.weights.failing_versions |= {"v1", "v2"}
 
 
@@ -91,7 +91,7 @@
 
 
 async def pause_planner(rollout):
-    """The first planner sleeps in the middle of its write while the second takes over."""
+    """Suspend the first planner during its write while the second takes over."""
     rollout.store.faults.delay_s = 4.0
     await anyio.sleep(3.5)
     rollout.leases[0].held = False
@@ -106,13 +106,13 @@
         await anyio.sleep(LEASE_TURN_S)
 
 
-async def two_holders(rollout):
+async def hold_both_leases(rollout):
     for lease in rollout.leases:
         lease.held = True
 
 
 async def cut_holder_off(rollout):
-    """The holder loses the key-value service for longer than its lease lives, with loads running."""
+    """Cut the lease holder off from the store, with loads running, until its lease has expired."""
     await rollout.wait_for_loading()
     client = next(
         client for client, lease in zip(rollout.clients, rollout.leases, strict=True) if lease.held
@@ -136,31 +136,31 @@
     "an engine crashes while it serves": crash_serving,
     "an engine cannot be reached for a while": cut_engine_off,
     "an engine refuses orders for a while": refuse_orders,
-    "an engine refuses orders for ever": refuse_orders_for_ever,
-    "one load is stuck": one_stuck_load,
+    "an engine refuses orders forever": refuse_orders_forever,
+    "one load is stuck": stick_one_load,
     "an engine leaves while it loads": leave_loading,
     "an engine leaves while it serves": leave_serving,
     "every load of v2 fails": new_version_fails,
     "every load of any version fails": every_load_fails,
-    "every load of v2 fails and an engine crashes while it goes back": crash_while_restored,
+    "every load of v2 fails and an engine crashes while it is restored": crash_while_restored,
     "the key-value service is down for a while": store_is_down,
     "answers of the key-value service are lost": lose_store_answers,
-    "the planner is paused past its lease and wakes": pause_planner,
-    "the planner is replaced again and again": replace_planner,
-    "two planners both believe to hold the lease": two_holders,
+    "the planner is paused past its lease and resumes": pause_planner,
+    "the planner is replaced repeatedly": replace_planner,
+    "two planners both consider the lease theirs": hold_both_leases,
     "the placement record is deleted": delete_record,
     "the holder is cut off from the key-value service": cut_holder_off,
 }
 
-HALF_WAY = 3
+NUM_HALFWAY = 3
 VERSIONS = ("v1", "v2", "v3")
 POLL_S = 0.5
 LAST_S = 20
-"""Seconds at the end of a rollout in which its states are noted."""
+"""Seconds at the end of a rollout in which its states are recorded."""
 
 
 def rollout_after(context, seconds):
-    """Run the rollout that the steps before describe, once, and return it."""
+    """Run the rollout that the previous steps describe, once, and return it."""
 
     async def main():
         bounds = {"min_ready_engines": context.floor, "max_concurrent_loads": context.most}
@@ -203,8 +203,8 @@
             rollout.weights.num_to_stick = 1
             await rollout.wait_for_loading()
             await anyio.sleep(8.0)
-        elif moment == "half-way":
-            while rollout.count_at("v2") < HALF_WAY:  # noqa: ASYNC110 - engines tell nobody
+        elif moment == "halfway":
+            while rollout.count_at("v2") < NUM_HALFWAY:  # noqa: ASYNC110 - engines send no event
                 await anyio.sleep(POLL_S)
         elif moment == "after v2 has been stopped":
             rollout.weights.failing_versions.add("v2")
@@ -233,7 +233,7 @@
     assert 1 <= context.rollout.most_loading() <= most, context.rollout.most_loading()
 
 
-@then("never fewer than {floor:d} engines were ready, those lost to the fault aside")
+@then("never fewer than {floor:d} engines were ready, counting those lost to the fault as ready")
 def step_fewest_ready(context, floor):
     assert context.rollout.fewest_ready() >= floor, context.rollout.fewest_ready()
 
@@ -244,7 +244,7 @@
     assert not context.rollout.token_order_broken()
 
 
-@then("no token named two orders")
+@then("no token was used for two orders")
 def step_tokens_unique(context):
     assert not context.rollout.tokens_given_twice()
 
@@ -266,7 +266,7 @@
     assert all(lease.num_orders > 0 for lease in rollout.leases)
 
 
-@then("the rollout was nothing else in the last 20 s")
+@then("the rollout stayed in this state for the last 20 s")
 def step_steady_state(context):
     rollout = context.rollout
     assert rollout.last_states == {each.state for each in rollout.progress}, rollout.last_states
@@ -277,7 +277,7 @@
     assert all(not progress.failures for progress in context.rollout.progress)
 
 
-@then("every answer that ran before finished on v1")
+@then("every request in flight before finished on v1")
 def step_answers_finished(context):
     assert context.rollout.long_answers() == [("finished", "v1")] * 6
 
@@ -388,18 +388,18 @@
     assert context.rollout.num_orders(ChangeRole) == 3
 
 
-@when("the order of a decision for v2 arrives late and {fault} before")
+@when("the order to load v2 arrives late and {fault} before")
 def step_late_order(context, fault):
-    """Keep the planner's order back, and give it to the engine later."""
+    """Hold the planner's order back, and deliver it to the engine later."""
 
     async def main():
         rollout = Rollout(6, rolling_model(min_ready_engines=2, max_concurrent_loads=1))
         async with rollout.observing():
             await anyio.sleep(5.0)
             rollout.declare_version("v2")
-            sent = rollout.hold_orders()
+            held_orders = rollout.hold_orders()
             await rollout.planners[0].run_round()
-            ((engine, order),) = sent
+            ((engine, order),) = held_orders
             if fault == "the engine restarts":
                 engine.crash()
                 await anyio.sleep(engine.settings.restart_s)
--- a/features/steps/placement_settling_steps.py
+++ b/features/steps/placement_settling_steps.py
@@ -19,7 +19,7 @@
     context.load = LoadInProgress("qalam-1", 2, MODEL, "v2", 7)
 
 
-@given("it was given up before")
+@given("the load was given up before")
 def step_given_up(context):
     context.load = LoadInProgress("qalam-1", 2, MODEL, "v2", 7, is_given_up=True)
 
@@ -56,7 +56,7 @@
     "held": (0, 0, 1, 0),
     "freed": (0, 0, 0, 1),
 }
-"""Loads that finished, failed, hold a slot and have been freed of it."""
+"""Number of loads that finished, failed, hold a slot, and were freed."""
 
 
 @then("the load is {outcome}")
@@ -98,7 +98,7 @@
 def step_plan_stopped(context, version, treatment, failed):
     bounds = {"min_ready_engines": 0, "restores_failed_engines": treatment == "restored"}
     model = rolling_model(weight_version="v2", **bounds)
-    failures = [FailedLoad(f"qalam-{index}", MODEL, "v2", "as the test wants") for index in (2, 3)]
+    failures = [FailedLoad(f"qalam-{index}", MODEL, "v2", "failed by the test") for index in (2, 3)]
     if failed != "nothing":
         failures.append(FailedLoad("qalam-1", MODEL, failed, "too", is_restoring=failed == "v1"))
     seen = observed("qalam-1", None if version == "nothing" else version)
@@ -112,7 +112,7 @@
     context.ordered = [load.weight_version for load in plan.ordered]
 
 
-@then("it is ordered to load {version}")
+@then("the engine is ordered to load {version}")
 def step_ordered(context, version):
     assert context.ordered == ([] if version == "nothing" else [version]), context.ordered
 
@@ -122,7 +122,7 @@
     pass
 
 
-@when("another version is declared and each plans one round")
+@when("another version is declared and each planner runs one round")
 def step_one_round_each(context):
     async def main():
         rollout = Rollout(6, rolling_model(min_ready_engines=2), num_planners=2)
@@ -140,6 +140,6 @@
     context.num_orders = run_in_virtual_time(main)
 
 
-@then("the first one gives an order and the second one gives none")
+@then("the first planner gives an order and the second gives none")
 def step_orders_of_each(context):
     assert context.num_orders == [1, 0], context.num_orders
--- a/features/steps/placement_states_steps.py
+++ b/features/steps/placement_states_steps.py
@@ -18,7 +18,7 @@
 LOAD_S = 12.0
 WARM_UP_S = 15.0
 CUT_S = 120.0
-HALF_WAY = 6
+NUM_HALFWAY = 6
 SAMPLE_S = 0.5
 LOSS = 1 / 3
 STALE_S = 30.0
@@ -28,7 +28,7 @@
     pass
 
 
-async def crash_asked_nodes(fleet, planner):
+async def crash_queried_nodes(fleet, planner):
     await anyio.sleep(5.0)
     for zone in fleet.zones:
         others = [node for node in fleet.nodes_in(zone) if node is not planner]
@@ -41,17 +41,17 @@
 
 
 async def cut_zone(fleet, planner):
-    near = {node.peer.address for node in fleet.nodes_in(fleet.zones[1])}
-    far = {node.peer.address for node in fleet.nodes} - near
+    inside = {node.peer.address for node in fleet.nodes_in(fleet.zones[1])}
+    outside = {node.peer.address for node in fleet.nodes} - inside
     await anyio.sleep(5.0)
-    fleet.network.cut_both_ways(near, far)
+    fleet.network.cut_both_ways(inside, outside)
     fleet.cut_at_s = anyio.current_time()
     await anyio.sleep(CUT_S)
     fleet.network.heal()
 
 
 async def move_planner(fleet, planner):
-    while fleet.count_at("v2") < HALF_WAY:  # noqa: ASYNC110 - engines tell nobody
+    while fleet.count_at("v2") < NUM_HALFWAY:  # noqa: ASYNC110 - engines send no event
         await anyio.sleep(SAMPLE_S)
     planner.held = False
     await anyio.sleep(3.0)
@@ -59,7 +59,7 @@
 
 
 async def crash_zone(fleet, planner):
-    """Homes of its engines are then in other zones; one of them is told of by its home."""
+    """Crash all nodes of a zone; the homes of its engines are then in other zones."""
     await anyio.sleep(5.0)
     for node in fleet.nodes_in(fleet.zones[1]):
         fleet.remove_node(node)
@@ -73,10 +73,10 @@
 FAULTS = {
     "an engine of another zone hangs": hang_engine,
     "nothing fails": nothing,
-    "the node that is asked in each zone answers no more": crash_asked_nodes,
+    "the queried node of each zone stops answering": crash_queried_nodes,
     "a third of the messages between nodes is lost": lose_messages,
     "another zone is cut off for 120 s": cut_zone,
-    "the planner moves to another zone half-way": move_planner,
+    "the planner moves to another zone halfway": move_planner,
     "all nodes of another zone crash": crash_zone,
 }
 
@@ -119,7 +119,7 @@
         await anyio.sleep(SAMPLE_S)
 
 
-def roll(context, duration_s):
+def roll_out(context, duration_s):
     async def script(fleet, planner):
         fleet.declare_version("v2")
         await context.fault(fleet, planner)
@@ -131,7 +131,7 @@
 
 @then("after {seconds:d} s every engine serves v2")
 def step_all_serve(context, seconds):
-    fleet = roll(context, seconds)
+    fleet = roll_out(context, seconds)
     assert fleet.count_at("v2") == len(fleet.engines), fleet.count_at("v2")
 
 
@@ -147,7 +147,7 @@
 
 @then("after {seconds:d} s every engine but the one that hangs serves v2")
 def step_but_one(context, seconds):
-    fleet = roll(context, seconds)
+    fleet = roll_out(context, seconds)
     assert fleet.count_at("v2") == len(fleet.engines) - 1, fleet.count_at("v2")
 
 
@@ -159,7 +159,7 @@
 
 @then("no engine of that zone was ordered from 45 s after the cut until it ended")
 def step_no_orders_in_cut(context):
-    fleet = roll(context, 200)
+    fleet = roll_out(context, 200)
     zone = fleet.engines_in(fleet.zones[1])
     times = [at_s for engine in zone for at_s, order in engine.orders]
     start_s, end_s = fleet.cut_at_s + 45.0, fleet.cut_at_s + CUT_S
@@ -168,7 +168,7 @@
     assert any(start_s - 45.0 <= at_s < end_s for each in others for at_s, _ in each.orders)
 
 
-@then("every order was for the run and a load that the engine took")
+@then("every order was a load for the engine's current run")
 def step_orders(context):
     orders = [order for engine in context.fleet.engines.values() for _, order in engine.orders]
     assert all(order.expected_incarnation == 1 for order in orders)
@@ -179,19 +179,19 @@
 def step_run(context):
     async def script(fleet, planner):
         await anyio.sleep(0.5)
-        context.before = counts(fleet)
+        context.before = count_traffic(fleet)
         await anyio.sleep(50.0)
-        context.after = counts(fleet)
-        context.num_heard = len(planner.states.observed_states())
+        context.after = count_traffic(fleet)
+        context.num_observed = len(planner.states.observed_states())
         planner.held = False
         await anyio.sleep(2.0)
-        context.num_heard_after = len(planner.states.observed_states())
+        context.num_observed_after = len(planner.states.observed_states())
 
     context.fleet = run_fleet(context, 55.0, script)
 
 
-def counts(fleet):
-    """Messages sent, and bytes received, by each node."""
+def count_traffic(fleet):
+    """Return the messages sent by each node, and the bytes received by the first."""
     links = [node.link.traffic for node in fleet.nodes]
     sent = [sum(each.num_messages for each in traffic.sent.values()) for traffic in links]
     return sent, sum(each.num_bytes for each in links[0].received.values())
@@ -201,25 +201,25 @@
 """A header and one byte for each of 4 engines; their states take over 200."""
 
 
-@then("in the last 50 s each other zone was asked 10 times and the answers had no states")
-def step_asked(context):
-    num_asked = context.after[0][0] - context.before[0][0]
-    assert num_asked == 20, num_asked
+@then("in the last 50 s each other zone was queried 10 times and the answers had no states")
+def step_queries(context):
+    num_queries = context.after[0][0] - context.before[0][0]
+    assert num_queries == 20, num_queries
     num_bytes = context.after[1] - context.before[1]
     assert num_bytes <= 20 * MAX_SHORT_ANSWER_BYTES, num_bytes
 
 
-@then("no node that does not plan has asked")
+@then("no other node sent a query")
 def step_others_silent(context):
-    """Other nodes sent answers and nothing else; each asked one challenged the planner once."""
+    """Check that other nodes sent only answers; each queried node challenged the planner once."""
     by_planner, *by_others = context.after[0]
-    num_asked = sum(count > 0 for count in by_others)
-    assert (num_asked, sum(by_others)) == (2, by_planner - 2), context.after[0]
+    num_queried_nodes = sum(count > 0 for count in by_others)
+    assert (num_queried_nodes, sum(by_others)) == (2, by_planner - 2), context.after[0]
 
 
-@then("it hears of all engines of other zones while it plans and of none after")
-def step_heard(context):
-    assert (context.num_heard, context.num_heard_after) == (8, 0)
+@then("the planner has states of all engines of other zones while it plans and of none after")
+def step_observed(context):
+    assert (context.num_observed, context.num_observed_after) == (8, 0)
 
 
 def report(run, version):
@@ -229,14 +229,14 @@
 NOW_S = 100.0
 
 
-@given("this node heard run {run:d} of an engine with version {version} {age:d} s ago")
+@given("this node observed run {run:d} of an engine with version {version} {age:d} s ago")
 def step_own(context, run, version, age):
     facts = EngineFacts(declare_engine(1), None, report(run, version), NOW_S - age)
     context.snapshot = msgspec.structs.replace(EMPTY_SNAPSHOT, engines={"qalam-1": facts})
 
 
-@given("another node told run {run:d} with version {version} {age:d} s ago")
-def step_told(context, run, version, age):
+@given("another node reported run {run:d} with version {version} {age:d} s ago")
+def step_reported(context, run, version, age):
     state = EngineState.of(report(run, version), is_leaving=False, is_up=True)
     context.observed_states = {"qalam-1": ObservedState(state, NOW_S - age)}
 
--- a/features/support/local_allowances.py
+++ b/features/support/local_allowances.py
@@ -22,7 +22,7 @@
             self._prompt_tokens = TokenBucket(rate_per_s, rate_per_s * PROMPT_BURST_S, now_s)
 
     def can_start(self, num_prompt_tokens: int, now_s: float) -> bool:
-        """Return whether every limit has room; a prompt above the bucket's depth needs a full bucket."""
+        """Return whether every limit has room; a prompt larger than the bucket needs it full."""
         if self._max_running is not None and self._num_running >= self._max_running:
             return False
         if self._requests is not None and self._requests.available(now_s) < 1.0:
--- a/features/support/placement_states_fleet.py
+++ b/features/support/placement_states_fleet.py
@@ -1,8 +1,8 @@
 """A planner over many zones, in virtual time.
 
-Real planners, states servers and authenticated links over an in-memory network; engines, membership
-and the digests by which a zone hears of its engines are hollow: each node hears of its own zone's
-engines every `SPREAD_INTERVAL_S`, as homes spread load reports at this size.
+Planners, states servers and authenticated links are real and use an in-memory network. Engines,
+membership and the digests with load reports are simulated: each node gets the reports of its own
+zone's engines every `SPREAD_INTERVAL_S`, as homes spread load reports at this size.
 """
 
 import math
@@ -42,17 +42,17 @@
 from weirscale.standins.key_value.server import KeyValueServer
 
 SPREAD_INTERVAL_S = 7.0
-"""Time between reports of one engine to its zone with 94 engines, 22 nodes and 2 kB/s a home."""
+"""Seconds between reports of an engine to its zone with 94 engines, 22 nodes and 2 kB/s a home."""
 
 LOAD_S = 60.0
 MODEL = ModelName("paddock-lm")
 KEYS = KeyRing((PeerKey(1, b"0123456789abcdef"),))
 HTTP_HEADER_BYTES = 250
-"""Headers of a call and its reply together, over a connection that is kept."""
+"""Header bytes of a call and its reply together, on a persistent connection."""
 
 
-class HollowEngine:
-    """An engine that loads and reports; `history` holds its reports since each change."""
+class SimulatedEngine:
+    """A simulated engine that loads and reports; `history` holds each report and its start time."""
 
     def __init__(self, name: EngineName, load_s: float) -> None:
         self.name = name
@@ -69,7 +69,7 @@
 
     @property
     def report(self) -> LoadReport:
-        """The report now."""
+        """Return the current report."""
         return self.history[-1][1]
 
     def _change(self, report: LoadReport) -> None:
@@ -81,11 +81,11 @@
         return earlier[-1] if earlier else self.history[0][1]
 
     def hang(self) -> None:
-        """Answer nothing any more."""
+        """Stop answering."""
         self.hung_at_s = anyio.current_time()
 
     async def _answer(self) -> None:
-        """Wait as a caller does: for ever once the engine hangs."""
+        """Wait as a caller does: forever once the engine hangs."""
         if self.hung_at_s < math.inf:
             await anyio.sleep_forever()
         await anyio.lowlevel.checkpoint()
@@ -97,7 +97,7 @@
         return Ok(self.report)
 
     async def order(self, order: EngineOrder) -> Result[None, EngineFailure]:
-        """Take an order; a load begins at once and ends when `finish_due` is called late enough."""
+        """Accept an order; a load starts at once and ends at `finish_due` after `load_s`."""
         self.orders.append((anyio.current_time(), order))
         await self._answer()
         if isinstance(order.action, LoadModel) and order.token > self.fence:
@@ -107,7 +107,7 @@
         return Ok(None)
 
     def finish_due(self) -> None:
-        """End a load whose time has come."""
+        """End a load that has run for `load_s`."""
         since_s, report = self.history[-1]
         if not report.loading_token or anyio.current_time() - since_s < self.load_s:
             return
@@ -122,8 +122,8 @@
         self._change(msgspec.structs.replace(report, **loaded))
 
 
-class HollowNode:
-    """A node: its link, what it hears of its zone, and a planner that plans while `held`."""
+class SimulatedNode:
+    """A node: its link, its view of its zone, and a planner that plans while `held`."""
 
     def __init__(self, fleet: "StatesFleet", peer: Peer, random: Random) -> None:
         self.self_id = peer.node
@@ -139,7 +139,7 @@
         )
 
     def is_held(self) -> bool:
-        """Whether this node plans."""
+        """Return whether this node plans."""
         return self.held
 
     def peers(self) -> tuple[Peer, ...]:
@@ -151,11 +151,11 @@
         return self._fleet.membership_version
 
     def snapshot(self) -> DirectorySnapshot:
-        """Return what this node has heard of its own zone's engines."""
+        """Return this node's view of its own zone's engines."""
         return self._fleet.snapshot(self.peer.zone, self.held)
 
     def num_bytes(self) -> Counter[str]:
-        """Return the bytes of calls, sent and received, HTTP headers included."""
+        """Return the bytes of calls sent and received, including HTTP headers."""
         traffic = self.link.traffic
         sent = traffic.sent.values()
         received = traffic.received.values()
@@ -167,7 +167,7 @@
 
 
 class StatesFleet:
-    """Zones of nodes and engines; also the configuration in force."""
+    """Zones of nodes and engines, and the source of the configuration in force."""
 
     def __init__(
         self,
@@ -183,7 +183,7 @@
         self.key_value = InProcessKeyValue(KeyValueServer(Random(2)))
         self.zones = [ZoneName(f"hall-{index:02}") for index in range(num_zones)]
         self.engines = {
-            name: HollowEngine(name, load_s)
+            name: SimulatedEngine(name, load_s)
             for name in (EngineName(f"runner-{index:04}") for index in range(num_engines))
         }
         self.peers = tuple(
@@ -198,7 +198,7 @@
         self.membership_version = 1
         self._adopted: set[ZoneName] = set()
         self._declare(Model(MODEL, WeightVersion("v1"), **model_fields))
-        self.nodes = [HollowNode(self, peer, random) for peer in self.peers]
+        self.nodes = [SimulatedNode(self, peer, random) for peer in self.peers]
         for node in self.nodes:
             tasks.start_soon(node.link.run)
             tasks.start_soon(node.states.run)
@@ -220,7 +220,7 @@
         return self._in_force
 
     async def changed_after(self, revision: ConfigurationRevision) -> ConfigurationInForce:
-        """Wait for ever: the planner asks for the configuration each round."""
+        """Wait forever: the planner reads the configuration in each round."""
         await anyio.sleep_forever()
         return self._in_force
 
@@ -231,23 +231,25 @@
 
     def zone_of(self, name: EngineName) -> ZoneName:
         """Return an engine's zone."""
-        return next(each.zone for each in self._in_force.deployment.engines if each.name == name)
+        return next(
+            engine.zone for engine in self._in_force.deployment.engines if engine.name == name
+        )
 
-    def engines_in(self, zone: ZoneName) -> list[HollowEngine]:
+    def engines_in(self, zone: ZoneName) -> list[SimulatedEngine]:
         """Return a zone's engines."""
         declared = self._in_force.deployment.engines
-        return [self.engines[each.name] for each in declared if each.zone == zone]
+        return [self.engines[engine.name] for engine in declared if engine.zone == zone]
 
-    def nodes_in(self, zone: ZoneName) -> list[HollowNode]:
+    def nodes_in(self, zone: ZoneName) -> list[SimulatedNode]:
         """Return a zone's nodes."""
         return [node for node in self.nodes if node.peer.zone == zone]
 
     def adopt_zone(self, zone: ZoneName) -> None:
-        """Have every remaining node hear of a zone that has no node left, as homes of it do."""
+        """Let every node that does not plan observe a zone without nodes, as its homes do."""
         self._adopted.add(zone)
 
-    def remove_node(self, node: HollowNode) -> None:
-        """Crash a node; membership knows it at once."""
+    def remove_node(self, node: SimulatedNode) -> None:
+        """Crash a node; the membership drops it at once."""
         self.network.detach(node.peer.address)
         self.peers = tuple(peer for peer in self.peers if peer.node != node.self_id)
         self.membership_version += 1
@@ -257,15 +259,17 @@
         return sum(engine.report.weight_version == version for engine in self.engines.values())
 
     def snapshot(self, zone: ZoneName, is_planner: bool) -> DirectorySnapshot:
-        """Return the directory of a zone's node: every declared engine, heard of or not."""
+        """Return the directory of a zone's node: every declared engine, observed or not."""
         now_s = anyio.current_time()
-        heard_s = math.floor(now_s / SPREAD_INTERVAL_S) * SPREAD_INTERVAL_S
+        last_report_s = math.floor(now_s / SPREAD_INTERVAL_S) * SPREAD_INTERVAL_S
         facts = {}
         for declared in self._in_force.deployment.engines:
             engine: Any = self.engines[declared.name]
-            is_near = declared.zone == zone or (declared.zone in self._adopted and not is_planner)
-            if is_near:
-                at_s = min(heard_s, engine.hung_at_s)
+            is_observed = declared.zone == zone or (
+                declared.zone in self._adopted and not is_planner
+            )
+            if is_observed:
+                at_s = min(last_report_s, engine.hung_at_s)
                 facts[declared.name] = EngineFacts(declared, engine, engine.report_at(at_s), at_s)
             else:
                 facts[declared.name] = EngineFacts(declared, engine)
--- a/features/support/rollout_fleet.py
+++ b/features/support/rollout_fleet.py
@@ -32,21 +32,21 @@
 """About 3 s of generating in few steps: loads must wait for it."""
 
 PLANNER_LAG_S = (0.0, 3.0)
-"""How late each planner sees the engines; planners that see the same would decide the same."""
+"""Delay of each planner's view of the engines; planners with equal views would decide alike."""
 
 
 class NoStates:
-    """What other nodes tell of engines where the planner's own node hears of every engine."""
+    """Engine states from other nodes: none, because the planner's node observes every engine."""
 
     def observed_states(self):
         return {}
 
     def watch(self, engines):
-        """Ask nobody."""
+        """Query no other node."""
 
 
 class WeightStore:
-    """Source of weights whose loads slow one another down; a test sets what goes wrong."""
+    """Source of weights whose loads slow one another down; tests set its faults."""
 
     def __init__(self):
         self.load_s = LOAD_S
@@ -69,7 +69,7 @@
 
 
 class RecordedEngine(InProcessEngine):
-    """Engine that remembers the load orders it accepted and all tokens it was sent."""
+    """Engine that records the run, token and action of each order that it accepted."""
 
     def __init__(self, settings, random, weight_source):
         super().__init__(settings, random, weight_source=weight_source)
@@ -99,7 +99,7 @@
 
 
 class Lease:
-    """Planner's lease that a test gives and takes."""
+    """Planner's lease that a test grants and revokes."""
 
     def __init__(self, held):
         self.held = held
@@ -110,7 +110,7 @@
         return self.held
 
 
-class WatchedPort:
+class LeaseCheckingPort:
     """An engine's port as one planner uses it; counts orders given without the lease."""
 
     def __init__(self, port, lease):
@@ -125,7 +125,7 @@
 
 
 class PlannerDirectory:
-    """The directory as one planner sees it, some time late."""
+    """The directory as one planner sees it, `lag_s` seconds late."""
 
     def __init__(self, directory, lease, lag_s):
         self._directory = directory
@@ -140,7 +140,7 @@
             self._seen.pop(0)
         snapshot = self._seen[0][1]
         engines = {
-            name: msgspec.structs.replace(facts, port=WatchedPort(facts.port, self._lease))
+            name: msgspec.structs.replace(facts, port=LeaseCheckingPort(facts.port, self._lease))
             for name, facts in snapshot.engines.items()
         }
         return msgspec.structs.replace(snapshot, engines=engines)
@@ -165,7 +165,7 @@
 
 
 class FencedLease:
-    """A lease from the key-value service, by the product's own lease task."""
+    """A lease from the key-value service, held by the product's own lease task."""
 
     def __init__(self, index, key_value):
         duties = SimpleNamespace(is_own=lambda duty, count: True)
@@ -239,7 +239,7 @@
             tasks.cancel_scope.cancel()
 
     async def report_loads(self):
-        """Tell the directory of engines as their home would: far fewer events than probes."""
+        """Report engines to the directory as their home would, with far fewer events than probes."""
         while True:
             for name, engine in self.engines.items():
                 if engine.is_reachable:
@@ -261,10 +261,10 @@
         )
 
     def hold_orders(self):
-        """Keep orders from the engines from now on; returns the list that they are put in."""
+        """Hold back all orders to engines from now on; return the list that collects them."""
         held = []
 
-        def holding(engine):
+        def order_holder(engine):
             async def order(order):
                 held.append((engine, order))
                 return Err(EngineFailure(EngineFailureKind.TIMED_OUT, "no answer"))
@@ -272,14 +272,14 @@
             return order
 
         for engine in self.engines.values():
-            engine.order = holding(engine)
+            engine.order = order_holder(engine)
         return held
 
     def loading(self):
         return [engine for engine in self.engines.values() if engine.is_loading]
 
     async def wait_for_loading(self):
-        while not self.loading():  # noqa: ASYNC110 - engines tell nobody
+        while not self.loading():  # noqa: ASYNC110 - engines send no event
             await anyio.sleep(SAMPLE_INTERVAL_S)
         return self.loading()[0]
 
@@ -299,11 +299,11 @@
         return max(num_loading for num_loading, _, _ in self.samples)
 
     def fewest_ready(self):
-        """Ready engines at the worst moment, engines lost to the fault counted as ready."""
+        """Return the lowest number of ready engines, with engines lost to the fault as ready."""
         return min(num_ready + num_lost for _, num_ready, num_lost in self.samples)
 
     def token_order_broken(self):
-        """Engines that carried out an order with a lower token than one before in one run."""
+        """Return the engines that executed an order with a lower token than an earlier one of a run."""
         broken = []
         for name, engine in self.engines.items():
             for before, after in zip(
@@ -314,7 +314,7 @@
         return broken
 
     def tokens_given_twice(self):
-        """Tokens that stand for two different orders."""
+        """Return the tokens that were used for two different orders."""
         seen = {}
         for name, engine in self.engines.items():
             for _, token, action in engine.accepted_tokens:
@@ -322,7 +322,7 @@
         return [token for token, orders in seen.items() if len(orders) > 1]
 
     def long_answers(self):
-        """Outcome and version of the requests that ran when the rollout began."""
+        """Return outcome and version of the requests in flight when the rollout began."""
         return [
             (record.outcome, record.weight_version)
             for engine in self.engines.values()
@@ -343,7 +343,7 @@
 
 
 def observed(engine, version, **fields):
-    """Return what is seen of an engine that serves a version, or has no weights for None."""
+    """Return the observation of an engine that serves a version, or has no weights if None."""
     defaults = {"incarnation": 1, "adapters": frozenset(), "num_running": 0, "order_token": 0}
     defaults |= {"is_up": True, "is_leaving": False}
     model = MODEL if version is not None else None
