--- a/features/engine_contract.feature
+++ b/features/engine_contract.feature
@@ -1,6 +1,8 @@
 Feature: Contract of the engine port, in process and over HTTP
+  Guards against adapters that report a failure as another kind than it was, or a request as not run
+  although the engine ran it, and against in-process and HTTP engines that behave differently.
 
-  Scenario Outline: A failed call is told as its kind, with what the engine really ran
+  Scenario Outline: A failed call is reported as its kind, consistently with what the engine ran
     Given an engine behind the "<port>" engine port with the condition "<condition>"
     When a request for 8 tokens is sent to the engine
     Then the engine port gives <chunks> chunks and then "<outcome>"
@@ -50,7 +52,7 @@
       | HTTP | end_before_chunk=3     | 3      | broken           | 1    |
       | HTTP | garble_chunk=3         | 3      | corrupt          | 1    |
 
-  Scenario Outline: Wrong chunks are passed on as the engine sent them, for the caller to check
+  Scenario Outline: Wrong chunks are passed on unchanged, for the caller to check
     Given an engine behind the "<port>" engine port with the condition "<condition>"
     When a request for 4 tokens is sent to the engine
     Then the engine port gives the chunks "<chunks>"
@@ -68,12 +70,12 @@
       | HTTP       | cross_chunk=1         | 0 1! 2 3          |
       | HTTP       | wrong_request_id      | 0! 1! 2! 3!       |
 
-  Scenario Outline: The other calls of an engine answer the same through both ports
+  Scenario Outline: The other engine calls give the same answers through both ports
     Given an engine behind the "<port>" engine port with the condition "none"
     When every other call of the engine port is made
     Then resuming gives the rest of the answer and an unknown attempt is not found
     And continuing on another engine completes the answer
-    And cancelling is accepted once known and not found otherwise
+    And cancelling a known request is accepted and an unknown one is not found
     And orders below the last token are refused and identical repeats accepted
     And the cache events lead to the blocks of the dump
     And events of another incarnation or beyond the window are not found
--- a/features/machines_contract.feature
+++ b/features/machines_contract.feature
@@ -1,35 +1,37 @@
-Feature: The machine list port keeps one contract, in the process and over HTTP
+Feature: Contract of the machine list port, in process and over HTTP
+  Guards against a machine list that is reported as empty or wrong when it could not be read, and
+  against in-process and HTTP adapters that behave differently.
 
-  Scenario Outline: A step of the contract, over both adapters
+  Scenario Outline: The machine list at one moment, through both adapters
     When the machine list's "<step>" runs over the <adapter> adapter
     Then the machine list reads "<outcome>"
 
     Examples:
-      | step                      | adapter    | outcome                      |
-      | before the lag has passed | in-process | 10.0.0.1                     |
-      | before the lag has passed | HTTP       | 10.0.0.1                     |
-      | after the lag             | in-process | 10.0.0.1 leaving, 10.0.0.2   |
-      | after the lag             | HTTP       | 10.0.0.1 leaving, 10.0.0.2   |
-      | after a removal           | in-process | 10.0.0.2                     |
-      | after a removal           | HTTP       | 10.0.0.2                     |
-      | a machine wrongly left out | in-process | 10.0.0.1 leaving            |
-      | a machine wrongly left out | HTTP       | 10.0.0.1 leaving            |
-      | down                      | in-process | unreadable                   |
-      | down                      | HTTP       | unreadable                   |
+      | step                      | adapter    | outcome                    |
+      | before the lag has passed | in-process | 10.0.0.1                   |
+      | before the lag has passed | HTTP       | 10.0.0.1                   |
+      | after the lag             | in-process | 10.0.0.1 leaving, 10.0.0.2 |
+      | after the lag             | HTTP       | 10.0.0.1 leaving, 10.0.0.2 |
+      | after a removal           | in-process | 10.0.0.2                   |
+      | after a removal           | HTTP       | 10.0.0.2                   |
+      | a machine wrongly omitted | in-process | 10.0.0.1 leaving           |
+      | a machine wrongly omitted | HTTP       | 10.0.0.1 leaving           |
+      | down                      | in-process | unreadable                 |
+      | down                      | HTTP       | unreadable                 |
 
-  Scenario Outline: What the adapter makes of a broken exchange
+  Scenario Outline: A broken exchange is reported as unreadable
     When the machine list's exchange ends in "<event>"
     Then the machine list reads "unreadable"
 
     Examples:
-      | event                  |
-      | a refused connection   |
-      | an answer timeout      |
-      | status 500             |
-      | a body that is no JSON |
-      | a list of numbers      |
+      | event                   |
+      | a refused connection    |
+      | an answer timeout       |
+      | status 500              |
+      | a body that is not JSON |
+      | a list of numbers       |
 
-  Scenario: A machine list that takes too long is given up
+  Scenario: A read of the machine list that takes too long times out
     When the machine list takes 10 s and the timeout is 3 s
     Then the machine list reads "unreadable"
 
--- a/features/service_contract.feature
+++ b/features/service_contract.feature
@@ -1,6 +1,8 @@
 Feature: Contract of the service port, in process and over HTTP
+  Guards against adapters that report a failure as another kind than it was, or an order as not run
+  although the service ran it.
 
-  Scenario Outline: A failed call is told as its kind, with what the service really ran
+  Scenario Outline: A failed call is reported as its kind, consistently with what the service ran
     Given a print-shop service behind the "<port>" service port with the fault "<fault>"
     When one order is sent to the service
     Then the service port answers "<outcome>"
--- a/features/steps/engine_behaviour_steps.py
+++ b/features/steps/engine_behaviour_steps.py
@@ -27,7 +27,7 @@
     num_total_blocks=400,
     weight_bytes=2_000_000_000,
 )
-# After the eviction, 400 - 313 blocks of 16 tokens are left: deep blocks leave first.
+# After the eviction, 400 - 313 blocks of 16 tokens remain: deep blocks are evicted first.
 CHANGES = {
     "another tenant": {"cache_salt": "kirkos-school"},
     "another adapter": {"adapter": "amharic"},
@@ -56,7 +56,7 @@
     return (await collect(engine.generate(call)))[-1].ok_value
 
 
-async def bring_about(engine, change):
+async def apply_change(engine, change):
     if change == "a crash":
         engine.crash()
         await anyio.sleep(SETTINGS.restart_s)
@@ -77,7 +77,7 @@
     async def scenario(engine):
         first = await last_chunk(engine, make_call(prompt=PROMPT))
         assert first.num_cached_tokens == 0
-        await bring_about(engine, change)
+        await apply_change(engine, change)
         call = make_call(attempt=1, prompt=PROMPT)
         return await last_chunk(engine, msgspec.structs.replace(call, **CHANGES.get(change, {})))
 
@@ -104,9 +104,12 @@
 
 @when('an empty engine imports it for tenant "{tenant}" with the store "{fault}"')
 def step_import(context, tenant, fault):
-    own = extend_chain(chain_seed(tenant, "qalam", "v1", None), PROMPT, 0, 64)
+    own_hashes = extend_chain(chain_seed(tenant, "qalam", "v1", None), PROMPT, 0, 64)
     call = make_call(
-        prompt=PROMPT, cache_salt=tenant, kept_kv_store="mezgeb:1", kept_kv_block_hash=own[-1]
+        prompt=PROMPT,
+        cache_salt=tenant,
+        kept_kv_store="mezgeb:1",
+        kept_kv_block_hash=own_hashes[-1],
     )
 
     async def scenario(engine):
@@ -122,8 +125,8 @@
     store = FaultyKeptKvStore(KeptKvSettings(name="mezgeb"))
     engine = InProcessEngine(SETTINGS, Random(1), block_stores={"mezgeb:1": store})
     with_store_s, context.chunk = run_with_engine(engine, scenario)
-    plain_s = run_with_engine(InProcessEngine(SETTINGS, Random(1)), without_store)
-    context.extra_s = with_store_s - plain_s
+    without_store_s = run_with_engine(InProcessEngine(SETTINGS, Random(1)), without_store)
+    context.extra_s = with_store_s - without_store_s
 
 
 @then("the first chunk comes within {wait_s:f} s of an engine without a store")
@@ -137,12 +140,12 @@
     context.store_settings = WeightStoreSettings(bytes_per_s=rate * 1_000_000.0)
 
 
-@given("a weight store that lets one read begin in {interval_s:d} s")
+@given("a weight store that starts one read every {interval_s:d} s")
 def step_rate_limit(context, interval_s):
     context.store_settings = WeightStoreSettings(min_start_interval_s=interval_s)
 
 
-@then("the reads begin 0, 5 and 10 s after the orders")
+@then("the reads start 0, 5 and 10 s after the orders")
 def step_starts(context):
     starts = [round(start_s, 3) for start_s in context.starts]
     assert starts == [0, 5, 10], starts
@@ -225,7 +228,7 @@
 async def step_two_tenants(context, engine):
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(last_chunk, engine, make_call(prompt=b"short"))
-        # The step of the short prompt takes longer than this: the two join the next one.
+        # The step of the short prompt takes longer than this: both prompts join the next step.
         await anyio.sleep(0.001)
         for tenant in TENANTS:
             call = make_call(request_id=tenant, prompt=PROMPT, cache_salt=tenant)
@@ -248,7 +251,7 @@
 
 
 @when(
-    'requests of priorities "{priorities}" and one with {left_s:f} s left wait behind a running one'
+    'requests of priorities "{priorities}" and one with {left_s:f} s left wait behind a running request'
 )
 def step_priorities(context, priorities, left_s):
     calls = [make_call(request_id=number, priority=int(number)) for number in priorities.split()]
@@ -265,7 +268,7 @@
     run_with_engine(context.engine, scenario)
 
 
-@then('they start in the order "{order}" and the expired one never starts')
+@then('they start in the order "{order}" and the expired request never starts')
 def step_order(context, order):
     started = [record.request_id for record in context.engine.model.ledger.records()]
     assert started == ["running", *order.split()], started
@@ -276,20 +279,22 @@
 async def step_order_while_running(context, engine):
     answers = {}
 
-    async def keep(request_id):
+    async def record_answer(request_id):
         answers[request_id] = await collect(engine.generate(make_call(request_id=request_id)))
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(keep, "running")
+        tasks.start_soon(record_answer, "running")
         await anyio.sleep(0.001)
-        tasks.start_soon(keep, "waiting")
+        tasks.start_soon(record_answer, "waiting")
         await anyio.sleep(0.001)
         await engine.order(LOAD_V2)
     await anyio.sleep(1)
     context.answers = answers
 
 
-@then('the running one is complete on "{version}" and the waiting one is refused unrun')
+@then(
+    'the running request is complete on "{version}" and the waiting request is refused as not run'
+)
 def step_versions(context, version):
     running = context.answers["running"]
     assert "".join(item.ok_value.text for item in running) == expected_text(make_call().prompt, 8)
--- a/features/steps/engine_contract_steps.py
+++ b/features/steps/engine_contract_steps.py
@@ -118,34 +118,34 @@
 @then('the engine port gives the chunks "{expected}"')
 def step_chunks(context, expected):
     chunks = [item.ok_value for item in context.items]
-    marks = ["" if chunk.request_id == "request/1" else "!" for chunk in chunks]
-    seen = [f"{chunk.sequence}{mark}" for chunk, mark in zip(chunks, marks, strict=True)]
+    foreign_marks = ["" if chunk.request_id == "request/1" else "!" for chunk in chunks]
+    seen = [f"{chunk.sequence}{mark}" for chunk, mark in zip(chunks, foreign_marks, strict=True)]
     assert " ".join(seen) == expected, seen
 
 
-async def call_everything(engine, port):
-    seen = {"whole": await collect(port.generate(make_call()))}
-    seen["rest"] = await collect(port.resume("request/1", 0, 5))
-    seen["unknown"] = await collect(port.resume("request/2", 0, 0))
+async def make_other_calls(engine, port):
+    answers = {"whole": await collect(port.generate(make_call()))}
+    answers["rest"] = await collect(port.resume("request/1", 0, 5))
+    answers["unknown"] = await collect(port.resume("request/2", 0, 0))
     continued = make_call(
         attempt=1,
         continue_text=expected_text(PROMPT, 5),
         continue_sequence=3,
         continue_num_tokens=5,
     )
-    seen["continued"] = await collect(port.generate(continued))
-    seen["cancel"] = await port.cancel("request/1", 0)
-    seen["cancel unknown"] = await port.cancel("request/2", 0)
+    answers["continued"] = await collect(port.generate(continued))
+    answers["cancel"] = await port.cancel("request/1", 0)
+    answers["cancel unknown"] = await port.cancel("request/2", 0)
     load, unload = LoadAdapter("amharic"), UnloadAdapter("amharic")
     orders = [(3, load), (3, load), (3, unload), (2, load), (4, unload)]
-    seen["orders"] = [await port.order(EngineOrder(token, action)) for token, action in orders]
+    answers["orders"] = [await port.order(EngineOrder(token, action)) for token, action in orders]
     await collect(port.generate(make_call(attempt=2, cache_salt="kirkos-school")))
-    seen["dump"] = (await port.cache_dump()).ok_value
-    seen["events"] = await follow_until(port, seen["dump"].sequence)
-    seen["other run"] = await collect(port.cache_events(Incarnation(9), 0))
-    seen["too far"] = await collect(port.cache_events(None, 10_000))
-    seen["load"] = await port.load()
-    return seen
+    answers["dump"] = (await port.cache_dump()).ok_value
+    answers["events"] = await follow_until(port, answers["dump"].sequence)
+    answers["other run"] = await collect(port.cache_events(Incarnation(9), 0))
+    answers["too far"] = await collect(port.cache_events(None, 10_000))
+    answers["load"] = await port.load()
+    return answers
 
 
 async def follow_until(port, sequence):
@@ -181,47 +181,50 @@
 
 @when("every other call of the engine port is made")
 def step_everything(context):
-    # 40 blocks hold one prompt of 24 blocks only: the second tenant's evicts the first one's.
+    # 40 blocks hold only one prompt of 24 blocks: the second tenant's evicts the first's.
     settings = msgspec.structs.replace(SETTINGS, num_total_blocks=40)
-    context.seen = run_engine(context.kind, settings, call_everything)
+    context.answers = run_engine(context.kind, settings, make_other_calls)
 
 
 @then("resuming gives the rest of the answer and an unknown attempt is not found")
 def step_resume(context):
-    assert context.seen["rest"] == context.seen["whole"][5:] and len(context.seen["rest"]) == 3
-    assert kinds_of(context.seen["unknown"]) == ["not_found"]
+    assert (
+        context.answers["rest"] == context.answers["whole"][5:]
+        and len(context.answers["rest"]) == 3
+    )
+    assert kinds_of(context.answers["unknown"]) == ["not_found"]
 
 
 @then("continuing on another engine completes the answer")
 def step_continue(context):
-    chunks = context.seen["continued"]
+    chunks = context.answers["continued"]
     assert expected_text(PROMPT, 5) + text_of(chunks) == expected_text(PROMPT, 8)
     assert [chunk.ok_value.sequence for chunk in chunks] == [3, 4, 5]
 
 
-@then("cancelling is accepted once known and not found otherwise")
+@then("cancelling a known request is accepted and an unknown one is not found")
 def step_cancel(context):
-    assert context.seen["cancel"] == Ok(None)
-    assert kinds_of([context.seen["cancel unknown"]]) == ["not_found"]
+    assert context.answers["cancel"] == Ok(None)
+    assert kinds_of([context.answers["cancel unknown"]]) == ["not_found"]
 
 
 @then("orders below the last token are refused and identical repeats accepted")
 def step_orders(context):
-    accepted = [isinstance(item, Ok) for item in context.seen["orders"]]
-    assert accepted == [True, True, False, False, True], context.seen["orders"]
-    assert kinds_of(context.seen["orders"]) == ["refused_stale_order"] * 2
+    accepted = [isinstance(item, Ok) for item in context.answers["orders"]]
+    assert accepted == [True, True, False, False, True], context.answers["orders"]
+    assert kinds_of(context.answers["orders"]) == ["refused_stale_order"] * 2
 
 
 @then("the cache events lead to the blocks of the dump")
 def step_events(context):
-    batches = context.seen["events"]
+    batches = context.answers["events"]
     assert [batch.sequence for batch in batches] == list(range(1, len(batches) + 1))
-    assert replay(batches) == set(context.seen["dump"].block_hashes)
+    assert replay(batches) == set(context.answers["dump"].block_hashes)
     assert any(isinstance(event, BlockRemoved) for batch in batches for event in batch.events)
 
 
 @then("events of another incarnation or beyond the window are not found")
 def step_not_found(context):
-    assert kinds_of(context.seen["other run"]) == ["not_found"]
-    assert kinds_of(context.seen["too far"]) == ["not_found"]
-    assert context.seen["load"].ok_value.engine == "runner-1"
+    assert kinds_of(context.answers["other run"]) == ["not_found"]
+    assert kinds_of(context.answers["too far"]) == ["not_found"]
+    assert context.answers["load"].ok_value.engine == "runner-1"
--- a/features/steps/engine_properties_steps.py
+++ b/features/steps/engine_properties_steps.py
@@ -29,8 +29,8 @@
 )
 
 
-class Player:
-    """Plays calls to one model and checks it after each."""
+class ModelChecker:
+    """Applies calls to one model and checks its invariants after each."""
 
     def __init__(self):
         self.model = EngineModel(SETTINGS, Incarnation(1))
@@ -38,7 +38,7 @@
         self.num_sent = 0
         self.num_loads = 0
 
-    def play(self, call):
+    def apply(self, call):
         self.now_s += STEP_S
         getattr(self, call[0])(*call[1:])
         self.check()
@@ -56,13 +56,13 @@
 
     def step(self, num_steps):
         for _ in range(num_steps):
-            self.one_step()
+            self.run_step()
 
-    def disturb(self, what):
-        if what != "nothing":
-            getattr(self, what)()
+    def disturb(self, disturbance):
+        if disturbance != "nothing":
+            getattr(self, disturbance)()
 
-    def one_step(self):
+    def run_step(self):
         self.now_s += STEP_S
         if self.model.begin_step(self.now_s) is not None:
             self.model.finish_step(self.now_s)
@@ -111,20 +111,20 @@
         assert report.num_waiting_prefill_tokens == 0, report
 
 
-@when("{count:d} generated sequences of calls are played to engine models")
-def step_play(context, count):
-    context.num_played = 0
+@when("{count:d} generated sequences of calls are applied to engine models")
+def step_apply(context, count):
+    context.num_sequences = 0
 
     @for_all(count, st.lists(CALLS, min_size=20, max_size=60))
-    def play_all(calls):
-        player = Player()
+    def apply_all(calls):
+        checker = ModelChecker()
         for call in calls:
-            player.play(call)
-        player.finish()
-        context.num_played += 1
+            checker.apply(call)
+        checker.finish()
+        context.num_sequences += 1
 
 
 @then("memory is never exceeded and the published events always lead to the blocks held")
-@then("after the last request no memory is reserved and nothing waits")
+@then("after the last request no memory is reserved and no request waits")
 def step_checked(context):
-    assert context.num_played >= 100, context.num_played
+    assert context.num_sequences >= 100, context.num_sequences
--- a/features/steps/machines_contract_steps.py
+++ b/features/steps/machines_contract_steps.py
@@ -17,13 +17,13 @@
 RAISED = {"a refused connection": httpx.ConnectError, "an answer timeout": httpx.ReadTimeout}
 ANSWERS = {
     "status 500": (500, b'{"machines": []}'),
-    "a body that is no JSON": (200, b"["),
+    "a body that is not JSON": (200, b"["),
     "a list of numbers": (200, b'{"machines": [1]}'),
 }
 
 
 def changed_model():
-    """Return a list with a lag of 3 s whose machines change twice."""
+    """Return a machine list with a lag of 3 s whose machines change twice."""
     model = MachineListModel([Machine("10.0.0.1", is_leaving=False)])
     model.put(Machine("10.0.0.1", is_leaving=True), CHANGED_AT_S)
     model.put(Machine("10.0.0.2", is_leaving=False), CHANGED_AT_S)
@@ -35,14 +35,14 @@
     """Return the model and the time at which the list is read."""
     model = changed_model()
     model.faults.is_down = step == "down"
-    if step == "a machine wrongly left out":
+    if step == "a machine wrongly omitted":
         model.faults.omitted_hosts = ("10.0.0.2",)
     is_early = step == "before the lag has passed"
     now_s = CHANGED_AT_S + (2.9 if is_early else 3.0)
     return model, REMOVED_AT_S + 3.0 if step == "after a removal" else now_s
 
 
-def shown(result):
+def describe(result):
     if isinstance(result, Err):
         return "unreadable"
     machines = result.ok_value
@@ -54,11 +54,11 @@
     model, now_s = prepare(step)
 
     async def in_process():
-        return shown(await InProcessMachineList(model, lambda: now_s).machines())
+        return describe(await InProcessMachineList(model, lambda: now_s).machines())
 
     async def over_http():
         async with served(MachineListApp(model, lambda: now_s)) as address:
-            return shown(await HttpMachineList(address).machines())
+            return describe(await HttpMachineList(address).machines())
 
     if adapter == "HTTP":
         context.machine_list = anyio.run(over_http)
@@ -75,7 +75,7 @@
 def step_broken(context, event):
     transport = broken_exchange(RAISED.get(event), ANSWERS.get(event))
     port = HttpMachineList("127.0.0.1:1", transport=transport)
-    context.machine_list = shown(anyio.run(port.machines))
+    context.machine_list = describe(anyio.run(port.machines))
 
 
 @when("the machine list takes {delay:d} s and the timeout is {timeout:d} s")
@@ -83,7 +83,7 @@
     model = changed_model()
     model.faults.delay_s = delay
     port = InProcessMachineList(model, timeout_s=timeout)
-    context.machine_list = shown(run_in_virtual_time(port.machines))
+    context.machine_list = describe(run_in_virtual_time(port.machines))
 
 
 @when("a machine is put, put and removed over HTTP with a lag of 0 s")
@@ -96,9 +96,9 @@
             await client.post("/faults", json={"lag_s": 0})
             for host in ("10.0.0.7", "10.0.0.8"):
                 await client.post("/machines", json={"host": host, "is_leaving": False})
-            gone = {"host": "10.0.0.7", "is_leaving": False}
-            await client.post("/machines/remove", json=gone)
+            removed = {"host": "10.0.0.7", "is_leaving": False}
+            await client.post("/machines/remove", json=removed)
             assert (await client.post("/machines", json={"host": 7})).status_code == 400
-            return shown(await HttpMachineList(address).machines())
+            return describe(await HttpMachineList(address).machines())
 
     context.machine_list = anyio.run(main)
--- a/features/support/engine_calls.py
+++ b/features/support/engine_calls.py
@@ -1,4 +1,4 @@
-"""Calls that the scenarios of engines and services share."""
+"""Engine calls and waits that scenarios of engines and services share."""
 
 import anyio
 import msgspec
--- a/features/support/faulty_stores.py
+++ b/features/support/faulty_stores.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the kept-KV and the weight store that fail and stall."""
+"""Kept-KV and weight store stand-ins that can fail and stall."""
 
 import anyio
 from result import Err
@@ -9,10 +9,10 @@
 
 
 class StoreFaults(Faults, frozen=True, kw_only=True):
-    """What goes wrong at a kept-KV or weight store; the default is nothing.
+    """Faults of a kept-KV or weight store; by default there are none.
 
     `is_dead`: every call fails at once; `is_stalled`: no call is answered; `delay_s`: every call
-    takes this much longer.
+    takes this many seconds longer.
     """
 
     is_dead: bool = False
@@ -20,8 +20,8 @@
     delay_s: float = 0.0
 
 
-async def failure_of(switch):
-    """Return the failure of one more call, which may also stall or take longer."""
+async def apply_faults(switch):
+    """Apply the faults to one call: return its failure or None; it may stall or be delayed."""
     faults = switch.strike()
     if faults.is_dead:
         return Err("the store is down")
@@ -37,10 +37,10 @@
         self.faults = FaultSwitch(StoreFaults())
 
     async def import_blocks(self, block_hashes):
-        return await failure_of(self.faults) or await super().import_blocks(block_hashes)
+        return await apply_faults(self.faults) or await super().import_blocks(block_hashes)
 
     async def export_blocks(self, block_hashes):
-        return await failure_of(self.faults) or await super().export_blocks(block_hashes)
+        return await apply_faults(self.faults) or await super().export_blocks(block_hashes)
 
 
 class FaultyWeightStore(InProcessWeightStore):
@@ -49,4 +49,4 @@
         self.faults = FaultSwitch(StoreFaults())
 
     async def fetch(self, engine, load, num_bytes):
-        return await failure_of(self.faults) or await super().fetch(engine, load, num_bytes)
+        return await apply_faults(self.faults) or await super().fetch(engine, load, num_bytes)
--- a/features/support/machine_list_app.py
+++ b/features/support/machine_list_app.py
@@ -1,7 +1,7 @@
-"""The machine list as an ASGI app: `GET /machines`, and `/stand-in/...` to change it.
+"""The machine list as an ASGI app: `GET /machines`, and `/stand-in/...` for changes.
 
-`POST /stand-in/faults` sets the faults; `POST /stand-in/machines` puts one machine and
-`POST /stand-in/machines/remove` takes one away, each with the machine as a JSON object.
+`POST /stand-in/faults` sets the faults. `POST /stand-in/machines` adds or replaces a machine and
+`POST /stand-in/machines/remove` removes one, each with the machine as a JSON object.
 """
 
 from collections.abc import Callable
@@ -40,7 +40,7 @@
         self._now = now
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one HTTP request, or the start and stop of the server."""
+        """Answer one HTTP request or the lifespan events of the server."""
         if scope["type"] == "lifespan":
             await answer_lifespan(receive, send)
             return
--- a/features/support/served_stand_ins.py
+++ b/features/support/served_stand_ins.py
@@ -1,4 +1,4 @@
-"""Serves stand-ins on loopback ports for the length of a scenario, with outages."""
+"""Serves stand-ins on loopback ports during a scenario, with outages."""
 
 import socket
 from collections.abc import Callable
@@ -13,14 +13,14 @@
 from weirscale.standins.service.http_app import ServiceApp
 
 OUTAGE_POLL_S = 0.01
-"""How often a server looks whether its stand-in can be reached."""
+"""Seconds between a server's checks whether its stand-in is reachable."""
 
 
 class OutageServer:
-    """Serves an app on one port that refuses connections while an outage lasts.
+    """Serves an app on one port, which refuses connections during an outage.
 
-    The listener is closed while `is_reachable` is False and opened again, on the same port, when
-    it is True.
+    The listener is closed while `is_reachable` returns False, and reopened on the same port when it
+    returns True.
     """
 
     def __init__(self, app, is_reachable: Callable[[], bool]):
@@ -36,7 +36,7 @@
     async def run(self):
         """Serve until cancelled."""
         while True:
-            # Serving turns cancellation into a stop; only a checkpoint here ends the loop then.
+            # Serving converts a cancellation into a normal stop; this checkpoint then ends the loop.
             await anyio.lowlevel.checkpoint()
             if self._is_reachable():
                 await self._serve_until_outage()
@@ -54,7 +54,7 @@
             tasks.cancel_scope.cancel()
 
     async def _stop_at_outage(self, stop):
-        # Crashes, ends of crashes and faults tell nobody.
+        # Crashes, recoveries and faults send no event.
         while self._is_reachable():  # noqa: ASYNC110
             await anyio.sleep(OUTAGE_POLL_S)
         stop.set()
@@ -67,7 +67,7 @@
 
 @dataclass
 class Served:
-    """A stand-in that is being served at `address`."""
+    """A stand-in that is served at `address`."""
 
     address: str
 
