--- a/features/experiment_virtual_runs.feature
+++ b/features/experiment_virtual_runs.feature
@@ -1,6 +1,8 @@
-Feature: Whole fleets run in virtual time and their histories are judged
+Feature: Whole fleets run in virtual time and their histories are checked
+  Guards against a harness that misses the faults of a node or reports faults of its own, processes
+  that run on after they were killed, and runs that differ with the same seed.
 
-  Scenario Outline: The harness finds what a faulty node does to its callers
+  Scenario Outline: The harness finds each fault of a faulty node
     Given a virtual fleet of scripted nodes that are "<behaviour>"
     When the scripted fleet runs the "yearbook" workload for 6 s
     Then the scripted fleet's violations are of rules "<rules>"
@@ -18,17 +20,17 @@
       | answering never                   | whole_own_answer      | lost           |
       | raising exceptions                | none                  | failed         |
 
-  Scenario: A killed node runs no further, not even what is shielded, and a paused one goes on later
+  Scenario: A killed process stops, also in shielded scopes, and a paused one continues later
     Given a process whose task counts at its gate each second, shielded from cancellation
     When it is paused from 3.5 s to 6.5 s and killed at 9.2 s
     Then it has counted at "1 2 3 6.5 7.5 8.5" and never again by 20 s
 
-  Scenario: A process killed while it drains ends its drain and nothing else
+  Scenario: A process that is killed while it drains ends only its drain
     Given a process whose drain passes its gate each second for 5 s
-    When its drain begins at 1 s and it is killed at 2.5 s
-    Then its drain has ended without an exception by 3.5 s
+    When the drain starts at 1 s and it is killed at 2.5 s
+    Then the drain has ended without an exception by 3.5 s
 
-  Scenario Outline: The product's nodes keep every rule under a fault
+  Scenario Outline: The product's nodes keep every rule under each fault
     Given a virtual run of "<deployment>" with the fault "<fault>"
     When the product's nodes run it in virtual time with seed 5
     Then no rule is broken and most requests are answered once
--- a/features/scale_engine_connections.feature
+++ b/features/scale_engine_connections.feature
@@ -1,10 +1,11 @@
 Feature: Connections of a node to the engines of a large deployment
-  A node asks each declared engine for its load when it starts, and most of them rarely after that.
+  Guards against one idle connection per engine: a node asks each declared engine for its load when
+  it starts, and most engines rarely after that.
 
-  Scenario Outline: Engines that are asked once keep no connection
-    Given an engine server that <ports> ports lead to
+  Scenario Outline: A port keeps a connection only after several calls
+    Given an engine server and <ports> ports to it
     When each port asks for the load <times> times at once
-    Then <connections> connections of these ports are left open
+    Then <connections> connections of these ports stay open
 
     Examples:
       | ports | times | connections |
--- a/features/steps/experiment_files_steps.py
+++ b/features/steps/experiment_files_steps.py
@@ -92,7 +92,7 @@
     return msgspec.json.encode({"error": {"code": code, "run_status": run_status}})
 
 
-def shown(received, was_connected):
+def describe(received, was_connected):
     match received:
         case ReceivedText():
             return f"text {received.text}"
@@ -111,9 +111,9 @@
     request = HttpRequest("POST", "/v1/chat/completions", "", (), b"{}")
     async with httpx.AsyncClient(transport=transport) as client:
         exchange = HttpExchange(client, "127.0.0.1:1", request)
-        received = [one async for one in read_answer(exchange)]
+        received = [event async for event in read_answer(exchange)]
         await exchange.leave()
-    return ", ".join(shown(one, exchange.was_connected) for one in received)
+    return ", ".join(describe(event, exchange.was_connected) for event in received)
 
 
 @given('a server that answers "{answer}"')
@@ -121,7 +121,7 @@
     context.server_answer = answer
 
 
-@when("a caller reads it over HTTP")
+@when("a caller reads the answer over HTTP")
 def step_read_http(context):
     context.received = run_in_virtual_time(read_over_http, context.server_answer)
 
@@ -159,7 +159,7 @@
     assert error.remedy.startswith(remedy), error.remedy
 
 
-@given('the recorded history "{name}" whose caption was meant to be sent {early:g} s earlier')
+@given('the recorded history "{name}" whose caption was due to be sent {early:g} s earlier')
 def step_early(context, name, early):
     early_caption = change(CAPTION, intended_at_s=CAPTION.intended_at_s - early)
     records = [early_caption if record is CAPTION else record for record in CASES[name]]
@@ -168,7 +168,7 @@
     )
 
 
-@when("its report figures are worked out")
+@when("its report figures are computed")
 def step_figures(context):
     context.figures = figures_of(context.history)
 
--- a/features/steps/experiment_virtual_runs_steps.py
+++ b/features/steps/experiment_virtual_runs_steps.py
@@ -84,7 +84,7 @@
 async def count_in_process(counted_at, paused_s, resumed_s, killed_s, end_s):
     life = ProcessLife()
 
-    async def note():
+    async def record_time():
         counted_at.append(anyio.current_time())
 
     async def count():
@@ -92,7 +92,7 @@
             with anyio.CancelScope(shield=True):
                 while True:
                     await life.guard(lambda: anyio.sleep(1.0))
-                    await life.guard(note)
+                    await life.guard(record_time)
         except ProcessKilled:
             return
 
@@ -133,13 +133,13 @@
             await self._life.guard(lambda: anyio.sleep(1.0))
 
 
-async def drain_and_kill(num_gates, begun_s, killed_s):
+async def drain_and_kill(num_gates, start_s, killed_s):
     process = NodeProcess([])
     process.node = SlowlyDrainingNode(process.life, num_gates)
     ended_at = []
 
     async def drain():
-        await anyio.sleep_until(begun_s)
+        await anyio.sleep_until(start_s)
         await process.drain()
         ended_at.append(anyio.current_time())
 
@@ -155,12 +155,12 @@
     context.num_gates = num_gates
 
 
-@when("its drain begins at {begun:g} s and it is killed at {killed:g} s")
+@when("the drain starts at {begun:g} s and it is killed at {killed:g} s")
 def step_kill_draining(context, begun, killed):
     context.ended_at = run_in_virtual_time(drain_and_kill, context.num_gates, begun, killed)
 
 
-@then("its drain has ended without an exception by {by:g} s")
+@then("the drain has ended without an exception by {by:g} s")
 def step_drain_ended(context, by):
     assert context.ended_at and context.ended_at[0] <= by, context.ended_at
 
@@ -189,7 +189,7 @@
     history = context.outcome.history
     changes = [changed.change for changed in history.of_type(NodeChanged)]
     runs = history.of_type(EngineRun)
-    shown = {
+    is_shown = {
         "a crash of an engine in use": any(
             changed.change is BackendChange.CRASHED
             and any(run.engine == changed.backend and run.at_s < changed.at_s for run in runs)
@@ -201,7 +201,7 @@
         and NodeChange.STARTED in changes[changes.index(NodeChange.STOPPED) :],
         "files of both operators": len(history.of_type(ConfigurationAccepted)) >= 3,
     }
-    assert shown[trace]
+    assert is_shown[trace]
 
 
 @when("the product's nodes run it twice in virtual time with seed {seed:d}")
--- a/features/steps/history_rules_steps.py
+++ b/features/steps/history_rules_steps.py
@@ -14,7 +14,7 @@
     context.verdict = judge(context.history)
 
 
-@then('the rules broken are exactly "{broken}"')
+@then('the violated rules are exactly "{broken}"')
 def step_broken(context, broken):
     found = {violation.rule for violation in context.verdict.violations}
     assert found <= set(CHECKERS)
--- a/features/steps/scale_engine_connections_steps.py
+++ b/features/steps/scale_engine_connections_steps.py
@@ -18,17 +18,17 @@
     weight_version=WeightVersion("v1"),
     num_total_blocks=16,
 )
-MAX_LOOKS = 200
-LOOK_INTERVAL_S = 0.01
+MAX_CHECKS = 200
+CHECK_INTERVAL_S = 0.01
 
 
 def num_sockets():
-    """Count the sockets of this process; of each connection it holds both ends."""
+    """Count the sockets of this process, which holds both ends of each connection."""
     links = (f"/proc/self/fd/{number}" for number in os.listdir("/proc/self/fd"))
     return sum(os.readlink(link).startswith("socket:") for link in links if os.path.islink(link))
 
 
-@given("an engine server that {ports:d} ports lead to")
+@given("an engine server and {ports:d} ports to it")
 def step_server(context, ports):
     context.num_ports = ports
 
@@ -43,12 +43,12 @@
             for port in ports:
                 for _ in range(times):
                     assert (await port.load()).is_ok()
-            # The server closes its ends a moment after the client.
-            for _ in range(MAX_LOOKS):
-                context.num_left = (num_sockets() - before) / 2
-                if context.num_left in (0, context.num_ports):
+            # The server closes its ends shortly after the client.
+            for _ in range(MAX_CHECKS):
+                context.num_open = (num_sockets() - before) / 2
+                if context.num_open in (0, context.num_ports):
                     break
-                await anyio.sleep(LOOK_INTERVAL_S)
+                await anyio.sleep(CHECK_INTERVAL_S)
             for port in ports:
                 await port.aclose()
             tasks.cancel_scope.cancel()
@@ -56,6 +56,6 @@
     anyio.run(main)
 
 
-@then("{connections:d} connections of these ports are left open")
+@then("{connections:d} connections of these ports stay open")
 def step_left(context, connections):
-    assert context.num_left == connections, context.num_left
+    assert context.num_open == connections, context.num_open
--- a/features/steps/workload_plan_steps.py
+++ b/features/steps/workload_plan_steps.py
@@ -140,23 +140,23 @@
         assert abs(count - expected) * 100 <= percent * expected, (row, count)
 
 
-@when("the repeats of the workload plan are matched with their firsts")
+@when("the retries of the workload plan are matched with their first requests")
 def step_repeats(context):
     context.services = [item for item in context.plan if isinstance(item, ServiceItem)]
     by_id = {item.request_id: item for item in context.services}
     context.pairs = [(by_id[item.repeats], item) for item in context.services if item.repeats]
 
 
-@then("at least {least:d} changes are repeated later with the same key, tenant and body")
+@then("at least {least:d} changes are retried later with the same key, tenant and body")
 def step_repeated(context, least):
     assert len(context.pairs) >= least, len(context.pairs)
-    for first, again in context.pairs:
-        assert first.request_id != again.request_id
-        assert first.send_at_s <= again.send_at_s
+    for first, retry in context.pairs:
+        assert first.request_id != retry.request_id
+        assert first.send_at_s <= retry.send_at_s
         assert (first.idempotency_key, first.tenant, first.body) == (
-            again.idempotency_key,
-            again.tenant,
-            again.body,
+            retry.idempotency_key,
+            retry.tenant,
+            retry.body,
         )
 
 
--- a/features/support/history_cases.py
+++ b/features/support/history_cases.py
@@ -1,4 +1,4 @@
-"""Small recorded histories, each by name: a plain run and what one change makes of it."""
+"""Small recorded histories by name: a plain run, and variants with one change each."""
 
 import msgspec
 
@@ -99,7 +99,7 @@
 ORDER_RECORDS = [ORDER, ORDER_RUN, ORDER_ANSWERED]
 PLAIN = CAPTION_RECORDS + ORDER_RECORDS
 UNANSWERED = [CAPTION, RUN, *CHUNKS, *ORDER_RECORDS]
-"""The plain run without the ending of the caption."""
+"""The plain run without the end of the caption."""
 
 
 def change(record, **fields):
@@ -111,20 +111,20 @@
 
 
 def second_caption(tenant="bole-school", **run_fields):
-    """The same prompt later, wholly served from cache by the run that the fields describe."""
+    """Add the same prompt, sent later and served from cache by a run with the given fields."""
     sent = change(CAPTION, request_id="again", at_s=5.0, intended_at_s=5.0, tenant=tenant)
     fields = {"cache_salt": tenant, "num_cached_tokens": NUM_BLOCK_TOKENS, "finished_at_s": 6.0}
     run = change(RUN, request_id="again", at_s=5.1, **(fields | run_fields))
     answered = change(ANSWERED, request_id="again", at_s=6.0)
     chunks = [
-        change(one, request_id="again", chunk_request_id="again", at_s=one.at_s + 4.0)
-        for one in CHUNKS
+        change(chunk, request_id="again", chunk_request_id="again", at_s=chunk.at_s + 4.0)
+        for chunk in CHUNKS
     ]
     return [*PLAIN, sent, run, *chunks, answered]
 
 
 def second_order(does_run, **sent_fields):
-    """The order sent again through another node."""
+    """Add the order, sent again through another node."""
     sent = change(ORDER, **{"request_id": "again", "at_s": 1.8, "node": NODE} | sent_fields)
     run = change(ORDER_RUN, request_id="again", at_s=1.9)
     answered = change(ORDER_ANSWERED, request_id="again", at_s=2.0)
@@ -136,7 +136,7 @@
 
 
 def restarted_node(ending, *more, others_answer=True):
-    """The caption is sent through a node that crashed, came back at once and then ends it so."""
+    """Send the caption through a node that crashed and restarted at once, with the given ending."""
     changes = [*more, *node_changes((-9.0, "started"), (-5.0, "crashed"), (-4.0, "started"))]
     order = ORDER_RECORDS if others_answer else []
     return [*changes, CAPTION, ending, *order]
@@ -148,7 +148,7 @@
 
 
 def configuration(accepted_at_s, *taken, changes=((0.0, "started"),)):
-    """Revision 7 is accepted; the node takes revisions at times; the run lasts 60 s."""
+    """Accept revision 7; the node takes revisions at the given times; the run lasts 60 s."""
     records = [
         ConfigurationTaken(at_s=at_s, node=NODE, revision=revision) for at_s, revision in taken
     ]
@@ -159,8 +159,8 @@
 
 def orders(*tokens):
     return [
-        OrderTaken(at_s=float(place), engine="qalam-1", incarnation=1, order_token=token)
-        for place, token in enumerate(tokens)
+        OrderTaken(at_s=float(index), engine="qalam-1", incarnation=1, order_token=token)
+        for index, token in enumerate(tokens)
     ]
 
 
@@ -184,37 +184,43 @@
     "a plain answered run": PLAIN,
     "cached prefix of the same engine run": second_caption(),
     "same prompt computed twice": second_caption(num_cached_tokens=0),
-    "cached prefix of a dead engine run": second_caption(incarnation=2),
+    "cached prefix of an ended engine run": second_caption(incarnation=2),
     "cached prefix of another engine": second_caption(engine="qalam-2"),
     "cached prefix of another tenant": second_caption(tenant="kirkos-school"),
     "cached prefix of older weights": second_caption(weight_version="v2"),
     "cached prefix of another adapter": second_caption(adapter="amharic"),
     "run with the salt of another tenant": [
-        change(one, cache_salt="kirkos-school") if one is RUN else one for one in PLAIN
+        change(record, cache_salt="kirkos-school") if record is RUN else record for record in PLAIN
     ],
     "cached prefix imported from the kept store": second_caption(engine="qalam-2"),
     "imported prefix of older weights": second_caption(engine="qalam-2", weight_version="v2"),
     "chunk repeated": [*PLAIN, CHUNKS[2]],
     "chunks swapped": [
-        change(one, sequence={0: 1, 1: 0}.get(one.sequence, 2)) if one in CHUNKS else one
-        for one in PLAIN
+        change(record, sequence={0: 1, 1: 0}.get(record.sequence, 2))
+        if record in CHUNKS
+        else record
+        for record in PLAIN
+    ],
+    "chunk after the end": [
+        change(record, at_s=3.0) if record is CHUNKS[2] else record for record in PLAIN
     ],
-    "chunk after the end": [change(one, at_s=3.0) if one is CHUNKS[2] else one for one in PLAIN],
     "normal end without finish reason": [*UNANSWERED, change(ANSWERED, finish_reason=None)],
-    "normal end before the whole answer": [one for one in PLAIN if one is not CHUNKS[2]],
+    "normal end before the whole answer": [record for record in PLAIN if record is not CHUNKS[2]],
     "explicit error before the whole answer": [
-        *[one for one in UNANSWERED if one is not CHUNKS[2]],
+        *[record for record in UNANSWERED if record is not CHUNKS[2]],
         STREAM_BROKEN,
     ],
-    "chunk of another request": [OTHER_CHUNK if one is CHUNKS[1] else one for one in PLAIN],
-    "text of another request": [OTHER_TEXT if one is CHUNKS[1] else one for one in PLAIN],
+    "chunk of another request": [
+        OTHER_CHUNK if record is CHUNKS[1] else record for record in PLAIN
+    ],
+    "text of another request": [OTHER_TEXT if record is CHUNKS[1] else record for record in PLAIN],
     "service answer of another request": [
         *CAPTION_RECORDS,
         ORDER,
         ORDER_RUN,
         change(ORDER_ANSWERED, body=b"accepted"),
     ],
-    "server error without the marker": [
+    "server error without the request's marker": [
         *CAPTION_RECORDS,
         ORDER,
         ORDER_RUN,
@@ -232,7 +238,7 @@
         *UNANSWERED,
         change(ANSWERED, at_s=26.0),
     ],
-    "ending too late even from waking": [
+    "ending too late even after the resume": [
         *node_changes((0.0, "started"), (0.5, "paused"), (1.5, "resumed")),
         *UNANSWERED,
         change(ANSWERED, at_s=26.0),
@@ -243,7 +249,7 @@
         change(ANSWERED, at_s=26.0),
     ],
     "two endings": [*PLAIN, STREAM_BROKEN],
-    "caller left": [*UNANSWERED, CallerLeft(at_s=2.0, request_id="caption")],
+    "caller disconnected": [*UNANSWERED, CallerLeft(at_s=2.0, request_id="caption")],
     "refused as not run and never run": [CAPTION, NOT_RUN, *ORDER_RECORDS],
     "refused as not run after a run": [CAPTION, RUN, NOT_RUN, *ORDER_RECORDS],
     "refused as not run before a run": [CAPTION, change(RUN, at_s=3.0), NOT_RUN, *ORDER_RECORDS],
@@ -265,7 +271,7 @@
         *node_changes((-9.0, "started"), node="kirkos-1"),
         ConfigurationTaken(at_s=-8.0, node="kirkos-1", revision=7),
     ),
-    "node restarted beside one that lost its configuration too": restarted_node(
+    "node restarted beside another that lost its configuration too": restarted_node(
         NOT_CONFIGURED,
         STORE_DOWN,
         *node_changes((-9.0, "started"), (-5.0, "crashed"), (-4.1, "started"), node="kirkos-1"),
@@ -275,8 +281,8 @@
         NOT_CONFIGURED, STORE_DOWN, change(STORE_DOWN, at_s=-4.5, is_up=True)
     ),
     "restarted node refuses the connection": restarted_node(NOT_CONNECTED),
-    "restarted node sees no back end": restarted_node(NO_BACKEND),
-    "no node sees a back end": restarted_node(NO_BACKEND, others_answer=False),
+    "restarted node reports no back end": restarted_node(NO_BACKEND),
+    "every node reports no back end": restarted_node(NO_BACKEND, others_answer=False),
     "down node refuses the connection": [
         *node_changes((-9.0, "started"), (-5.0, "crashed")),
         CAPTION,
@@ -329,7 +335,7 @@
 
 
 def history_case(name):
-    """Return the history of a name."""
+    """Return the history with a name."""
     return History(
         CASES[name],
         lambda sent: expected_text(sent.prompt, sent.max_tokens),
--- a/features/support/linearizability.py
+++ b/features/support/linearizability.py
@@ -1,7 +1,7 @@
 """Checks whether a history of concurrent operations on one object is linearizable.
 
-The search is Wing and Gong's with Lowe's memory of configurations already tried: take any
-operation that no other one precedes, carry it out on the model, and go back when that fails.
+The search is that of Wing and Gong, with Lowe's set of configurations already tried: take any
+operation that no other operation precedes, apply it to the model, and backtrack when that fails.
 """
 
 from collections.abc import Callable, Hashable, Sequence
@@ -13,17 +13,17 @@
 StateT = TypeVar("StateT", bound=Hashable)
 
 Step = Callable[[StateT, ActionT], StateT | None]
-"""Carries out an action on the model: the next state, None if the observation is impossible."""
+"""Applies an action to the model: returns the next state, None if the observation is impossible."""
 
 
 class Operation(msgspec.Struct, Generic[ActionT], frozen=True):
-    """One operation as its client saw it.
+    """One operation as its client observed it.
 
     Attributes:
-        action: What was asked and observed, as the model's step understands it.
-        invoked_at: When it was sent; any clock that all clients share.
-        returned_at: When its answer came, None if it never did: it may then have taken effect
-            at any time after `invoked_at`, or never.
+        action: The request and the observed answer, in the form that the model's step reads.
+        invoked_at: When it was sent, by any clock that all clients share.
+        returned_at: When its answer arrived, None if it never did: the operation may then have
+            taken effect at any time after `invoked_at`, or never.
     """
 
     action: ActionT
@@ -69,14 +69,14 @@
                 continue
             tried.add((done, state))
             for index in reversed(self._candidates(done)):
-                following = self._step(state, self._history[index].action)
-                if following is not None:
-                    stack.append((done | 1 << index, following, (*order, index)))
+                next_state = self._step(state, self._history[index].action)
+                if next_state is not None:
+                    stack.append((done | 1 << index, next_state, (*order, index)))
         return None
 
     def _candidates(self, done: int) -> list[int]:
-        """Operations left that started before every other one left had returned."""
-        left = [index for index in range(len(self._history)) if not done >> index & 1]
-        returns = [self._history[index].returned_at for index in left]
+        """Return the remaining operations that started before any remaining operation returned."""
+        remaining = [index for index in range(len(self._history)) if not done >> index & 1]
+        returns = [self._history[index].returned_at for index in remaining]
         first_return = min((at for at in returns if at is not None), default=float("inf"))
-        return [index for index in left if self._history[index].invoked_at <= first_return]
+        return [index for index in remaining if self._history[index].invoked_at <= first_return]
--- a/features/support/scripted_nodes.py
+++ b/features/support/scripted_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes that answer callers by a script, right or wrong, for tests of the harness itself."""
+"""Nodes with scripted right or wrong behaviour, for tests of the experiment harness."""
 
 import json
 
@@ -30,7 +30,7 @@
 
 
 class ScriptedNode:
-    """Answers chats itself and passes changes to the first back end."""
+    """Answers chat requests itself and forwards changes to the first back end."""
 
     def __init__(self, platform, behaviour):
         self.configuration = FixedConfiguration(platform.deployment)
