--- a/features/configuration_commands.feature
+++ b/features/configuration_commands.feature
@@ -1,4 +1,4 @@
-Feature: The configuration commands print one line and set an exit code
+Feature: The configuration commands print a result and set an exit code
   Guards against commands that end with a traceback, or with an exit code or text that does not tell an
   operator what happened and what to do next.
 
--- a/features/configuration_difference.feature
+++ b/features/configuration_difference.feature
@@ -22,7 +22,7 @@
   Scenario: The order of items in the file has no effect
     Then a deployment with every list reversed has the same canonical form and digest
 
-  Scenario Outline: Damaged stored bytes are refused without an exception
+  Scenario Outline: Invalid stored bytes are refused without an exception
     When the stored form of a deployment is <damage>
     Then decoding it fails saying "<message>"
 
--- a/features/limits_shares.feature
+++ b/features/limits_shares.feature
@@ -9,14 +9,14 @@
     And no loaded node gets less than half of an equal part
 
     Examples:
-      | limit         | load      | least | most |
-      | 20 requests/s | one node  | 18.0  | 20.0 |
-      | 20 requests/s | one zone  | 18.0  | 20.0 |
-      | 20 requests/s | all nodes | 18.0  | 20.0 |
-      | 20 requests/s | all nodes, doubled | 18.0 | 20.0 |
-      | 9 slots       | one node  | 25.0  | 31.0 |
-      | 9 slots       | one zone  | 25.0  | 31.0 |
-      | 9 slots       | all nodes | 25.0  | 31.0 |
+      | limit         | load                           | least | most |
+      | 20 requests/s | one node                       | 18.0  | 20.0 |
+      | 20 requests/s | one zone                       | 18.0  | 20.0 |
+      | 20 requests/s | all nodes                      | 18.0  | 20.0 |
+      | 20 requests/s | all nodes, duplicated messages | 18.0  | 20.0 |
+      | 9 slots       | one node                       | 25.0  | 31.0 |
+      | 9 slots       | one zone                       | 25.0  | 31.0 |
+      | 9 slots       | all nodes                      | 25.0  | 31.0 |
 
   Scenario Outline: Lost, duplicated, late and cut messages never admit more requests than <limit>
     Given 3 zones of 3 nodes that share <limit>
--- a/features/steps/configuration_apply_steps.py
+++ b/features/steps/configuration_apply_steps.py
@@ -18,10 +18,10 @@
 
 
 def held_name(server):
-    found = server.model.range(KEY, b"", 0.0)
-    if not found:
+    entries = server.model.range(KEY, b"", 0.0)
+    if not entries:
         return "-"
-    decoded = decode_stored(found[0].value)
+    decoded = decode_stored(entries[0].value)
     return decoded.unwrap().deployment.name if decoded.is_ok() else "?"
 
 
--- a/features/steps/configuration_file_steps.py
+++ b/features/steps/configuration_file_steps.py
@@ -52,8 +52,10 @@
 @then('only the route "{method} {path}" of its paths may not be repeated')
 def step_unrepeatable(context, method, path):
     routes = context.deployment.services[0].routes
-    found = [(r.method, r.path_prefix) for r in routes if not r.repeatable and r.path_prefix != "/"]
-    assert found == [(method, path)], found
+    unrepeatable = [
+        (r.method, r.path_prefix) for r in routes if not r.repeatable and r.path_prefix != "/"
+    ]
+    assert unrepeatable == [(method, path)], unrepeatable
 
 
 @when('the deployment file is checked with "{old}" replaced by "{new}"')
--- a/features/steps/engine_behaviour_steps.py
+++ b/features/steps/engine_behaviour_steps.py
@@ -208,8 +208,8 @@
     assert all(abs(item - duration_s) < 0.01 for item in context.durations), context.durations
     version = None if served == "nothing" else served
     token = 0 if served == "nothing" else 1
-    seen = {(report.weight_version, report.order_token) for report in context.reports}
-    assert seen == {(version, token)}, seen
+    reported = {(report.weight_version, report.order_token) for report in context.reports}
+    assert reported == {(version, token)}, reported
 
 
 ENGINES = {
@@ -243,11 +243,11 @@
     for tenant in TENANTS:
         chain = extend_chain(chain_seed(tenant, "qalam", "v1", None), PROMPT, 0, 64)
         parents.update(zip(chain, [None, *chain], strict=False))
-    seen = {}
+    event_parents = {}
     for event in context.batch.events:
         hashes = event.block_hashes
-        seen.update(zip(hashes, [event.parent_block_hash, *hashes], strict=False))
-    assert len(seen) == 2 * (len(PROMPT) // 64) and seen == parents
+        event_parents.update(zip(hashes, [event.parent_block_hash, *hashes], strict=False))
+    assert len(event_parents) == 2 * (len(PROMPT) // 64) and event_parents == parents
 
 
 @when(
--- a/features/steps/engine_contract_steps.py
+++ b/features/steps/engine_contract_steps.py
@@ -119,8 +119,10 @@
 def step_chunks(context, expected):
     chunks = [item.ok_value for item in context.items]
     foreign_marks = ["" if chunk.request_id == "request/1" else "!" for chunk in chunks]
-    seen = [f"{chunk.sequence}{mark}" for chunk, mark in zip(chunks, foreign_marks, strict=True)]
-    assert " ".join(seen) == expected, seen
+    sequences = [
+        f"{chunk.sequence}{mark}" for chunk, mark in zip(chunks, foreign_marks, strict=True)
+    ]
+    assert " ".join(sequences) == expected, sequences
 
 
 async def make_other_calls(engine, port):
--- a/features/steps/experiment_virtual_runs_steps.py
+++ b/features/steps/experiment_virtual_runs_steps.py
@@ -61,8 +61,8 @@
 
 @then('the scripted fleet\'s violations are of rules "{rules}"')
 def step_scripted_rules(context, rules):
-    found = {violation.rule for violation in context.figures.violations}
-    assert found == (set() if rules == "none" else set(rules.split())), found
+    violated_rules = {violation.rule for violation in context.figures.violations}
+    assert violated_rules == (set() if rules == "none" else set(rules.split())), violated_rules
 
 
 @then('the scripted fleet\'s requests count "{counted}"')
--- a/features/steps/history_rules_steps.py
+++ b/features/steps/history_rules_steps.py
@@ -16,9 +16,9 @@
 
 @then('the violated rules are exactly "{broken}"')
 def step_broken(context, broken):
-    found = {violation.rule for violation in context.verdict.violations}
-    assert found <= set(CHECKERS)
-    assert found == (set() if broken == "none" else set(broken.split())), context.verdict
+    violated_rules = {violation.rule for violation in context.verdict.violations}
+    assert violated_rules <= set(CHECKERS)
+    assert violated_rules == (set() if broken == "none" else set(broken.split())), context.verdict
 
 
 @when("the requests of the recorded history are counted")
--- a/features/steps/limits_shares_steps.py
+++ b/features/steps/limits_shares_steps.py
@@ -43,7 +43,7 @@
 def step_load(context, load):
     fleet = make_fleet(context)
     load, _, fault = load.partition(", ")
-    fleet.double = 0.5 if fault == "doubled" else 0.0
+    fleet.duplication_probability = 0.5 if fault == "duplicated messages" else 0.0
     fleet.arrivals_per_s = LOADS[load]
     fleet.run(5.0)
     before = {number: node.num_started for number, node in fleet.nodes.items()}
@@ -64,8 +64,8 @@
 
 def run_schedule(fleet, rng):
     """Run twelve periods in which load, losses and cuts change, drawn from a seeded source."""
-    fleet.lose = rng.choice([0.0, 0.0, 0.1, 0.4])
-    fleet.double = rng.choice([0.0, 0.5])
+    fleet.loss_probability = rng.choice([0.0, 0.0, 0.1, 0.4])
+    fleet.duplication_probability = rng.choice([0.0, 0.5])
     fleet.max_delay_s = rng.choice([0.002, 0.03, 0.1, 0.5])
     fleet.hold_s = rng.choice([0.05, 0.3, 1.0])
     for _ in range(12):
--- a/features/steps/placement_orders_steps.py
+++ b/features/steps/placement_orders_steps.py
@@ -41,13 +41,13 @@
             if port_kind == "HTTP":
                 server = await tasks.start(serve_engine, engine)
                 port = HttpEngine(server.address)
-                seen = await scenario(engine, port, source)
+                result = await scenario(engine, port, source)
                 await port.aclose()
             else:
                 tasks.start_soon(engine.run)
-                seen = await scenario(engine, engine, source)
+                result = await scenario(engine, engine, source)
             tasks.cancel_scope.cancel()
-        return seen
+        return result
 
     return anyio.run(main) if port_kind == "HTTP" else run_in_virtual_time(main)
 
@@ -106,8 +106,8 @@
     "the report says loading 4 and failed 0 during the load, and loading 0 and failed {failed:d} after it"
 )
 def step_reports(context, failed):
-    seen = [(report.loading_token, report.failed_load_token) for report in context.reports]
-    assert seen == [(4, 0), (0, failed)], seen
+    tokens = [(report.loading_token, report.failed_load_token) for report in context.reports]
+    assert tokens == [(4, 0), (0, failed)], tokens
     assert [report.role for report in context.reports] == ["both", "both"]
 
 
--- a/features/steps/placement_settling_steps.py
+++ b/features/steps/placement_settling_steps.py
@@ -25,12 +25,12 @@
 
 
 def settle(context, version, **fields):
-    seen = observed("qalam-1", version, **fields)
+    observation = observed("qalam-1", version, **fields)
     context.settlement = settle_loads(
         PlacementRecord(8, (context.load,)),
         {MODEL: rolling_model(weight_version="v2", load_timeout_s=300.0)},
         {"qalam-1": DesiredEngine("qalam-1", MODEL, "v2", (), EngineRole.BOTH)},
-        {"qalam-1": seen},
+        {"qalam-1": observation},
         {7: context.age_s},
     )
 
@@ -78,11 +78,11 @@
 @when("the engines serve {versions} while v2 is the declared version")
 def step_versions(context, versions):
     model = rolling_model(weight_version="v2")
-    seen = [
+    observations = [
         observed(f"qalam-{index}", None if version == "-" else version)
         for index, version in enumerate(versions.split())
     ]
-    context.served = served_versions(context.record, {MODEL: model}, seen)
+    context.served = served_versions(context.record, {MODEL: model}, observations)
 
 
 @then("the version served last is {version}")
@@ -101,12 +101,12 @@
     failures = [FailedLoad(f"qalam-{index}", MODEL, "v2", "failed by the test") for index in (2, 3)]
     if failed != "nothing":
         failures.append(FailedLoad("qalam-1", MODEL, failed, "too", is_restoring=failed == "v1"))
-    seen = observed("qalam-1", None if version == "nothing" else version)
+    observation = observed("qalam-1", None if version == "nothing" else version)
     plan = plan_loads(
         msgspec.structs.replace(context.record, failures=tuple(failures)),
         {MODEL: model},
         {"qalam-1": DesiredEngine("qalam-1", MODEL, "v2", (), EngineRole.BOTH)},
-        {"qalam-1": seen},
+        {"qalam-1": observation},
         PlacementRules(),
     )
     context.ordered = [load.weight_version for load in plan.ordered]
--- a/features/steps/placement_states_steps.py
+++ b/features/steps/placement_states_steps.py
@@ -59,7 +59,7 @@
 
 
 async def crash_zone(fleet, planner):
-    """Crash all nodes of a zone; the homes of its engines are then in other zones."""
+    """Crash all nodes of a zone; homes in other zones then report its engines to the planner."""
     await anyio.sleep(5.0)
     for node in fleet.nodes_in(fleet.zones[1]):
         fleet.remove_node(node)
@@ -243,7 +243,7 @@
 
 @then("the planner sees version {version} and the engine is {state}")
 def step_seen(context, version, state):
-    seen = observe_engines(context.snapshot, context.observed_states, PlacementRules(), NOW_S)[
-        "qalam-1"
-    ]
-    assert (seen.weight_version, seen.is_up) == (version, state == "up"), seen
+    observation = observe_engines(
+        context.snapshot, context.observed_states, PlacementRules(), NOW_S
+    )["qalam-1"]
+    assert (observation.weight_version, observation.is_up) == (version, state == "up"), observation
--- a/features/steps/service_contract_steps.py
+++ b/features/steps/service_contract_steps.py
@@ -82,7 +82,7 @@
 
 @then("the service has recorded {count:d} runs of the order with its idempotency key")
 def step_runs(context, count):
-    seen = [(run.request_id, run.idempotency_key, run.path) for run in context.runs]
-    assert seen == [("order-1", "key-1", "/orders?copies=30")] * count, seen
+    runs = [(run.request_id, run.idempotency_key, run.path) for run in context.runs]
+    assert runs == [("order-1", "key-1", "/orders?copies=30")] * count, runs
     failure = None if isinstance(context.answer, Ok) else context.answer.err_value
     assert failure is None or not (failure.provably_not_run and context.runs)
--- a/features/support/limits_fleet.py
+++ b/features/support/limits_fleet.py
@@ -33,7 +33,7 @@
         self.tenant, self.zones = tenant, zones
         self.random = random.Random(seed)
         self.now_s = 0.0
-        self.lose = self.double = 0.0
+        self.loss_probability = self.duplication_probability = 0.0
         self.max_delay_s = DEFAULT_MAX_DELAY_S
         self.cut_zones, self.isolated = set(), set()
         self.arrivals_per_s = {}
@@ -75,9 +75,9 @@
             self._send(number, outgoing)
 
     def _send(self, source, outgoing):
-        copies = 1 + (self.random.random() < self.double)
+        copies = 1 + (self.random.random() < self.duplication_probability)
         for _ in range(copies):
-            if self.random.random() >= self.lose:
+            if self.random.random() >= self.loss_probability:
                 arrives_s = self.now_s + self.random.uniform(0.0, self.max_delay_s)
                 item = (arrives_s, next(self.send_order), source, outgoing)
                 heapq.heappush(self.in_flight, item)
--- a/features/support/rollout_fleet.py
+++ b/features/support/rollout_fleet.py
@@ -1,4 +1,4 @@
-"""Rollouts in virtual time: planners over in-process engines, with a record of what happened."""
+"""Rollouts in virtual time: planners over in-process engines, with a record of loads and orders."""
 
 from contextlib import asynccontextmanager
 from random import Random
@@ -111,7 +111,7 @@
 
 
 class LeaseCheckingPort:
-    """An engine's port as one planner uses it; counts orders given without the lease."""
+    """One planner's access to an engine's port; counts orders given without the lease."""
 
     def __init__(self, port, lease):
         self._port = port
@@ -315,11 +315,11 @@
 
     def tokens_given_twice(self):
         """Return the tokens that were used for two different orders."""
-        seen = {}
+        orders_by_token = {}
         for name, engine in self.engines.items():
             for _, token, action in engine.accepted_tokens:
-                seen.setdefault(token, set()).add((name, action))
-        return [token for token, orders in seen.items() if len(orders) > 1]
+                orders_by_token.setdefault(token, set()).add((name, action))
+        return [token for token, orders in orders_by_token.items() if len(orders) > 1]
 
     def long_answers(self):
         """Return outcome and version of the requests in flight when the rollout began."""
