--- a/features/steps/configuration_file_steps.py
+++ b/features/steps/configuration_file_steps.py
@@ -26,7 +26,7 @@
 
 
 def file_with(old):
-    """Return the shipped file that has a text, Tsehay's where both do."""
+    """Return the text of the shipped file that contains `old`, that of Tsehay if both do."""
     return next(text for text in map(text_of, ("tsehay", "startgrid")) if old in text)
 
 
@@ -52,8 +52,10 @@
 @then('only the route "{method} {path}" of its paths may not be repeated')
 def step_unrepeatable(context, method, path):
     routes = context.deployment.services[0].routes
-    found = [(r.method, r.path_prefix) for r in routes if not r.repeatable and r.path_prefix != "/"]
-    assert found == [(method, path)], found
+    unrepeatable = [
+        (r.method, r.path_prefix) for r in routes if not r.repeatable and r.path_prefix != "/"
+    ]
+    assert unrepeatable == [(method, path)], unrepeatable
 
 
 @when('the deployment file is checked with "{old}" replaced by "{new}"')
@@ -70,7 +72,7 @@
     (error,) = context.errors
     assert (error.path, message in error.message) == (field, True), error
     assert error.remedy
-    # Of two fields that contradict each other, the later one in the file is named.
+    # Of two conflicting fields, the error names the later one in the file.
     assert error.line == context.error_line or "taken by engines" in error.message, error
 
 
