--- a/features/steps/engine_properties_steps.py
+++ b/features/steps/engine_properties_steps.py
@@ -89,7 +89,7 @@
     def blocks_by_events(self):
         blocks = set()
         for sequence in range(self.model.events.last_sequence):
-            for event in self.model.events.after(sequence).batch.events:
+            for event in self.model.events.batch_after(sequence).batch.events:
                 if isinstance(event, BlockStored):
                     assert not blocks & set(event.block_hashes)
                     assert event.parent_block_hash is None or event.parent_block_hash in blocks
--- a/features/support/faulty_stores.py
+++ b/features/support/faulty_stores.py
@@ -22,7 +22,7 @@
 
 async def failure_of(switch):
     """Return the failure of one more call, which may also stall or take longer."""
-    faults = switch.strike()
+    faults = switch.faults_for_call()
     if faults.is_dead:
         return Err("the store is down")
     if faults.is_stalled:
--- a/features/support/machine_list_app.py
+++ b/features/support/machine_list_app.py
@@ -58,7 +58,7 @@
             if self._model.faults.is_down:
                 return 503, b"{}"
             await anyio.sleep(self._model.faults.delay_s)
-            return 200, msgspec.json.encode(MachineListBody(self._model.shown(self._now())))
+            return 200, msgspec.json.encode(MachineListBody(self._model.listed(self._now())))
         if (method, path) == ("POST", "/stand-in/faults"):
             self._model.faults = msgspec.json.decode(body, type=MachineListFaults)
             return 200, b"{}"
--- a/src/weirscale/experiments/faults/injector.py
+++ b/src/weirscale/experiments/faults/injector.py
@@ -40,7 +40,7 @@
     EngineFaults(cut_before_chunk=2),
     EngineFaults(skip_chunk=1),
     EngineFaults(answer_delay_s=0.05),
-    EngineFaults(wrong_request_id=True, max_strikes=5),
+    EngineFaults(wrong_request_id=True, max_affected_calls=5),
     EngineFaults(garble_chunk=1),
     EngineFaults(end_before_chunk=2),
 )
@@ -48,7 +48,7 @@
     ServiceFaults(cross_answers=True),
     ServiceFaults(answer_delay_s=0.5),
     ServiceFaults(break_after_run=True),
-    ServiceFaults(lose_answer=True, max_strikes=3),
+    ServiceFaults(lose_answer=True, max_affected_calls=3),
 )
 
 
--- a/src/weirscale/experiments/history/answers.py
+++ b/src/weirscale/experiments/history/answers.py
@@ -145,7 +145,7 @@
     ]
 
 
-def doubled_groups(history: History) -> list[tuple[RequestId, ...]]:
+def repeated_run_groups(history: History) -> list[tuple[RequestId, ...]]:
     """Return the requests of each unrepeatable piece of work that ran more than once.
 
     Work is named by tenant, service and idempotency key where there is a key, otherwise by the
@@ -166,5 +166,5 @@
     """Check that what may not be repeated ran at most once, over all its requests."""
     return [
         Violation(AT_MOST_ONCE, tuple(dict.fromkeys(group)), f"ran {len(group)} times")
-        for group in doubled_groups(history)
+        for group in repeated_run_groups(history)
     ]
--- a/src/weirscale/experiments/history/configuration_rules.py
+++ b/src/weirscale/experiments/history/configuration_rules.py
@@ -2,7 +2,11 @@
 
 from weirscale.domain.identifiers import ConfigurationRevision, NodeName
 from weirscale.experiments.history.history import History, Violation
-from weirscale.experiments.history.intervals import able_intervals, interval_start, last_start_s
+from weirscale.experiments.history.intervals import (
+    available_intervals,
+    interval_start,
+    last_start_s,
+)
 from weirscale.experiments.history.records import (
     ConfigurationAccepted,
     ConfigurationTaken,
@@ -43,7 +47,7 @@
     violations: list[Violation] = []
     taken = history.of_type(ConfigurationTaken)
     end_s = history.records[-1].at_s if history.records else 0.0
-    able = able_intervals(history)
+    able = available_intervals(history)
     for accepted in history.of_type(ConfigurationAccepted):
         for node, intervals in able.items():
             for start_s, stop_s in intervals:
@@ -66,7 +70,7 @@
 def configuration_delays_s(history: History) -> list[float]:
     """Return the delay of each accepted revision at each node that was able to follow it."""
     delays: list[float] = []
-    able = able_intervals(history)
+    able = available_intervals(history)
     taken = history.of_type(ConfigurationTaken)
     for accepted in history.of_type(ConfigurationAccepted):
         for node, intervals in able.items():
--- a/src/weirscale/experiments/history/fleet_rules.py
+++ b/src/weirscale/experiments/history/fleet_rules.py
@@ -7,7 +7,7 @@
 from weirscale.experiments.history.history import History, Violation
 from weirscale.experiments.history.intervals import (
     Interval,
-    able_intervals,
+    available_intervals,
     interval_start,
     last_start_s,
 )
@@ -76,7 +76,7 @@
     """
     bounds = history.bounds
     windows: dict[NodeName, list[_Window]] = {}
-    able = able_intervals(history)
+    able = available_intervals(history)
     outages = _store_outages(history)
     for changed in history.of_type(NodeChanged):
         if changed.change is not NodeChange.STARTED:
@@ -170,7 +170,7 @@
     resumption, links whole again), if that is later; a node that is cut off cannot.
     """
     violations: list[Violation] = []
-    able = able_intervals(history)
+    able = available_intervals(history)
     leaving_since: dict[str, float] = {}
     for record in history.records:
         if isinstance(record, BackendChanged):
--- a/src/weirscale/experiments/history/intervals.py
+++ b/src/weirscale/experiments/history/intervals.py
@@ -52,7 +52,7 @@
         return self.intervals
 
 
-def able_intervals(history: History) -> dict[NodeName, list[Interval]]:
+def available_intervals(history: History) -> dict[NodeName, list[Interval]]:
     """Return the times in which each node runs, is not paused, draining or cut off."""
     states: dict[NodeName, _NodeState] = {}
     for changed in history.of_type(NodeChanged):
--- a/src/weirscale/experiments/history/verdict.py
+++ b/src/weirscale/experiments/history/verdict.py
@@ -103,7 +103,7 @@
         refused_not_run=num_of[Fate.REFUSED_NOT_RUN],
         failed=num_of[Fate.FAILED],
         lost=num_of[Fate.LOST],
-        doubled=len(answers.doubled_groups(history)),
+        doubled=len(answers.repeated_run_groups(history)),
         crossed=num_of[Fate.CROSSED],
         truncated=num_of[Fate.TRUNCATED],
         false_not_run=sum(answers.is_false_not_run(history, one) for one in history.sent),
--- a/src/weirscale/standins/engine/event_log.py
+++ b/src/weirscale/standins/engine/event_log.py
@@ -42,7 +42,7 @@
         self.last_sequence = 0
         self.listeners: list[Callable[[], None]] = []
 
-    def note_stored(self, block_hash: BlockHash, parent: BlockHash | None) -> None:
+    def record_stored(self, block_hash: BlockHash, parent: BlockHash | None) -> None:
         """Record one stored block; a child of the block before joins its event."""
         if self._removed:
             self._close_event()
@@ -52,13 +52,13 @@
             self._stored_parent = parent
         self._stored.append(block_hash)
 
-    def note_removed(self, block_hash: BlockHash) -> None:
+    def record_removed(self, block_hash: BlockHash) -> None:
         """Record one evicted block."""
         if self._stored:
             self._close_event()
         self._removed.append(block_hash)
 
-    def note_cleared(self) -> None:
+    def record_cleared(self) -> None:
         """Record that the cache was emptied."""
         self._close_event()
         self._pending.append(AllBlocksCleared())
@@ -93,7 +93,7 @@
             return False
         return self.last_sequence - sequence <= len(self._window)
 
-    def after(self, sequence: int) -> PublishedBatch | None:
+    def batch_after(self, sequence: int) -> PublishedBatch | None:
         """Return the batch after a sequence; call only if `can_replay_after` holds."""
         num_behind = self.last_sequence - sequence
         return self._window[-num_behind] if num_behind else None
--- a/src/weirscale/standins/engine/event_stream.py
+++ b/src/weirscale/standins/engine/event_stream.py
@@ -31,7 +31,7 @@
         if not events.can_replay_after(sequence):
             yield Err(_not_found(f"batch {sequence + 1} is not in the replay window"))
             return
-        published = events.after(sequence)
+        published = events.batch_after(sequence)
         if published is None:
             if model.events is not events:
                 yield Err(EngineFailure(EngineFailureKind.BROKEN, "the engine's run has ended"))
--- a/src/weirscale/standins/engine/in_process.py
+++ b/src/weirscale/standins/engine/in_process.py
@@ -234,7 +234,7 @@
         self, attempt: Attempt, from_sequence: int, time_left_s: float
     ) -> AsyncGenerator[ChunkOrFailure, None]:
         """Iterate over the chunks of an attempt, with the faults in force."""
-        faults = self.faults.strike()
+        faults = self.faults.faults_for_call()
         chunk_faults = None if faults is NO_FAULTS else ChunkFaults(faults)
         deadline_s = anyio.current_time() + time_left_s
         position = from_sequence - attempt.call.continue_sequence
--- a/src/weirscale/standins/engine/prefix_cache.py
+++ b/src/weirscale/standins/engine/prefix_cache.py
@@ -57,7 +57,7 @@
         """Turn one reserved block into a pinned cached one."""
         self._num_reserved -= 1
         if block_hash not in self._pin_counts and block_hash not in self._unpinned:
-            self._events.note_stored(block_hash, parent)
+            self._events.record_stored(block_hash, parent)
         self._pin(block_hash)
 
     def import_blocks(self, block_hashes: Sequence[BlockHash]) -> None:
@@ -69,7 +69,7 @@
                 self._unpinned.move_to_end(block_hash)
             elif block_hash not in self._pin_counts:
                 self._unpinned[block_hash] = None
-                self._events.note_stored(block_hash, parent)
+                self._events.record_stored(block_hash, parent)
             parent = block_hash
         self._evict_to_fit()
 
@@ -88,7 +88,7 @@
     def clear(self) -> None:
         """Drop every block; only called when no request runs."""
         if self.num_cached:
-            self._events.note_cleared()
+            self._events.record_cleared()
         self._pin_counts.clear()
         self._unpinned.clear()
         self._num_reserved = 0
@@ -103,4 +103,4 @@
         num_over = self.num_cached + self._num_reserved - self._num_total
         for _ in range(num_over):
             block_hash, _ = self._unpinned.popitem(last=False)
-            self._events.note_removed(block_hash)
+            self._events.record_removed(block_hash)
--- a/src/weirscale/standins/faults.py
+++ b/src/weirscale/standins/faults.py
@@ -10,10 +10,11 @@
     """Base of all faults.
 
     Attributes:
-        max_strikes: Calls or streams that single-call faults apply to, from now on; None for all.
+        max_affected_calls: Number of calls or streams, counted from the activation, that faults of
+            single calls apply to; None for all.
     """
 
-    max_strikes: int | None = None
+    max_affected_calls: int | None = None
 
 
 class EngineFaults(Faults, frozen=True, kw_only=True):
@@ -97,7 +98,7 @@
     def set(self, faults: FaultsT) -> None:
         """Put faults in force, in place of those before."""
         self.current = faults
-        self._num_left = faults.max_strikes
+        self._num_left = faults.max_affected_calls
         listeners, self._listeners = self._listeners, []
         for listener in listeners:
             listener()
@@ -106,7 +107,7 @@
         """Put no faults in force."""
         self.set(self._none)
 
-    def strike(self) -> FaultsT:
+    def faults_for_call(self) -> FaultsT:
         """Return the faults that apply to one more call."""
         if self._num_left is None:
             return self.current
--- a/src/weirscale/standins/machines/in_process.py
+++ b/src/weirscale/standins/machines/in_process.py
@@ -30,5 +30,5 @@
             return Err(MachineListFailure("the machine list is down: go on with the last one"))
         with anyio.move_on_after(self._timeout_s):
             await anyio.sleep(self._model.faults.delay_s)
-            return Ok(self._model.shown(self._now()))
+            return Ok(self._model.listed(self._now()))
         return Err(MachineListFailure("no answer in time: go on with the last one"))
--- a/src/weirscale/standins/machines/model.py
+++ b/src/weirscale/standins/machines/model.py
@@ -43,7 +43,7 @@
         machines.pop(host, None)
         self._remember(machines, now_s)
 
-    def shown(self, now_s: float) -> tuple[Machine, ...]:
+    def listed(self, now_s: float) -> tuple[Machine, ...]:
         """Return the list as it is shown now, sorted by host."""
         shown_s = now_s - self.faults.lag_s
         past = [machines for since_s, machines in self._history if since_s <= shown_s]
--- a/src/weirscale/standins/service/in_process.py
+++ b/src/weirscale/standins/service/in_process.py
@@ -54,7 +54,7 @@
         self, method: str, path: str, headers: Mapping[str, str], body: bytes
     ) -> ServiceResponse | None:
         """Run one request with the faults in force; None stands for a broken connection."""
-        faults = self.faults.strike()
+        faults = self.faults.faults_for_call()
         if faults.stall_before_run:
             await anyio.sleep_forever()
         if faults.break_before_run:
