--- a/src/weirscale/standins/__init__.py
+++ b/src/weirscale/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for systems outside, for tests, demos and experiments."""
+"""Stand-ins for external systems, used in tests, demos and experiments."""
--- a/src/weirscale/standins/asgi_server.py
+++ b/src/weirscale/standins/asgi_server.py
@@ -1,4 +1,4 @@
-"""Serves stand-ins on loopback ports in this process."""
+"""Serve stand-ins on loopback ports of this process."""
 
 import socket
 
@@ -11,9 +11,9 @@
 
 LOOPBACK = "127.0.0.1"
 MAX_BODY_BYTES = 64 * 1024 * 1024
-"""Largest request body that a stand-in takes."""
+"""Largest request body that a stand-in accepts."""
 GRACEFUL_TIMEOUT_S = 3.0
-"""Open requests are cut at once when a stand-in stops; this bounds the closing of connections."""
+"""Bounds the closing of connections; open requests are aborted at once when a stand-in stops."""
 
 
 async def serve_on_loopback(
@@ -23,7 +23,7 @@
 
     Args:
         app: The app.
-        task_status: Told host:port, which listens by then.
+        task_status: Receives host:port once the port is listening.
     """
     listener = open_listener(LOOPBACK, 0)
     task_status.started(f"{LOOPBACK}:{port_of(listener)}")
@@ -31,9 +31,9 @@
 
 
 async def serve_listener(app: AsgiApp, listener: socket.socket, stop: anyio.Event) -> None:
-    """Serve an app on a listener, which is closed at the end, until `stop` or cancellation.
+    """Serve an app on a listener until `stop` is set or the task is cancelled.
 
-    Either cuts the requests that are open.
+    Both abort the open requests. The listener is closed at the end.
     """
     interruptible = InterruptibleApp(app)
     async with anyio.create_task_group() as tasks:
@@ -50,7 +50,7 @@
 
 
 class InterruptibleApp:
-    """Passes requests on to an app and can cut all that are open."""
+    """Forwards requests to an app and can abort all open requests."""
 
     def __init__(self, app: AsgiApp) -> None:
         self._app = app
@@ -58,7 +58,7 @@
         self._is_interrupted = False
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one request, until it is cut."""
+        """Answer one request unless it is aborted first."""
         if scope["type"] != "http":
             await self._app(scope, receive, send)
             return
@@ -72,7 +72,7 @@
                 self._open.discard(cancel_scope)
 
     def interrupt(self) -> None:
-        """Cut every open request and each that still comes: the server closes its connection."""
+        """Abort every open and every later request; the server then closes the connections."""
         self._is_interrupted = True
         for cancel_scope in list(self._open):
             cancel_scope.cancel()
--- a/src/weirscale/standins/engine/__init__.py
+++ b/src/weirscale/standins/engine/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in for a model engine: a model with no I/O, an in-process port and an HTTP app."""
+"""Stand-in for an inference engine: a model without I/O, an in-process port and an HTTP app."""
--- a/src/weirscale/standins/engine/answer.py
+++ b/src/weirscale/standins/engine/answer.py
@@ -1,12 +1,12 @@
-"""Generated text as a pure function of the prompt, so that a checker can verify whole answers."""
+"""Generated text as a pure function of the prompt, so that checkers can verify whole answers."""
 
 import xxhash
 
 CHARACTERS_PER_TOKEN = 4
-"""Every token is four hexadecimal digits."""
+"""Every token consists of four hexadecimal digits."""
 
 TOKENS_PER_DIGEST = 8
-"""One 128-bit digest gives 32 hexadecimal digits."""
+"""A 128-bit digest has 32 hexadecimal digits."""
 
 DIGEST_INDEX_BYTES = 4
 
@@ -16,10 +16,10 @@
 
     Args:
         prompt: Canonical prompt bytes.
-        num_tokens: Tokens from the start of the answer.
+        num_tokens: Number of tokens from the start of the answer.
 
     Returns:
-        Their text, CHARACTERS_PER_TOKEN characters for each token.
+        The text of these tokens, CHARACTERS_PER_TOKEN characters each.
     """
     prompt_digest = xxhash.xxh3_128_digest(prompt)
     num_digests = -(-num_tokens // TOKENS_PER_DIGEST)
--- a/src/weirscale/standins/engine/attempt.py
+++ b/src/weirscale/standins/engine/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt as the engine holds it, from its arrival until it is forgotten."""
+"""State of one attempt in the engine, from its arrival to the end of its retention."""
 
 from collections.abc import Callable
 
@@ -9,28 +9,29 @@
 from weirscale.standins.engine.ledger import RunRecord
 
 FINISH_REASON = "length"
-"""The stand-in always generates the most tokens asked for."""
+"""The stand-in always generates `max_tokens` tokens."""
 
 
 class Attempt:
-    """State of one attempt; changed by the engine model only.
+    """State of one attempt; only the engine model changes it.
 
     Attributes:
-        call: What was asked.
-        block_hashes: Chain of the full blocks of the prompt and the continued text.
+        call: The call that started the attempt.
+        block_hashes: Hash chain of the full blocks of the prompt and the continued text.
         num_prompt_tokens: Tokens of the prompt and the continued text.
-        num_total_blocks: Blocks needed until the last token.
-        deadline_s: When the caller gives up.
+        num_total_blocks: Blocks needed for the prompt and the whole answer.
+        deadline_s: Time at which the caller gives up.
         num_cached_tokens: Prompt tokens found in the cache when the attempt entered the batch.
-        num_prefill_left: Prompt tokens to compute.
-        num_held_blocks: Leading blocks of the chain that are pinned.
-        num_reserved_blocks: Blocks reserved and not yet pinned.
-        num_generated: Tokens of the answer so far, continued ones included.
-        chunks: Everything streamed so far.
-        failure: Why it ended without a whole answer, or None.
-        is_done: Whether no chunk will follow.
-        record: Its ledger entry, None until it enters the batch.
-        listeners: Called once at the next change.
+        num_prefill_left: Prompt tokens still to compute.
+        num_held_blocks: Number of leading blocks of the chain that are pinned.
+        num_reserved_blocks: Number of reserved blocks that are not yet pinned.
+        num_generated: Answer tokens so far, including those of a continued answer.
+        chunks: Chunks generated so far.
+        failure: Why the attempt ended without a whole answer, or None.
+        is_done: Whether the attempt has ended and no chunk will follow.
+        forget_at_s: End of the retention of a finished attempt.
+        record: Ledger entry of the attempt, None until it enters the batch.
+        listeners: Functions that are called once at the next change.
     """
 
     __slots__ = (
@@ -85,7 +86,7 @@
         return max(0, self.call.max_tokens - self.num_generated)
 
     def generate(self, num_tokens: int) -> None:
-        """Append one chunk with the next tokens; the last chunk carries the counts."""
+        """Append a chunk with the next tokens; the last chunk carries the token counts."""
         if self._text is None:
             self._text = expected_text(self.call.prompt, self.call.max_tokens)
         start = self.num_generated
@@ -105,7 +106,7 @@
         )
 
     def notify(self) -> None:
-        """Wake whoever streams this attempt."""
+        """Call the listeners of this attempt once."""
         listeners, self.listeners = self.listeners, []
         for listener in listeners:
             listener()
--- a/src/weirscale/standins/engine/batch.py
+++ b/src/weirscale/standins/engine/batch.py
@@ -1,4 +1,4 @@
-"""Continuous batching: which requests run, and what the next step computes."""
+"""Continuous batching: select the running requests and plan the next step."""
 
 import heapq
 import itertools
@@ -18,13 +18,13 @@
 
 
 class Step(msgspec.Struct):
-    """What the engine computes next.
+    """One step of computation.
 
     Attributes:
-        duration_s: How long it takes.
-        prefills: Parts of prompts.
-        decoding: Attempts that generate.
-        num_decode_steps: Tokens that each of them generates.
+        duration_s: Duration of the step.
+        prefills: Prompt tokens to prefill.
+        decoding: Attempts that generate tokens.
+        num_decode_steps: Number of tokens that each decoding attempt generates.
     """
 
     duration_s: float
@@ -34,7 +34,7 @@
 
 
 class Batch:
-    """Waiting and running attempts of one run of an engine."""
+    """Waiting and running attempts of one incarnation of an engine."""
 
     def __init__(self, settings: EngineSettings, cache: PrefixCache) -> None:
         self._settings = settings
@@ -50,11 +50,14 @@
         self.num_waiting += 1
 
     def waiting(self) -> list[Attempt]:
-        """Return the attempts that wait, in no particular order."""
+        """Return the waiting attempts in no particular order."""
         return [entry[2] for entry in self._waiting if not entry[2].is_done]
 
     def admit_next(self) -> Attempt | None:
-        """Move the first waiting attempt into the batch; None if there is no room."""
+        """Move the first waiting attempt into the batch and return it.
+
+        Return None if no attempt waits, or if the batch or the memory has no room.
+        """
         while self._waiting and self._waiting[0][2].is_done:
             heapq.heappop(self._waiting)
         if not self._waiting or len(self.running) >= self._settings.max_running:
@@ -72,7 +75,7 @@
         return attempt
 
     def remove(self, attempt: Attempt) -> None:
-        """Take an attempt that has ended out of the batch or of the queue."""
+        """Remove an attempt that has ended from the batch or the queue."""
         if attempt in self.running:
             self.running.remove(attempt)
             held = attempt.block_hashes[: attempt.num_held_blocks]
@@ -81,7 +84,7 @@
             self.num_waiting -= 1
 
     def next_step(self) -> Step | None:
-        """Plan the next step under the token budget; None if nothing runs."""
+        """Plan the next step within the token budget; return None if nothing runs."""
         if not self.running:
             return None
         settings = self._settings
@@ -95,8 +98,8 @@
                 prefills.append(PrefillPart(attempt, num_tokens))
         num_steps = 1
         if not prefills:
-            most_left = max(attempt.num_tokens_left for attempt in decoding)
-            num_steps = max(1, min(settings.num_scheduler_steps, most_left))
+            max_tokens_left = max(attempt.num_tokens_left for attempt in decoding)
+            num_steps = max(1, min(settings.num_scheduler_steps, max_tokens_left))
         num_prefill_tokens = sum(part.num_tokens for part in prefills)
         decode_s = settings.step_fixed_s + settings.decode_request_s * len(decoding)
         duration_s = num_steps * decode_s + settings.prefill_token_s * num_prefill_tokens
--- a/src/weirscale/standins/engine/chunk_faults.py
+++ b/src/weirscale/standins/engine/chunk_faults.py
@@ -1,4 +1,4 @@
-"""Faults in a stream of chunks: cut, garbled, repeated, missing, swapped and crossed chunks."""
+"""Faults in a stream: broken off, or with corrupt, repeated, missing, swapped or foreign chunks."""
 
 import msgspec
 from result import Err, Ok
@@ -12,23 +12,23 @@
 OTHER_TEXT = "text of another answer"
 
 EARLY_END = EngineFailure(EngineFailureKind.BROKEN, "the stream ended before the answer; resume it")
-"""Stands for a stream that ends normally before the answer is whole."""
+"""Represents a stream that ends normally before the answer is complete."""
 
 
 class ChunkFaults:
-    """Passes the chunks of one stream on, with the faults that strike it."""
+    """Applies faults to the chunks of one stream."""
 
     def __init__(self, faults: EngineFaults) -> None:
         self._faults = faults
-        self._num_seen = 0
-        self._held: TokenChunk | None = None
+        self._num_received = 0
+        self._delayed_chunk: TokenChunk | None = None
         self.is_ended = False
 
     def pass_on(self, chunk: TokenChunk) -> list[ChunkOrFailure]:
-        """Return what leaves the engine in place of a chunk; sets `is_ended` at the last."""
+        """Return what the engine sends for a chunk; set `is_ended` if the stream ends here."""
         faults = self._faults
-        number = self._num_seen
-        self._num_seen += 1
+        number = self._num_received
+        self._num_received += 1
         if number in (faults.cut_before_chunk, faults.garble_chunk):
             self.is_ended = True
             return [Err(self._failure(number))]
@@ -38,14 +38,14 @@
         if number == faults.skip_chunk:
             return []
         if number == faults.swap_chunk and chunk.finish_reason is None:
-            self._held = chunk
+            self._delayed_chunk = chunk
             return []
         chunks = [self._change(chunk, number)]
         if number == faults.duplicate_chunk:
             chunks.append(chunks[0])
-        if self._held is not None:
-            chunks.append(self._held)
-            self._held = None
+        if self._delayed_chunk is not None:
+            chunks.append(self._delayed_chunk)
+            self._delayed_chunk = None
         return [Ok(item) for item in chunks]
 
     def _failure(self, number: int) -> EngineFailure:
--- a/src/weirscale/standins/engine/event_log.py
+++ b/src/weirscale/standins/engine/event_log.py
@@ -1,4 +1,4 @@
-"""Cache events of one run of an engine: gathered, batched, numbered and kept for replay."""
+"""Cache events of one engine incarnation: batched, numbered and kept for replay."""
 
 from collections import deque
 from collections.abc import Callable
@@ -22,14 +22,14 @@
 
 
 class PublishedBatch(msgspec.Struct, frozen=True):
-    """A batch and the time of its events."""
+    """A batch and the time at which it was flushed; followers receive it after the event lag."""
 
     published_at_s: float
     batch: CacheEventBatch
 
 
 class EventLog:
-    """Events of one incarnation; sequences start at 1."""
+    """Cache events of one incarnation; sequence numbers of batches start at 1."""
 
     def __init__(self, engine: EngineName, incarnation: Incarnation, window_batches: int) -> None:
         self._engine = engine
@@ -43,7 +43,7 @@
         self.listeners: list[Callable[[], None]] = []
 
     def record_stored(self, block_hash: BlockHash, parent: BlockHash | None) -> None:
-        """Record one stored block; a child of the block before joins its event."""
+        """Record one stored block; a child of the previous block joins the same event."""
         if self._removed:
             self._close_event()
         if self._stored and self._stored[-1] != parent:
@@ -64,7 +64,7 @@
         self._pending.append(AllBlocksCleared())
 
     def flush(self, model: ModelName, weight_version: WeightVersion, now_s: float) -> None:
-        """Publish what was recorded as one batch, if anything was."""
+        """Publish the events recorded since the last flush as one batch, if there are any."""
         self._close_event()
         if not self._pending:
             return
@@ -82,19 +82,22 @@
         self.notify()
 
     def notify(self) -> None:
-        """Wake every follower."""
+        """Wake all followers."""
         listeners, self.listeners = self.listeners, []
         for listener in listeners:
             listener()
 
     def can_replay_after(self, sequence: int) -> bool:
-        """Whether every batch after a sequence is still in the window."""
+        """Return whether all batches after a sequence number are still in the replay window."""
         if sequence > self.last_sequence:
             return False
         return self.last_sequence - sequence <= len(self._window)
 
     def batch_after(self, sequence: int) -> PublishedBatch | None:
-        """Return the batch after a sequence; call only if `can_replay_after` holds."""
+        """Return the batch after a sequence number, None if it is not published yet.
+
+        `can_replay_after` must hold for the sequence number.
+        """
         num_behind = self.last_sequence - sequence
         return self._window[-num_behind] if num_behind else None
 
--- a/src/weirscale/standins/engine/event_stream.py
+++ b/src/weirscale/standins/engine/event_stream.py
@@ -1,4 +1,4 @@
-"""Stream of an engine's cache events to one follower, late and with gaps as faults say."""
+"""Stream of an engine's cache events to one follower, with injected delays and gaps."""
 
 from collections.abc import AsyncGenerator
 from random import Random
@@ -21,7 +21,11 @@
     incarnation: Incarnation | None,
     after_sequence: int,
 ) -> AsyncGenerator[Result[CacheEventBatch, EngineFailure], None]:
-    """Iterate over the batches after a sequence until the run ends or the window is passed."""
+    """Iterate over the batches after a sequence number.
+
+    The iteration ends with a failure when the incarnation ends, or when the next batch is no longer
+    in the replay window.
+    """
     events = model.events
     if incarnation not in (None, model.incarnation):
         yield Err(_not_found(f"incarnation is {model.incarnation}"))
--- a/src/weirscale/standins/engine/http_app.py
+++ b/src/weirscale/standins/engine/http_app.py
@@ -1,4 +1,4 @@
-"""HTTP interface of the stand-in engine: OpenAI-shaped, with the extensions of `engine_wire`."""
+"""HTTP interface of the stand-in engine: OpenAI API with the extensions of `engine_wire`."""
 
 from collections.abc import AsyncIterator
 from urllib.parse import parse_qs, unquote
@@ -48,7 +48,7 @@
 
 
 class EngineApp:
-    """ASGI app over one in-process engine."""
+    """ASGI app in front of one in-process engine."""
 
     def __init__(self, engine: InProcessEngine) -> None:
         self._engine = engine
@@ -71,7 +71,7 @@
         elif method == "POST" and path == wire.ORDERS_PATH:
             await self._order(receive, send)
         else:
-            await send_failure(send, _not_found("no such path"))
+            await send_failure(send, _not_found("unknown path"))
 
     async def _generate(self, path: str, scope: Scope, receive: Receive, send: Send) -> None:
         body = await read_body(receive, MAX_BODY_BYTES)
@@ -103,7 +103,7 @@
             if failure is EARLY_END:
                 break
             if failure.kind is EngineFailureKind.BROKEN:
-                return  # The server closes a connection whose answer is not complete.
+                return  # The server closes the connection, as the answer is incomplete.
             await send_part(send, encoder.encode_failure(failure))
         await send_part(send, encoder.end(), is_last=True)
 
@@ -112,14 +112,14 @@
         is_cancel = len(parts) == 3 and parts[2] == "cancel" and method == "POST"
         is_resume = len(parts) == 2 and method == "GET"
         if not (is_cancel or is_resume) or not parts[1].isdecimal():
-            await send_failure(send, _not_found("no such path"))
+            await send_failure(send, _not_found("unknown path"))
             return
         request_id = RequestId(unquote(parts[0]))
         number = int(parts[1])
         if is_cancel:
             await self._send_result(send, await self._engine.cancel(request_id, number))
             return
-        from_sequence = _integer(scope, "from_sequence") or 0
+        from_sequence = _query_integer(scope, "from_sequence") or 0
         found = self._engine.find(request_id, number, from_sequence)
         if isinstance(found, Err):
             await send_failure(send, found.err_value)
@@ -136,16 +136,17 @@
         elif path == wire.EVENTS_PATH:
             await self._send_events(scope, send)
         else:
-            await send_failure(send, _not_found("no such path"))
+            await send_failure(send, _not_found("unknown path"))
 
     async def _send_events(self, scope: Scope, send: Send) -> None:
-        incarnation = _integer(scope, "incarnation")
-        after_sequence = _integer(scope, "after_sequence") or 0
+        incarnation = _query_integer(scope, "incarnation")
+        after_sequence = _query_integer(scope, "after_sequence") or 0
         following = self._engine.cache_events(
             None if incarnation is None else Incarnation(incarnation), after_sequence
         )
         await start_response(send, OK, NDJSON_HEADERS)
-        # Headers leave with the first part of the body: an empty one tells that the stream is open.
+        # The server sends headers with the first part of the body; an empty part sends them now, so
+        # that the follower sees that the stream is open.
         await send_part(send, b"")
         async with following as batches:
             async for item in batches:
@@ -179,7 +180,7 @@
 def parse_call(
     path: str, headers: dict[str, str], body: bytes
 ) -> Result[GenerateCall, EngineFailure]:
-    """Return the call that a request stands for; its answer is always streamed."""
+    """Parse a request into a call; its answer is always streamed."""
     try:
         parsed = msgspec.json.decode(body, type=dict[str, object])
         fields = msgspec.convert(parsed, wire.GenerateExtensions)
@@ -196,7 +197,7 @@
         detail = "the request needs a prompt or messages, and the header x-request-id"
         return Err(EngineFailure(EngineFailureKind.REFUSED_INVALID, detail))
     continued = fields.continue_answer or wire.ContinueAnswer("", 0, 0)
-    transfer = fields.kv_transfer_params
+    kv_transfer = fields.kv_transfer_params
     call = GenerateCall(
         request_id=RequestId(request_id),
         attempt=attempt,
@@ -214,14 +215,14 @@
         continue_text=continued.text,
         continue_sequence=continued.sequence,
         continue_num_tokens=continued.num_tokens,
-        kept_kv_store=transfer.store if transfer else None,
-        kept_kv_block_hash=transfer.block_hash if transfer else None,
+        kept_kv_store=kv_transfer.store if kv_transfer else None,
+        kept_kv_block_hash=kv_transfer.block_hash if kv_transfer else None,
     )
     return Ok(call)
 
 
 async def send_failure(send: Send, failure: EngineFailure) -> None:
-    """Send a failure as status and error object; a broken call sends nothing."""
+    """Send a failure as a status with an error object; send nothing if the call is broken."""
     if failure.kind is EngineFailureKind.BROKEN:
         return
     status = wire.STATUS_OF_FAILURE.get(failure.kind, BAD_GATEWAY)
@@ -229,13 +230,13 @@
 
 
 def wire_error(failure: EngineFailure) -> wire.WireError:
-    """Return a failure as an error object."""
+    """Convert a failure to an error object."""
     return wire.WireError(
         message=failure.detail, code=failure.kind.value, retry_after_s=failure.retry_after_s
     )
 
 
-def _integer(scope: Scope, name: str) -> int | None:
+def _query_integer(scope: Scope, name: str) -> int | None:
     values = parse_qs(scope["query_string"].decode("latin-1")).get(name, [])
     return int(values[0]) if values and values[0].isdecimal() else None
 
--- a/src/weirscale/standins/engine/in_process.py
+++ b/src/weirscale/standins/engine/in_process.py
@@ -1,4 +1,4 @@
-"""Engine stand-in behind the engine port, in the caller's own process, in virtual or real time."""
+"""Engine stand-in behind the engine port, in this process, in virtual or real time."""
 
 from collections.abc import AsyncGenerator, AsyncIterator, Mapping, Sequence
 from contextlib import aclosing, asynccontextmanager
@@ -32,10 +32,10 @@
 
 
 class WeightSource(Protocol):
-    """Where an engine reads weights from."""
+    """A source of model weights."""
 
     async def fetch(self, engine: EngineName, load: LoadModel, num_bytes: int) -> Result[None, str]:
-        """Read all weights; takes as long as the reading does."""
+        """Read all weights; return once the read has ended."""
         ...
 
 
@@ -43,16 +43,16 @@
     """A store of kept KV cache."""
 
     async def import_blocks(self, block_hashes: Sequence[BlockHash]) -> Result[int, str]:
-        """Read a chain of blocks; answers how many leading ones were there."""
+        """Read a chain of blocks; return how many leading blocks the store had."""
         ...
 
     async def export_blocks(self, block_hashes: Sequence[BlockHash]) -> Result[None, str]:
-        """Keep a chain of blocks."""
+        """Store a chain of blocks."""
         ...
 
 
 class InProcessEngine:
-    """An `EnginePort` whose engine is a task of this process: start `run` in a task group."""
+    """An `EnginePort` whose engine is a task of this process; start `run` in a task group."""
 
     def __init__(
         self,
@@ -71,16 +71,16 @@
         self._block_stores = block_stores or {}
         self._wake = anyio.Event()
         self._loading: LoadModel | None = None
-        self._reading: anyio.CancelScope | None = None
+        self._load_scope: anyio.CancelScope | None = None
         self._down_until_s = 0.0
 
     async def run(self) -> None:
         """Run the engine until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
-                await self._turn(tasks)
+                await self._run_step(tasks)
 
-    async def _turn(self, tasks: TaskGroup) -> None:
+    async def _run_step(self, tasks: TaskGroup) -> None:
         wake = self._wake = anyio.Event()
         if self.faults.current.is_stalled:
             self.faults.on_change(wake.set)
@@ -100,17 +100,17 @@
         if load is None or load is self._loading:
             return
         self._loading = load
-        self._stop_reading()
-        self._reading = anyio.CancelScope()
+        self._stop_load()
+        self._load_scope = anyio.CancelScope()
         self.model.begin_load(load, anyio.current_time())
-        tasks.start_soon(self._load, load, self._reading)
+        tasks.start_soon(self._load, load, self._load_scope)
 
-    def _stop_reading(self) -> None:
-        if self._reading is not None:
-            self._reading.cancel()
+    def _stop_load(self) -> None:
+        if self._load_scope is not None:
+            self._load_scope.cancel()
 
     async def _load(self, load: LoadModel, scope: anyio.CancelScope) -> None:
-        """Read weights until another load or a crash stops the reading."""
+        """Read weights, unless another load or a crash cancels the read."""
         succeeded = True
         with scope:
             if self._weight_source is not None:
@@ -131,20 +131,20 @@
             tasks.start_soon(store.export_blocks, attempt.block_hashes)
 
     def crash(self, incarnation: Incarnation | None = None) -> None:
-        """Lose everything; the engine answers again, empty, after `restart_s`."""
+        """Lose all state; the engine is reachable again, with an empty cache, after `restart_s`."""
         now_s = anyio.current_time()
         self._down_until_s = now_s + self.settings.restart_s
-        self._stop_reading()
+        self._stop_load()
         self.model.crash(incarnation or Incarnation(self.model.incarnation + 1), now_s)
         self._wake.set()
 
     def leave(self) -> None:
-        """Refuse new work and say so in the load report; what runs goes on."""
+        """Refuse new requests and set `is_leaving` in load reports; admitted requests continue."""
         self.model.is_leaving = True
 
     @property
     def is_reachable(self) -> bool:
-        """Whether a connection can be made now."""
+        """Whether the engine accepts connections now."""
         if self.faults.current.refuse_connections:
             return False
         return anyio.current_time() >= self._down_until_s
@@ -152,10 +152,12 @@
     def _unreachable(self) -> EngineFailure | None:
         if self.is_reachable:
             return None
-        return EngineFailure(EngineFailureKind.UNREACHABLE, "connection refused; choose another")
+        return EngineFailure(
+            EngineFailureKind.UNREACHABLE, "connection refused; choose another engine"
+        )
 
     async def start(self, call: GenerateCall) -> Result[Attempt, EngineFailure]:
-        """Take an attempt in without streaming it yet."""
+        """Submit an attempt without streaming it."""
         refusal = self._unreachable() or self._fault_refusal() or self.model.refusal(call)
         if refusal is not None:
             return Err(refusal)
@@ -167,9 +169,9 @@
     def _fault_refusal(self) -> EngineFailure | None:
         faults = self.faults.current
         if faults.refuse_busy:
-            return EngineFailure(EngineFailureKind.REFUSED_BUSY, "the engine is full")
+            return EngineFailure(EngineFailureKind.REFUSED_BUSY, "the engine has no room")
         if faults.refuse_invalid:
-            return EngineFailure(EngineFailureKind.REFUSED_INVALID, "the request is not understood")
+            return EngineFailure(EngineFailureKind.REFUSED_INVALID, "the request is invalid")
         return None
 
     async def _import_kept(self, call: GenerateCall) -> None:
@@ -179,37 +181,37 @@
         hashes = self.model.block_hashes(call)
         if call.kept_kv_block_hash not in hashes:
             return
-        identity = (self.model.incarnation, self.model.weight_version)
-        wanted = hashes[: hashes.index(BlockHash(call.kept_kv_block_hash)) + 1]
+        loaded = (self.model.incarnation, self.model.weight_version)
+        blocks = hashes[: hashes.index(BlockHash(call.kept_kv_block_hash)) + 1]
         with anyio.move_on_after(self.settings.max_import_wait_s):
-            imported = await store.import_blocks(wanted)
-            is_same_run = identity == (self.model.incarnation, self.model.weight_version)
-            if isinstance(imported, Ok) and is_same_run:
-                self.model.import_blocks(wanted[: imported.ok_value], anyio.current_time())
+            imported = await store.import_blocks(blocks)
+            is_same_engine_state = loaded == (self.model.incarnation, self.model.weight_version)
+            if isinstance(imported, Ok) and is_same_engine_state:
+                self.model.import_blocks(blocks[: imported.ok_value], anyio.current_time())
 
     @asynccontextmanager
     async def generate(self, call: GenerateCall) -> AsyncIterator[AsyncIterator[ChunkOrFailure]]:
         """Start one attempt and stream its chunks."""
         started = await self.start(call)
         if isinstance(started, Err):
-            chunks = _only(started)
+            chunks = _single_failure(started)
         else:
             chunks = self.stream(started.ok_value, call.continue_sequence, call.time_left_s)
         async with aclosing(chunks):
             yield chunks
 
     def time_left_s(self, attempt: Attempt) -> float:
-        """Return the seconds until an attempt's caller gives up."""
+        """Return the time until an attempt's caller gives up, in seconds."""
         return max(0.0, attempt.deadline_s - anyio.current_time())
 
     @asynccontextmanager
     async def resume(
         self, request_id: RequestId, attempt: int, from_sequence: int
     ) -> AsyncIterator[AsyncIterator[ChunkOrFailure]]:
-        """Stream the chunks of an attempt again from a sequence."""
+        """Stream the chunks of an attempt again, starting at a sequence number."""
         found = self.find(request_id, attempt, from_sequence)
         if isinstance(found, Err):
-            chunks = _only(found)
+            chunks = _single_failure(found)
         else:
             attempt_found = found.ok_value
             time_left_s = self.time_left_s(attempt_found)
@@ -220,20 +222,20 @@
     def find(
         self, request_id: RequestId, attempt: int, from_sequence: int
     ) -> Result[Attempt, EngineFailure]:
-        """Return an attempt that can be streamed from a sequence."""
+        """Return an attempt that can be streamed from a sequence number."""
         unreachable = self._unreachable()
         if unreachable is not None:
             return Err(unreachable)
-        found = self.model.find(request_id, attempt)
-        if found is None or from_sequence < found.call.continue_sequence:
-            detail = "the engine does not know this attempt; continue on another engine"
+        current = self.model.find(request_id, attempt)
+        if current is None or from_sequence < current.call.continue_sequence:
+            detail = "unknown attempt; continue on another engine"
             return Err(EngineFailure(EngineFailureKind.NOT_FOUND, detail))
-        return Ok(found)
+        return Ok(current)
 
     async def stream(
         self, attempt: Attempt, from_sequence: int, time_left_s: float
     ) -> AsyncGenerator[ChunkOrFailure, None]:
-        """Iterate over the chunks of an attempt, with the faults in force."""
+        """Iterate over the chunks of an attempt, with the active faults applied."""
         faults = self.faults.faults_for_call()
         chunk_faults = None if faults is NO_FAULTS else ChunkFaults(faults)
         deadline_s = anyio.current_time() + time_left_s
@@ -260,13 +262,13 @@
                 return
 
     async def cancel(self, request_id: RequestId, attempt: int) -> Result[None, EngineFailure]:
-        """Stop an attempt's work."""
+        """Stop an attempt."""
         failure = await self._control_failure()
         if failure is not None:
             return Err(failure)
         if self.model.cancel(request_id, attempt, anyio.current_time()):
             return Ok(None)
-        return Err(EngineFailure(EngineFailureKind.NOT_FOUND, "the engine does not know it"))
+        return Err(EngineFailure(EngineFailureKind.NOT_FOUND, "unknown attempt"))
 
     async def load(self) -> Result[LoadReport, EngineFailure]:
         """Read the latest load report."""
@@ -280,10 +282,10 @@
     async def cache_events(
         self, incarnation: Incarnation | None, after_sequence: int
     ) -> AsyncIterator[AsyncIterator[Result[CacheEventBatch, EngineFailure]]]:
-        """Follow cache events after a sequence."""
+        """Follow the cache events after a sequence number."""
         failure = self._unreachable()
         if failure is not None:
-            batches = _only_batch(Err(failure))
+            batches = _single_event_failure(Err(failure))
         else:
             batches = follow_events(
                 self.model, self.faults, self._random, incarnation, after_sequence
@@ -292,14 +294,14 @@
             yield batches
 
     async def cache_dump(self) -> Result[CacheDump, EngineFailure]:
-        """Read every block held now."""
+        """Read all blocks cached now."""
         failure = await self._control_failure()
         if failure is not None:
             return Err(failure)
         return Ok(self.model.dump())
 
     async def order(self, order: EngineOrder) -> Result[None, EngineFailure]:
-        """Give a fenced order."""
+        """Send a fenced order to the engine."""
         failure = await self._control_failure()
         if failure is not None:
             return Err(failure)
@@ -312,12 +314,12 @@
         failure = self._unreachable()
         if failure is None and self.faults.current.is_stalled:
             await anyio.sleep(self.settings.control_timeout_s)
-            failure = EngineFailure(EngineFailureKind.TIMED_OUT, "the engine does not answer")
+            failure = EngineFailure(EngineFailureKind.TIMED_OUT, "the engine did not answer")
         return failure
 
 
 async def _wait_for_change(attempt: Attempt, deadline_s: float) -> bool:
-    """Wait until an attempt changes; False if the deadline passes first."""
+    """Wait until an attempt changes; return False if the deadline passes first."""
     changed = anyio.Event()
     attempt.listeners.append(changed.set)
     with anyio.move_on_after(deadline_s - anyio.current_time()):
@@ -325,11 +327,11 @@
     return changed.is_set()
 
 
-async def _only(failure: Err[EngineFailure]) -> AsyncGenerator[ChunkOrFailure, None]:
+async def _single_failure(failure: Err[EngineFailure]) -> AsyncGenerator[ChunkOrFailure, None]:
     yield failure
 
 
-async def _only_batch(
+async def _single_event_failure(
     failure: Err[EngineFailure],
 ) -> AsyncGenerator[Result[CacheEventBatch, EngineFailure], None]:
     yield failure
--- a/src/weirscale/standins/engine/ledger.py
+++ b/src/weirscale/standins/engine/ledger.py
@@ -1,4 +1,4 @@
-"""Record of every run on an engine, for history checkers; it outlives crashes of the model."""
+"""Records of all attempts run by an engine, for history checkers; kept across engine crashes."""
 
 from collections import OrderedDict
 
@@ -15,21 +15,21 @@
 
 
 class RunRecord(msgspec.Struct):
-    """One attempt that an engine began to work on.
+    """One attempt that an engine started to run.
 
     Attributes:
-        engine: Where it ran.
-        request_id: The caller's request.
+        engine: Engine that ran it.
+        request_id: Id of the caller's request.
         attempt: Number of the attempt.
-        cache_salt: Tenant's salt of the cache blocks.
-        incarnation: Run of the engine.
+        cache_salt: Tenant's salt in the hashes of the cache blocks.
+        incarnation: Incarnation of the engine.
         model: Model that served it.
         weight_version: Version that served it.
         adapter: Adapter that served it, or None.
         num_prompt_tokens: Tokens of the prompt.
         num_cached_tokens: Prompt tokens served from cache.
-        started_at_s: When it entered the batch.
-        finished_at_s: When its work ended, None while it runs.
+        started_at_s: When the attempt entered the batch.
+        finished_at_s: When the attempt ended, None while it runs.
         outcome: `running`, `finished`, `cancelled`, `expired` or `crashed`.
     """
 
@@ -49,7 +49,7 @@
 
 
 class RunLedger:
-    """Bounded list of run records, oldest dropped first."""
+    """Bounded list of run records; the oldest are dropped first."""
 
     def __init__(self, max_records: int) -> None:
         self._max_records = max_records
@@ -57,12 +57,12 @@
         self.num_started = 0
 
     def add(self, record: RunRecord) -> None:
-        """Record a start."""
+        """Add the record of a started attempt."""
         self.num_started += 1
         self._records[self.num_started] = record
         if len(self._records) > self._max_records:
             self._records.popitem(last=False)
 
     def records(self) -> list[RunRecord]:
-        """Return all records kept, oldest first."""
+        """Return all kept records, oldest first."""
         return list(self._records.values())
--- a/src/weirscale/standins/engine/model.py
+++ b/src/weirscale/standins/engine/model.py
@@ -1,4 +1,4 @@
-"""Model of an inference engine, with no I/O: the caller passes the time and does the waiting."""
+"""Model of an inference engine without I/O: the caller passes the time and waits."""
 
 import heapq
 from collections import OrderedDict
@@ -37,24 +37,24 @@
 AttemptKey = tuple[RequestId, int]
 
 BUSY_RETRY_AFTER_S = 0.5
-"""Hint given with a busy refusal: a few steps later a place is likely to be free."""
+"""Retry hint of a busy refusal: after a few more steps, room in the queue is likely."""
 
 
 def count_tokens(num_bytes: int) -> int:
-    """Return the tokens in that many bytes of text, rounded up."""
+    """Return the number of tokens in a number of bytes of text, rounded up."""
     return -int(-num_bytes // BYTES_PER_TOKEN)
 
 
 class EngineModel:
-    """One engine over all its runs; a crash starts a new run with an empty cache."""
+    """One engine over all its incarnations; a crash starts a new one with an empty cache."""
 
     def __init__(self, settings: EngineSettings, incarnation: Incarnation) -> None:
         self.settings = settings
         self.ledger = RunLedger(settings.max_ledger_records)
         self.is_leaving = False
-        self._start_run(incarnation)
+        self._start_incarnation(incarnation)
 
-    def _start_run(self, incarnation: Incarnation) -> None:
+    def _start_incarnation(self, incarnation: Incarnation) -> None:
         settings = self.settings
         self.incarnation = incarnation
         self.model: ModelName | None = settings.model
@@ -80,8 +80,8 @@
         self._report_number = -1
 
     def submit(self, call: GenerateCall, now_s: float) -> Result[Attempt, EngineFailure]:
-        """Take an attempt in, or refuse it unrun."""
-        self._roll_report(now_s)
+        """Queue an attempt, or refuse it without running it."""
+        self._refresh_report(now_s)
         self._forget_old(now_s)
         refusal = self.refusal(call)
         if refusal is not None:
@@ -98,12 +98,12 @@
         return Ok(attempt)
 
     def find(self, request_id: RequestId, attempt: int) -> Attempt | None:
-        """Return an attempt that is not forgotten."""
+        """Return a current or retained attempt, or None."""
         return self._attempts.get((request_id, attempt))
 
     def cancel(self, request_id: RequestId, attempt_number: int, now_s: float) -> bool:
-        """Stop an attempt's work; False if it is not known."""
-        self._roll_report(now_s)
+        """Stop an attempt; return False if it is unknown."""
+        self._refresh_report(now_s)
         attempt = self.find(request_id, attempt_number)
         if attempt is None:
             return False
@@ -111,8 +111,8 @@
         return True
 
     def begin_step(self, now_s: float) -> float | None:
-        """Plan the next step; returns its duration, or None while there is nothing to do."""
-        self._roll_report(now_s)
+        """Plan the next step and return its duration in seconds, or None if nothing runs."""
+        self._refresh_report(now_s)
         self._forget_old(now_s)
         self._drop_expired(now_s)
         self._admit(now_s)
@@ -120,17 +120,17 @@
         return self._step.duration_s if self._step else None
 
     def finish_step(self, now_s: float) -> None:
-        """Apply the planned step: store blocks, append chunks, end what is complete."""
-        self._roll_report(now_s)
+        """Apply the planned step: cache blocks, append chunks and end complete attempts."""
+        self._refresh_report(now_s)
         step, self._step = self._step, None
         if step is None:
             return
         for attempt in step.decoding:
             if not attempt.is_done:
                 self._generate(attempt, step.num_decode_steps, now_s)
-        for part in step.prefills:
-            if not part.attempt.is_done:
-                self._prefill(part.attempt, part.num_tokens, now_s)
+        for prefill in step.prefills:
+            if not prefill.attempt.is_done:
+                self._prefill(prefill.attempt, prefill.num_tokens, now_s)
         self.flush_events(now_s)
 
     def flush_events(self, now_s: float) -> None:
@@ -140,25 +140,25 @@
         self.events.flush(model, version, now_s)
 
     def order(self, order: EngineOrder, now_s: float) -> Result[None, EngineFailure]:
-        """Accept a fenced order; a load begins when running requests have finished."""
-        self._roll_report(now_s)
+        """Accept or refuse a fenced order; a load begins once no request runs any more."""
+        self._refresh_report(now_s)
         if order.expected_incarnation not in (None, self.incarnation):
-            detail = f"incarnation is {self.incarnation}; decide anew from its load report"
+            detail = f"incarnation is {self.incarnation}; read the load report and decide again"
             return Err(EngineFailure(EngineFailureKind.REFUSED_MISMATCH, detail))
         checked = self._fence.check(order)
         if isinstance(checked, Err):
             return checked
         if checked.ok_value:
-            self._carry_out(order, now_s)
+            self._execute_order(order, now_s)
         return Ok(None)
 
     def load_to_begin(self) -> LoadModel | None:
-        """Return the load that may begin now, as no request runs any more."""
+        """Return the pending load if no request runs, else None."""
         return self.pending_load if not self.batch.running else None
 
     def begin_load(self, load: LoadModel, now_s: float) -> None:
-        """Drop the old weights and every block computed with them."""
-        self._roll_report(now_s)
+        """Drop the old weights and all blocks computed with them."""
+        self._refresh_report(now_s)
         self.cache.clear()
         self.flush_events(now_s)
         self.model = None
@@ -166,8 +166,8 @@
         self.adapters = set()
 
     def finish_load(self, load: LoadModel, succeeded: bool, now_s: float) -> None:
-        """Serve the loaded version, or stay without weights after a failed load."""
-        self._roll_report(now_s)
+        """Serve the loaded version, or remain without weights if the load failed."""
+        self._refresh_report(now_s)
         if self.pending_load is not load:
             return
         self.pending_load = None
@@ -179,24 +179,24 @@
             self._failed_load_token = self._pending_load_token
 
     def block_hashes(self, call: GenerateCall) -> list[BlockHash]:
-        """Return the chain of a call's prompt under the weights loaded now."""
+        """Return the hash chain of a call's prompt for the loaded weights."""
         text = call.prompt + call.continue_text.encode() if call.continue_text else call.prompt
         version = self.weight_version or self.settings.weight_version
         seed = chain_seed(call.cache_salt, call.model, version, call.adapter)
         return extend_chain(seed, text, 0, self.settings.block_size_bytes)
 
     def import_blocks(self, block_hashes: Sequence[BlockHash], now_s: float) -> None:
-        """Hold leading blocks of a chain that came from the kept-KV store."""
+        """Cache leading blocks of a chain that were read from the kept-KV store."""
         self.cache.import_blocks(block_hashes)
         self.flush_events(now_s)
 
     def load_report(self, now_s: float) -> LoadReport:
         """Return the state at the last multiple of the report interval."""
-        self._roll_report(now_s)
+        self._refresh_report(now_s)
         return self._report
 
     def dump(self) -> CacheDump:
-        """Return every block held, with the last published sequence."""
+        """Return all cached blocks, with the last published sequence number."""
         return CacheDump(
             engine=self.settings.name,
             incarnation=self.incarnation,
@@ -207,29 +207,33 @@
         )
 
     def crash(self, incarnation: Incarnation, now_s: float) -> None:
-        """Lose everything and start a new run; streams end broken."""
+        """Lose all state and start a new incarnation; open streams end as broken."""
         old_events = self.events
         for attempt in self._attempts.values():
             if not attempt.is_done:
                 self._close(attempt, "crashed", now_s, EngineFailureKind.BROKEN)
-        self._start_run(incarnation)
+        self._start_incarnation(incarnation)
         old_events.notify()
 
     def refusal(self, call: GenerateCall) -> EngineFailure | None:
-        """Return why a call would be refused now, or None."""
+        """Return the reason for which a call would be refused now, or None."""
         kinds = EngineFailureKind
         if self.is_leaving:
-            return EngineFailure(kinds.REFUSED_LEAVING, "the engine is stopping; choose another")
+            return EngineFailure(
+                kinds.REFUSED_LEAVING, "the engine is shutting down; choose another"
+            )
         if self.pending_load is not None:
-            return EngineFailure(kinds.REFUSED_MISMATCH, "the engine loads weights; choose another")
+            return EngineFailure(
+                kinds.REFUSED_MISMATCH, "the engine is loading weights; choose another"
+            )
         mismatch = self._mismatch(call)
         if mismatch is not None:
-            return EngineFailure(kinds.REFUSED_MISMATCH, f"{mismatch}; choose again")
+            return EngineFailure(kinds.REFUSED_MISMATCH, f"{mismatch}; choose another engine")
         if (call.request_id, call.attempt) in self._attempts:
-            detail = "this attempt has been sent before; resume it or count the attempt up"
+            detail = "this attempt was sent before; resume it or increment the attempt number"
             return EngineFailure(kinds.REFUSED_INVALID, detail)
         if self.batch.num_waiting >= self.settings.max_waiting:
-            detail = f"{self.batch.num_waiting} requests wait; choose another engine"
+            detail = f"{self.batch.num_waiting} requests are waiting; choose another engine"
             return EngineFailure(kinds.REFUSED_BUSY, detail, BUSY_RETRY_AFTER_S)
         return None
 
@@ -261,7 +265,7 @@
     def _start(self, attempt: Attempt, now_s: float) -> None:
         call = attempt.call
         num_cached_bytes = attempt.num_held_blocks * self.settings.block_size_bytes
-        # The last prompt token is always computed: its logits give the first answer token.
+        # The last prompt token is always computed, as its logits give the first answer token.
         attempt.num_cached_tokens = min(
             int(num_cached_bytes // BYTES_PER_TOKEN), attempt.num_prompt_tokens - 1
         )
@@ -285,10 +289,12 @@
     def _prefill(self, attempt: Attempt, num_tokens: int, now_s: float) -> None:
         attempt.num_prefill_left -= num_tokens
         self._num_waiting_prefill_tokens -= num_tokens
-        num_done_tokens = attempt.num_prompt_tokens - attempt.num_prefill_left
-        num_done_blocks = int(num_done_tokens * BYTES_PER_TOKEN) // self.settings.block_size_bytes
+        num_prefilled_tokens = attempt.num_prompt_tokens - attempt.num_prefill_left
+        num_full_blocks = (
+            int(num_prefilled_tokens * BYTES_PER_TOKEN) // self.settings.block_size_bytes
+        )
         hashes = attempt.block_hashes
-        for index in range(attempt.num_held_blocks, min(num_done_blocks, len(hashes))):
+        for index in range(attempt.num_held_blocks, min(num_full_blocks, len(hashes))):
             self.cache.store_reserved(hashes[index], hashes[index - 1] if index else None)
             attempt.num_held_blocks += 1
             attempt.num_reserved_blocks -= 1
@@ -338,7 +344,7 @@
             del self._finished[key]
             del self._attempts[key]
 
-    def _carry_out(self, order: EngineOrder, now_s: float) -> None:
+    def _execute_order(self, order: EngineOrder, now_s: float) -> None:
         action = order.action
         if isinstance(action, LoadModel):
             self.pending_load = action
@@ -354,9 +360,9 @@
             self.role = action.role
         self._order_token = order.token
 
-    def _roll_report(self, now_s: float) -> None:
-        # The state is constant between changes, and every change calls this first: the state now
-        # is what it was at the last multiple of the interval.
+    def _refresh_report(self, now_s: float) -> None:
+        # Every change of the state calls this first, so the present state still is the state at the
+        # last multiple of the interval.
         number = int(now_s / self.settings.load_report_interval_s)
         if number != self._report_number:
             self._report = self._snapshot()
--- a/src/weirscale/standins/engine/orders.py
+++ b/src/weirscale/standins/engine/orders.py
@@ -1,4 +1,4 @@
-"""Fenced orders: what an engine has seen, and the load that it is about to do."""
+"""Fencing of orders to an engine by their tokens."""
 
 from result import Err, Ok, Result
 
@@ -6,16 +6,16 @@
 
 
 class OrderFence:
-    """Refuses an order whose token is not above the last one, except the last order itself.
+    """Refuses orders whose token is not above that of the last order, except its exact repeat.
 
-    A fence lives in memory only: an engine that has crashed starts again from token 0.
+    The state is held in memory only: after a crash, the engine accepts any token again.
     """
 
     def __init__(self) -> None:
         self._last: EngineOrder | None = None
 
     def check(self, order: EngineOrder) -> Result[bool, EngineFailure]:
-        """Return whether an order is new; Ok(False) is an identical repeat, already accepted."""
+        """Return whether an order is new; Ok(False) means an exact repeat of the last order."""
         if self._last is None or order.token > self._last.token:
             self._last = order
             return Ok(True)
--- a/src/weirscale/standins/engine/prefix_cache.py
+++ b/src/weirscale/standins/engine/prefix_cache.py
@@ -1,8 +1,9 @@
-"""Paged prefix cache: blocks of running requests are pinned, the others leave by LRU.
+"""Paged prefix cache that pins the blocks of running requests and evicts others by LRU.
 
-Memory is counted in blocks. A running request holds its prompt's cached blocks (pinned, shared)
-and a reservation for blocks not computed yet. The sum of pinned, unpinned and reserved blocks
-never exceeds the total: room is made by evicting unpinned blocks, least recently used first.
+Memory is counted in blocks. A running request holds the cached blocks of its prompt (pinned, shared
+with other requests) and a reservation for blocks that are not yet computed. The sum of pinned,
+unpinned and reserved blocks never exceeds the total: unpinned blocks are evicted to make room,
+least recently used first.
 """
 
 from collections import OrderedDict
@@ -13,7 +14,7 @@
 
 
 class PrefixCache:
-    """Blocks of one run of an engine, all of one model version."""
+    """Cached blocks of one engine incarnation, all of the same model version."""
 
     def __init__(self, num_total_blocks: int, events: EventLog) -> None:
         self._num_total = num_total_blocks
@@ -24,15 +25,15 @@
 
     @property
     def num_cached(self) -> int:
-        """Blocks held."""
+        """Number of cached blocks, pinned or not."""
         return len(self._pin_counts) + len(self._unpinned)
 
     def block_hashes(self) -> tuple[BlockHash, ...]:
-        """Return all blocks held, least recently used first."""
+        """Return all cached blocks: unpinned ones, least recently used first, then pinned ones."""
         return (*self._unpinned, *self._pin_counts)
 
     def num_matched(self, block_hashes: Sequence[BlockHash]) -> int:
-        """Return how many leading blocks are held."""
+        """Return how many leading blocks of a chain are cached."""
         pin_counts = self._pin_counts
         unpinned = self._unpinned
         for index, block_hash in enumerate(block_hashes):
@@ -41,7 +42,10 @@
         return len(block_hashes)
 
     def acquire(self, block_hashes: Sequence[BlockHash], num_matched: int, num_new: int) -> bool:
-        """Pin the matched leading blocks and reserve room for new ones; False if it is short."""
+        """Pin the matched leading blocks and reserve room for new ones.
+
+        Return False, and change nothing, if there is not enough room.
+        """
         matched = block_hashes[:num_matched]
         num_already_pinned = sum(1 for item in matched if item in self._pin_counts)
         num_pinned_after = len(self._pin_counts) + num_matched - num_already_pinned
@@ -54,14 +58,14 @@
         return True
 
     def store_reserved(self, block_hash: BlockHash, parent: BlockHash | None) -> None:
-        """Turn one reserved block into a pinned cached one."""
+        """Turn one reserved block into a pinned, cached block."""
         self._num_reserved -= 1
         if block_hash not in self._pin_counts and block_hash not in self._unpinned:
             self._events.record_stored(block_hash, parent)
         self._pin(block_hash)
 
     def import_blocks(self, block_hashes: Sequence[BlockHash]) -> None:
-        """Hold a chain of blocks computed elsewhere, as far as unpinned room reaches."""
+        """Cache a chain of blocks computed elsewhere, within memory not pinned or reserved."""
         parent: BlockHash | None = None
         room = self._num_total - len(self._pin_counts) - self._num_reserved
         for block_hash in block_hashes[: max(0, room)]:
@@ -74,7 +78,7 @@
         self._evict_to_fit()
 
     def release(self, block_hashes: Sequence[BlockHash], num_reserved: int) -> None:
-        """Unpin blocks and give a reservation back; deep blocks will be evicted first."""
+        """Unpin blocks and return a reservation; deeper blocks will be evicted first."""
         pin_counts = self._pin_counts
         self._num_reserved -= num_reserved
         for block_hash in reversed(block_hashes):
@@ -86,7 +90,7 @@
             self._unpinned[block_hash] = None
 
     def clear(self) -> None:
-        """Drop every block; only called when no request runs."""
+        """Drop all blocks; must only be called while no request runs."""
         if self.num_cached:
             self._events.record_cleared()
         self._pin_counts.clear()
@@ -100,7 +104,7 @@
         self._pin_counts[block_hash] = count + 1
 
     def _evict_to_fit(self) -> None:
-        num_over = self.num_cached + self._num_reserved - self._num_total
-        for _ in range(num_over):
+        num_excess = self.num_cached + self._num_reserved - self._num_total
+        for _ in range(num_excess):
             block_hash, _ = self._unpinned.popitem(last=False)
             self._events.record_removed(block_hash)
--- a/src/weirscale/standins/engine/settings.py
+++ b/src/weirscale/standins/engine/settings.py
@@ -6,33 +6,33 @@
 
 
 class EngineSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What a stand-in engine is like; times are seconds.
+    """Properties of a stand-in engine. Times are in seconds.
 
     Attributes:
         name: The engine's name.
-        model: Model loaded at the start of each run.
-        weight_version: Version loaded at the start of each run.
-        adapters: Adapters loaded at the start of each run.
+        model: Model loaded when the engine starts or restarts.
+        weight_version: Version loaded when the engine starts or restarts.
+        adapters: Adapters loaded when the engine starts or restarts.
         block_size_bytes: Prompt bytes in one cache block.
         num_total_blocks: Blocks that fit in memory, for cached prefixes and running requests.
         max_step_tokens: Token budget of one step; longer prefills are chunked.
-        max_running: Requests in the batch.
-        max_waiting: Requests waiting for the batch; more are refused as busy.
-        step_fixed_s: Fixed time of one step.
-        prefill_token_s: Time of one prefilled token.
-        decode_request_s: Time of one decoding request in a step.
-        num_scheduler_steps: Decode steps run at once when no prefill waits; each request then
-            answers one chunk for all of them (multi-step scheduling).
-        attempt_retention_s: How long the chunks of a finished attempt can be resumed.
-        replay_window_batches: Event batches that can be replayed.
+        max_running: Maximum number of requests in the batch.
+        max_waiting: Maximum number of queued requests; further ones are refused as busy.
+        step_fixed_s: Fixed part of the duration of a step.
+        prefill_token_s: Duration added to a step by each prefilled token.
+        decode_request_s: Duration added to a step by each decoding request.
+        num_scheduler_steps: Decode steps per engine step when no prefill is pending; each request
+            then sends one chunk for all of them (multi-step scheduling).
+        attempt_retention_s: How long the stream of a finished attempt can be resumed.
+        replay_window_batches: Number of event batches kept for replay.
         event_lag_s: Time from an event to its publication.
-        load_report_interval_s: A load report is the state at the last multiple of this.
-        control_timeout_s: In-process calls other than generation give up after this.
+        load_report_interval_s: Load reports show the state at the last multiple of this interval.
+        control_timeout_s: Timeout of in-process calls other than generation.
         restart_s: Time from a crash until the engine answers again.
-        weight_bytes: Size of a model's weights, for the weight store.
-        max_import_wait_s: Longest wait for the kept-KV store.
+        weight_bytes: Size of the weights that a load reads from the weight store.
+        max_import_wait_s: Timeout of imports from the kept-KV store.
         export_to: Address of the kept-KV store that computed prefixes are exported to, or None.
-        max_ledger_records: Run records kept.
+        max_ledger_records: Maximum number of run records kept.
     """
 
     name: EngineName
--- a/src/weirscale/standins/engine/stream_encoder.py
+++ b/src/weirscale/standins/engine/stream_encoder.py
@@ -1,4 +1,4 @@
-"""Chunks of an answer as OpenAI-shaped server-sent events."""
+"""Encode the chunks of an answer as server-sent events in the format of the OpenAI API."""
 
 import msgspec
 
@@ -19,7 +19,7 @@
         self._model = call.model
 
     def encode(self, chunk: TokenChunk) -> bytes:
-        """Return one chunk as an event."""
+        """Encode one chunk as an event."""
         choice = wire.StreamChoice(finish_reason=chunk.finish_reason)
         if self._is_chat:
             choice.delta = wire.Delta(chunk.text)
@@ -38,7 +38,7 @@
         return wire.DATA_PREFIX + msgspec.json.encode(event) + wire.EVENT_END
 
     def encode_failure(self, failure: EngineFailure) -> bytes:
-        """Return a failure as an error event; a corrupt one does not parse."""
+        """Encode a failure as an error event, and a CORRUPT failure as an invalid event."""
         if failure.kind is EngineFailureKind.CORRUPT:
             return GARBLED_EVENT
         error = wire.WireError(
@@ -48,7 +48,7 @@
         return wire.DATA_PREFIX + body + wire.EVENT_END
 
     def end(self) -> bytes:
-        """Return the end marker."""
+        """Return the event that ends the stream."""
         return wire.DATA_PREFIX + wire.END_OF_STREAM + wire.EVENT_END
 
 
--- a/src/weirscale/standins/faults.py
+++ b/src/weirscale/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults of stand-ins as typed settings, switched on by an experiment or a test."""
+"""Typed faults of stand-ins, activated by an experiment or a test."""
 
 from collections.abc import Callable
 from typing import Generic, TypeVar
@@ -18,26 +18,26 @@
 
 
 class EngineFaults(Faults, frozen=True, kw_only=True):
-    """What goes wrong at an engine; the default is nothing. Chunks are counted in each stream.
+    """Faults of an engine; by default none. Chunks are numbered from 0 in each stream.
 
     Attributes:
-        refuse_connections: No connection is made.
-        is_stalled: The engine takes requests and answers nothing, on any interface.
-        slow_factor: Steps take this many times as long.
+        refuse_connections: Connections are refused.
+        is_stalled: The engine accepts requests but sends no answer on any interface.
+        slow_factor: Factor on the duration of each step.
         refuse_busy: Every request is refused as busy.
-        refuse_invalid: Answers 400 to every request, unrun.
-        answer_delay_s: Every chunk leaves this much later.
-        cut_before_chunk: The stream breaks instead of this chunk.
-        garble_chunk: This chunk does not parse.
+        refuse_invalid: Every request is refused with status 400 and not run.
+        answer_delay_s: Delay of every chunk.
+        cut_before_chunk: The stream breaks before this chunk.
+        garble_chunk: This chunk cannot be parsed.
         duplicate_chunk: This chunk is sent twice.
-        skip_chunk: This chunk is left out.
-        swap_chunk: This chunk and the next one change places.
-        cross_chunk: This chunk is replaced by one of another request.
-        wrong_request_id: Every chunk carries another request's id.
+        skip_chunk: This chunk is omitted.
+        swap_chunk: This chunk is sent after the next one.
+        cross_chunk: This chunk is replaced by a chunk of another request.
+        wrong_request_id: Every chunk carries the id of another request.
         end_before_chunk: The stream ends normally, without a finish reason, before this chunk.
-        drop_event_probability: Share of event batches that a follower never receives.
-        event_delay_s: Event batches come this much later.
-        load_report_delay_s: Calls for the load report take this much longer.
+        drop_event_probability: Probability that a follower does not receive an event batch.
+        event_delay_s: Additional delay of event batches.
+        load_report_delay_s: Additional duration of load report calls.
     """
 
     refuse_connections: bool = False
@@ -60,17 +60,17 @@
 
 
 class ServiceFaults(Faults, frozen=True, kw_only=True):
-    """What goes wrong at a service back end; the default is nothing.
+    """Faults of a service back end; by default none.
 
     Attributes:
-        refuse_connections: No connection is made.
-        break_before_run: The connection breaks and the request has not run.
-        break_after_run: The request has run and the connection breaks.
-        stall_before_run: The request waits for ever, unrun.
-        lose_answer: The request has run and no answer comes.
-        answer_delay_s: The answer leaves this much later.
-        cross_answers: The answer is another request's.
-        fail_status: Answer with this HTTP status, unrun; None for a normal answer.
+        refuse_connections: Connections are refused.
+        break_before_run: The connection breaks before the request runs.
+        break_after_run: The connection breaks after the request has run.
+        stall_before_run: The request waits forever and does not run.
+        lose_answer: The request runs and no answer is sent.
+        answer_delay_s: Delay of the answer.
+        cross_answers: The answer belongs to another request.
+        fail_status: HTTP status answered without running the request; None for a normal answer.
     """
 
     refuse_connections: bool = False
@@ -87,35 +87,35 @@
 
 
 class FaultSwitch(Generic[FaultsT]):
-    """The faults in force at one stand-in, and how many times they may still strike."""
+    """Active faults of one stand-in, with the number of calls that they still apply to."""
 
-    def __init__(self, none: FaultsT) -> None:
-        self._none = none
-        self.current = none
-        self._num_left: int | None = None
+    def __init__(self, no_faults: FaultsT) -> None:
+        self._no_faults = no_faults
+        self.current = no_faults
+        self._num_calls_left: int | None = None
         self._listeners: list[Callable[[], None]] = []
 
     def set(self, faults: FaultsT) -> None:
-        """Put faults in force, in place of those before."""
+        """Activate faults in place of the previous ones and call the listeners."""
         self.current = faults
-        self._num_left = faults.max_affected_calls
+        self._num_calls_left = faults.max_affected_calls
         listeners, self._listeners = self._listeners, []
         for listener in listeners:
             listener()
 
     def clear(self) -> None:
-        """Put no faults in force."""
-        self.set(self._none)
+        """Deactivate all faults."""
+        self.set(self._no_faults)
 
     def faults_for_call(self) -> FaultsT:
-        """Return the faults that apply to one more call."""
-        if self._num_left is None:
+        """Return the faults that apply to the next call, and count the call."""
+        if self._num_calls_left is None:
             return self.current
-        if self._num_left <= 0:
-            return self._none
-        self._num_left -= 1
+        if self._num_calls_left <= 0:
+            return self._no_faults
+        self._num_calls_left -= 1
         return self.current
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call a function once at the next change."""
+        """Call a function once, when the faults next change."""
         self._listeners.append(listener)
--- a/src/weirscale/standins/kept_kv/__init__.py
+++ b/src/weirscale/standins/kept_kv/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in for a store of kept KV cache."""
+"""Stand-in for a kept-KV store, which keeps KV cache blocks for engines."""
--- a/src/weirscale/standins/kept_kv/in_process.py
+++ b/src/weirscale/standins/kept_kv/in_process.py
@@ -1,7 +1,7 @@
 """Bounded store of KV blocks, keyed by chained block hash.
 
-The chain's seed covers tenant, model, weight version and adapter, so a block is never read across
-any of them.
+The seed of the hash chain covers tenant, model, weight version and adapter, so a block is never
+shared between different ones.
 """
 
 from collections import OrderedDict
@@ -15,13 +15,13 @@
 
 
 class KeptKvSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What a stand-in store is like.
+    """Properties of a stand-in kept-KV store.
 
     Attributes:
         name: The store's name.
-        num_total_blocks: Blocks that fit; the least recently used one leaves first.
-        call_latency_s: Fixed time of a call.
-        block_transfer_s: Time of one block, either way.
+        num_total_blocks: Capacity; the least recently used blocks are evicted first.
+        call_latency_s: Fixed part of the duration of a call.
+        block_transfer_s: Duration of the transfer of one block, in either direction.
     """
 
     name: str
@@ -31,7 +31,7 @@
 
 
 class InProcessKeptKvStore:
-    """A store in the caller's own process; a `BlockStore` for stand-in engines."""
+    """An in-process store; a `BlockStore` for stand-in engines."""
 
     def __init__(self, settings: KeptKvSettings) -> None:
         self.settings = settings
@@ -40,11 +40,11 @@
 
     @property
     def num_blocks(self) -> int:
-        """Blocks held."""
+        """Number of stored blocks."""
         return len(self._blocks)
 
     async def import_blocks(self, block_hashes: Sequence[BlockHash]) -> Result[int, str]:
-        """Read a chain of blocks; answers how many leading ones were there."""
+        """Read a chain of blocks; return how many leading blocks were stored."""
         num_found = self._num_leading(block_hashes)
         await self._call(num_found)
         for block_hash in block_hashes[:num_found]:
@@ -54,10 +54,10 @@
         return Ok(num_found)
 
     async def export_blocks(self, block_hashes: Sequence[BlockHash]) -> Result[None, str]:
-        """Keep a chain of blocks; those already held cost no transfer."""
-        missing = [item for item in block_hashes if item not in self._blocks]
+        """Store a chain of blocks; blocks that are already stored need no transfer."""
+        missing = [block_hash for block_hash in block_hashes if block_hash not in self._blocks]
         await self._call(len(missing))
-        # Deep blocks are written first, so that they are evicted before those they depend on.
+        # Deeper blocks are written first, so that they are evicted before those they depend on.
         for block_hash in reversed(block_hashes):
             self._blocks[block_hash] = None
             self._blocks.move_to_end(block_hash)
--- a/src/weirscale/standins/key_value/__init__.py
+++ b/src/weirscale/standins/key_value/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in for the platform's key-value service, shaped as the etcd v3 JSON gateway."""
+"""Stand-in for the platform's key-value service, with the interface of the etcd v3 JSON gateway."""
--- a/src/weirscale/standins/key_value/app.py
+++ b/src/weirscale/standins/key_value/app.py
@@ -1,7 +1,8 @@
-"""The stand-in as an ASGI app: the etcd v3 JSON gateway.
+"""ASGI app of the stand-in, with the interface of the etcd v3 JSON gateway.
 
-Keys and values are base64, 64-bit integers are strings, errors are gRPC's code and message, as the
-gateway's. Only what the router uses is there: range, txn with one comparison, leases and watches.
+As in that gateway, keys and values are base64, 64-bit integers are strings, and errors have the
+code and message of gRPC. Only operations that the router uses are implemented: range, txn with one
+comparison, leases and watches.
 """
 
 import base64
@@ -45,16 +46,16 @@
 GRPC_UNAVAILABLE = 14
 
 NO_LEADER = "etcdserver: no leader"
-"""What etcd answers before it takes a call on, so nothing changed."""
+"""Error of etcd for a call that it did not accept, so nothing changed."""
 TIMED_OUT = "etcdserver: request timed out"
-"""What etcd answers when it took a call on and does not know what became of it."""
+"""Error of etcd for an accepted call whose outcome is unknown."""
 
 Body = dict[str, Any]
 Effect = Callable[[float], Body]
 
 
 class _BadRequestError(Exception):
-    """The request does not have the gateway's shape."""
+    """The request does not follow the format of the gateway."""
 
 
 class KeyValueApp:
@@ -72,7 +73,7 @@
         }
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one HTTP request, or the start and stop of the server."""
+        """Answer one HTTP request, or the startup and shutdown events of the server."""
         if scope["type"] == "lifespan":
             await answer_lifespan(receive, send)
             return
@@ -112,8 +113,8 @@
         key, range_end = _bytes(body, "key"), _bytes(body, "range_end")
 
         def effect(now_s: float) -> Body:
-            found = self._server.model.range(key, range_end, now_s)
-            return {"header": self._header(), **_range_body(found)}
+            stored_keys = self._server.model.range(key, range_end, now_s)
+            return {"header": self._header(), **_range_body(stored_keys)}
 
         return effect
 
@@ -121,7 +122,9 @@
         compares = body.get("compare", [])
         for compare in compares:
             if compare.get("target") != "MOD" or compare.get("result", "EQUAL") != "EQUAL":
-                raise _BadRequestError("only equality of MOD is supported")
+                raise _BadRequestError(
+                    "only comparisons with target MOD and result EQUAL are supported"
+                )
 
         def effect(now_s: float) -> Body:
             model = self._server.model
@@ -130,13 +133,13 @@
                 for c in compares
             )
             operations = body.get("success" if succeeded else "failure", [])
-            responses = [self._operate(operation, now_s) for operation in operations]
+            responses = [self._execute_operation(operation, now_s) for operation in operations]
             return {"header": self._header(), "succeeded": succeeded, "responses": responses}
 
         return effect
 
-    def _operate(self, operation: Body, now_s: float) -> Body:
-        """Carry out one operation of a transaction."""
+    def _execute_operation(self, operation: Body, now_s: float) -> Body:
+        """Execute one operation of a transaction."""
         model = self._server.model
         if "request_put" in operation:
             put = operation["request_put"]
@@ -144,12 +147,12 @@
             model.put(_bytes(put, "key"), _bytes(put, "value"), lease_id, now_s)
             return {"response_put": {"header": self._header()}}
         if "request_delete_range" in operation:
-            was_there = model.delete(_bytes(operation["request_delete_range"], "key"), now_s)
-            return {"response_delete_range": {"deleted": str(int(was_there))}}
+            existed = model.delete(_bytes(operation["request_delete_range"], "key"), now_s)
+            return {"response_delete_range": {"deleted": str(int(existed))}}
         if "request_range" in operation:
-            wanted = operation["request_range"]
-            found = model.range(_bytes(wanted, "key"), _bytes(wanted, "range_end"), now_s)
-            return {"response_range": _range_body(found)}
+            request = operation["request_range"]
+            stored_keys = model.range(_bytes(request, "key"), _bytes(request, "range_end"), now_s)
+            return {"response_range": _range_body(stored_keys)}
         raise _BadRequestError("unknown operation")
 
     def _grant(self, body: Body) -> Effect:
@@ -165,10 +168,10 @@
         lease_id = int(body["ID"])
 
         def effect(now_s: float) -> Body:
-            lives_s = self._server.model.keep_lease_alive(lease_id, now_s)
+            time_to_live_s = self._server.model.keep_lease_alive(lease_id, now_s)
             renewed = {"header": self._header(), "ID": str(lease_id)}
-            if lives_s:
-                renewed["TTL"] = str(lives_s)
+            if time_to_live_s:
+                renewed["TTL"] = str(time_to_live_s)
             return {"result": renewed}
 
         return effect
@@ -183,7 +186,7 @@
         return effect
 
     async def _watch_until_disconnect(self, body: Body, receive: Receive, send: Send) -> None:
-        """Run a watch; it ends when its client leaves, which only `receive` tells."""
+        """Run a watch until its client disconnects, which only `receive` reports."""
         async with anyio.create_task_group() as tasks:
 
             async def end_on_disconnect() -> None:
@@ -196,10 +199,10 @@
             tasks.cancel_scope.cancel()
 
     async def _watch(self, body: Body, send: Send) -> None:
-        """Stream one JSON object a line; the end of the stream is the end of the watch."""
-        wanted = body["create_request"]
-        key, range_end = _bytes(wanted, "key"), _bytes(wanted, "range_end")
-        changes = self._server.changes(key, range_end, int(wanted.get("start_revision", 0)))
+        """Stream one JSON object per line; the end of the stream is the end of the watch."""
+        request = body["create_request"]
+        key, range_end = _bytes(request, "key"), _bytes(request, "range_end")
+        changes = self._server.changes(key, range_end, int(request.get("start_revision", 0)))
         await start_response(send, 200, JSON_HEADERS)
         try:
             created = {"header": self._header(), "created": True}
@@ -243,10 +246,10 @@
     return body
 
 
-def _range_body(found: list[StoredKey]) -> Body:
-    if not found:
+def _range_body(stored_keys: list[StoredKey]) -> Body:
+    if not stored_keys:
         return {}
-    return {"kvs": [_key_body(stored) for stored in found], "count": str(len(found))}
+    return {"kvs": [_key_body(stored) for stored in stored_keys], "count": str(len(stored_keys))}
 
 
 def _event_body(change: Change) -> Body:
@@ -259,7 +262,7 @@
 async def _read_object(receive: Receive) -> Body:
     content = await read_body(receive, MAX_BODY_BYTES)
     if content is None:
-        raise _BadRequestError("no whole body came")
+        raise _BadRequestError("incomplete request body")
     try:
         return msgspec.json.decode(content or b"{}", type=dict[str, Any])
     except msgspec.MsgspecError as error:
--- a/src/weirscale/standins/key_value/in_process.py
+++ b/src/weirscale/standins/key_value/in_process.py
@@ -1,4 +1,4 @@
-"""`KeyValuePort` straight to a stand-in in the same event loop, for fleets in virtual time."""
+"""`KeyValuePort` that calls a stand-in in the same event loop, for fleets in virtual time."""
 
 import math
 from collections.abc import AsyncGenerator, AsyncIterator, Callable
@@ -50,20 +50,20 @@
         self._timeout_s = timeout_s
 
     async def read(self, prefix: str) -> Result[ReadAnswer, KeyValueFailure]:
-        """Read every key with a prefix."""
+        """Read all keys with a prefix."""
         start = prefix.encode()
 
         def effect(now_s: float) -> ReadAnswer:
             model = self._server.model
-            found = model.range(start, prefix_end(start), now_s)
-            return ReadAnswer(model.revision, tuple(_key_value(stored) for stored in found))
+            stored_keys = model.range(start, prefix_end(start), now_s)
+            return ReadAnswer(model.revision, tuple(_to_key_value(key) for key in stored_keys))
 
         return await self._call(effect, is_write=False)
 
     async def compare_and_swap(
         self, key: str, expected_mod_revision: int, value: bytes | None, lease_id: int = 0
     ) -> Result[SwapAnswer, KeyValueFailure]:
-        """Write or delete a key if its revision is the expected one."""
+        """Write a key, or delete it if the value is None, if its revision is the expected one."""
 
         def effect(now_s: float) -> SwapAnswer:
             return _swap(
@@ -73,31 +73,31 @@
         return await self._call(effect, is_write=True)
 
     async def grant_lease(self, time_to_live_s: float) -> Result[int, KeyValueFailure]:
-        """Make a lease of whole seconds, rounded up."""
+        """Grant a lease; its time to live is rounded up to whole seconds."""
         whole_s = math.ceil(time_to_live_s)
         return await self._call(
             lambda now_s: self._server.model.grant_lease(whole_s, now_s), is_write=True
         )
 
     async def keep_lease_alive(self, lease_id: int) -> Result[float, KeyValueFailure]:
-        """Renew a lease."""
+        """Renew a lease and return its time to live in seconds."""
 
         def effect(now_s: float) -> float:
-            lives_s = self._server.model.keep_lease_alive(lease_id, now_s)
-            if not lives_s:
+            time_to_live_s = self._server.model.keep_lease_alive(lease_id, now_s)
+            if not time_to_live_s:
                 raise LeaseNotFoundError
-            return float(lives_s)
+            return float(time_to_live_s)
 
         return await self._call(effect, is_write=True)
 
     async def revoke_lease(self, lease_id: int) -> Result[None, KeyValueFailure]:
-        """End a lease."""
+        """Revoke a lease."""
         return await self._call(
             lambda now_s: self._server.model.revoke_lease(lease_id, now_s), is_write=True
         )
 
     def watch(self, prefix: str, start_revision: int) -> AbstractAsyncContextManager[Watch]:
-        """Follow changes from a revision on."""
+        """Follow the changes from a revision onwards."""
         return self._watch(prefix, start_revision)
 
     @asynccontextmanager
@@ -117,11 +117,13 @@
                     for change in batch:
                         yield Ok(_watch_event(change))
         except StoreDownError:
-            yield Err(_failure(KeyValueFailureKind.UNREACHABLE, "the watch was cut: watch again"))
+            yield Err(
+                _failure(KeyValueFailureKind.UNREACHABLE, "the watch was cut off; watch again")
+            )
         except StoreRateLimitedError as error:
             yield Err(_rate_limited(error))
         except CompactedError as error:
-            detail = f"compacted up to {error.compact_revision}: read, then watch from there"
+            detail = f"compacted up to {error.compact_revision}; read, then watch from there"
             yield Err(_failure(KeyValueFailureKind.COMPACTED, detail))
 
     async def _call(
@@ -135,13 +137,19 @@
             with anyio.fail_after(self._timeout_s):
                 return Ok(await self._server.run(effect))
         except StoreDownError:
-            return Err(_failure(KeyValueFailureKind.UNREACHABLE, "the store is down: try later"))
+            return Err(
+                _failure(
+                    KeyValueFailureKind.UNREACHABLE, "the store is unavailable; try again later"
+                )
+            )
         except StoreRateLimitedError as error:
             return Err(_rate_limited(error))
         except LeaseNotFoundError:
-            return Err(_failure(KeyValueFailureKind.LEASE_LOST, "grant a new lease"))
+            return Err(
+                _failure(KeyValueFailureKind.LEASE_LOST, "the lease is lost; grant a new lease")
+            )
         except (AnswerLostError, TimeoutError):
-            return Err(_failure(lost, "no answer came: read again to find out"))
+            return Err(_failure(lost, "the answer was lost; read again to find the outcome"))
 
 
 def _swap(
@@ -157,11 +165,11 @@
         model.put(key, value, lease_id, now_s)
     elif succeeded:
         model.delete(key, now_s)
-    found = model.range(key, b"", now_s)
-    return SwapAnswer(succeeded, model.revision, _key_value(found[0]) if found else None)
+    stored = model.range(key, b"", now_s)
+    return SwapAnswer(succeeded, model.revision, _to_key_value(stored[0]) if stored else None)
 
 
-def _key_value(stored: StoredKey) -> KeyValue:
+def _to_key_value(stored: StoredKey) -> KeyValue:
     return KeyValue(
         key=stored.key.decode(),
         value=stored.value,
@@ -172,7 +180,7 @@
 
 
 def _watch_event(change: Change) -> WatchEvent:
-    value = _key_value(change.stored) if change.stored is not None else None
+    value = _to_key_value(change.stored) if change.stored is not None else None
     return WatchEvent(change.key.decode(), value, change.revision)
 
 
@@ -182,4 +190,4 @@
 
 def _rate_limited(error: StoreRateLimitedError) -> KeyValueFailure:
     kind = KeyValueFailureKind.RATE_LIMITED
-    return KeyValueFailure(kind, "too many requests: wait", error.retry_after_s)
+    return KeyValueFailure(kind, "too many requests; wait", error.retry_after_s)
--- a/src/weirscale/standins/key_value/server.py
+++ b/src/weirscale/standins/key_value/server.py
@@ -1,4 +1,4 @@
-"""The store with its faults: what both the in-process port and the HTTP app are built on."""
+"""The store with faults, shared by the in-process port and the HTTP app."""
 
 from collections.abc import AsyncGenerator, Callable
 from random import Random
@@ -13,16 +13,16 @@
 
 
 class KeyValueFaults(msgspec.Struct):
-    """Faults in force; change the fields at any time.
+    """Active faults; the fields may be changed at any time.
 
     Attributes:
-        is_down: Every call is refused before it takes effect; watches end.
-        delay_s: Each call takes this long, half before its effect and half after.
-        lost_answer_probability: Share of calls whose answer is lost after their effect.
-        num_answers_to_lose: The next so many calls lose their answers after their effect.
-        requests_per_s: Rate limit over all clients, None for no limit.
-        burst_requests: Calls above the rate that may come at once.
-        is_watch_silent: Watches stay open but deliver nothing.
+        is_down: All calls are refused before they take effect; watches end.
+        delay_s: Duration of each call, half of it before the effect and half after.
+        lost_answer_probability: Probability that an answer is lost after the call took effect.
+        num_answers_to_lose: Number of next calls whose answers are lost after they took effect.
+        requests_per_s: Rate limit for all clients together, None for no limit.
+        burst_requests: Burst size of the rate limit.
+        is_watch_silent: Watches stay open but deliver no changes.
     """
 
     is_down: bool = False
@@ -39,7 +39,7 @@
 
 
 class StoreRateLimitedError(Exception):
-    """The call was refused for rate; nothing changed."""
+    """The rate limit refused the call; nothing changed."""
 
     def __init__(self, retry_after_s: float) -> None:
         super().__init__("too many requests")
@@ -47,17 +47,17 @@
 
 
 class AnswerLostError(Exception):
-    """The call took effect and its answer is lost."""
+    """The call took effect, but its answer was lost."""
 
 
 class KeyValueServer:
-    """One store, its faults and its watchers; everything in one event loop.
+    """One store with its faults and watches, in a single event loop.
 
     Attributes:
         model: The store.
-        faults: What goes wrong now.
-        num_calls: Calls that arrived, refused ones included.
-        num_watches: Watches open now.
+        faults: Active faults.
+        num_calls: Number of calls received, including refused ones.
+        num_watches: Number of open watches.
     """
 
     def __init__(self, random: Random, now: Callable[[], float] = anyio.current_time) -> None:
@@ -73,14 +73,14 @@
         self._rate_time_s = 0.0
 
     async def run(self, effect: Callable[[float], AnswerT]) -> AnswerT:
-        """Carry out one call under the faults in force.
+        """Execute one call with the active faults.
 
         Args:
-            effect: Reads or changes the model at the given time, without waiting.
+            effect: Reads or changes the model at a given time, without waiting.
 
         Raises:
             StoreDownError, StoreRateLimitedError: Nothing changed.
-            AnswerLostError: The effect took place.
+            AnswerLostError: The call took effect.
         """
         self.num_calls += 1
         self._refuse_when_down()
@@ -97,7 +97,7 @@
         return answer
 
     def notify(self) -> None:
-        """Wake the watchers, after a change of the model or of the faults."""
+        """Wake all watches after a change of the model or the faults."""
         self._changed.set()
         self._changed = anyio.Event()
 
@@ -109,11 +109,12 @@
     async def changes(
         self, key: bytes, range_end: bytes, start_revision: int
     ) -> AsyncGenerator[list[Change], None]:
-        """Follow the changes of a range from a revision on (0: from now on).
+        """Follow the changes of a range from a revision onwards (0: from now on).
 
         Raises:
-            StoreDownError: The watch is cut.
-            CompactedError: The wanted revisions are gone.
+            StoreDownError: The store is down, or the watch was cut.
+            StoreRateLimitedError: The rate limit refused the watch.
+            CompactedError: The requested revisions have been compacted.
         """
         self.num_calls += 1
         self._refuse_when_down()
@@ -127,18 +128,18 @@
                 self.model.expire_leases(self.now())
                 if self.faults.is_down or self._num_watch_cuts > num_cuts:
                     raise StoreDownError
-                found = self.model.changes_from(next_revision, key, range_end)
+                new_changes = self.model.changes_from(next_revision, key, range_end)
                 if not self.faults.is_watch_silent:
                     next_revision = max(next_revision, self.model.revision + 1)
-                    if found:
-                        yield found
+                    if new_changes:
+                        yield new_changes
                         continue
                 await self._wait_for_change(changed)
         finally:
             self.num_watches -= 1
 
     async def _wait_for_change(self, changed: anyio.Event) -> None:
-        """Wait for the event or for the next lease to end."""
+        """Wait for a change or for the expiry of the next lease."""
         expiry_s = self.model.next_expiry_s()
         if expiry_s is None:
             await changed.wait()
--- a/src/weirscale/standins/machines/__init__.py
+++ b/src/weirscale/standins/machines/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in for the platform's lagging list of machines."""
+"""Stand-in for the platform's machine list, which lags behind the actual state."""
--- a/src/weirscale/standins/machines/in_process.py
+++ b/src/weirscale/standins/machines/in_process.py
@@ -1,4 +1,4 @@
-"""`MachineListPort` straight to a stand-in in the same event loop, for fleets in virtual time."""
+"""`MachineListPort` that calls a stand-in in the same event loop, for fleets in virtual time."""
 
 from collections.abc import Callable
 
@@ -27,8 +27,12 @@
     async def machines(self) -> Result[tuple[Machine, ...], MachineListFailure]:
         """Read the list."""
         if self._model.faults.is_down:
-            return Err(MachineListFailure("the machine list is down: go on with the last one"))
+            return Err(
+                MachineListFailure("the machine list is unavailable; keep using the last one")
+            )
         with anyio.move_on_after(self._timeout_s):
             await anyio.sleep(self._model.faults.delay_s)
             return Ok(self._model.listed(self._now()))
-        return Err(MachineListFailure("no answer in time: go on with the last one"))
+        return Err(
+            MachineListFailure("the machine list did not answer in time; keep using the last one")
+        )
--- a/src/weirscale/standins/service/http_app.py
+++ b/src/weirscale/standins/service/http_app.py
@@ -16,7 +16,7 @@
 
 
 class ServiceApp:
-    """ASGI app over one in-process back end; every path runs."""
+    """ASGI app in front of one in-process back end; it runs requests to any path."""
 
     def __init__(self, service: InProcessService) -> None:
         self._service = service
@@ -46,6 +46,6 @@
 
 
 async def break_connection(send: Send) -> None:
-    """Begin an answer and leave it incomplete: the server then closes the connection."""
+    """Send an incomplete answer, so that the server closes the connection."""
     await start_response(send, OK, ())
     await send_part(send, b"{")
--- a/src/weirscale/standins/service/in_process.py
+++ b/src/weirscale/standins/service/in_process.py
@@ -1,4 +1,4 @@
-"""Service back end behind the service port, in the caller's own process."""
+"""Service back end behind the service port, in this process."""
 
 from collections.abc import Mapping
 
@@ -18,7 +18,7 @@
 
 
 class InProcessService:
-    """A `ServicePort` whose back end is in this process; it needs no task of its own."""
+    """A `ServicePort` with an in-process back end; it needs no background task."""
 
     def __init__(self, settings: ServiceSettings) -> None:
         self.settings = settings
@@ -27,13 +27,13 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Whether a connection can be made now."""
+        """Whether the back end accepts connections now."""
         return not self.faults.current.refuse_connections
 
     async def call(
         self, request: ServiceRequest, time_left_s: float
     ) -> Result[ServiceResponse, ServiceFailure]:
-        """Send the request once."""
+        """Send the request once; fail if no answer comes within `time_left_s` seconds."""
         if not self.is_reachable:
             return Err(ServiceFailure(ServiceFailureKind.UNREACHABLE, "connection refused"))
         answer: ServiceResponse | None = None
@@ -53,7 +53,7 @@
     async def handle(
         self, method: str, path: str, headers: Mapping[str, str], body: bytes
     ) -> ServiceResponse | None:
-        """Run one request with the faults in force; None stands for a broken connection."""
+        """Run one request with the active faults; return None for a broken connection."""
         faults = self.faults.faults_for_call()
         if faults.stall_before_run:
             await anyio.sleep_forever()
--- a/src/weirscale/standins/service/model.py
+++ b/src/weirscale/standins/service/model.py
@@ -1,4 +1,4 @@
-"""Model of a service back end, with no I/O: every run is recorded, answers derive from requests."""
+"""Model of a service back end without I/O: records runs and derives answers from requests."""
 
 from collections import deque
 from collections.abc import Mapping
@@ -14,12 +14,12 @@
 
 
 class ServiceSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What a stand-in back end is like.
+    """Properties of a stand-in back end.
 
     Attributes:
         name: The back end's name.
         service: The service that it belongs to.
-        run_s: Time that a request takes, in seconds.
+        run_s: Duration of a request, in seconds.
     """
 
     name: BackendName
@@ -28,15 +28,15 @@
 
 
 class ServiceRun(msgspec.Struct, frozen=True):
-    """One run of one request.
+    """One run of a request.
 
     Attributes:
-        backend: Where it ran.
-        request_id: The caller's request.
-        idempotency_key: The caller's key, or None.
+        backend: Back end that ran the request.
+        request_id: Id of the caller's request.
+        idempotency_key: The caller's idempotency key, or None.
         method: HTTP method.
         path: Path and query below the service's root.
-        ran_at_s: When it ran.
+        ran_at_s: Time of the run.
     """
 
     backend: BackendName
@@ -48,13 +48,13 @@
 
 
 class ServiceAnswer(msgspec.Struct, frozen=True):
-    """Body of an answer: it names the request, so that a crossed answer shows.
+    """Body of an answer; it names the request, so that a crossed answer can be detected.
 
     Attributes:
-        backend: Where it ran.
-        request_id: The request that it answers.
-        body_digest: Digest of the body that it answers.
-        run_number: Counts the runs of this back end.
+        backend: Back end that ran the request.
+        request_id: Id of the answered request.
+        body_digest: Digest of the body of the answered request.
+        run_number: Number of the run at this back end, from 1.
     """
 
     backend: BackendName
@@ -64,12 +64,12 @@
 
 
 def body_digest(body: bytes) -> str:
-    """Return the 64-bit digest that answers carry, hexadecimal."""
+    """Return the 64-bit digest of a request body, as in answers, in hexadecimal."""
     return xxhash.xxh3_64_hexdigest(body)
 
 
 class ServiceModel:
-    """Runs requests and remembers them; the record outlives faults."""
+    """Runs requests and records them; faults do not erase the records."""
 
     def __init__(self, settings: ServiceSettings) -> None:
         self.settings = settings
@@ -79,7 +79,7 @@
     def run(
         self, method: str, path: str, headers: Mapping[str, str], body: bytes, now_s: float
     ) -> ServiceAnswer:
-        """Run one request."""
+        """Run and record one request."""
         request_id = RequestId(headers.get(REQUEST_ID_HEADER, ""))
         self._num_runs += 1
         self._runs.append(
@@ -95,5 +95,5 @@
         return ServiceAnswer(self.settings.name, request_id, body_digest(body), self._num_runs)
 
     def runs(self) -> list[ServiceRun]:
-        """Return every run, oldest first."""
+        """Return the recorded runs, oldest first; at most MAX_RECORDS are kept."""
         return list(self._runs)
--- a/src/weirscale/standins/weight_store/in_process.py
+++ b/src/weirscale/standins/weight_store/in_process.py
@@ -1,4 +1,4 @@
-"""Weight store that limits the rate of new reads and shares its bandwidth among running ones."""
+"""Weight store that limits the rate of new reads and shares its bandwidth among current reads."""
 
 from collections.abc import Collection
 
@@ -9,16 +9,16 @@
 from weirscale.domain.identifiers import EngineName, ModelName, WeightVersion
 from weirscale.ports.engine import LoadModel
 
-DONE_BYTES = 1024.0
-"""Less than this left is rounding: the read is complete."""
+ROUNDING_TOLERANCE_BYTES = 1024.0
+"""A read with at most this many bytes left is complete: the rest is a rounding error."""
 
 
 class WeightStoreSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What a stand-in store is like.
+    """Properties of a stand-in weight store.
 
     Attributes:
         bytes_per_s: Bandwidth that all reads share evenly.
-        min_start_interval_s: Rate limit: reads begin at least this far apart, later ones wait.
+        min_start_interval_s: Minimum interval between the starts of two reads; later reads wait.
     """
 
     bytes_per_s: float = 1_000_000_000.0
@@ -29,12 +29,12 @@
     """One read of one version by one engine.
 
     Attributes:
-        engine: Who reads.
-        model: Model read.
-        weight_version: Version read.
+        engine: Engine that reads.
+        model: Model whose weights are read.
+        weight_version: Version that is read.
         num_bytes_left: Bytes still to read.
-        started_at_s: When it began.
-        finished_at_s: When it ended, None while it runs.
+        started_at_s: When the read began.
+        finished_at_s: When the read ended, None while it runs.
     """
 
     engine: EngineName
@@ -46,16 +46,16 @@
 
 
 class InProcessWeightStore:
-    """A store in the caller's own process; a `WeightSource` for stand-in engines."""
+    """An in-process store; a `WeightSource` for stand-in engines."""
 
     def __init__(
         self, settings: WeightStoreSettings, broken_versions: Collection[WeightVersion] = ()
     ) -> None:
-        """Make a store.
+        """Create a store.
 
         Args:
-            settings: Rates.
-            broken_versions: Versions whose reads fail at their end.
+            settings: Bandwidth and rate limit.
+            broken_versions: Versions whose reads fail when they end.
         """
         self.settings = settings
         self.broken_versions = set(broken_versions)
@@ -66,7 +66,7 @@
         self._next_start_s = 0.0
 
     async def fetch(self, engine: EngineName, load: LoadModel, num_bytes: int) -> Result[None, str]:
-        """Read all weights; takes as long as the reading does."""
+        """Read all weights; return once the read has ended."""
         await self._wait_for_start()
         now_s = anyio.current_time()
         read = WeightLoad(engine, load.model, load.weight_version, float(num_bytes), now_s)
@@ -91,11 +91,11 @@
         self._notify()
         while True:
             self._advance()
-            if read.num_bytes_left <= DONE_BYTES:
+            if read.num_bytes_left <= ROUNDING_TOLERANCE_BYTES:
                 return
             changed = self._changed
-            share = self.settings.bytes_per_s / len(self._running)
-            with anyio.move_on_after(read.num_bytes_left / share):
+            share_bytes_per_s = self.settings.bytes_per_s / len(self._running)
+            with anyio.move_on_after(read.num_bytes_left / share_bytes_per_s):
                 await changed.wait()
 
     def _remove(self, read: WeightLoad) -> None:
@@ -106,7 +106,7 @@
         self._notify()
 
     def _advance(self) -> None:
-        """Give every running read its even share of the time since the last call."""
+        """Credit all current reads with their equal share of the bandwidth since the last call."""
         now_s = anyio.current_time()
         elapsed_s = now_s - self._advanced_at_s
         self._advanced_at_s = now_s
