--- a/features/steps/experiment_files_steps.py
+++ b/features/steps/experiment_files_steps.py
@@ -10,7 +10,7 @@
 from features.support.virtual_time import run_in_virtual_time
 from weirscale.experiments.history.history import History
 from weirscale.experiments.history.verdict import judge
-from weirscale.experiments.report.figures import ControlCost, Figures, RunIdentity, work_out
+from weirscale.experiments.report.figures import ControlCost, Figures, RunIdentity, compute_figures
 from weirscale.experiments.report.files import REPORT_FILE, write_report
 from weirscale.experiments.run.answers import (
     ReceivedBody,
@@ -47,7 +47,7 @@
 
 
 def figures_of(history):
-    return work_out(history, judge(history), IDENTITY, ControlCost())
+    return compute_figures(history, judge(history), IDENTITY, ControlCost())
 
 
 @given('an experiment file with faults "{faults}"')
--- a/src/weirscale/experiments/demo/__init__.py
+++ b/src/weirscale/experiments/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A whole deployment in one process over real sockets, for a first look."""
+"""Demonstration: a whole deployment in one process over real sockets."""
--- a/src/weirscale/experiments/demo/embedded.py
+++ b/src/weirscale/experiments/demo/embedded.py
@@ -1,4 +1,4 @@
-"""Starts a deployment in this process: stand-ins for everything outside, and real nodes."""
+"""Start a deployment in this process: real nodes, and stand-ins for external systems."""
 
 import socket
 from random import Random
@@ -40,14 +40,14 @@
 
 
 class DemoFailedError(Exception):
-    """The embedded deployment did not start; the message says why."""
+    """The embedded deployment did not start; the message gives the reason."""
 
 
 class EmbeddedDeployment(msgspec.Struct):
     """A running deployment.
 
     Attributes:
-        deployment: What was applied, with the addresses taken here.
+        deployment: Applied deployment, with the addresses used here.
         engines: Stand-in engines.
         services: Stand-in service back ends.
         nodes: Nodes, one for each zone.
@@ -69,7 +69,7 @@
         return NodeName(node.identity.node.name), connect
 
     def run_records(self) -> list[AnyRecord]:
-        """Return what engines and services ran, as records of a history."""
+        """Return the runs of engines and services as records of a history."""
         records: list[AnyRecord] = []
         for engine in self.engines:
             records.extend(map(engine_run, engine.model.ledger.records()))
@@ -81,16 +81,16 @@
 async def start_embedded(
     declared: Deployment, tasks: TaskGroup, stop: anyio.Event, random: Random
 ) -> EmbeddedDeployment:
-    """Start everything and return when every node has the configuration.
+    """Start stand-ins and nodes; return once all nodes have the configuration.
 
     Args:
-        declared: The deployment; its addresses are replaced by free loopback ports.
-        tasks: Runs what is started.
+        declared: The deployment; its addresses are replaced by loopback addresses.
+        tasks: Task group of the stand-ins and nodes.
         stop: Drains the nodes when set.
         random: Source of randomness.
 
     Raises:
-        DemoFailedError: The configuration was not accepted or not in force in time.
+        DemoFailedError: The configuration was not accepted, or not in force in time.
     """
     key_value = KeyValueApp(KeyValueServer(random))
     key_value_address: str = await tasks.start(serve_on_loopback, key_value)
@@ -101,9 +101,9 @@
         for backend in service.backends
     ]
     addresses: dict[str, str] = {}
-    for one in engines:
-        tasks.start_soon(one.run)
-        addresses[one.settings.name] = await tasks.start(serve_on_loopback, EngineApp(one))
+    for engine in engines:
+        tasks.start_soon(engine.run)
+        addresses[engine.settings.name] = await tasks.start(serve_on_loopback, EngineApp(engine))
     for backend in services:
         addresses[backend.settings.name] = await tasks.start(serve_on_loopback, ServiceApp(backend))
     deployment = _with_addresses(declared, addresses)
@@ -130,7 +130,7 @@
 
 
 def _with_addresses(declared: Deployment, addresses: dict[str, str]) -> Deployment:
-    """Return the deployment with the addresses taken, by name, and without kept-KV stores."""
+    """Return the deployment with the given addresses, by name, and without kept-KV stores."""
     replace = msgspec.structs.replace
     return replace(
         declared,
@@ -180,7 +180,7 @@
 
 
 def _free_port() -> int:
-    """Return a port that is free for UDP and TCP now."""
+    """Return a port that is currently free for both TCP and UDP."""
     while True:
         with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as stream:
             stream.bind((LOOPBACK, 0))
@@ -198,4 +198,4 @@
         for node in nodes:
             await node.node.configuration.changed_after(NO_REVISION)
         return
-    raise DemoFailedError(f"not every node was ready within {NODE_READY_TIMEOUT_S} s")
+    raise DemoFailedError(f"some nodes were not ready within {NODE_READY_TIMEOUT_S} s")
--- a/src/weirscale/experiments/demo/main.py
+++ b/src/weirscale/experiments/demo/main.py
@@ -1,4 +1,4 @@
-"""The demonstration: a deployment at its declared size, a few hundred requests, a table."""
+"""The demonstration: run a few hundred requests on a deployment and print a table."""
 
 from pathlib import Path
 from random import Random
@@ -16,7 +16,7 @@
 from weirscale.experiments.demo.embedded import EmbeddedDeployment, start_embedded
 from weirscale.experiments.history.history import History
 from weirscale.experiments.history.verdict import judge
-from weirscale.experiments.report.figures import ControlCost, Figures, RunIdentity, work_out
+from weirscale.experiments.report.figures import ControlCost, Figures, RunIdentity, compute_figures
 from weirscale.experiments.run.callers import Callers
 from weirscale.experiments.run.exchange import Connect
 from weirscale.experiments.run.recorder import Recorder
@@ -30,7 +30,7 @@
 MILLISECONDS_PER_S = 1000
 EXIT_CLEAN = 0
 EXIT_VIOLATED = 1
-MAX_SHOWN_VIOLATIONS = 10
+MAX_PRINTED_VIOLATIONS = 10
 
 
 async def _run(
@@ -61,13 +61,13 @@
 
 
 def _figures(embedded: EmbeddedDeployment, recorder: Recorder, identity: RunIdentity) -> Figures:
-    """Judge what callers and stand-ins recorded."""
+    """Check the records of callers and stand-ins, and compute the figures."""
     history = History(
         [*recorder.records, *embedded.run_records()],
         right_answer,
         embedded.deployment.engines[0].block_size_bytes,
     )
-    return work_out(history, judge(history), identity, ControlCost())
+    return compute_figures(history, judge(history), identity, ControlCost())
 
 
 def _table(name: str, num_nodes: int, figures: Figures) -> Table:
@@ -109,7 +109,7 @@
     """Run the demonstration and print its table.
 
     Returns:
-        Exit code: 0 if every rule held and no request failed.
+        The exit code: 0 if no rule was violated and no request failed, else 1.
     """
     console = Console()
     checked = check_deployment(deployment_file.read_text())
@@ -122,7 +122,7 @@
     figures = anyio.run(_run, deployment, shape, duration_s, seed, backend_options=options)
     num_nodes = sum(len(region.zones) for region in deployment.regions)
     console.print(_table(deployment.name, num_nodes, figures))
-    for violation in figures.violations[:MAX_SHOWN_VIOLATIONS]:
+    for violation in figures.violations[:MAX_PRINTED_VIOLATIONS]:
         requests = " ".join(violation.request_ids)
         console.print(f"{violation.rule}: {violation.detail} {requests}")
     is_clean = not figures.violations and not figures.requests.failed
--- a/src/weirscale/experiments/faults/injector.py
+++ b/src/weirscale/experiments/faults/injector.py
@@ -1,4 +1,4 @@
-"""Puts planned faults into effect on a virtual fleet."""
+"""Inject planned faults into a virtual fleet."""
 
 from collections.abc import Awaitable, Callable
 from random import Random
@@ -25,14 +25,14 @@
 END_OF_KEYS = b"\xff"
 EVENT_LOSS = EngineFaults(drop_event_probability=0.3, event_delay_s=2.0)
 RESTART_S = 0.5
-"""Time from a node's end to its start again."""
+"""Time from the end of a node to its restart."""
 WATCH_INTERVAL_S = 0.02
 SLOW_STORE_S = 2.0
 LOST_ANSWER_SHARE = 0.5
 RACE_INTERVAL_S = 2.0
-RACE_THINKING_S = 0.2
-TAKEN_AWAY_S = 5.0
-"""Time that a machine stays away after it has left."""
+RACE_APPLY_DELAY_S = 0.2
+MACHINE_ABSENCE_S = 5.0
+"""Time for which a machine is unreachable after it has left."""
 CROSSED_ENGINE_FAULTS = (
     EngineFaults(cross_chunk=1),
     EngineFaults(duplicate_chunk=2),
@@ -53,7 +53,7 @@
 
 
 class Injector:
-    """Carries out faults; all chance comes from the generator handed in."""
+    """Injects faults; all random choices come from the given generator."""
 
     def __init__(self, world: World, random: Random) -> None:
         self._world = world
@@ -80,7 +80,7 @@
         }
 
     def start(self, tasks: TaskGroup, faults: tuple[PlannedFault, ...]) -> None:
-        """Start a task for each fault; times are the clock's."""
+        """Start a task for each fault; their times are absolute times of the clock."""
         for fault in faults:
             tasks.start_soon(self._inject, fault)
 
@@ -93,7 +93,7 @@
 
     def _crash(self, name: EngineName) -> None:
         self._world.platform.engines[name].crash()
-        self._note_backend(name, BackendChange.CRASHED)
+        self._record_backend_change(name, BackendChange.CRASHED)
 
     async def _event_loss(self, fault: PlannedFault) -> None:
         engines = self._world.platform.engines.values()
@@ -104,30 +104,30 @@
             engine.faults.clear()
 
     async def _herd_restart(self, fault: PlannedFault) -> None:
-        spared = self._zone(fault)
+        spared_zone = self._zone(fault)
         async with anyio.create_task_group() as tasks:
             for place in self._world.fleet.places:
-                if place.zone != spared:
+                if place.zone != spared_zone:
                     tasks.start_soon(self._world.fleet.restart, place.name, RESTART_S)
 
     async def _hot_shift(self, fault: PlannedFault) -> None:
-        """Nothing to do here: the workload's shape has the shift already."""
+        """Do nothing, as the shape of the workload already contains the shift."""
 
     async def _store_down(self, fault: PlannedFault) -> None:
         store = self._world.platform.store
         self._num_outages += 1
         store.faults.is_down = True
         store.cut_watches()
-        self._note_store(is_up=False)
+        self._record_store_change(is_up=False)
         await anyio.sleep(fault.lasts_s)
         self._num_outages -= 1
         if self._num_outages:
             return
         store.faults.is_down = False
         store.notify()
-        self._note_store(is_up=True)
+        self._record_store_change(is_up=True)
 
-    def _note_store(self, is_up: bool) -> None:
+    def _record_store_change(self, is_up: bool) -> None:
         recorder = self._world.recorder
         recorder.add(StoreChanged(at_s=recorder.now(), is_up=is_up))
 
@@ -150,12 +150,12 @@
         await self._world.fleet.pause(NodeName(name), fault.lasts_s)
 
     def _lease_holder(self) -> str | None:
-        """Return a node whose name stands in a leased key of the store."""
+        """Return a random node whose name is in the value of a leased key, or None."""
         store = self._world.platform.store.model
         stored = store.range(FIRST_KEY, END_OF_KEYS, anyio.current_time())
-        held = [one.value for one in stored if one.lease_id]
+        leased_values = [key.value for key in stored if key.lease_id]
         names = [place.name for place in self._world.fleet.places]
-        holders = [name for name in names if any(name.encode() in value for value in held)]
+        holders = [name for name in names if any(name.encode() in value for value in leased_values)]
         return self._random.choice(holders) if holders else None
 
     async def _racing_operators(self, fault: PlannedFault) -> None:
@@ -169,7 +169,7 @@
     async def _apply_small_change(self) -> None:
         weight = 1.0 + self._random.random()
         await self._world.operator.change(
-            lambda deployment: _with_first_tenant_weight(deployment, weight), RACE_THINKING_S
+            lambda deployment: _with_first_tenant_weight(deployment, weight), RACE_APPLY_DELAY_S
         )
 
     async def _zone_cut(self, fault: PlannedFault) -> None:
@@ -177,7 +177,7 @@
         self._world.platform.links.cut_zone(zone)
         self._world.cut_zones.add(zone)
         self._world.apply_cuts()
-        self._note_zone(zone, NodeChange.CUT_OFF)
+        self._record_zone_change(zone, NodeChange.CUT_OFF)
         await anyio.sleep(fault.lasts_s)
         self._world.cut_zones.discard(zone)
         self._world.platform.links.rejoin(zone)
@@ -185,14 +185,14 @@
         if self._num_region_cuts:
             self._world.platform.links.cut_platform(zone)
         else:
-            self._note_zone(zone, NodeChange.REJOINED)
+            self._record_zone_change(zone, NodeChange.REJOINED)
 
     async def _region_cut(self, fault: PlannedFault) -> None:
         zones = self._world.platform.zones
         self._num_region_cuts += 1
         for zone in zones:
             self._world.platform.links.cut_platform(zone)
-            self._note_zone(zone, NodeChange.CUT_OFF)
+            self._record_zone_change(zone, NodeChange.CUT_OFF)
         await anyio.sleep(fault.lasts_s)
         self._num_region_cuts -= 1
         if self._num_region_cuts:
@@ -200,9 +200,9 @@
         for zone in zones:
             self._world.platform.links.rejoin_platform(zone)
             if zone not in self._world.cut_zones:
-                self._note_zone(zone, NodeChange.REJOINED)
+                self._record_zone_change(zone, NodeChange.REJOINED)
 
-    def _note_zone(self, zone: ZoneName, change: NodeChange) -> None:
+    def _record_zone_change(self, zone: ZoneName, change: NodeChange) -> None:
         for place in self._world.fleet.places:
             if place.zone == zone:
                 self._world.fleet.note(place.name, change)
@@ -216,10 +216,10 @@
             self._list_machine(name, is_leaving=True)
         await anyio.sleep(fault.lasts_s)
         for name in names:
-            self._set_away(name, is_away=True)
-        await anyio.sleep(TAKEN_AWAY_S)
+            self._set_absent(name, is_absent=True)
+        await anyio.sleep(MACHINE_ABSENCE_S)
         for name in names:
-            self._set_away(name, is_away=False)
+            self._set_absent(name, is_absent=False)
             self._list_machine(name, is_leaving=False)
 
     def _list_machine(self, name: str, is_leaving: bool) -> None:
@@ -227,28 +227,28 @@
         machine = Machine(host=platform.addresses()[name], is_leaving=is_leaving)
         platform.machines.put(machine, anyio.current_time())
         change = BackendChange.LEAVING if is_leaving else BackendChange.RETURNED
-        self._note_backend(name, change)
+        self._record_backend_change(name, change)
 
-    def _note_backend(self, name: str, change: BackendChange) -> None:
+    def _record_backend_change(self, name: str, change: BackendChange) -> None:
         recorder = self._world.recorder
         recorder.add(BackendChanged(at_s=recorder.now(), backend=name, change=change))
 
-    def _set_away(self, name: str, is_away: bool) -> None:
+    def _set_absent(self, name: str, is_absent: bool) -> None:
         platform = self._world.platform
         engine = platform.engines.get(EngineName(name))
-        if engine is not None and is_away:
+        if engine is not None and is_absent:
             self._crash(EngineName(name))
         if engine is not None:
-            engine.faults.set(EngineFaults(refuse_connections=is_away))
+            engine.faults.set(EngineFaults(refuse_connections=is_absent))
         service = platform.services.get(BackendName(name))
         if service is not None:
-            service.faults.set(ServiceFaults(refuse_connections=is_away))
+            service.faults.set(ServiceFaults(refuse_connections=is_absent))
 
     async def _planned_stop(self, fault: PlannedFault) -> None:
         fleet = self._world.fleet
         name = NodeName(fault.target or self._node())
         for _ in range(int(fault.lasts_s / WATCH_INTERVAL_S)):
-            # Stopping an idle node would show nothing.
+            # Stopping an idle node would not test the drain of requests.
             if fleet.num_exchanges(name):
                 break
             await anyio.sleep(WATCH_INTERVAL_S)
@@ -282,7 +282,7 @@
         return EngineName(fault.target) if fault.target else self._busiest_engines()[0]
 
     def _busiest_engines(self) -> list[EngineName]:
-        """Return the engines, those with most work first: a fault of an idle one shows little."""
+        """Return the engines, busiest first, as a fault of an idle engine tests little."""
         engines = self._world.platform.engines
         return sorted(engines, key=lambda name: _num_requests(engines[name]), reverse=True)
 
@@ -294,7 +294,7 @@
 
 
 def _num_requests(engine: InProcessEngine) -> tuple[int, int]:
-    """Return what an engine has to do now, then what it has done so far, as sort keys."""
+    """Return the number of current requests of an engine and of all started so far, to sort by."""
     batch = engine.model.batch
     return len(batch.running) + batch.num_waiting, engine.model.ledger.num_started
 
--- a/src/weirscale/experiments/faults/world.py
+++ b/src/weirscale/experiments/faults/world.py
@@ -1,4 +1,4 @@
-"""What faults act on."""
+"""The parts of a virtual run that faults act on."""
 
 from weirscale.domain.identifiers import ZoneName
 from weirscale.experiments.memory_network import MemoryNetwork
@@ -12,12 +12,12 @@
     """All parts of a virtual run.
 
     Attributes:
-        platform: The stand-ins.
-        fleet: The nodes.
-        network: The network between nodes.
+        platform: Stand-ins of the external systems.
+        fleet: Fleet of nodes.
+        network: Network between nodes.
         operator: Applies configurations.
-        recorder: Takes records of faults.
-        cut_zones: Zones that are cut off now.
+        recorder: Receives the records of faults.
+        cut_zones: Zones that are currently cut off.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         self.cut_zones: set[ZoneName] = set()
 
     def apply_cuts(self) -> None:
-        """Make the network between nodes agree with `cut_zones`."""
+        """Apply `cut_zones` to the network between nodes."""
         self.network.heal()
         for zone in self.cut_zones:
             inside = {place.address for place in self.fleet.places if place.zone == zone}
--- a/src/weirscale/experiments/history/__init__.py
+++ b/src/weirscale/experiments/history/__init__.py
@@ -1,1 +1,1 @@
-"""Records of what callers and back ends saw, and the rules checked on them."""
+"""Records of what callers and back ends observed, and the rules checked on these records."""
--- a/src/weirscale/experiments/history/fleet_rules.py
+++ b/src/weirscale/experiments/history/fleet_rules.py
@@ -1,4 +1,4 @@
-"""Rules on nodes and back ends: restarts, leaving, planned stops."""
+"""Rules for nodes and back ends: restarts, leaving back ends and planned stops."""
 
 from typing import NamedTuple
 
@@ -9,7 +9,7 @@
     Interval,
     available_intervals,
     interval_start,
-    last_start_s,
+    latest_start_s,
 )
 from weirscale.experiments.history.records import (
     BackendChange,
@@ -34,14 +34,14 @@
 NOT_SERVING_CODES = frozenset(
     {RefusalCode.NOT_CONFIGURED, RefusalCode.DRAINING, RefusalCode.NO_BACKEND}
 )
-"""Refusals of a node that does not serve yet."""
+"""Refusal codes of a node that does not serve yet."""
 
 
 def check_serves_after_restart(history: History) -> list[Violation]:
-    """Check that a node that started serves what is sent to it between the bound and the window.
+    """Check that a started node serves requests from the bound to the end of the window.
 
-    NO_BACKEND counts only where another node answered at about that time, so that a fleet without
-    back ends is not held against a restarted node.
+    NO_BACKEND is a violation only if another node answered a request within 1 s of it: a restarted
+    node is not at fault while the fleet has no back ends.
     """
     violations: list[Violation] = []
     windows = _start_windows(history)
@@ -53,7 +53,7 @@
         for started_at_s, serves_from_s, until_s in windows.get(sent.node, ()):
             if not serves_from_s <= sent.at_s <= ending.at_s < until_s:
                 continue
-            failure = _not_serving(ending, sent, answered_at)
+            failure = _describe_not_serving(ending, sent, answered_at)
             if failure is not None:
                 detail = f"{sent.node}, started at {started_at_s:.3f} s: {failure}"
                 violations.append(Violation(SERVES_AFTER_RESTART, (request_id,), detail))
@@ -61,7 +61,7 @@
 
 
 class _Window(NamedTuple):
-    """A time in which a started node must serve."""
+    """A period in which a started node must serve."""
 
     started_at_s: float
     serves_from_s: float
@@ -69,20 +69,21 @@
 
 
 def _start_windows(history: History) -> dict[NodeName, list[_Window]]:
-    """Return the windows after each start; they end early where the node becomes unable.
+    """Return the window after each start; it ends early if the node becomes unavailable.
 
-    A start without any source of the configuration has none: a node keeps nothing, so when it is
-    cut off, or the store is down and no other node is up, nobody can tell it.
+    A start without any source of the configuration has no window. Nodes persist nothing, so a node
+    cannot obtain the configuration while it is cut off, or while the store is down and no other
+    node has it.
     """
     bounds = history.bounds
     windows: dict[NodeName, list[_Window]] = {}
-    able = available_intervals(history)
+    available = available_intervals(history)
     outages = _store_outages(history)
     for changed in history.of_type(NodeChanged):
         if changed.change is not NodeChange.STARTED:
             continue
-        until_s = _able_until(able[changed.node], changed.at_s)
-        if until_s is None or not _has_source(history, changed, able, outages):
+        until_s = _available_until(available[changed.node], changed.at_s)
+        if until_s is None or not _has_source(history, changed, available, outages):
             continue
         window = _Window(
             started_at_s=changed.at_s,
@@ -93,8 +94,8 @@
     return windows
 
 
-def _able_until(intervals: list[Interval], at_s: float) -> float | None:
-    """Return the end of the interval that holds a time, or None."""
+def _available_until(intervals: list[Interval], at_s: float) -> float | None:
+    """Return the end of the interval that contains a time, or None."""
     return next((end_s for start_s, end_s in intervals if start_s <= at_s < end_s), None)
 
 
@@ -111,12 +112,12 @@
 def _has_source(
     history: History,
     started: NodeChanged,
-    able: dict[NodeName, list[Interval]],
+    available: dict[NodeName, list[Interval]],
     outages: list[Interval],
 ) -> bool:
-    """Whether the store, or another node that has it, can tell a node the configuration.
+    """Return whether a started node can get the configuration from the store or another node.
 
-    A node that is up and has none itself, since it started just before, can tell nothing.
+    A node that is up but has no configuration yet, because it started just before, is no source.
     """
     if not any(down_s <= started.at_s < up_s for down_s, up_s in outages):
         return True
@@ -124,23 +125,23 @@
         node != started.node
         and interval_start(intervals, started.at_s) is not None
         and _has_configuration(history, node, started.at_s)
-        for node, intervals in able.items()
+        for node, intervals in available.items()
     )
 
 
 def _has_configuration(history: History, node: NodeName, at_s: float) -> bool:
-    """Whether a node's run that is up at a time has taken a configuration by then."""
-    began_at_s = last_start_s(history, node, at_s)
+    """Return whether a node, since its latest start, has put a configuration in force by a time."""
+    began_at_s = latest_start_s(history, node, at_s)
     return any(
         taken.node == node and began_at_s <= taken.at_s <= at_s
         for taken in history.of_type(ConfigurationTaken)
     )
 
 
-def _not_serving(
+def _describe_not_serving(
     ending: object, sent: Sent, answered_at: list[tuple[float, NodeName]]
 ) -> str | None:
-    """Say how an ending shows a node that does not serve, or None."""
+    """Return how an ending shows that the node did not serve, or None."""
     if isinstance(ending, ConnectionBroke) and not ending.was_connected:
         return "refused the connection"
     if not isinstance(ending, RefusalReceived) or ending.code not in NOT_SERVING_CODES:
@@ -166,11 +167,11 @@
 def check_leaving_gets_no_work(history: History) -> list[Violation]:
     """Check that no back end starts new work later than the bound after it began to leave.
 
-    The bound counts from when the node that sends the work last became able to hear of it (start,
-    resumption, links whole again), if that is later; a node that is cut off cannot.
+    If the sending node became available (started, resumed or reconnected) later than that, the
+    bound counts from then. Runs of a sender that was unavailable, such as cut off, do not count.
     """
     violations: list[Violation] = []
-    able = available_intervals(history)
+    available = available_intervals(history)
     leaving_since: dict[str, float] = {}
     for record in history.records:
         if isinstance(record, BackendChanged):
@@ -183,33 +184,36 @@
             left_at_s = leaving_since.get(backend)
             if left_at_s is None:
                 continue
-            since_s = _could_hear_since(history, able, record, left_at_s)
+            since_s = _could_learn_since(history, available, record, left_at_s)
             if since_s is not None and record.at_s > since_s + history.bounds.leaving_s:
-                detail = f"{backend} got work {record.at_s - since_s:.3f} s after it began to leave"
+                detail = (
+                    f"{backend} started work {record.at_s - since_s:.3f} s after it began to leave"
+                )
                 violations.append(Violation(LEAVING_GETS_NO_WORK, (record.request_id,), detail))
     return violations
 
 
-def _could_hear_since(
+def _could_learn_since(
     history: History,
-    able: dict[NodeName, list[Interval]],
+    available: dict[NodeName, list[Interval]],
     run: EngineRun | ServiceRun,
     left_at_s: float,
 ) -> float | None:
-    """Return since when the node that sent a run could hear that its back end leaves."""
+    """Return since when the sender of a run could learn that the back end leaves, or None."""
     sent = history.sent.get(run.request_id)
-    intervals = able.get(sent.node) if sent is not None else None
+    intervals = available.get(sent.node) if sent is not None else None
     if intervals is None:
         return left_at_s
-    able_since_s = interval_start(intervals, run.at_s)
-    return None if able_since_s is None else max(left_at_s, able_since_s)
+    available_since_s = interval_start(intervals, run.at_s)
+    return None if available_since_s is None else max(left_at_s, available_since_s)
 
 
 def check_planned_stop_cuts_nothing(history: History) -> list[Violation]:
-    """Check that requests in flight at a node when its planned stop begins are answered whole.
+    """Check that a planned stop of a node breaks no connections of requests in flight.
 
-    What is sent to it later may be refused, as not run, but never broken off. A crash during the
-    stop cuts what is left, by no fault of the stop: only what broke before the crash counts.
+    Requests that are sent to it later may be refused as not run, but their connections must not
+    break. If the node crashes during the stop, only connections broken before the crash count, as
+    the stop did not cause the others.
     """
     violations: list[Violation] = []
     stops = _planned_stops(history)
@@ -219,14 +223,14 @@
             continue
         for stop in stops.get(sent.node, ()):
             if sent.at_s <= stop.ended_at_s and stop.began_at_s <= ending.at_s < stop.crashed_at_s:
-                into_s = ending.at_s - stop.began_at_s
-                detail = f"{sent.node} cut it {into_s:.3f} s into a planned stop"
+                stop_age_s = ending.at_s - stop.began_at_s
+                detail = f"{sent.node} broke the connection {stop_age_s:.3f} s into a planned stop"
                 violations.append(Violation(PLANNED_STOP_CUTS_NOTHING, (request_id,), detail))
     return violations
 
 
 class _PlannedStop(NamedTuple):
-    """One planned stop; infinite times for what did not come."""
+    """One planned stop; times are infinite for events that did not happen."""
 
     began_at_s: float
     ended_at_s: float = float("inf")
--- a/src/weirscale/experiments/history/history.py
+++ b/src/weirscale/experiments/history/history.py
@@ -1,4 +1,4 @@
-"""A whole history, indexed once for the checkers."""
+"""Records of a whole run, indexed for the checkers."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable
@@ -27,19 +27,19 @@
 RecordT = TypeVar("RecordT", bound=msgspec.Struct)
 
 ExpectedText = Callable[[GenerationSent], str]
-"""The whole right answer to a request for generated text."""
+"""Returns the whole expected answer to a request for generated text."""
 
 Ending = GenerationAnswered | ServiceAnswered | RefusalReceived | ConnectionBroke | CallerLeft
 """Records that end a request for its caller."""
 
 
 class Violation(msgspec.Struct, frozen=True):
-    """A rule broken.
+    """A violation of a rule.
 
     Attributes:
-        rule: The rule's name.
-        request_ids: Requests concerned; empty for rules on nodes.
-        detail: What was seen, one sentence.
+        rule: Name of the rule.
+        request_ids: Affected requests; empty for rules on nodes.
+        detail: What was observed, in one sentence.
     """
 
     rule: str
@@ -48,14 +48,15 @@
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """Times that the rules allow.
+    """Maximum times that the rules allow, in seconds.
 
     Attributes:
-        serves_after_restart_s: From a node's start to its serving.
-        restart_window_s: From a node's start; later refusals are no matter of the restart.
-        leaving_s: From a back end's leaving to its last new work; includes the list's lag.
-        configuration_s: From a configuration's acceptance to its being in force everywhere.
-        answer_grace_s: From a caller's deadline to the last moment for any ending.
+        serves_after_restart_s: From the start of a node until it must serve.
+        restart_window_s: From the start of a node; later refusals are not due to the restart.
+        leaving_s: From when a back end begins to leave to its last new work; includes the lag of
+            the machine list.
+        configuration_s: From the acceptance of a configuration until it is in force at all nodes.
+        answer_grace_s: From a caller's deadline to the latest time for any ending.
     """
 
     serves_after_restart_s: float = 1.0
@@ -66,7 +67,7 @@
 
 
 class History:
-    """All records of a run, in order of time, with indexes by request."""
+    """All records of a run in order of time, with indexes by request."""
 
     def __init__(
         self,
@@ -79,14 +80,14 @@
         """Index the records.
 
         Args:
-            records: The records, in any order; those of one time keep their order.
-            expected_text: The whole right answer to a request.
+            records: The records in any order; records with equal times keep their order.
+            expected_text: Returns the whole expected answer to a request.
             block_size_bytes: Prompt bytes in one cache block of the engines.
             bounds: Times that the rules allow.
-            is_kv_kept: Whether engines exchange blocks over a store of kept KV cache.
+            is_kv_kept: Whether engines share blocks through a kept-KV store.
         """
         self.is_kv_kept = is_kv_kept
-        self.records: tuple[AnyRecord, ...] = tuple(sorted(records, key=lambda one: one.at_s))
+        self.records: tuple[AnyRecord, ...] = tuple(sorted(records, key=lambda record: record.at_s))
         self.expected_text = expected_text
         self.block_size_bytes = block_size_bytes
         self.bounds = bounds or Bounds()
@@ -133,7 +134,7 @@
         return [record for record in self.records if isinstance(record, record_type)]
 
     def ending(self, request_id: RequestId) -> Ending | None:
-        """Return what ended a request for its caller first, or None."""
+        """Return the first ending of a request for its caller, or None."""
         endings = self.endings.get(request_id)
         return endings[0] if endings else None
 
@@ -142,10 +143,10 @@
         return "".join(chunk.text for chunk in self.chunks.get(request_id, ()))
 
     def expected(self, request_id: RequestId) -> str | None:
-        """Return the whole right answer to a generation request, None for others."""
+        """Return the whole expected answer to a generation request, None for other requests."""
         sent = self.sent.get(request_id)
         return self.expected_text(sent) if isinstance(sent, GenerationSent) else None
 
     def has_run(self, request_id: RequestId) -> bool:
-        """Whether any back end ran the request."""
+        """Return whether any back end ran the request."""
         return bool(self.engine_runs.get(request_id) or self.service_runs.get(request_id))
--- a/src/weirscale/experiments/history/intervals.py
+++ b/src/weirscale/experiments/history/intervals.py
@@ -1,10 +1,10 @@
-"""Times in which nodes are able to serve and to follow the configuration."""
+"""Intervals in which nodes are available to serve and to receive configurations."""
 
 from weirscale.domain.identifiers import NodeName
 from weirscale.experiments.history.history import History
 from weirscale.experiments.history.records import NodeChange, NodeChanged
 
-UNABLE_CHANGES = frozenset(
+UNAVAILABLE_CHANGES = frozenset(
     {
         NodeChange.CRASHED,
         NodeChange.PAUSED,
@@ -13,63 +13,63 @@
         NodeChange.CUT_OFF,
     }
 )
-"""Changes after which a node cannot be asked to serve all, or to follow the configuration."""
-REASON_ENDED_BY = {
+"""Changes after which a node is not expected to serve all requests or to get configurations."""
+REASONS_ENDED_BY = {
     NodeChange.RESUMED: frozenset({NodeChange.PAUSED}),
     NodeChange.REJOINED: frozenset({NodeChange.CUT_OFF}),
-    NodeChange.STARTED: UNABLE_CHANGES - {NodeChange.CUT_OFF},
+    NodeChange.STARTED: UNAVAILABLE_CHANGES - {NodeChange.CUT_OFF},
 }
-"""What each change mends: a node that is started in a zone that is cut off is still cut off."""
+"""Reasons that each change ends; a node that starts in a cut-off zone is still cut off."""
 
 Interval = tuple[float, float]
-"""Start and end, in seconds; the end is infinite for what lasts."""
+"""Start and end in seconds; the end is infinite while the interval lasts."""
 
 
 class _NodeState:
-    """One node along the history."""
+    """Availability of one node over the history, and the reasons for being unavailable."""
 
     def __init__(self) -> None:
         self.reasons: set[NodeChange] = {NodeChange.STOPPED}
-        self.able_since_s: float | None = None
+        self.available_since_s: float | None = None
         self.intervals: list[Interval] = []
 
-    def take(self, changed: NodeChanged) -> None:
-        """Follow one change."""
-        if changed.change in UNABLE_CHANGES:
+    def apply(self, changed: NodeChanged) -> None:
+        """Apply one change of the node."""
+        if changed.change in UNAVAILABLE_CHANGES:
             self.reasons.add(changed.change)
         else:
-            self.reasons -= REASON_ENDED_BY[changed.change]
-        if not self.reasons and self.able_since_s is None:
-            self.able_since_s = changed.at_s
-        if self.reasons and self.able_since_s is not None:
-            self.intervals.append((self.able_since_s, changed.at_s))
-            self.able_since_s = None
+            self.reasons -= REASONS_ENDED_BY[changed.change]
+        if not self.reasons and self.available_since_s is None:
+            self.available_since_s = changed.at_s
+        if self.reasons and self.available_since_s is not None:
+            self.intervals.append((self.available_since_s, changed.at_s))
+            self.available_since_s = None
 
     def finish(self) -> list[Interval]:
-        """Return the intervals, the last one without end where the node is able still."""
-        if self.able_since_s is not None:
-            self.intervals.append((self.able_since_s, float("inf")))
+        """Return the intervals; the last has an infinite end if the node is still available."""
+        if self.available_since_s is not None:
+            self.intervals.append((self.available_since_s, float("inf")))
         return self.intervals
 
 
 def available_intervals(history: History) -> dict[NodeName, list[Interval]]:
-    """Return the times in which each node runs, is not paused, draining or cut off."""
+    """Return the intervals in which each node runs and is not paused, draining or cut off."""
     states: dict[NodeName, _NodeState] = {}
     for changed in history.of_type(NodeChanged):
-        states.setdefault(changed.node, _NodeState()).take(changed)
+        states.setdefault(changed.node, _NodeState()).apply(changed)
     return {node: state.finish() for node, state in states.items()}
 
 
 def interval_start(intervals: list[Interval], at_s: float) -> float | None:
-    """Return the start of the interval that holds a time, or None."""
+    """Return the start of the interval that contains a time, or None."""
     for start_s, end_s in intervals:
         if start_s <= at_s < end_s:
             return start_s
     return None
 
 
-def last_start_s(history: History, node: NodeName, at_s: float) -> float:
-    """Return when the node's run that is up at a time began: what it took before is gone."""
+def latest_start_s(history: History, node: NodeName, at_s: float) -> float:
+    """Return the latest start of a node by a time; the node lost its earlier state then."""
     starts = [
         changed.at_s
         for changed in history.of_type(NodeChanged)
--- a/src/weirscale/experiments/history/records.py
+++ b/src/weirscale/experiments/history/records.py
@@ -1,6 +1,6 @@
-"""Records of one run: what callers saw, what back ends ran, what happened to nodes.
+"""Records of one run: what callers received, what back ends ran and what happened to nodes.
 
-All times are seconds of one clock, the experiment's; `at_s` is when the recorder saw it.
+All times are in seconds of the experiment's clock; `at_s` is the time of recording.
 """
 
 import enum
@@ -28,7 +28,7 @@
     """Base of all records.
 
     Attributes:
-        at_s: When it happened.
+        at_s: Time of the recorded event.
     """
 
     at_s: float
@@ -38,15 +38,15 @@
     """A caller sent a request for generated text.
 
     Attributes:
-        request_id: The request.
-        intended_at_s: When the plan meant it to be sent.
-        tenant: Whose request it is; also the salt of its cache blocks.
-        model: The model asked for.
-        adapter: The adapter asked for, or None.
-        node: The node it was sent through.
-        prompt: The canonical prompt bytes.
-        max_tokens: Most tokens to generate.
-        deadline_at_s: When the caller gives up.
+        request_id: Id of the request.
+        intended_at_s: Planned send time.
+        tenant: Tenant of the caller; also the salt of the cache blocks.
+        model: Requested model.
+        adapter: Requested adapter, or None.
+        node: Node that the request was sent to.
+        prompt: Canonical prompt bytes.
+        max_tokens: Maximum number of tokens to generate.
+        deadline_at_s: Time at which the caller gives up.
     """
 
     request_id: RequestId
@@ -64,15 +64,15 @@
     """A caller sent a request to a service.
 
     Attributes:
-        request_id: The request.
-        intended_at_s: When the plan meant it to be sent.
-        tenant: Whose request it is.
-        service: The service.
-        node: The node it was sent through.
-        marker: Text that the whole answer to this request must contain.
-        repeatable: Whether it may run more than once.
-        idempotency_key: The caller's key, or None.
-        deadline_at_s: When the caller gives up.
+        request_id: Id of the request.
+        intended_at_s: Planned send time.
+        tenant: Tenant of the caller.
+        service: Requested service.
+        node: Node that the request was sent to.
+        marker: Text that the answer to this request must contain.
+        repeatable: Whether the request may run more than once.
+        idempotency_key: The caller's idempotency key, or None.
+        deadline_at_s: Time at which the caller gives up.
     """
 
     request_id: RequestId
@@ -90,11 +90,11 @@
     """A caller received a chunk of its stream.
 
     Attributes:
-        request_id: The request whose stream it came on.
-        chunk_request_id: The request that the chunk names.
-        sequence: The chunk's place in the answer.
-        text: Its text.
-        num_tokens: Tokens in `text`.
+        request_id: Id of the request whose stream carried the chunk.
+        chunk_request_id: Request id in the chunk.
+        sequence: Position of the chunk in the answer, from 0.
+        text: Text of the chunk.
+        num_tokens: Number of tokens in `text`.
     """
 
     request_id: RequestId
@@ -108,10 +108,10 @@
     """A caller's stream ended with the normal end marker.
 
     Attributes:
-        request_id: The request.
-        finish_reason: `stop` or `length`; None when the last chunk had none.
-        num_prompt_tokens: Prompt tokens, as told to the caller.
-        num_cached_tokens: Prompt tokens from cache, as told to the caller.
+        request_id: Id of the request.
+        finish_reason: `stop` or `length`; None if the last chunk had none.
+        num_prompt_tokens: Prompt tokens, as reported to the caller.
+        num_cached_tokens: Prompt tokens from cache, as reported to the caller.
     """
 
     request_id: RequestId
@@ -121,7 +121,7 @@
 
 
 class ServiceAnswered(Record, frozen=True, tag="service_answered"):
-    """A caller received a service's whole answer."""
+    """A caller received the whole answer of a service."""
 
     request_id: RequestId
     status: int
@@ -129,7 +129,7 @@
 
 
 class RefusalReceived(Record, frozen=True, tag="refusal_received"):
-    """A caller received an explicit error, before or in its stream."""
+    """A caller received an explicit error before or within its stream."""
 
     request_id: RequestId
     code: RefusalCode
@@ -137,11 +137,11 @@
 
 
 class ConnectionBroke(Record, frozen=True, tag="connection_broke"):
-    """A caller's connection broke, or was refused, with no answer and no error of the router.
+    """A caller's connection broke or was refused, without an answer or an error of the router.
 
     Attributes:
-        request_id: The request.
-        was_connected: False when no connection was made.
+        request_id: Id of the request.
+        was_connected: Whether a connection was made.
     """
 
     request_id: RequestId
@@ -158,17 +158,17 @@
     """An engine started to run an attempt; `at_s` is its start.
 
     Attributes:
-        request_id: The request.
-        attempt: The attempt.
-        engine: The engine.
-        incarnation: The engine's run.
-        model: The model it had loaded.
-        weight_version: The version it had loaded.
-        adapter: The adapter used, or None.
-        cache_salt: The salt that seeded the block hashes.
-        num_prompt_tokens: Prompt tokens, the continued answer not included.
+        request_id: Id of the request.
+        attempt: Number of the attempt.
+        engine: Engine that ran the attempt.
+        incarnation: Incarnation of the engine.
+        model: Model loaded then.
+        weight_version: Weight version loaded then.
+        adapter: Adapter used, or None.
+        cache_salt: Salt in the seed of the block hashes.
+        num_prompt_tokens: Tokens of the prompt and of the continued text.
         num_cached_tokens: Prompt tokens served from the prefix cache.
-        finished_at_s: When it ended, None if it was cut or still ran at the end.
+        finished_at_s: When the attempt ended; None if it still ran at the end of the experiment.
     """
 
     request_id: RequestId
@@ -193,7 +193,7 @@
 
 
 class OrderTaken(Record, frozen=True, tag="order_taken"):
-    """An engine carried out a fenced order."""
+    """An engine executed a fenced order."""
 
     engine: EngineName
     incarnation: Incarnation
@@ -211,9 +211,9 @@
     STOPPED = "stopped"
     """A planned stop ended."""
     CUT_OFF = "cut_off"
-    """Its links to some other zone or to the store went down."""
+    """Its links to other zones or to the store went down."""
     REJOINED = "rejoined"
-    """Its links are whole again."""
+    """All its links are up again."""
 
 
 class NodeChanged(Record, frozen=True, tag="node_changed"):
@@ -227,11 +227,11 @@
     """What happened to a back end."""
 
     LEAVING = "leaving"
-    """It was put on the list of leaving machines, or said so itself."""
+    """The machine list, or the back end itself, states that it leaves."""
     RETURNED = "returned"
-    """It takes work again."""
+    """It accepts work again."""
     CRASHED = "crashed"
-    """It lost everything and starts anew."""
+    """It lost all state and restarts."""
 
 
 class BackendChanged(Record, frozen=True, tag="backend_changed"):
@@ -242,7 +242,7 @@
 
 
 class StoreChanged(Record, frozen=True, tag="store_changed"):
-    """The key-value service went down or came back."""
+    """The key-value service went down or is up again."""
 
     is_up: bool
 
--- a/src/weirscale/experiments/history/verdict.py
+++ b/src/weirscale/experiments/history/verdict.py
@@ -1,4 +1,4 @@
-"""The verdict on a history: every rule checked, every request counted once."""
+"""Verdict on a history: check every rule and classify every request."""
 
 import enum
 from collections import Counter
@@ -33,26 +33,26 @@
     configuration_rules.CONFIGURATION_IN_FORCE: configuration_rules.check_configuration_in_force,
     configuration_rules.FENCED_ORDERS: configuration_rules.check_fenced_orders,
 }
-"""One checker for each rule that must always hold, and one for fencing."""
+"""Checkers of the rules that must always hold, and one for fencing, by rule name."""
 
 
 class RequestCounts(msgspec.Struct, frozen=True):
-    """What became of the requests of a run.
+    """Outcomes of the requests of a run.
 
-    Each request sent is in exactly one of `answered_once`, `refused_not_run`, `failed`, `lost`,
-    `crossed`, `truncated` and `left`; `doubled` and `false_not_run` count some of them again.
+    Each request sent is counted in exactly one of `answered_once`, `refused_not_run`, `failed`,
+    `lost`, `crossed`, `truncated` and `left`; `doubled` and `false_not_run` count some again.
 
     Attributes:
         sent: Requests sent.
-        answered_once: Answered whole, once, with their own answer.
+        answered_once: Answered once with their own whole answer.
         refused_not_run: Refused as not run.
-        failed: Ended by an explicit error or a broken connection, not claimed as not run.
+        failed: Ended by a broken connection, or by an error that does not state "not run".
         lost: Without any ending in time.
-        doubled: Pieces of unrepeatable work that ran more than once.
-        crossed: Given what belongs to another request.
+        doubled: Non-repeatable operations that ran more than once.
+        crossed: Answered with content of another request.
         truncated: Ended normally before the whole answer.
         false_not_run: Refused as not run although they ran.
-        left: Their callers left on purpose.
+        left: Disconnected by their callers on purpose.
     """
 
     sent: int
@@ -82,8 +82,8 @@
     return Verdict(counts=count_requests(history), violations=tuple(violations))
 
 
-class Fate(enum.Enum):
-    """What became of one request; see `RequestCounts`."""
+class RequestOutcome(enum.Enum):
+    """Outcome of one request; see `RequestCounts`."""
 
     ANSWERED_ONCE = "answered_once"
     REFUSED_NOT_RUN = "refused_not_run"
@@ -95,37 +95,39 @@
 
 
 def count_requests(history: History) -> RequestCounts:
-    """Count what became of the requests."""
-    num_of = Counter(fate(history, request_id) for request_id in history.sent)
+    """Count the requests by outcome."""
+    counts = Counter(request_outcome(history, request_id) for request_id in history.sent)
     return RequestCounts(
         sent=len(history.sent),
-        answered_once=num_of[Fate.ANSWERED_ONCE],
-        refused_not_run=num_of[Fate.REFUSED_NOT_RUN],
-        failed=num_of[Fate.FAILED],
-        lost=num_of[Fate.LOST],
+        answered_once=counts[RequestOutcome.ANSWERED_ONCE],
+        refused_not_run=counts[RequestOutcome.REFUSED_NOT_RUN],
+        failed=counts[RequestOutcome.FAILED],
+        lost=counts[RequestOutcome.LOST],
         doubled=len(answers.repeated_run_groups(history)),
-        crossed=num_of[Fate.CROSSED],
-        truncated=num_of[Fate.TRUNCATED],
-        false_not_run=sum(answers.is_false_not_run(history, one) for one in history.sent),
-        left=num_of[Fate.LEFT],
+        crossed=counts[RequestOutcome.CROSSED],
+        truncated=counts[RequestOutcome.TRUNCATED],
+        false_not_run=sum(
+            answers.is_false_not_run(history, request_id) for request_id in history.sent
+        ),
+        left=counts[RequestOutcome.LEFT],
     )
 
 
-def fate(history: History, request_id: RequestId) -> Fate:
-    """Tell what became of one request."""
+def request_outcome(history: History, request_id: RequestId) -> RequestOutcome:
+    """Return the outcome of one request."""
     ending = history.ending(request_id)
     if answers.is_crossed(history, request_id):
-        return Fate.CROSSED
+        return RequestOutcome.CROSSED
     if isinstance(ending, CallerLeft):
-        return Fate.LEFT
+        return RequestOutcome.LEFT
     if answers.is_lost(history, request_id):
-        return Fate.LOST
+        return RequestOutcome.LOST
     if isinstance(ending, GenerationAnswered):
         has_no_end = ending.finish_reason is None
         is_truncated = has_no_end or answers.is_truncated(history, request_id)
-        return Fate.TRUNCATED if is_truncated else Fate.ANSWERED_ONCE
+        return RequestOutcome.TRUNCATED if is_truncated else RequestOutcome.ANSWERED_ONCE
     if isinstance(ending, ServiceAnswered):
-        return Fate.ANSWERED_ONCE
+        return RequestOutcome.ANSWERED_ONCE
     if isinstance(ending, RefusalReceived) and ending.run_status is RunStatus.NOT_RUN:
-        return Fate.REFUSED_NOT_RUN
-    return Fate.FAILED
+        return RequestOutcome.REFUSED_NOT_RUN
+    return RequestOutcome.FAILED
--- a/src/weirscale/experiments/report/__init__.py
+++ b/src/weirscale/experiments/report/__init__.py
@@ -1,1 +1,1 @@
-"""Reports of experiments: figures, page and comparison."""
+"""Reports of experiments."""
--- a/src/weirscale/experiments/report/figures.py
+++ b/src/weirscale/experiments/report/figures.py
@@ -1,4 +1,4 @@
-"""Figures of one run, worked out from its history."""
+"""Figures of one run, computed from its history."""
 
 import itertools
 from collections import Counter
@@ -28,7 +28,7 @@
 
 
 class Percentiles(msgspec.Struct, frozen=True):
-    """Percentiles in seconds; None where nothing was measured."""
+    """Percentiles in seconds; None if there are no values."""
 
     p50: float | None
     p95: float | None
@@ -36,12 +36,12 @@
 
 
 class ControlCost(msgspec.Struct, frozen=True):
-    """What control costs a node; None where a mode cannot measure it.
+    """Cost of the control plane for a node; None where a mode cannot measure it.
 
     Attributes:
-        core_share: Share of one core.
-        resident_bytes: Resident memory.
-        bytes_per_second: Bytes sent to other nodes a second.
+        core_share: Share of one CPU core.
+        resident_bytes: Resident memory in bytes.
+        bytes_per_second: Bytes sent to other nodes per second.
     """
 
     core_share: float | None = None
@@ -56,20 +56,21 @@
         name: The experiment's name.
         deployment: The deployment's name.
         seed: The seed.
-        duration_s: Time in which callers sent.
-        requests: What became of the requests.
-        refusals: Refusals by their code.
-        prefix_hit_rate: Cached share of the prompt tokens of all runs on engines.
-        ttft_seconds: Time to first token, from the intended send time.
-        service_seconds: Time to a service's answer, from the intended send time.
-        inter_token_seconds: Time between tokens of one stream.
-        recomputed_tokens_ratio: Prompt tokens computed by all runs, over those that a single
-            cache without limit would have to compute.
-        control: What control costs a node, on average.
-        configuration_in_force_seconds: From a configuration's acceptance to each node's taking it.
-        violations: Rules broken, with the request ids.
+        duration_s: Time during which callers sent requests.
+        requests: Requests by outcome.
+        refusals: Refusals by code.
+        prefix_hit_rate: Share of cached prompt tokens over all runs of engines.
+        ttft_seconds: Time to first token, from the planned send time.
+        service_seconds: Time to the answer of a service, from the planned send time.
+        inter_token_seconds: Time between tokens of a stream.
+        recomputed_tokens_ratio: Prompt tokens computed by all runs, divided by those that a
+            single unlimited cache would have to compute.
+        control: Average cost of the control plane for a node.
+        configuration_in_force_seconds: Time from the acceptance of a configuration until a node
+            uses it.
+        violations: Violated rules, with the request ids.
         num_internal_errors: Exceptions raised in nodes.
-        internal_errors: The first few of them, one line each.
+        internal_errors: The first MAX_LISTED_ERRORS of them, one line each.
     """
 
     name: str
@@ -91,7 +92,7 @@
 
 
 class RunIdentity(msgspec.Struct, frozen=True):
-    """What names a run in its report; see `Figures`."""
+    """Identity of a run in its report; see `Figures`."""
 
     name: str
     deployment: str
@@ -100,7 +101,7 @@
 
 
 def percentiles(values_s: Iterable[float]) -> Percentiles:
-    """Return percentiles of durations by an HDR histogram."""
+    """Return percentiles of durations, computed with an HDR histogram."""
     make_histogram: Any = HdrHistogram
     histogram = make_histogram(LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS)
     num_values = 0
@@ -109,12 +110,12 @@
         num_values += 1
     if not num_values:
         return Percentiles(None, None, None)
-    p50, p95, p99 = (histogram.get_value_at_percentile(part) for part in (50, 95, 99))
+    p50, p95, p99 = (histogram.get_value_at_percentile(percentile) for percentile in (50, 95, 99))
     return Percentiles(p50 / MICROSECONDS, p95 / MICROSECONDS, p99 / MICROSECONDS)
 
 
 def first_token_times_s(history: History) -> list[float]:
-    """Return the time to first token of each stream, from the intended send time."""
+    """Return the time to first token of each stream, from the planned send time."""
     times_s: list[float] = []
     for request_id, chunks in history.chunks.items():
         sent = history.sent.get(request_id)
@@ -124,7 +125,7 @@
 
 
 def inter_token_times_s(chunks: Sequence[ChunkReceived]) -> list[float]:
-    """Return the time for each token after the first chunk of one stream."""
+    """Return the time per token of each chunk of one stream after the first."""
     return [
         (later.at_s - earlier.at_s) / later.num_tokens
         for earlier, later in itertools.pairwise(chunks)
@@ -133,7 +134,7 @@
 
 
 def service_times_s(history: History) -> list[float]:
-    """Return the time to each service answer, from the intended send time."""
+    """Return the time to each service answer, from the planned send time."""
     return [
         answered.at_s - history.sent[answered.request_id].intended_at_s
         for answered in history.of_type(ServiceAnswered)
@@ -142,7 +143,7 @@
 
 
 def prefix_hit_rate(history: History) -> float | None:
-    """Return the cached share of the prompt tokens of all runs on engines."""
+    """Return the share of cached prompt tokens over all runs of engines."""
     runs = history.of_type(EngineRun)
     num_prompt_tokens = sum(run.num_prompt_tokens for run in runs)
     if not num_prompt_tokens:
@@ -151,7 +152,7 @@
 
 
 def recomputed_tokens_ratio(history: History) -> float | None:
-    """Return the prompt tokens computed by all runs over those of one cache without limit."""
+    """Return the prompt tokens computed by all runs, divided by those of one unlimited cache."""
     runs = history.of_type(EngineRun)
     num_computed = sum(run.num_prompt_tokens - run.num_cached_tokens for run in runs)
     num_needed = _num_needed_tokens(history, runs)
@@ -159,10 +160,10 @@
 
 
 def _num_needed_tokens(history: History, runs: Sequence[EngineRun]) -> float:
-    """Return the tokens that must be computed once, whatever the routing.
+    """Return the tokens that must be computed once, independent of routing.
 
-    Blocks are counted once for each tenant, model, version and adapter; the rest of a prompt after
-    its last full block is counted each time a request runs first.
+    Each block is counted once for each tenant, model, version and adapter. The rest of a prompt
+    after its last full block is counted once for each request.
     """
     seen: set[BlockHash] = set()
     counted: set[RequestId] = set()
@@ -183,20 +184,20 @@
 MAX_LISTED_ERRORS = 10
 
 
-def work_out(
+def compute_figures(
     history: History,
     verdict: Verdict,
     identity: RunIdentity,
     control: ControlCost,
     internal_errors: Sequence[Exception] = (),
 ) -> Figures:
-    """Work out the figures of a run.
+    """Compute the figures of a run.
 
     Args:
-        history: Its records.
-        verdict: What the checkers say of it.
-        identity: What names it.
-        control: What control cost.
+        history: Records of the run.
+        verdict: Result of the checkers.
+        identity: Identity of the run.
+        control: Cost of the control plane.
         internal_errors: Exceptions raised in nodes.
     """
     inter_token_s = [
@@ -208,7 +209,7 @@
         seed=identity.seed,
         duration_s=identity.duration_s,
         requests=verdict.counts,
-        refusals=dict(Counter(one.code.value for one in history.of_type(RefusalReceived))),
+        refusals=dict(Counter(refusal.code.value for refusal in history.of_type(RefusalReceived))),
         prefix_hit_rate=prefix_hit_rate(history),
         ttft_seconds=percentiles(first_token_times_s(history)),
         service_seconds=percentiles(service_times_s(history)),
--- a/src/weirscale/experiments/report/files.py
+++ b/src/weirscale/experiments/report/files.py
@@ -1,4 +1,4 @@
-"""Writes the figures of a run to a folder."""
+"""Write the figures of a run to a directory."""
 
 from pathlib import Path
 
@@ -10,10 +10,10 @@
 
 
 def write_report(directory: Path, figures: Figures) -> None:
-    """Write `report.json`; makes the folder.
+    """Write `report.json`, and create the directory if needed.
 
     Raises:
-        OSError: It cannot be written.
+        OSError: The report cannot be written.
     """
     directory.mkdir(parents=True, exist_ok=True)
     encoded = msgspec.json.format(msgspec.json.encode(figures), indent=2)
--- a/src/weirscale/experiments/run/virtual.py
+++ b/src/weirscale/experiments/run/virtual.py
@@ -13,7 +13,7 @@
 from weirscale.experiments.history.records import GenerationSent
 from weirscale.experiments.history.verdict import judge
 from weirscale.experiments.memory_network import LinkQuality, MemoryNetwork
-from weirscale.experiments.report.figures import ControlCost, Figures, RunIdentity, work_out
+from weirscale.experiments.report.figures import ControlCost, Figures, RunIdentity, compute_figures
 from weirscale.experiments.run.callers import Callers
 from weirscale.experiments.run.fleet import Fleet
 from weirscale.experiments.run.links import ZONE_DELAY_S
@@ -144,7 +144,7 @@
         identity = identity_of(self._loaded, self.seed)
         node_seconds = len(fleet.places) * anyio.current_time()
         control = ControlCost(bytes_per_second=fleet.num_peer_bytes / node_seconds)
-        figures = work_out(history, judge(history), identity, control, fleet.failures)
+        figures = compute_figures(history, judge(history), identity, control, fleet.failures)
         return RunOutcome(history, figures, self._faults_on_clock)
 
 
--- a/src/weirscale/experiments/soak/__init__.py
+++ b/src/weirscale/experiments/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Many seeds with random faults."""
+"""Soak runs: many seeds with random faults."""
--- a/src/weirscale/experiments/soak/experiments.py
+++ b/src/weirscale/experiments/soak/experiments.py
@@ -1,4 +1,4 @@
-"""The experiment of one soak seed."""
+"""Experiments of soak seeds."""
 
 from pathlib import Path
 from random import Random
@@ -11,7 +11,7 @@
 
 SOAK_DURATION_S = 40.0
 SOAK_COMMON_BYTES = 2048
-"""Tenants' prompts begin alike, so that a cache shared between tenants would show."""
+"""Common start of all tenants' prompts, so that a cache shared between tenants is detected."""
 MAX_FAULTS = 6
 PRESET_OF = {"tsehay": "yearbook", "startgrid": "racing"}
 """The workload of each shipped deployment."""
@@ -22,7 +22,7 @@
     """Read a shipped deployment.
 
     Raises:
-        SystemExit: It cannot be read or has errors; the message names them.
+        SystemExit: The file cannot be read or has errors; the message lists them.
     """
     file = folder / f"{name}.yaml"
     try:
@@ -35,7 +35,7 @@
 
 
 def soak_experiment(deployment: Deployment, seed: int) -> LoadedExperiment:
-    """Return the experiment that a seed determines: faults of any kind at any moments."""
+    """Return the experiment of a seed, with random kinds of faults at random times."""
     random = Random(f"soak-{seed}")
     faults = random_schedule(SOAK_DURATION_S, random.randint(1, MAX_FAULTS), random)
     experiment = Experiment(
--- a/src/weirscale/experiments/soak/main.py
+++ b/src/weirscale/experiments/soak/main.py
@@ -1,4 +1,4 @@
-"""The command `soak`: many seeds, each with faults of its own."""
+"""The command `soak`: run many seeds, each with its own random faults."""
 
 import sys
 import time
@@ -28,20 +28,20 @@
     first_seed: int = 1,
     deployments: str = DEPLOYMENTS_FOLDER,
 ) -> int:
-    """Run many seeds in virtual time, each with random faults; print those that break a rule.
+    """Run many seeds in virtual time, each with random faults, and print the failed seeds.
 
-    Odd seeds run one shipped deployment, even ones the other.
+    Odd and even seeds run different shipped deployments.
 
     Args:
-        seeds: Seeds to run.
-        first_seed: The first one.
-        deployments: Folder of the deployment files.
+        seeds: Number of seeds to run.
+        first_seed: First seed.
+        deployments: Directory of the deployment files.
 
     Returns:
-        The exit code: 0, 1 when a seed broke a rule, 2 for a bad argument.
+        The exit code: 0, 1 if a seed failed, 2 for an invalid argument.
     """
     if seeds < 1:
-        print(f"soak: {seeds} seeds are none; give --seeds 1 or more", file=sys.stderr)
+        print(f"soak: --seeds {seeds} is out of range; give 1 or more", file=sys.stderr)
         return EXIT_BAD_ARGUMENT
     ensure_fixed_hash_seed()
     failed: list[int] = []
@@ -53,7 +53,7 @@
             failed.append(seed)
     print(f"{seeds - len(failed)} of {seeds} seeds without violations", flush=True)
     for seed in failed:
-        print(f"failed: seed {seed}; again alone: {reproducing_command(seed)}")
+        print(f"failed: seed {seed}; to run it alone: {reproducing_command(seed)}")
     return EXIT_VIOLATIONS if failed else EXIT_OK
 
 
@@ -69,11 +69,11 @@
     return f"weirscale soak --seeds=1 --first_seed={seed}"
 
 
-def _print_seed(seed: int, outcome: RunOutcome, took_s: float) -> None:
+def _print_seed(seed: int, outcome: RunOutcome, duration_s: float) -> None:
     figures = outcome.figures
-    faults = ", ".join(f"{one.kind.value}@{one.at_s:.1f}" for one in outcome.faults)
+    faults = ", ".join(f"{fault.kind.value}@{fault.at_s:.1f}" for fault in outcome.faults)
     verdict = "FAILED" if has_failed(outcome) else "ok"
-    print(f"seed {seed} {figures.deployment} {verdict} {took_s:.1f} s [{faults}]", flush=True)
+    print(f"seed {seed} {figures.deployment} {verdict} {duration_s:.1f} s [{faults}]", flush=True)
     if has_failed(outcome):
         print_outcome(outcome)
-        print(f"again alone: {reproducing_command(seed)}", flush=True)
+        print(f"to run it alone: {reproducing_command(seed)}", flush=True)
--- a/src/weirscale/experiments/workload/__init__.py
+++ b/src/weirscale/experiments/workload/__init__.py
@@ -1,1 +1,1 @@
-"""Seeded workloads of both deployments, as plans of typed items with intended send times."""
+"""Seeded workloads of both deployments, as plans of typed items with planned send times."""
--- a/src/weirscale/experiments/workload/items.py
+++ b/src/weirscale/experiments/workload/items.py
@@ -1,4 +1,4 @@
-"""Items of a workload plan: what a caller sends, when, and how it behaves."""
+"""Items of a workload plan: the request, its send time and the behaviour of its caller."""
 
 import msgspec
 
@@ -15,8 +15,8 @@
     """How the caller of one item behaves.
 
     Attributes:
-        leaves_after_s: The caller closes its connection after this time; None: it stays.
-        read_delay_s: Pause after each chunk that it reads; 0 for a fast reader.
+        leaves_after_s: Time after which the caller closes its connection; None: it does not.
+        read_delay_s: Delay after each chunk that the caller reads; 0 for a fast reader.
     """
 
     leaves_after_s: float | None = None
@@ -24,11 +24,11 @@
 
 
 class PromptParts(msgspec.Struct, frozen=True):
-    """A prompt by reference, so that a plan of thousands of prompts stays small.
+    """A prompt by reference to its sections, so that a plan of thousands of prompts stays small.
 
     Attributes:
         sections: Names and sizes in bytes of the shared sections, outermost first.
-        question: The caller's own text after them.
+        question: The caller's own text after the sections.
     """
 
     sections: tuple[tuple[str, int], ...]
@@ -39,14 +39,14 @@
     """One request for generated text.
 
     Attributes:
-        request_id: Unique in the plan.
-        send_at_s: Intended send time, from the start of the run.
-        tenant: Who sends it.
-        zone: The zone that the caller is near.
-        node_index: Which node of the zone it is sent through, modulo their number.
-        model: The model asked for.
+        request_id: Id of the request, unique in the plan.
+        send_at_s: Planned send time, from the start of the run.
+        tenant: Tenant of the caller.
+        zone: Zone of the caller.
+        node_index: Index of the node in the zone, modulo the number of its nodes.
+        model: Requested model.
         parts: The prompt.
-        max_tokens: Most tokens to generate.
+        max_tokens: Maximum number of tokens to generate.
         deadline_s: Time after `send_at_s` at which the caller gives up.
         behaviour: How the caller behaves.
     """
@@ -67,19 +67,21 @@
     """One request to a named service.
 
     Attributes:
-        request_id: Unique in the plan.
-        send_at_s: Intended send time, from the start of the run.
-        tenant: Who sends it.
-        zone: The zone that the caller is near.
-        node_index: Which node of the zone it is sent through, modulo their number.
-        service: The service.
+        request_id: Id of the request, unique in the plan.
+        send_at_s: Planned send time, from the start of the run.
+        tenant: Tenant of the caller.
+        zone: Zone of the caller.
+        node_index: Index of the node in the zone, modulo the number of its nodes.
+        service: Requested service.
         method: HTTP method.
-        path: Path below the service's root.
-        body: The whole body; it carries the request's marker, so answers can be told apart.
+        path: Path relative to the root of the service.
+        body: Whole body; it contains the marker of the request, so that answers are
+            distinguishable.
         deadline_s: Time after `send_at_s` at which the caller gives up.
-        repeatable: Whether it may run more than once.
-        idempotency_key: The caller's key, or None.
-        repeats: The item that this one sends again, impatiently, with the same key; else None.
+        repeatable: Whether the request may run more than once.
+        idempotency_key: The caller's idempotency key, or None.
+        repeats: Item that an impatient caller sends again with this one, with the same key; None if
+            this is a first send.
     """
 
     request_id: RequestId
--- a/src/weirscale/experiments/workload/plan.py
+++ b/src/weirscale/experiments/workload/plan.py
@@ -1,4 +1,4 @@
-"""Makes a plan, item by item in order of time, from a shape and a seed."""
+"""Generate a workload plan from a workload shape and a seed."""
 
 from collections.abc import Sequence
 from random import Random
@@ -19,18 +19,18 @@
 NUM_NODE_CHOICES = 1 << 16
 """Node indexes are drawn below this and taken modulo the number of nodes."""
 COMMON_SECTION = "common"
-"""Name of the section that all tenants share."""
+"""Name of the prompt section that all tenants share."""
 MIN_LEAVE_S = 0.02
 MAX_LEAVE_S = 1.5
-"""Callers that leave do so between these times after sending."""
+"""Callers that disconnect do so after a time between MIN_LEAVE_S and MAX_LEAVE_S."""
 
 
 class PlanSetting(msgspec.Struct, frozen=True):
-    """What a plan takes from the deployment.
+    """Properties of the deployment that a plan depends on.
 
     Attributes:
         tenants: Tenants, largest first.
-        zones: Zones that callers are near.
+        zones: Zones of callers.
     """
 
     tenants: tuple[TenantName, ...]
@@ -38,7 +38,7 @@
 
 
 class _Planner:
-    """Draws the items of one plan; all randomness is the one seeded generator."""
+    """Draws the items of one plan; all randomness comes from one seeded generator."""
 
     def __init__(self, shape: WorkloadShape, setting: PlanSetting, random: Random) -> None:
         self._shape = shape
@@ -55,7 +55,7 @@
         self._shuffle_seed = random.getrandbits(64)
 
     def items_at(self, time_s: float) -> list[PlanItem]:
-        """Draw the items of one arrival: one, or two when an impatient caller repeats."""
+        """Draw the items of one arrival: one, or two if an impatient caller sends again."""
         tenant = self._setting.tenants[self._tenant_ranks.draw(self._random)]
         zone = self._random.choice(self._setting.zones)
         point = self._random.random()
@@ -138,7 +138,7 @@
         )
 
     def _sections(self, time_s: float, tenant: TenantName) -> tuple[tuple[str, int], ...]:
-        """Draw a path down the nested levels; what is hot depends on the epoch."""
+        """Draw one section for each nested level; the popular sections depend on the epoch."""
         epoch = self._epoch(time_s)
         path = str(tenant)
         sections: list[tuple[str, int]] = []
@@ -154,13 +154,13 @@
         return tuple(sections)
 
     def _epoch(self, time_s: float) -> int:
-        every_s = self._shape.hot_shift_every_s
-        num_regular = int(time_s // every_s) if every_s else 0
-        num_further = sum(at_s <= time_s for at_s in self._shape.hot_shifts_at_s)
-        return num_regular + num_further
+        interval_s = self._shape.hot_shift_every_s
+        num_regular = int(time_s // interval_s) if interval_s else 0
+        num_extra = sum(at_s <= time_s for at_s in self._shape.hot_shifts_at_s)
+        return num_regular + num_extra
 
     def _popularity_order(self, epoch: int, path: str, depth: int) -> list[int]:
-        """Return the children of a section, most popular first, in one epoch."""
+        """Return the children of a section in one epoch, most popular first."""
         key = (epoch, path, depth)
         if key not in self._orders:
             order = list(range(self._shape.levels[depth].num_children))
@@ -180,16 +180,17 @@
 def make_plan(
     shape: WorkloadShape, setting: PlanSetting, duration_s: float, seed: int
 ) -> Sequence[PlanItem]:
-    """Make the plan of a run.
+    """Generate the plan of a run.
 
     Args:
-        shape: The workload.
+        shape: Shape of the workload.
         setting: Tenants and zones of the deployment.
-        duration_s: No first send is planned at or after this time; impatient repeats may be.
+        duration_s: First sends are planned before this time; repeats by impatient callers may be
+            later.
         seed: The same seed gives the same plan.
 
     Returns:
-        All items in order of their intended send times.
+        All items in order of their planned send times.
     """
     random = Random(seed)
     rate = ArrivalRate(shape.requests_per_s, shape.day_length_s, shape.day_swing, shape.bursts)
--- a/src/weirscale/experiments/workload/prompts.py
+++ b/src/weirscale/experiments/workload/prompts.py
@@ -1,11 +1,11 @@
-"""Texts of shared sections and whole prompts, made from their names alone."""
+"""Texts of shared sections and whole prompts, generated from the names of sections."""
 
 import functools
 
 from weirscale.experiments.workload.items import GenerationItem
 
 NUM_CACHED_SECTIONS = 2048
-"""Section texts kept; at a few kilobytes each, some ten megabytes at most."""
+"""Section texts kept in memory: about 10 MB at most, at a few kilobytes each."""
 
 
 @functools.lru_cache(maxsize=NUM_CACHED_SECTIONS)
@@ -17,7 +17,7 @@
 
 
 def request_body(item: GenerationItem) -> dict[str, object]:
-    """Return the OpenAI-shaped chat body of an item."""
+    """Return the chat body of an item, in the format of the OpenAI API."""
     shared = "".join(section_text(name, num_bytes) for name, num_bytes in item.parts.sections)
     return {
         "model": item.model,
--- a/src/weirscale/experiments/workload/sampling.py
+++ b/src/weirscale/experiments/workload/sampling.py
@@ -23,7 +23,7 @@
 
 
 class ArrivalRate:
-    """The arrival rate over time: a day shape and bursts around a mean."""
+    """The arrival rate over time: a mean with a daily variation and bursts."""
 
     def __init__(
         self, mean_per_s: float, day_length_s: float, day_swing: float, bursts: Sequence[Burst]
@@ -35,12 +35,12 @@
 
     @property
     def highest_per_s(self) -> float:
-        """A rate that `at` never exceeds."""
+        """An upper bound of `at`, in requests per second."""
         burst_factor = math.prod(max(1.0, burst.factor) for burst in self._bursts)
         return self._mean_per_s * (1.0 + self._day_swing) * burst_factor
 
     def at(self, time_s: float) -> float:
-        """Return the rate at a time, in requests a second."""
+        """Return the rate at a time, in requests per second."""
         angle = 2.0 * math.pi * time_s / self._day_length_s
         rate = self._mean_per_s * (1.0 + self._day_swing * math.sin(angle))
         for burst in self._bursts:
@@ -50,7 +50,7 @@
 
 
 def arrival_times(rate: ArrivalRate, duration_s: float, random: Random) -> Iterator[float]:
-    """Yield the times of a Poisson process whose rate varies, by thinning.
+    """Yield the times of a Poisson process with a varying rate, by thinning.
 
     The process is open-loop: no arrival waits for an answer to another.
     """
--- a/src/weirscale/experiments/workload/shape.py
+++ b/src/weirscale/experiments/workload/shape.py
@@ -1,4 +1,4 @@
-"""The shape of a workload: rates, skews, nesting and caller behaviour, with both presets."""
+"""Shapes of workloads: rates, skews, nested prompts and caller behaviour, and both presets."""
 
 from weirscale.domain.configuration.model import Declared
 from weirscale.domain.identifiers import ModelName, ServiceName
@@ -8,9 +8,9 @@
     """One level of nested shared prefixes.
 
     Attributes:
-        name: What one section of the level is, for instance `class`.
-        num_children: Sections of this level below each section of the level above.
-        num_bytes: Bytes of one section.
+        name: Kind of the sections of the level, for instance `class`.
+        num_children: Number of sections of this level below each section of the level above.
+        num_bytes: Size of one section in bytes.
     """
 
     name: str
@@ -19,12 +19,12 @@
 
 
 class Burst(Declared, frozen=True):
-    """A time of higher arrival rate.
+    """A period of higher arrival rate.
 
     Attributes:
-        at_s: Its start, from the start of the run.
-        lasts_s: Its length.
-        factor: The rate's multiple while it lasts.
+        at_s: Start of the period, from the start of the run.
+        lasts_s: Duration of the period.
+        factor: Factor on the rate during the period.
     """
 
     at_s: float
@@ -36,13 +36,13 @@
     """Requests to the deployment's service.
 
     Attributes:
-        service: Its name.
+        service: Name of the service.
         change_path: Path of requests that must not run twice (an order, a seat).
         read_path: Path of reads (order status, roster).
         change_share: Share of all requests that are changes.
         read_share: Share of all requests that are reads.
         impatient_share: Share of changes that are sent again through another node.
-        patience_s: Longest time before an impatient caller sends again.
+        patience_s: Maximum time after which an impatient caller sends again.
     """
 
     service: ServiceName
@@ -55,33 +55,33 @@
 
 
 class WorkloadShape(Declared, frozen=True):
-    """Everything that, with a seed, determines a plan.
+    """Properties that, together with a seed, determine a plan.
 
     Attributes:
-        name: `yearbook` or `racing`, or a name of its own.
-        model: The model asked for.
+        name: `yearbook`, `racing` or another name.
+        model: Requested model.
         levels: Nested prefixes, outermost first.
-        service: Requests to the service.
-        common_bytes: Bytes at the head of every prompt that are the same for all tenants; a cache
-            that tenants shared would serve them from one another's blocks.
-        requests_per_s: Mean arrival rate, before day shape and bursts.
-        day_length_s: Length of one day of the day shape.
-        day_swing: How far the rate swings around its mean, 0 to below 1.
-        bursts: Times of higher rate.
-        tenant_skew: Zipf exponent over tenants.
-        prefix_skew: Zipf exponent over sections of one level.
-        hot_shift_every_s: The hot set moves after each such time; None: never.
-        hot_shifts_at_s: Further times at which it moves.
+        service: Mix of requests to the service.
+        common_bytes: Bytes at the start of every prompt that are equal for all tenants; a cache
+            wrongly shared by tenants would reuse their blocks.
+        requests_per_s: Mean arrival rate, without daily variation and bursts.
+        day_length_s: Period of the daily variation.
+        day_swing: Relative amplitude of the daily variation, 0 to below 1.
+        bursts: Periods of higher rate.
+        tenant_skew: Zipf exponent of the popularity of tenants.
+        prefix_skew: Zipf exponent of the popularity of sections of one level.
+        hot_shift_every_s: Interval at which the set of popular sections changes; None: never.
+        hot_shifts_at_s: Additional times at which the set of popular sections changes.
         large_share: Share of tenants whose outermost section is `large_factor` times larger.
         large_factor: See `large_share`.
-        question_bytes: Bytes of the caller's own text.
-        min_tokens: Fewest `max_tokens` asked for.
-        max_tokens: Most `max_tokens` asked for.
-        deadline_s: Callers' deadline of generation.
-        service_deadline_s: Callers' deadline of service requests.
-        leave_share: Share of generation callers that leave early.
+        question_bytes: Size of the caller's own text in bytes.
+        min_tokens: Smallest `max_tokens` of a request.
+        max_tokens: Largest `max_tokens` of a request.
+        deadline_s: Deadline of generation requests.
+        service_deadline_s: Deadline of service requests.
+        leave_share: Share of generation callers that disconnect early.
         slow_share: Share of generation callers that read slowly.
-        slow_read_delay_s: Pause of a slow reader after each chunk.
+        slow_read_delay_s: Delay of a slow reader after each chunk.
     """
 
     name: str
@@ -121,7 +121,7 @@
         service=ServiceName("matemia"), change_path="/orders", read_path="/orders/status"
     ),
 )
-"""School yearbooks: long drafts reused all day, short captions, print orders."""
+"""School yearbooks: long drafts that are reused all day, short captions and print orders."""
 
 RACING = WorkloadShape(
     name="racing",
@@ -148,7 +148,7 @@
     deadline_s=20.0,
     service_deadline_s=5.0,
 )
-"""Racing leagues: rulings on long rulebooks, and lobby seats that must not double."""
+"""Racing leagues: rulings on long rulebooks, and lobby seats that must not be taken twice."""
 
 PRESETS = {shape.name: shape for shape in (YEARBOOK, RACING)}
 """Shapes that experiment files start from, by name."""
--- a/src/weirscale/standins/engine/attempt.py
+++ b/src/weirscale/standins/engine/attempt.py
@@ -29,7 +29,7 @@
         chunks: Chunks generated so far.
         failure: Why the attempt ended without a whole answer, or None.
         is_done: Whether the attempt has ended and no chunk will follow.
-        forget_at_s: End of the retention of a finished attempt.
+        retained_until_s: End of the retention of a finished attempt.
         record: Ledger entry of the attempt, None until it enters the batch.
         listeners: Functions that are called once at the next change.
     """
@@ -41,7 +41,6 @@
         "chunks",
         "deadline_s",
         "failure",
-        "forget_at_s",
         "is_done",
         "listeners",
         "num_cached_tokens",
@@ -52,6 +51,7 @@
         "num_reserved_blocks",
         "num_total_blocks",
         "record",
+        "retained_until_s",
     )
 
     def __init__(
@@ -76,7 +76,7 @@
         self.failure: EngineFailure | None = None
         self.is_done = False
         self.record: RunRecord | None = None
-        self.forget_at_s = 0.0
+        self.retained_until_s = 0.0
         self.listeners: list[Callable[[], None]] = []
         self._text: str | None = None
 
--- a/src/weirscale/standins/engine/ledger.py
+++ b/src/weirscale/standins/engine/ledger.py
@@ -26,7 +26,7 @@
         model: Model that served it.
         weight_version: Version that served it.
         adapter: Adapter that served it, or None.
-        num_prompt_tokens: Tokens of the prompt.
+        num_prompt_tokens: Tokens of the prompt and of the continued text.
         num_cached_tokens: Prompt tokens served from cache.
         started_at_s: When the attempt entered the batch.
         finished_at_s: When the attempt ended, None while it runs.
--- a/src/weirscale/standins/engine/model.py
+++ b/src/weirscale/standins/engine/model.py
@@ -82,7 +82,7 @@
     def submit(self, call: GenerateCall, now_s: float) -> Result[Attempt, EngineFailure]:
         """Queue an attempt, or refuse it without running it."""
         self._refresh_report(now_s)
-        self._forget_old(now_s)
+        self._drop_old_attempts(now_s)
         refusal = self.refusal(call)
         if refusal is not None:
             return Err(refusal)
@@ -113,7 +113,7 @@
     def begin_step(self, now_s: float) -> float | None:
         """Plan the next step and return its duration in seconds, or None if nothing runs."""
         self._refresh_report(now_s)
-        self._forget_old(now_s)
+        self._drop_old_attempts(now_s)
         self._drop_expired(now_s)
         self._admit(now_s)
         self._step = self.batch.next_step()
@@ -322,7 +322,7 @@
         self._num_waiting_prefill_tokens -= attempt.num_prefill_left
         self.batch.remove(attempt)
         self._close(attempt, outcome, now_s, kind)
-        attempt.forget_at_s = now_s + self.settings.attempt_retention_s
+        attempt.retained_until_s = now_s + self.settings.attempt_retention_s
         self._finished[(attempt.call.request_id, attempt.call.attempt)] = attempt
 
     def _close(
@@ -336,10 +336,10 @@
             attempt.record.outcome = outcome
         attempt.notify()
 
-    def _forget_old(self, now_s: float) -> None:
+    def _drop_old_attempts(self, now_s: float) -> None:
         while self._finished:
             key, attempt = next(iter(self._finished.items()))
-            if attempt.forget_at_s > now_s:
+            if attempt.retained_until_s > now_s:
                 return
             del self._finished[key]
             del self._attempts[key]
