--- a/features/support/faulty_stores.py
+++ b/features/support/faulty_stores.py
@@ -22,7 +22,7 @@
 
 async def apply_faults(switch):
     """Apply the faults to one call: return its failure or None; it may stall or be delayed."""
-    faults = switch.strike()
+    faults = switch.faults_for_call()
     if faults.is_dead:
         return Err("the store is down")
     if faults.is_stalled:
