--- a/bench/fault_soak/__init__.py
+++ b/bench/fault_soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak of the real program: node processes under faults, judged by what others saw of them."""
+"""Soak test of the real program: node processes under faults, checked by what others observed."""
--- a/bench/fault_soak/served_stand_in.py
+++ b/bench/fault_soak/served_stand_in.py
@@ -1,4 +1,4 @@
-"""Serves a stand-in of `features/support` on a real socket, where it can go down and come back."""
+"""Serves a stand-in of `features/support` on a real socket that can be closed and opened again."""
 
 from collections.abc import Awaitable
 from typing import Protocol
@@ -11,23 +11,23 @@
 from weirscale.ports.listeners import open_listener
 
 MAX_BODY_BYTES = 1 << 20
-FINISH_S = 0.05
-"""How long connections go on after the stand-in went down: a crash, not a planned end."""
+CLOSE_TIMEOUT_S = 0.05
+"""Time until connections are closed after the shutdown; short, because it stands for a crash."""
 
 
 class StandIn(Protocol):
-    """What the stand-ins offer."""
+    """Interface of the stand-ins."""
 
     def handle(self, request: httpx.Request) -> Awaitable[httpx.Response]:
-        """Answer a request; a transport error says that no answer comes."""
+        """Answer a request; a transport error means that no answer is sent."""
         ...
 
 
 class ServedStandIn:
-    """One stand-in at one address.
+    """A server for a stand-in at one address.
 
     Args:
-        stand_in: What answers.
+        stand_in: Answers the requests.
         host: Address to listen at.
         port: Port to listen at.
     """
@@ -40,16 +40,16 @@
         self._ended = anyio.Event()
 
     async def run(self) -> None:
-        """Listen and answer until `go_down` or the task is cancelled."""
+        """Serve until `shut_down` is called or the task is cancelled."""
         self._stop, self._ended = anyio.Event(), anyio.Event()
         listener = open_listener(self._host, self._port)
         try:
-            await serve_asgi(self._app, listener, self._stop, FINISH_S)
+            await serve_asgi(self._app, listener, self._stop, CLOSE_TIMEOUT_S)
         finally:
             self._ended.set()
 
-    async def go_down(self) -> None:
-        """Close the listener and all connections."""
+    async def shut_down(self) -> None:
+        """Close the listener and all connections, and wait until they are closed."""
         self._stop.set()
         await self._ended.wait()
 
@@ -61,35 +61,35 @@
         if body is None:
             return
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(_cancel_when_gone, receive, tasks.cancel_scope)
-            await self._answer(_request(scope, body), send)
+            tasks.start_soon(_cancel_on_disconnect, receive, tasks.cancel_scope)
+            await self._answer(_build_request(scope, body), send)
             tasks.cancel_scope.cancel()
 
     async def _answer(self, request: httpx.Request, send: Send) -> None:
         try:
             response = await self._stand_in.handle(request)
         except httpx.TransportError:
-            # The connection stays open and silent: no answer ever comes on it.
+            # The connection stays open without an answer.
             await anyio.sleep_forever()
         start = {"status": response.status_code, "headers": response.headers.raw}
         await send({"type": "http.response.start", **start})
         try:
-            # The stand-in's own stream: reading it by the response would copy what it raises.
+            # Reads the stream directly: reading it through the response would wrap its exceptions.
             assert isinstance(response.stream, httpx.AsyncByteStream)
             async for part in response.stream:
                 await send({"type": "http.response.body", "body": part, "more_body": True})
         except httpx.TransportError:
-            return  # without an end: the server closes the connection in the middle of the body
+            return  # without the end of the body: the server then closes the connection
         await send({"type": "http.response.body", "body": b"", "more_body": False})
 
 
-async def _cancel_when_gone(receive: Receive, scope: anyio.CancelScope) -> None:
+async def _cancel_on_disconnect(receive: Receive, scope: anyio.CancelScope) -> None:
     while (await receive())["type"] != "http.disconnect":
         pass
     scope.cancel()
 
 
-def _request(scope: Scope, body: bytes) -> httpx.Request:
+def _build_request(scope: Scope, body: bytes) -> httpx.Request:
     target = scope["raw_path"]
     if scope["query_string"]:
         target += b"?" + scope["query_string"]
--- a/scripts/mutate.py
+++ b/scripts/mutate.py
@@ -1,6 +1,6 @@
 """Applies each mutation of `bench/mutations.toml` to a scratch copy and runs its features.
 
-A mutation that no test notices is a hole in the tests: its line says ALIVE and the exit code is 1.
+A mutation that no test detects is a gap in the tests: its line says ALIVE and the exit code is 1.
 Usage: python scripts/mutate.py [RULE ...]
 """
 
@@ -19,7 +19,7 @@
 
 
 def copy_tree(folder: Path) -> None:
-    """Copy what the features need."""
+    """Copy everything that the features need."""
     for name in COPIED:
         ignore = shutil.ignore_patterns("__pycache__", "*.egg-info")
         shutil.copytree(ROOT / name, folder / name, ignore=ignore)
@@ -27,7 +27,7 @@
 
 
 def run_features(folder: Path, features: list[str]) -> bool:
-    """Run features in a copy; True if all pass."""
+    """Run features in a copy, and return whether all pass."""
     files = [f"features/{name}.feature" for name in features]
     environment = {"PYTHONPATH": f"{folder / 'src'}:{folder / 'platform'}", "PATH": "/usr/bin:/bin"}
     outcome = subprocess.run(
@@ -42,7 +42,7 @@
 
 
 def try_mutation(mutation: dict[str, object]) -> tuple[bool, str]:
-    """Apply one mutation; True if a test noticed, and the line to print."""
+    """Apply a mutation, and return whether a test detected it and the line to print."""
     label = f"{mutation['rule']}: {mutation['file']}: {str(mutation['find'])[:60]!r}"
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
@@ -59,10 +59,10 @@
 
 
 def main() -> int:
-    """Try all mutations, or those of the named rules."""
+    """Try all mutations, or those of the rules in the arguments."""
     rules = set(sys.argv[1:])
     mutations = tomllib.loads(TABLE.read_text())["mutation"]
-    chosen = [one for one in mutations if not rules or one["rule"] in rules]
+    chosen = [mutation for mutation in mutations if not rules or mutation["rule"] in rules]
     num_noticed = 0
     with ThreadPoolExecutor(NUM_WORKERS) as pool:
         for is_noticed, line in pool.map(try_mutation, chosen):
--- a/scripts/play_days.py
+++ b/scripts/play_days.py
@@ -1,7 +1,8 @@
-"""Plays the project's own days on the users' bench and prints a line each.
+"""Runs the days of `bench/days/table.toml` on an external test bench and prints a line for each.
 
-Usage: python scripts/play_days.py BENCH SITE [JOBS] [NAME ...]; BENCH is the bench's program, SITE
-a site file. The bench lies outside the repository: nothing here is part of CI.
+A day is a scenario of load and faults. Usage: python scripts/play_days.py BENCH SITE [JOBS]
+[NAME ...], with BENCH the bench's program and SITE a site file. The bench is not part of the
+repository, so CI does not run this script.
 """
 
 import subprocess
@@ -20,33 +21,33 @@
 
 
 def as_toml(value: Any) -> str:
-    """Write a value of a day as TOML."""
+    """Return a value of a day as TOML."""
     if isinstance(value, list):
-        return "[" + ", ".join(as_toml(one) for one in value) + "]"
+        return "[" + ", ".join(as_toml(item) for item in value) + "]"
     if isinstance(value, dict):
-        return "{ " + ", ".join(f"{key} = {as_toml(one)}" for key, one in value.items()) + " }"
+        return "{ " + ", ".join(f"{key} = {as_toml(item)}" for key, item in value.items()) + " }"
     if isinstance(value, str):
         return f'"{value}"'
     return str(value)
 
 
 def day_text(day: dict[str, Any], site: dict[str, Any]) -> str:
-    """Return a day file: our troubles over the traffic of the site's calm day."""
-    calm = next(one for one in site["day"] if one["name"] == QUIET_DAY)
+    """Return the text of a day file: the day's plan and faults, with the quiet day's traffic."""
+    quiet_day = next(site_day for site_day in site["day"] if site_day["name"] == QUIET_DAY)
     fields = {
         "name": day["name"].replace(" ", "-"),
         "slot": "trouble",
-        "seed": calm["seed"],
+        "seed": quiet_day["seed"],
         "plan": day.get("plan", []),
         "faults": day.get("faults", []),
-        "traffic": calm["traffic"],
+        "traffic": quiet_day["traffic"],
     }
     lines = [f"{key} = {as_toml(value)}" for key, value in fields.items()]
     return "[[day]]\n" + "\n".join(lines) + "\n"
 
 
-def play(bench: str, site_file: Path, day: dict[str, Any], site: dict[str, Any]) -> str:
-    """Play a day; returns the line of its result."""
+def run_day(bench: str, site_file: Path, day: dict[str, Any], site: dict[str, Any]) -> str:
+    """Run a day on the bench, and return the line with its result."""
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "day.toml"
         file.write_text(day_text(day, site))
@@ -61,17 +62,17 @@
 
 
 def summary(output: str) -> str:
-    """Return the result and the rules broken from the bench's output."""
+    """Return the result and the violated rules from the bench's output."""
     lines = output.splitlines()
     broken = [line for line in lines if line.startswith(("rules broken", "short of the gate"))]
     for number, line in enumerate(lines):
         if line.startswith("day  ") and number + 1 < len(lines):
             return " ".join(lines[number + 1].split()[2:7]) + "  " + "; ".join(broken)
-    return "NOT PLAYED: " + (lines[-1] if lines else "no output")
+    return "NOT RUN: " + (lines[-1] if lines else "no output")
 
 
 def main() -> int:
-    """Play all days, or those named."""
+    """Run all days, or those named in the arguments."""
     if len(sys.argv) <= MIN_ARGUMENTS:
         sys.stderr.write(f"{__doc__}\n")
         return EXIT_USAGE
@@ -82,7 +83,7 @@
     days = tomllib.loads(TABLE.read_text())["day"]
     chosen = [day for day in days if not names or day["name"] in names]
     with ThreadPoolExecutor(jobs) as pool:
-        for line in pool.map(lambda day: play(bench, site_file, day, site), chosen):
+        for line in pool.map(lambda day: run_day(bench, site_file, day, site), chosen):
             print(line, flush=True)
     return 0
 
--- a/scripts/run_checks.py
+++ b/scripts/run_checks.py
@@ -1,7 +1,7 @@
 """Runs formatter, linter, type check and behave; the last line is `N passed, N failed`.
 
-Each of the three static checks counts as one, each behave scenario as one. A failing scenario that
-KNOWN-RED.txt lists (one line each: test, cause, issue) is printed but not counted as failed.
+Each of the three static checks and each behave scenario counts as one. A failing scenario that is
+listed in KNOWN-RED.txt (a line each: test, cause, issue) is printed, but not counted as failed.
 """
 
 import contextlib
@@ -29,7 +29,7 @@
 MAX_KNOWN_RED = 3
 KNOWN_RED_FIELDS = 3
 NUM_WORKERS = 4
-"""behave processes at once; few enough for a small machine."""
+"""Concurrent behave processes; few enough for a small machine."""
 
 SLOW_FEATURES = (
     "fault_soak",
@@ -48,35 +48,38 @@
     "gateway_quota",
     "gateway_quota_schedules",
 )
-"""Files that take longest, begun first so that no worker is left with one at the end."""
+"""The slowest files, started first so that no worker still runs one of them alone at the end."""
 
-BEHAVE_ENDED = (0, 1)
-"""Exit codes of behave that ran to its end: all passed, or some failed."""
+BEHAVE_COMPLETED = (0, 1)
+"""Exit codes of a behave run that was completed: all passed, or some failed."""
 
 
 @dataclass(frozen=True)
 class FeatureRun:
-    """What behave made of one feature file.
+    """Result of a behave run of one feature file.
 
     Attributes:
         file: The feature file.
         output: Everything that behave printed.
         passed: Names of the scenarios that passed.
         others: Names of all other scenarios.
-        ended: Whether behave ran to its end.
-        duration_s: Time that it took.
+        is_completed: Whether behave completed the run.
+        duration_s: Duration of the run.
     """
 
     file: str
     output: str
     passed: list[str]
     others: list[str]
-    ended: bool
+    is_completed: bool
     duration_s: float
 
 
 def run_static_check(name: str, command: tuple[str, ...]) -> tuple[bool, str]:
-    """Run one tool from this interpreter's environment; True if it is clean, and what to print."""
+    """Run a tool from this interpreter's environment.
+
+    Return whether it passed, and the text to print.
+    """
     outcome = subprocess.run(
         [sys.executable, "-m", *command],
         check=False,
@@ -88,8 +91,8 @@
     return is_clean, f"{outcome.stdout}{name}: {'passed' if is_clean else 'FAILED'}"
 
 
-def known_red() -> set[str]:
-    """Return the scenario names that KNOWN-RED.txt lists; at most MAX_KNOWN_RED."""
+def read_known_red() -> set[str]:
+    """Return the scenario names that KNOWN-RED.txt lists; exit if it is malformed or too long."""
     if not KNOWN_RED_FILE.exists():
         return set()
     lines = [line for line in KNOWN_RED_FILE.read_text().splitlines() if line.strip()]
@@ -100,17 +103,17 @@
 
 
 def listed_name(name: str) -> str:
-    """Return how a scenario is listed: a line's first comma ends its name."""
+    """Return a scenario's name as KNOWN-RED.txt lists it, which is up to the first comma."""
     return name.split(",", 1)[0].strip()
 
 
 class SharedStepsRunner(Runner):
-    """Runs features with the step files that its process has loaded once."""
+    """Loads the step files only once in a process."""
 
     has_loaded = False
 
     def load_step_definitions(self, extra_step_paths: list[str] | None = None) -> None:
-        """Load the step files, unless an earlier run of the process did."""
+        """Load the step files, unless this process has loaded them already."""
         if not SharedStepsRunner.has_loaded:
             super().load_step_definitions(extra_step_paths)  # type: ignore[no-untyped-call]
             SharedStepsRunner.has_loaded = True
@@ -127,14 +130,14 @@
             exit_code = run_behave(  # type: ignore[no-untyped-call]
                 configuration, SharedStepsRunner
             )
-        ended = exit_code in BEHAVE_ENDED and report.exists()
-        passed, others = read_report(report) if ended else ([], [])
+        is_completed = exit_code in BEHAVE_COMPLETED and report.exists()
+        passed, others = read_report(report) if is_completed else ([], [])
     duration_s = time.monotonic() - began_s
-    return FeatureRun(file, text.getvalue(), passed, others, ended, duration_s)
+    return FeatureRun(file, text.getvalue(), passed, others, is_completed, duration_s)
 
 
 def read_report(report: Path) -> tuple[list[str], list[str]]:
-    """Return the names of passed and of all other scenarios."""
+    """Return the names of the passed scenarios, and of all others."""
     passed: list[str] = []
     others: list[str] = []
     for feature in json.loads(report.read_text() or "[]"):
@@ -146,7 +149,7 @@
 
 
 def feature_files() -> list[str]:
-    """Return all feature files, the slow ones first, then the large ones."""
+    """Return all feature files: the slow ones first, then the others by descending size."""
 
     def rank(file: Path) -> tuple[bool, int, int]:
         is_slow = file.stem in SLOW_FEATURES
@@ -155,41 +158,41 @@
     return [str(file) for file in sorted(Path("features").glob("*.feature"), key=rank)]
 
 
-def outcome_of(run: Future[FeatureRun], file: str) -> FeatureRun:
-    """Return a finished run; one that raised, or whose process died, did not end."""
-    error = run.exception()
+def result_of(future: Future[FeatureRun], file: str) -> FeatureRun:
+    """Return the result of a run; it is incomplete if the run raised or its process died."""
+    error = future.exception()
     if error is None:
-        return run.result()
+        return future.result()
     return FeatureRun(file, f"{type(error).__name__}: {error}", [], [], False, 0.0)
 
 
 def describe(run: FeatureRun) -> str:
-    """Return one line for a file that passed; of any other, all that behave printed."""
+    """Return a summary line for a file, preceded by behave's output unless all scenarios passed."""
     num_others = len(run.others)
     line = f"{run.file}: {len(run.passed)} passed, {num_others} not, in {run.duration_s:.1f} s"
-    if not run.ended:
-        line += " (behave did not run to its end)"
-    return line if run.ended and not run.others else f"{run.output}\n{line}"
+    if not run.is_completed:
+        line += " (behave did not complete the run)"
+    return line if run.is_completed and not run.others else f"{run.output}\n{line}"
 
 
 def run_features() -> list[FeatureRun]:
     """Run every scenario.
 
-    Feature files share nothing: each goes to the next worker that is idle. Workers are new
-    processes, so that the threads of this one are not copied into them.
+    Feature files share no state, so each goes to the next idle worker. Workers are spawned, not
+    forked, so that the threads of this process are not copied into them.
     """
     spawn = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(NUM_WORKERS, mp_context=spawn) as pool:
         files = {pool.submit(run_feature, file): file for file in feature_files()}
         runs = []
         for future in as_completed(files):
-            runs.append(outcome_of(future, files[future]))
+            runs.append(result_of(future, files[future]))
             print(describe(runs[-1]), flush=True)
     return runs
 
 
 def main() -> int:
-    """Run everything and print the closing line."""
+    """Run all checks and print the closing line."""
     with ThreadPoolExecutor(1) as background:
         checks = [background.submit(run_static_check, *check) for check in STATIC_CHECKS]
         runs = run_features()
@@ -198,8 +201,8 @@
             print(check.result()[1])
     passed = [name for run in runs for name in run.passed]
     others = [name for run in runs for name in run.others]
-    results.append(bool(passed) and all(run.ended for run in runs))
-    expected = known_red()
+    results.append(bool(passed) and all(run.is_completed for run in runs))
+    expected = read_known_red()
     failed = [name for name in others if listed_name(name) not in expected]
     for name in others:
         print(f"{'failed' if name in failed else 'known red'}: {name}")
